--- a/adaptive/patience.go
+++ b/adaptive/patience.go
@@ -1,11 +1,11 @@
-// Package patience says how long an answer is waited for before its connection
+// Package adaptive says how long an answer is waited for before its connection
 // counts as silent: some times the slowest answers seen lately, within bounds, so
 // that a slow link is not taken for a dead one.
 //
 //	b := patience.Bound{Least: 500 * time.Millisecond, Most: 1500 * time.Millisecond}
 //	ctx, cancel := context.WithTimeout(ctx, b.Wait())
 //	b.Answered(took) // or b.Silent()
-package patience
+package adaptive
 
 import (
 	"sync"
@@ -20,10 +20,10 @@
 	fade = 32
 )
 
-// Bound is safe for concurrent use. Set the exported fields before first use.
-type Bound struct {
-	// Least and Most bound the wait. Most is waited until a first answer came.
-	Least, Most time.Duration
+// Timeout is safe for concurrent use. Set the exported fields before first use.
+type Timeout struct {
+	// Min and Most bound the wait. Most is waited until a first answer came.
+	Min, Max time.Duration
 
 	mu sync.Mutex
 	// slowest is the time of the slowest answers seen lately; zero if none was
@@ -35,24 +35,24 @@
 
 // Wait is how long the next answer is waited for. It doubles with each call in
 // vain, so that a link that got slow is found out as such.
-func (b *Bound) Wait() time.Duration {
+func (b *Timeout) Wait() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.slowest == 0 {
-		return b.Most
+		return b.Max
 	}
-	wait := max(slack*b.slowest, b.Least)
+	wait := max(slack*b.slowest, b.Min)
 	for range b.silent {
-		if wait >= b.Most {
+		if wait >= b.Max {
 			break
 		}
 		wait *= 2
 	}
-	return min(wait, b.Most)
+	return min(wait, b.Max)
 }
 
-// Answered notes how long an answer took.
-func (b *Bound) Answered(took time.Duration) {
+// Observe notes how long an answer took.
+func (b *Timeout) Observe(took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.silent = 0
@@ -64,9 +64,9 @@
 	b.slowest = max(b.slowest, 1)
 }
 
-// Silent notes that an answer was waited for in vain, and returns how many were
+// TimedOut notes that an answer was waited for in vain, and returns how many were
 // since the last one that came.
-func (b *Bound) Silent() int {
+func (b *Timeout) TimedOut() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.silent++
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -32,8 +32,8 @@
 	at     time.Time
 }
 
-// Ask is one request that wants to be admitted.
-type Ask struct {
+// Request is one request that wants to be admitted.
+type Request struct {
 	Account string
 	Pool    string
 	// Weight is the account's own. It is at least 1.
@@ -52,8 +52,8 @@
 	Now    time.Time
 }
 
-// Verdict is the answer to an Ask.
-type Verdict struct {
+// Decision is the answer to an Ask.
+type Decision struct {
 	OK     bool
 	Reason string
 	// After is when to come back, without jitter.
@@ -61,28 +61,28 @@
 }
 
 // Admit counts the request in if it may go on.
-func (g *Gate) Admit(a Ask) Verdict {
+func (g *Gate) Admit(a Request) Decision {
 	g.init()
 	h := holder{a.Account, a.Pool}
-	if a.Concurrency > 0 && g.Account(a.Account) >= a.Concurrency {
-		return Verdict{Reason: "the account's concurrency limit is reached", After: time.Second}
+	if a.Concurrency > 0 && g.AccountInFlight(a.Account) >= a.Concurrency {
+		return Decision{Reason: "the account's concurrency limit is reached", After: time.Second}
 	}
 	if float64(g.pools[a.Pool])+1 > a.Capacity {
-		return Verdict{Reason: "the pool is full", After: time.Second}
+		return Decision{Reason: "the pool is full", After: time.Second}
 	}
 	if a.Load > Busy*a.Capacity && float64(g.inFlight[h]+1) > g.share(a) {
-		return Verdict{Reason: "the pool is crowded and the account has its share", After: time.Second}
+		return Decision{Reason: "the pool is crowded and the account has its share", After: time.Second}
 	}
 	if after := g.throttle(a); after > 0 {
-		return Verdict{Reason: "the account's tokens per minute are used up", After: after}
+		return Decision{Reason: "the account's tokens per minute are used up", After: after}
 	}
 	g.inFlight[h]++
 	g.pools[a.Pool]++
-	return Verdict{OK: true}
+	return Decision{OK: true}
 }
 
-// Count takes a further attempt of an admitted request in, unconditionally.
-func (g *Gate) Count(account, pool string) {
+// AddAttempt takes a further attempt of an admitted request in, unconditionally.
+func (g *Gate) AddAttempt(account, pool string) {
 	g.init()
 	g.inFlight[holder{account, pool}]++
 	g.pools[pool]++
@@ -111,8 +111,8 @@
 // InFlight returns the requests under way in a pool.
 func (g *Gate) InFlight(pool string) int { return g.pools[pool] }
 
-// Accounts returns the requests under way by account.
-func (g *Gate) Accounts() map[string]int {
+// InFlightByAccount returns the requests under way by account.
+func (g *Gate) InFlightByAccount() map[string]int {
 	counts := make(map[string]int)
 	for h, n := range g.inFlight {
 		counts[h.account] += n
@@ -128,8 +128,8 @@
 	}
 }
 
-// Account returns the requests that an account has under way, in all pools.
-func (g *Gate) Account(name string) int {
+// AccountInFlight returns the requests that an account has under way, in all pools.
+func (g *Gate) AccountInFlight(name string) int {
 	n := 0
 	for h, count := range g.inFlight {
 		if h.account == name {
@@ -141,7 +141,7 @@
 
 // share is the account's part of the capacity, by weight among the accounts
 // that have requests under way; at least one request.
-func (g *Gate) share(a Ask) float64 {
+func (g *Gate) share(a Request) float64 {
 	sum := a.Weight
 	for h := range g.inFlight {
 		if h.pool == a.Pool && h.account != a.Account {
@@ -154,7 +154,7 @@
 }
 
 // throttle takes the tokens or returns how long until they are there.
-func (g *Gate) throttle(a Ask) time.Duration {
+func (g *Gate) throttle(a Request) time.Duration {
 	if a.TokensPerMinute <= 0 {
 		return 0
 	}
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -12,8 +12,8 @@
 	"github.com/thymewind/thymewind/internal/proof"
 )
 
-func ask(account string) admission.Ask {
-	return admission.Ask{
+func ask(account string) admission.Request {
+	return admission.Request{
 		Account: account, Pool: "menu", Weight: 1, WeightOf: func(string) int { return 1 }, Capacity: 20, Now: time.Unix(1000, 0),
 	}
 }
@@ -48,18 +48,18 @@
 	tests := []struct {
 		name   string
 		before int
-		change func(*admission.Ask)
+		change func(*admission.Request)
 		ok     bool
 	}{
-		{"free", 0, func(*admission.Ask) {}, true},
-		{"concurrency reached", 2, func(a *admission.Ask) { a.Concurrency = 2 }, false},
-		{"concurrency not reached", 1, func(a *admission.Ask) { a.Concurrency = 2 }, true},
-		{"pool full", 20, func(*admission.Ask) {}, false},
-		{"crowded, over the share", 11, func(a *admission.Ask) { a.Load = 15 }, false},
-		{"crowded, within the share", 5, func(a *admission.Ask) { a.Load = 15 }, true},
-		{"not crowded, over the share", 11, func(a *admission.Ask) { a.Load = 11 }, true},
-		{"tokens used up", 1, func(a *admission.Ask) { a.TokensPerMinute, a.Tokens = 100, 60 }, false},
-		{"a request larger than a minute's tokens", 0, func(a *admission.Ask) { a.TokensPerMinute, a.Tokens = 100, 500 }, true},
+		{"free", 0, func(*admission.Request) {}, true},
+		{"concurrency reached", 2, func(a *admission.Request) { a.Concurrency = 2 }, false},
+		{"concurrency not reached", 1, func(a *admission.Request) { a.Concurrency = 2 }, true},
+		{"pool full", 20, func(*admission.Request) {}, false},
+		{"crowded, over the share", 11, func(a *admission.Request) { a.Load = 15 }, false},
+		{"crowded, within the share", 5, func(a *admission.Request) { a.Load = 15 }, true},
+		{"not crowded, over the share", 11, func(a *admission.Request) { a.Load = 11 }, true},
+		{"tokens used up", 1, func(a *admission.Request) { a.TokensPerMinute, a.Tokens = 100, 60 }, false},
+		{"a request larger than a minute's tokens", 0, func(a *admission.Request) { a.TokensPerMinute, a.Tokens = 100, 500 }, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -16,7 +16,7 @@
 
 	"github.com/thymewind/thymewind/directory"
 	"github.com/thymewind/thymewind/fleet"
-	"github.com/thymewind/thymewind/pace"
+	"github.com/thymewind/thymewind/throughput"
 )
 
 // What things cost, as time.
@@ -53,9 +53,9 @@
 	full    = 0.85
 	// peerFirst is what a move from another engine waits at least.
 	peerFirst = 2 * time.Millisecond
-	// SilentAfter is how long an engine with requests may say nothing. Its
+	// SilenceTimeout is how long an engine with requests may say nothing. Its
 	// events are asked for all the time, which it answers within a second.
-	SilentAfter = 1200 * time.Millisecond
+	SilenceTimeout = 1200 * time.Millisecond
 )
 
 // Source is a store of kept parts.
@@ -65,8 +65,8 @@
 	Domain  string
 	// Capacity is in tokens.
 	Capacity int
-	// Token is the time to move one token, First what each move waits.
-	Token, First time.Duration
+	// PerToken is the time to move one token, First what each move waits.
+	PerToken, Delay time.Duration
 }
 
 // Part is one part of the prompt.
@@ -74,8 +74,8 @@
 	Tokens int
 }
 
-// Ask is what an engine is chosen by.
-type Ask struct {
+// Request is what an engine is chosen by.
+type Request struct {
 	// Domain is the failure domain of the box that sends the prompt.
 	Domain string
 	// Home ranks the engines.
@@ -88,47 +88,47 @@
 	// Keys names the parts for engines of a weight version.
 	Keys func(version int64) []directory.Key
 	// Model is the one asked for, Wanted its newest version, or zero.
-	Model  string
-	Wanted int64
-	// Least is the lowest version that may be used, or zero.
-	Least int64
+	Model         string
+	NewestVersion int64
+	// MinVersion is the lowest version that may be used, or zero.
+	MinVersion int64
 	// Full says that an engine has no memory left for the prompt, of which so many
 	// tokens are taken up; nil takes none for full. A full one is chosen only if all
 	// are.
 	Full func(taken int) bool
 	// Goal is when the first event should have come, or zero if there is no such time.
 	Goal time.Duration
-	// Linked says that the box has a connection to an engine that rests; nil takes it to
+	// HasIdleConnection says that the box has a connection to an engine that rests; nil takes it to
 	// have one to each.
-	Linked func(t *fleet.Target) bool
-	// Within says whether the prompt may be run, kept and moved in a failure domain; nil
+	HasIdleConnection func(t *fleet.Target) bool
+	// DomainAllowed says whether the prompt may be run, kept and moved in a failure domain; nil
 	// allows all.
-	Within func(domain string) bool
+	DomainAllowed func(domain string) bool
 	// Skip passes over engines for which it returns true.
 	Skip func(id string) bool
 }
 
 // within says whether the prompt may be in a failure domain.
-func (a Ask) within(domain string) bool { return a.Within == nil || a.Within(domain) }
+func (a Request) within(domain string) bool { return a.DomainAllowed == nil || a.DomainAllowed(domain) }
 
 // last is the number of the part that is the request's own.
-func (a Ask) last() int { return len(a.Parts) - 1 }
+func (a Request) last() int { return len(a.Parts) - 1 }
 
 // Choice is the engine and what it does with the prompt.
 type Choice struct {
 	Target  *fleet.Target
 	Version int64
 	Keys    []directory.Key
-	// Kept counts the leading parts that the engine keeps.
-	Kept int
+	// CachedParts counts the leading parts that the engine keeps.
+	CachedParts int
 	// Fetch and Save hold a source for each part, or nil.
 	Fetch, Save []*Source
-	// Unread are the tokens that the engine has to read, Ahead those that other
+	// PrefillTokens are the tokens that the engine has to read, Ahead those that other
 	// requests have it read before.
-	Unread, Ahead int
-	// Moves are those that the engine needs before it can read the rest.
-	Moves []pace.Move
-	Rule  string
+	PrefillTokens, PrefillBacklog int
+	// Transfers are those that the engine needs before it can read the rest.
+	Transfers []throughput.Transfer
+	Rule      string
 }
 
 // Chooser chooses engines. Set the exported fields before first use; it is not
@@ -137,22 +137,22 @@
 	Directory *directory.Directory
 	// Stores are the stores in reach, in the same order on each box.
 	Stores func() []*Source
-	// Token is the time to move one token between two engines.
-	Token func() time.Duration
-	// Reading is the time that an engine takes to read one prompt token, Stretch
+	// TransferPerToken is the time to move one token between two engines.
+	TransferPerToken func() time.Duration
+	// PrefillPerToken is the time that an engine takes to read one prompt token, Stretch
 	// by how much moves from a source take longer than over an unused link; both
 	// as learnt.
-	Reading func() time.Duration
-	// Base is the time to the first event of a prompt without anything to read; nil
+	PrefillPerToken func() time.Duration
+	// FirstEventBase is the time to the first event of a prompt without anything to read; nil
 	// takes it for nothing.
-	Base    func() time.Duration
-	Stretch func(now time.Time, source string) float64
+	FirstEventBase func() time.Duration
+	Slowdown       func(now time.Time, source string) float64
 
 	// Slack is the difference in cost within which the best-ranked engine is taken.
 	Slack time.Duration
 	// Saves, FromStores and FromEngines say whether parts may be saved to a
 	// source, or fetched from it.
-	Saves, FromStores, FromEngines func(*Source) bool
+	AllowSave, AllowStoreFetch, AllowEngineFetch func(*Source) bool
 
 	// Load returns the memory that requests of all boxes take up at an engine,
 	// and the prompt tokens that wait there to be read.
@@ -174,10 +174,10 @@
 }
 
 // Choose returns the engine for a prompt, or false if none takes new work.
-func (c *Chooser) Choose(now time.Time, ask Ask, targets []*fleet.Target) (Choice, bool) {
-	s := search{Chooser: c, now: now, ask: ask, targets: targets, read: c.Reading()}
-	if c.Base != nil {
-		s.base = c.Base()
+func (c *Chooser) Choose(now time.Time, ask Request, targets []*fleet.Target) (Choice, bool) {
+	s := search{Chooser: c, now: now, ask: ask, targets: targets, read: c.PrefillPerToken()}
+	if c.FirstEventBase != nil {
+		s.base = c.FirstEventBase()
 	}
 	var all []candidate
 	for _, t := range targets {
@@ -234,11 +234,11 @@
 	return text
 }
 
-func usable(now time.Time, ask Ask, t *fleet.Target) bool {
-	if !t.Open(now) || !ask.within(t.Domain) || t.Loading(now) || t.Silent(now, SilentAfter) || (ask.Skip != nil && ask.Skip(t.ID)) {
+func usable(now time.Time, ask Request, t *fleet.Target) bool {
+	if !t.Available(now) || !ask.within(t.Domain) || t.Loading(now) || t.Silent(now, SilenceTimeout) || (ask.Skip != nil && ask.Skip(t.ID)) {
 		return false
 	}
-	return t.Versions[ask.Model] >= ask.Least
+	return t.Versions[ask.Model] >= ask.MinVersion
 }
 
 // lateness is the cost of a first event that is reckoned for a time.
--- a/affinity/affinity_test.go
+++ b/affinity/affinity_test.go
@@ -18,7 +18,7 @@
 	a, b    *fleet.Target
 	stores  []*affinity.Source
 	chooser affinity.Chooser
-	ask     affinity.Ask
+	ask     affinity.Request
 	// stretch is by how much moves take longer, by source.
 	stretch map[string]float64
 }
@@ -33,17 +33,17 @@
 	x.a = &fleet.Target{ID: "a", Domain: "z", Versions: map[string]int64{"m": 1}}
 	x.b = &fleet.Target{ID: "b", Domain: "z", Versions: map[string]int64{"m": 1}}
 	x.stores = []*affinity.Source{
-		{Name: "quick", Address: netip.MustParseAddrPort("10.0.0.1:1"), Domain: "z", Capacity: 20000, Token: time.Microsecond, First: time.Millisecond},
-		{Name: "large", Address: netip.MustParseAddrPort("10.0.0.2:1"), Domain: "z", Capacity: 1000000, Token: 2 * time.Microsecond, First: 6 * time.Millisecond},
+		{Name: "quick", Address: netip.MustParseAddrPort("10.0.0.1:1"), Domain: "z", Capacity: 20000, PerToken: time.Microsecond, Delay: time.Millisecond},
+		{Name: "large", Address: netip.MustParseAddrPort("10.0.0.2:1"), Domain: "z", Capacity: 1000000, PerToken: 2 * time.Microsecond, Delay: 6 * time.Millisecond},
 	}
 	x.chooser = affinity.Chooser{
 		Directory: x.d, Stores: func() []*affinity.Source { return x.stores },
-		Reading: func() time.Duration { return time.Millisecond / 112 }, Stretch: func(_ time.Time, name string) float64 { return max(x.stretch[name], 1) },
-		Token: func() time.Duration { return time.Microsecond },
-		Slack: affinity.Slack, Saves: all, FromStores: all, FromEngines: all,
-		Load: func(_ time.Time, t *fleet.Target) (int, int) { return t.Tokens, t.Unread },
+		PrefillPerToken: func() time.Duration { return time.Millisecond / 112 }, Slowdown: func(_ time.Time, name string) float64 { return max(x.stretch[name], 1) },
+		TransferPerToken: func() time.Duration { return time.Microsecond },
+		Slack:            affinity.Slack, AllowSave: all, AllowStoreFetch: all, AllowEngineFetch: all,
+		Load: func(_ time.Time, t *fleet.Target) (int, int) { return t.Tokens, t.PrefillBacklog },
 	}
-	x.ask = affinity.Ask{
+	x.ask = affinity.Request{
 		Domain: "z", Home: 7, Parts: []affinity.Part{{Tokens: 500}, {Tokens: 8000}, {Tokens: 2000}}, Model: "m", Tokens: 10600, Capacity: 180000,
 		Keys: func(version int64) []directory.Key {
 			return []directory.Key{key(version, 0), key(version, 1), key(version, 2)}
@@ -53,7 +53,7 @@
 }
 
 func (x *bench) keeps(source string, version int64, parts ...int) {
-	x.d.Begin(source, 1)
+	x.d.Connected(source, 1)
 	for _, i := range parts {
 		x.d.Add(source, key(version, i), x.ask.Parts[i].Tokens)
 	}
@@ -65,7 +65,7 @@
 	x.keeps(e.ID, 1, 0, 1)
 	x.keeps("large", 1, 0, 1)
 	x.stretch = map[string]float64{"large": 50}
-	x.chooser.FromEngines = func(*affinity.Source) bool { return false }
+	x.chooser.AllowEngineFetch = func(*affinity.Source) bool { return false }
 	e.Tokens = 175000
 }
 
@@ -89,7 +89,7 @@
 	}{
 		{"nothing known: home", func(*bench, *fleet.Target, *fleet.Target) {}, home},
 		{"kept elsewhere, no way to fetch it", func(x *bench, _, other *fleet.Target) { x.keeps(other.ID, 1, 0, 1); x.stores = nil }, home},
-		{"home has much to read", func(_ *bench, home, _ *fleet.Target) { home.Unread = 20000 }, other},
+		{"home has much to read", func(_ *bench, home, _ *fleet.Target) { home.PrefillBacklog = 20000 }, other},
 		{"home's memory is taken up", func(_ *bench, home, _ *fleet.Target) { home.Tokens = 175000 }, other},
 		{"home leaves", func(_ *bench, home, _ *fleet.Target) { home.Leaving = true }, other},
 		{"home failed lately", func(_ *bench, home, _ *fleet.Target) { home.Fail(start) }, other},
@@ -97,35 +97,35 @@
 		{"home is in another domain", func(x *bench, home, _ *fleet.Target) { home.Domain, x.ask.Domain = "y", "z" }, other},
 		{"home is in another domain, the own one is busy", func(x *bench, home, other *fleet.Target) {
 			home.Domain, x.ask.Domain = "y", "z"
-			other.Unread = 20000
+			other.PrefillBacklog = 20000
 		}, home},
 		{"home is a little busy, the other in another domain", func(_ *bench, home, other *fleet.Target) {
-			home.Unread, other.Domain = 7000, "y"
+			home.PrefillBacklog, other.Domain = 7000, "y"
 		}, home},
 		{"and home's first event would come behind the goal", func(x *bench, home, other *fleet.Target) {
-			home.Unread, other.Domain = 7000, "y"
+			home.PrefillBacklog, other.Domain = 7000, "y"
 			x.ask.Goal = 150 * time.Millisecond
 		}, other},
 		{"only to the other a connection rests", func(x *bench, _, other *fleet.Target) {
-			x.ask.Linked = func(t *fleet.Target) bool { return t == other }
+			x.ask.HasIdleConnection = func(t *fleet.Target) bool { return t == other }
 		}, other},
 		{"only to the other a connection rests, and it has some more to read", func(x *bench, _, other *fleet.Target) {
-			x.ask.Linked = func(t *fleet.Target) bool { return t == other }
-			other.Unread = 2000
+			x.ask.HasIdleConnection = func(t *fleet.Target) bool { return t == other }
+			other.PrefillBacklog = 2000
 		}, home},
 		{"to neither a connection rests", func(x *bench, _, _ *fleet.Target) {
-			x.ask.Linked = func(*fleet.Target) bool { return false }
+			x.ask.HasIdleConnection = func(*fleet.Target) bool { return false }
 		}, home},
-		{"home has old weights", func(x *bench, _, other *fleet.Target) { x.ask.Wanted = 2; other.Versions["m"] = 2 }, other},
+		{"home has old weights", func(x *bench, _, other *fleet.Target) { x.ask.NewestVersion = 2; other.Versions["m"] = 2 }, other},
 		{"home has old weights, the other is busy", func(x *bench, _, other *fleet.Target) {
-			x.ask.Wanted = 2
+			x.ask.NewestVersion = 2
 			other.Versions["m"] = 2
-			other.Unread = 50000
+			other.PrefillBacklog = 50000
 		}, home},
 		{"old weights are overdue", func(x *bench, _, other *fleet.Target) {
-			x.ask.Wanted, x.ask.Least = 2, 2
+			x.ask.NewestVersion, x.ask.MinVersion = 2, 2
 			other.Versions["m"] = 2
-			other.Unread = 50000
+			other.PrefillBacklog = 50000
 		}, other},
 		{"cheaper where it is kept, though little memory is left", func(x *bench, home, _ *fleet.Target) { x.keepsAlone(home) }, home},
 		{"cheaper where it is kept, but no memory is left", func(x *bench, home, _ *fleet.Target) {
@@ -165,8 +165,8 @@
 		{"kept by the other engine only", func(x *bench) { x.keeps(other, 1, 0, 1) }, [3]string{other, other, ""}, [3]string{"quick", "large", ""}, 2000},
 		{"the first part is nowhere: what follows is read", func(x *bench) { x.keeps("large", 1, 1) }, [3]string{}, [3]string{"quick", "", ""}, 10500},
 		{"kept under other weights only", func(x *bench) { x.keeps("large", 9, 0, 1) }, [3]string{}, [3]string{"quick", "large", ""}, 10500},
-		{"old weights: their parts are not saved any more", func(x *bench) { x.ask.Wanted = 2 }, [3]string{}, [3]string{}, 10500},
-		{"the store fell silent", func(x *bench) { x.keeps("large", 1, 0, 1); x.d.Silence("large") }, [3]string{}, [3]string{"quick", "large", ""}, 10500},
+		{"old weights: their parts are not saved any more", func(x *bench) { x.ask.NewestVersion = 2 }, [3]string{}, [3]string{}, 10500},
+		{"the store fell silent", func(x *bench) { x.keeps("large", 1, 0, 1); x.d.Disconnected("large") }, [3]string{}, [3]string{"quick", "large", ""}, 10500},
 		{"no room", func(x *bench) { x.stores[0].Capacity, x.stores[1].Capacity = 100, 100 }, [3]string{}, [3]string{}, 10500},
 		{"the large store has turned slow", func(x *bench) { x.keeps("large", 1, 0, 1); x.stretch = map[string]float64{"large": 50} }, [3]string{}, [3]string{}, 10500},
 		{"the large store has turned slow, the other engine has it too", func(x *bench) {
@@ -174,7 +174,7 @@
 			x.keeps(other, 1, 0, 1)
 			x.stretch = map[string]float64{"large": 50}
 		}, [3]string{other, other, ""}, [3]string{}, 2000},
-		{"the large store's link is slower than reading", func(x *bench) { x.keeps("large", 1, 0, 1); x.stores[1].Token = time.Millisecond }, [3]string{}, [3]string{}, 10500},
+		{"the large store's link is slower than reading", func(x *bench) { x.keeps("large", 1, 0, 1); x.stores[1].PerToken = time.Millisecond }, [3]string{}, [3]string{}, 10500},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -192,8 +192,8 @@
 					t.Errorf("part %d is saved to %q, want %q", i, name, tt.save[i])
 				}
 			}
-			if got.Unread != tt.unread {
-				t.Errorf("unread %d, want %d", got.Unread, tt.unread)
+			if got.PrefillTokens != tt.unread {
+				t.Errorf("unread %d, want %d", got.PrefillTokens, tt.unread)
 			}
 		})
 	}
--- a/affinity/bench_test.go
+++ b/affinity/bench_test.go
@@ -19,16 +19,16 @@
 	var targets []*fleet.Target
 	for i := range engines {
 		x := &fleet.Target{ID: fmt.Sprintf("i-%08x", i*7919), Domain: string(rune('a' + i%3)), Versions: map[string]int64{"m": 1}}
-		d.Begin(x.ID, 1)
+		d.Connected(x.ID, 1)
 		targets = append(targets, x)
 	}
 	var sources []*affinity.Source
 	for i := range stores {
 		s := &affinity.Source{
 			Name: fmt.Sprintf("store-%d", i), Address: netip.MustParseAddrPort("10.0.0.1:1"), Domain: string(rune('a' + i%3)),
-			Capacity: 1000000, Token: time.Microsecond, First: time.Millisecond,
+			Capacity: 1000000, PerToken: time.Microsecond, Delay: time.Millisecond,
 		}
-		d.Begin(s.Name, 1)
+		d.Connected(s.Name, 1)
 		sources = append(sources, s)
 	}
 	for i := range prompts / 2 { // Half of the prompts are kept, each in one store and by one engine.
@@ -39,11 +39,11 @@
 	}
 	chooser := affinity.Chooser{
 		Directory: d, Stores: func() []*affinity.Source { return sources },
-		Reading: func() time.Duration { return time.Millisecond / 112 }, Stretch: func(time.Time, string) float64 { return 1 },
-		Slack: affinity.Slack, Saves: all, FromStores: all, FromEngines: all,
-		Token: func() time.Duration { return time.Microsecond }, Load: func(_ time.Time, t *fleet.Target) (int, int) { return t.Tokens, t.Unread },
+		PrefillPerToken: func() time.Duration { return time.Millisecond / 112 }, Slowdown: func(time.Time, string) float64 { return 1 },
+		Slack: affinity.Slack, AllowSave: all, AllowStoreFetch: all, AllowEngineFetch: all,
+		TransferPerToken: func() time.Duration { return time.Microsecond }, Load: func(_ time.Time, t *fleet.Target) (int, int) { return t.Tokens, t.PrefillBacklog },
 	}
-	ask := affinity.Ask{Parts: []affinity.Part{{Tokens: 4000}, {Tokens: 4000}, {Tokens: 2000}}, Model: "m", Wanted: 1, Tokens: 10600, Capacity: 100000}
+	ask := affinity.Request{Parts: []affinity.Part{{Tokens: 4000}, {Tokens: 4000}, {Tokens: 2000}}, Model: "m", NewestVersion: 1, Tokens: 10600, Capacity: 100000}
 	b.ReportAllocs()
 	n := 0
 	for b.Loop() {
--- a/affinity/linked_test.go
+++ b/affinity/linked_test.go
@@ -21,9 +21,9 @@
 	random := rand.New(rand.NewPCG(3, 4))
 	chooser := affinity.Chooser{
 		Directory: directory.New(), Stores: func() []*affinity.Source { return nil },
-		Reading: func() time.Duration { return time.Millisecond / 112 }, Stretch: func(time.Time, string) float64 { return 1 },
-		Slack: affinity.Slack, Saves: all, FromStores: all, FromEngines: all,
-		Token: func() time.Duration { return time.Microsecond }, Load: func(_ time.Time, t *fleet.Target) (int, int) { return t.Tokens, t.Unread },
+		PrefillPerToken: func() time.Duration { return time.Millisecond / 112 }, Slowdown: func(time.Time, string) float64 { return 1 },
+		Slack: affinity.Slack, AllowSave: all, AllowStoreFetch: all, AllowEngineFetch: all,
+		TransferPerToken: func() time.Duration { return time.Microsecond }, Load: func(_ time.Time, t *fleet.Target) (int, int) { return t.Tokens, t.PrefillBacklog },
 	}
 	var targets []*fleet.Target
 	for i := range engines {
@@ -38,22 +38,22 @@
 	for n := range 20 * perSecond {
 		now := start.Add(time.Duration(n) * time.Second / perSecond)
 		for _, x := range targets { // What waits is read meanwhile.
-			x.Unread = max(x.Unread-112*1000/perSecond, 0)
+			x.PrefillBacklog = max(x.PrefillBacklog-112*1000/perSecond, 0)
 		}
 		box := random.IntN(boxes)
-		ask := affinity.Ask{
+		ask := affinity.Request{
 			Home: random.Uint64(), Parts: []affinity.Part{{Tokens: 3000}, {Tokens: 1000}}, Tokens: 4100, Capacity: 150000, Model: "m",
 			Keys: func(int64) []directory.Key { return []directory.Key{key(1, 2*n), key(1, 2*n+1)} },
 		}
 		if preferred {
-			ask.Linked = func(x *fleet.Target) bool { return now.Sub(used[pair{box, x.ID}]) < rests }
+			ask.HasIdleConnection = func(x *fleet.Target) bool { return now.Sub(used[pair{box, x.ID}]) < rests }
 		}
 		choice, _ := chooser.Choose(now, ask, targets)
 		if at, linked := used[pair{box, choice.Target.ID}]; !linked || now.Sub(at) >= rests {
 			made++
 		}
 		used[pair{box, choice.Target.ID}] = now
-		choice.Target.Unread += choice.Unread
+		choice.Target.PrefillBacklog += choice.PrefillTokens
 		got[choice.Target.ID]++
 	}
 	most := 0
--- a/affinity/parts.go
+++ b/affinity/parts.go
@@ -5,18 +5,18 @@
 
 	"github.com/thymewind/thymewind/directory"
 	"github.com/thymewind/thymewind/fleet"
-	"github.com/thymewind/thymewind/pace"
 	"github.com/thymewind/thymewind/placement"
+	"github.com/thymewind/thymewind/throughput"
 )
 
 // plan says what the engine chosen does with the prompt's parts.
 func (s *search) plan(one candidate) Choice {
 	l := s.locate(one.version)
-	choice := Choice{Target: one.target, Version: one.version, Keys: l.keys, Kept: one.kept, Ahead: one.ahead}
+	choice := Choice{Target: one.target, Version: one.version, Keys: l.keys, CachedParts: one.kept, PrefillBacklog: one.ahead}
 	s.planFetch(l, one, &choice)
 	s.planMoves(&choice, one)
 	s.planSpare(l, &choice)
-	if one.version >= s.ask.Wanted { // Parts of older weights are about to be freed.
+	if one.version >= s.ask.NewestVersion { // Parts of older weights are about to be freed.
 		s.planSave(&choice)
 	}
 	return choice
@@ -29,7 +29,7 @@
 		s.fetch(l, i, choice)
 	}
 	for _, p := range s.ask.Parts[one.reached:] {
-		choice.Unread += p.Tokens
+		choice.PrefillTokens += p.Tokens
 	}
 }
 
@@ -37,7 +37,7 @@
 // well. It takes only what it lacks, so this costs nothing unless it dropped
 // them meanwhile, as it does when its memory is short.
 func (s *search) planSpare(l *located, choice *Choice) {
-	for i := range min(choice.Kept, s.ask.last()) {
+	for i := range min(choice.CachedParts, s.ask.last()) {
 		s.fetch(l, i, choice)
 	}
 }
@@ -56,7 +56,7 @@
 
 // move is how long moving some tokens to an engine takes.
 func (s *Source) move(tokens int, t *fleet.Target) time.Duration {
-	took := s.First + time.Duration(tokens)*s.Token
+	took := s.Delay + time.Duration(tokens)*s.PerToken
 	if s.Domain != t.Domain {
 		took *= 2
 	}
@@ -67,8 +67,8 @@
 func (s *search) planMoves(choice *Choice, one candidate) {
 	for i := one.kept; i < one.reached; i++ {
 		from := choice.Fetch[i]
-		choice.Moves = append(choice.Moves, pace.Move{
-			Source: placement.Hash(from.Name), Takes: from.move(s.ask.Parts[i].Tokens, choice.Target),
+		choice.Transfers = append(choice.Transfers, throughput.Transfer{
+			Source: placement.Hash(from.Name), Expected: from.move(s.ask.Parts[i].Tokens, choice.Target),
 		})
 	}
 }
@@ -105,18 +105,18 @@
 	var best *Source
 	var rank float64
 	for _, x := range s.Stores() {
-		if s.Directory.Likely(x.Name, key, s.now) {
+		if s.Directory.HasOrExpects(x.Name, key, s.now) {
 			return nil
 		}
 		free := x.Capacity - s.Directory.Tokens(x.Name)
-		if free < tokens*2 || !s.ask.within(x.Domain) || !s.Saves(x) {
+		if free < tokens*2 || !s.ask.within(x.Domain) || !s.AllowSave(x) {
 			continue
 		}
 		weight := float64(placement.Weight(uint64(key), placement.Hash(x.Name))>>1 + 1<<62)
 		if tokens > shortPart {
 			weight *= float64(free)
 		} else {
-			weight /= float64(x.First + time.Duration(tokens)*x.Token)
+			weight /= float64(x.Delay + time.Duration(tokens)*x.PerToken)
 		}
 		if best == nil || weight > rank {
 			best, rank = x, weight
--- a/affinity/search.go
+++ b/affinity/search.go
@@ -14,7 +14,7 @@
 type search struct {
 	*Chooser
 	now     time.Time
-	ask     Ask
+	ask     Request
 	targets []*fleet.Target
 	// read is the time to read one token, base that to a first event beside it.
 	read, base time.Duration
@@ -62,19 +62,19 @@
 func (s *search) holders(key directory.Key) holders {
 	var h holders
 	for _, store := range s.Stores() {
-		if s.ask.within(store.Domain) && s.FromStores(store) && s.Directory.Whole(store.Name, key) {
-			h.stores = append(h.stores, holder{*store, s.Stretch(s.now, store.Name)})
+		if s.ask.within(store.Domain) && s.AllowStoreFetch(store) && s.Directory.Has(store.Name, key) {
+			h.stores = append(h.stores, holder{*store, s.Slowdown(s.now, store.Name)})
 		}
 	}
 	for _, t := range s.targets {
-		if !s.ask.within(t.Domain) || !s.Directory.Whole(t.ID, key) || t.Leaving || t.Evacuated || t.Avoided(s.now) {
+		if !s.ask.within(t.Domain) || !s.Directory.Has(t.ID, key) || t.Leaving || t.Evacuated || t.Ejected(s.now) {
 			continue
 		}
-		peer := Source{Name: t.ID, Address: t.Address, Domain: t.Domain, First: peerFirst, Token: s.Token()}
-		if !s.FromEngines(&peer) {
+		peer := Source{Name: t.ID, Address: t.Address, Domain: t.Domain, Delay: peerFirst, PerToken: s.TransferPerToken()}
+		if !s.AllowEngineFetch(&peer) {
 			continue
 		}
-		h.engines = append(h.engines, holder{peer, s.Stretch(s.now, t.ID)})
+		h.engines = append(h.engines, holder{peer, s.Slowdown(s.now, t.ID)})
 	}
 	return h
 }
@@ -84,7 +84,7 @@
 	version := t.Versions[s.ask.Model]
 	l := s.locate(version)
 	one := candidate{target: t, version: version, rank: placement.Weight(s.ask.Home, placement.Hash(t.ID))}
-	one.kept = s.Directory.Run(t.ID, l.keys, s.now)
+	one.kept = s.Directory.LeadingParts(t.ID, l.keys, s.now)
 	running, unread := s.Load(s.now, t)
 	one.ahead = unread
 	one.full = s.ask.Full != nil && s.ask.Full(running)
@@ -98,13 +98,13 @@
 	if t.Domain != s.ask.Domain {
 		one.cost += elsewhere
 	}
-	if s.ask.Linked != nil && !s.ask.Linked(t) {
+	if s.ask.HasIdleConnection != nil && !s.ask.HasIdleConnection(t) {
 		one.cost += unlinked
 	}
-	if version < s.ask.Wanted {
+	if version < s.ask.NewestVersion {
 		one.cost += oldWeights
 	}
-	if t.Grey(s.now) || t.Avoided(s.now) {
+	if t.Grey(s.now) || t.Ejected(s.now) {
 		one.cost += doubt
 	}
 	return one
@@ -127,7 +127,7 @@
 // best returns where an engine should fetch a part from and how long that takes,
 // or nil if it had better read the part.
 func (s *search) best(l *located, part int, t *fleet.Target) (*holder, time.Duration) {
-	if behind, late := t.Behind[s.ask.Model]; late && behind == l.version {
+	if behind, late := t.StaleVersions[s.ask.Model]; late && behind == l.version {
 		return nil, 0
 	}
 	return l.parts[part].best(s.ask.Parts[part].Tokens, s.read, t)
--- a/backlog/backlog.go
+++ b/backlog/backlog.go
@@ -37,11 +37,11 @@
 	longest = 10 * time.Second
 )
 
-// Clock reckons for all targets. Set the exported fields before first use; it is
+// Estimator reckons for all targets. Set the exported fields before first use; it is
 // not safe for concurrent use.
-type Clock struct {
-	// Token returns how long a target takes to read one token. It is above zero.
-	Token func() time.Duration
+type Estimator struct {
+	// TokenTime returns how long a target takes to read one token. It is above zero.
+	TokenTime func() time.Duration
 
 	queues map[uint64]*queue
 	// heard is what other boxes told last.
@@ -65,18 +65,18 @@
 }
 
 // Place counts tokens that this box decided to have read at a target.
-func (c *Clock) Place(now time.Time, target uint64, tokens int) {
+func (c *Estimator) Place(now time.Time, target uint64, tokens int) {
 	if tokens <= 0 {
 		return
 	}
 	q := c.of(target)
-	q.add(now, time.Duration(tokens)*c.Token())
+	q.add(now, time.Duration(tokens)*c.TokenTime())
 	q.total += uint64(tokens)
 	q.placed = now
 }
 
 // of returns a target's queue.
-func (c *Clock) of(target uint64) *queue {
+func (c *Estimator) of(target uint64) *queue {
 	if c.queues == nil {
 		c.queues = make(map[uint64]*queue)
 	}
@@ -96,9 +96,9 @@
 	q.until = q.until.Add(min(work, longest))
 }
 
-// Hear takes over the totals that another box told. What it placed since it told
+// Merge takes over the totals that another box told. What it placed since it told
 // last was placed half of that time ago, on average.
-func (c *Clock) Hear(now time.Time, box string, reads []peer.Read) {
+func (c *Estimator) Merge(now time.Time, box string, reads []peer.PrefillTotal) {
 	before := c.heard[box]
 	if before == nil {
 		c.first(now, box, reads)
@@ -113,7 +113,7 @@
 		}
 		before.totals[r.Target] = r.Total
 		if more > 0 {
-			c.of(r.Target).add(since, time.Duration(min(more, mostTokens))*c.Token())
+			c.of(r.Target).add(since, time.Duration(min(more, mostTokens))*c.TokenTime())
 		}
 	}
 }
@@ -123,7 +123,7 @@
 
 // first takes over what a box tells that was not heard yet. How long ago it placed
 // that is not known, so nothing is reckoned for it.
-func (c *Clock) first(now time.Time, box string, reads []peer.Read) {
+func (c *Estimator) first(now time.Time, box string, reads []peer.PrefillTotal) {
 	if c.heard == nil {
 		c.heard = make(map[string]*told)
 	}
@@ -134,29 +134,29 @@
 	c.heard[box] = t
 }
 
-// Told lists the totals that other boxes may not know.
-func (c *Clock) Told(now time.Time) []peer.Read {
-	var list []peer.Read
+// Totals lists the totals that other boxes may not know.
+func (c *Estimator) Totals(now time.Time) []peer.PrefillTotal {
+	var list []peer.PrefillTotal
 	for target, q := range c.queues {
 		if !q.placed.IsZero() && now.Sub(q.placed) < tellFor {
-			list = append(list, peer.Read{Target: target, Total: q.total})
+			list = append(list, peer.PrefillTotal{Target: target, Total: q.total})
 		}
 	}
 	return list
 }
 
-// Unread returns the tokens that a target is still to read.
-func (c *Clock) Unread(now time.Time, target uint64) int {
+// PrefillBacklog returns the tokens that a target is still to read.
+func (c *Estimator) PrefillBacklog(now time.Time, target uint64) int {
 	q := c.queues[target]
 	if q == nil || !now.Before(q.until) {
 		return 0
 	}
-	return int(min(q.until.Sub(now), longest) / c.Token())
+	return int(min(q.until.Sub(now), longest) / c.TokenTime())
 }
 
 // Expire forgets targets and boxes of which nothing was heard for long. Call it
 // about once a second.
-func (c *Clock) Expire(now time.Time) {
+func (c *Estimator) Expire(now time.Time) {
 	maps.DeleteFunc(c.queues, func(_ uint64, q *queue) bool {
 		return now.Sub(q.until) > forget && now.Sub(q.placed) > forget
 	})
--- a/backlog/herd_test.go
+++ b/backlog/herd_test.go
@@ -60,7 +60,7 @@
 	number  map[string]int
 	free    []time.Time // When each engine has read all.
 	waiting [][]*sent
-	clocks  [domains]*backlog.Clock
+	clocks  [domains]*backlog.Estimator
 }
 
 func newHerd(seed uint64) *herd {
@@ -82,9 +82,9 @@
 func (h *herd) chooser(unread func(x *fleet.Target) int) *affinity.Chooser {
 	none := func(*affinity.Source) bool { return false }
 	return &affinity.Chooser{
-		Directory: directory.New(), Stores: func() []*affinity.Source { return nil }, Token: func() time.Duration { return time.Microsecond },
-		Reading: func() time.Duration { return token }, Stretch: func(time.Time, string) float64 { return 1 },
-		Slack: affinity.Slack, Saves: none, FromStores: none, FromEngines: none,
+		Directory: directory.New(), Stores: func() []*affinity.Source { return nil }, TransferPerToken: func() time.Duration { return time.Microsecond },
+		PrefillPerToken: func() time.Duration { return token }, Slowdown: func(time.Time, string) float64 { return 1 },
+		Slack: affinity.Slack, AllowSave: none, AllowStoreFetch: none, AllowEngineFetch: none,
 		Load: func(_ time.Time, x *fleet.Target) (int, int) { return 0, unread(x) },
 	}
 }
@@ -131,7 +131,7 @@
 		due[placer] = h.now.Add(placersTell)
 		for other, c := range h.clocks {
 			if other != placer {
-				c.Hear(h.now, domain(placer), h.clocks[placer].Told(h.now))
+				c.Merge(h.now, domain(placer), h.clocks[placer].Totals(h.now))
 			}
 		}
 	}
@@ -139,12 +139,12 @@
 
 // place places one prompt and says whether its answer begins late.
 func (h *herd) place(placer int, told bool) bool {
-	unread := func(x *fleet.Target) int { return h.clocks[placer].Unread(h.now, placement.Hash(x.ID)) }
+	unread := func(x *fleet.Target) int { return h.clocks[placer].PrefillBacklog(h.now, placement.Hash(x.ID)) }
 	if told {
 		unread = func(x *fleet.Target) int { return h.told(h.number[x.ID], placer) }
 	}
 	tokens := h.tokens()
-	choice, _ := h.chooser(unread).Choose(h.now, affinity.Ask{
+	choice, _ := h.chooser(unread).Choose(h.now, affinity.Request{
 		Domain: domain(placer), Home: h.draw.Uint64(), Parts: []affinity.Part{{Tokens: tokens}}, Model: "m", Tokens: tokens,
 		Keys: func(int64) []directory.Key { return []directory.Key{directory.Key(h.draw.Uint64())} },
 	}, h.targets)
--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -87,9 +87,9 @@
 // time of day hides.
 func Suspended() time.Duration { return usual.Suspended() }
 
-// Counts says whether the kernel tells of suspensions. Where it does not, Now is the
+// CountsSuspensions says whether the kernel tells of suspensions. Where it does not, Now is the
 // runtime's steady clock.
-func Counts() bool { return usual.began().known }
+func CountsSuspensions() bool { return usual.began().known }
 
 // Now returns the steady clock's time and that for which it stood still.
 func (c *Clock) Now() time.Time {
--- a/boottime/boottime_test.go
+++ b/boottime/boottime_test.go
@@ -117,7 +117,7 @@
 	if left := boottime.Until(first.Add(time.Hour)); left > time.Hour || left < 59*time.Minute {
 		t.Errorf("%v are left", left)
 	}
-	if !boottime.Counts() {
+	if !boottime.CountsSuspensions() {
 		t.Error("this kernel does not tell of suspensions")
 	}
 	if boottime.Suspended() < 0 {
--- a/build.go
+++ b/build.go
@@ -20,10 +20,10 @@
 	"github.com/thymewind/thymewind/dispatch"
 	"github.com/thymewind/thymewind/engine"
 	"github.com/thymewind/thymewind/forward"
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/idempotency"
+	"github.com/thymewind/thymewind/kvcache"
 	"github.com/thymewind/thymewind/notice"
 	"github.com/thymewind/thymewind/peer"
-	"github.com/thymewind/thymewind/permit"
 	"github.com/thymewind/thymewind/placement"
 	"github.com/thymewind/thymewind/prefix"
 	"github.com/thymewind/thymewind/relay"
@@ -65,14 +65,14 @@
 	table    table.Client
 	rows     configuration.Rows
 	engines  engine.Client
-	stores   kept.Store
+	stores   kvcache.Client
 	ledger   charge.Ledger
 	claims   claim.Book
 	budget   retry.Budget
 	peers    peer.Node
 	signer   resume.Signer
-	permits  permit.Office
-	notices  notice.Book
+	permits  idempotency.Guard
+	notices  notice.Registry
 	relay    relay.Relay
 	forward  forward.Forwarder
 	front    caller.Front
@@ -103,23 +103,23 @@
 // buildBoard prepares the decisions.
 func (d *Daemon) buildBoard() {
 	d.chooser = placement.Chooser{Usable: (*target.Target).Usable, Wait: d.tables.Wait}
-	b := &d.tables.Board
+	b := &d.tables.Scheduler
 	b.Choose = d.countChoice
 	b.Scope = prefix.Scope
 	b.Keep = (*retention.Policy).Keep
 	b.Boxes = d.tables.boxCount
-	b.Others = func(pool string) dispatch.Use { return d.tables.others(d.now(), pool) }
-	b.Part = d.part
+	b.Others = func(pool string) dispatch.Usage { return d.tables.others(d.now(), pool) }
+	b.RateShare = d.part
 	b.Limit = func(account string, bound int) int { return d.tables.limit(d.now(), account, bound) }
 	b.Jitter = d.jitter
 	b.Record = d.records.Add
-	b.Failing = func(name string) { d.Log.Warn("target fails", "target", name) }
-	b.Leaving = func(name, heard string) { d.Log.Info("target is leaving", "target", name, "heard", heard) }
+	b.OnFailing = func(name string) { d.Log.Warn("target fails", "target", name) }
+	b.OnLeaving = func(name, heard string) { d.Log.Info("target is leaving", "target", name, "heard", heard) }
 	b.Start()
 }
 
 // countChoice counts choices by their rule.
-func (d *Daemon) countChoice(now time.Time, ask placement.Ask, targets []*target.Target) (placement.Choice, error) {
+func (d *Daemon) countChoice(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error) {
 	choice, err := d.chooser.Choose(now, ask, targets)
 	if err == nil {
 		d.counts.placed.WithLabelValues(targets[choice.Index].Pool, choice.Rule).Inc()
@@ -151,8 +151,8 @@
 func (d *Daemon) buildPeers() error {
 	d.peers = peer.Node{
 		Credential: d.Settings.PeerCredential, Handle: d.answerPeer, HTTP: http.DefaultClient, Scheme: "ws",
-		Sent:     func(n int) { d.counts.peerBytes.WithLabelValues("sent").Add(float64(n)) },
-		Received: func(n int) { d.counts.peerBytes.WithLabelValues("received").Add(float64(n)) },
+		OnSent:     func(n int) { d.counts.peerBytes.WithLabelValues("sent").Add(float64(n)) },
+		OnReceived: func(n int) { d.counts.peerBytes.WithLabelValues("received").Add(float64(n)) },
 	}
 	if d.Settings.TLS.Peers.Certificate == "" {
 		return nil
@@ -167,7 +167,7 @@
 	d.engines = engine.Client{HTTP: &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute, DisableCompression: true,
 	}}}
-	d.stores = kept.Store{HTTP: d.engines.HTTP}
+	d.stores = kvcache.Client{HTTP: d.engines.HTTP}
 	for _, key := range d.Settings.TokenKeys {
 		d.signer.Keys = append(d.signer.Keys, []byte(key))
 	}
@@ -180,9 +180,9 @@
 		CancelPatience: cancelPatience, ComeBack: comeBack,
 	}
 	sender := forward.Sender{Dial: dialer.DialContext}
-	d.permits = permit.Office{
+	d.permits = idempotency.Guard{
 		Lookup: d.claims.Lookup, Take: d.claims.Take, Release: d.claims.Release, Finish: d.claims.Finish,
-		Record: d.records.Add, Patience: tablePatience, ComeBack: comeBack,
+		Record: d.records.Add, Timeout: tablePatience, RetryAfter: comeBack,
 	}
 	d.forward = forward.Forwarder{
 		Place: d.askPlace, Ended: d.tellEnded, Said: d.tellSaid, Allow: d.allow, Permits: &d.permits, Send: sender.Send, Retry: d.spendRetry,
@@ -190,8 +190,8 @@
 	}
 	d.front = caller.Front{
 		Configuration: d.current.Load, Permits: &d.permits, Run: d.relay.Run, Forward: d.forward.Serve, Resume: d.resumeStream,
-		Sign: d.signer.Sign, Check: d.signer.Check, Refused: d.recordRefused, RequestID: newID, Now: d.now,
-		BodyBytes: d.Settings.Limits.BodyBytes, Timeout: d.Settings.Timing.Request, ResumeFor: resumeFor,
+		SignToken: d.signer.Sign, VerifyToken: d.signer.Check, OnRefused: d.recordRefused, RequestID: newID, Now: d.now,
+		MaxBodyBytes: d.Settings.Limits.BodyBytes, Timeout: d.Settings.Timing.Request, ResumeRetention: resumeFor,
 	}
 }
 
--- a/caller/answer.go
+++ b/caller/answer.go
@@ -199,7 +199,7 @@
 		return err
 	}
 	r := refusal.Of(err, refusal.Unknown, http.StatusBadGateway)
-	a.Refused(a.id, a.account.Name, r)
+	a.OnRefused(a.id, a.account.Name, r)
 	_, _ = fmt.Fprintf(a.w, "data: %s\n\n", errorBody(a.id, r))
 	return nil
 }
--- a/caller/ask.go
+++ b/caller/ask.go
@@ -56,11 +56,11 @@
 // decode reads the body and checks what both kinds of completion share.
 func (c *call) decode() (ask, error) {
 	var a ask
-	data, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, c.BodyBytes))
+	data, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, c.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return a, refusal.New(refusal.DidNotRun, http.StatusRequestEntityTooLarge, "too_large", "the body has over %d bytes", c.BodyBytes)
+		return a, refusal.New(refusal.DidNotRun, http.StatusRequestEntityTooLarge, "too_large", "the body has over %d bytes", c.MaxBodyBytes)
 	case err != nil:
 		return a, bad("body_cut", "the body did not arrive whole")
 	}
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -15,7 +15,7 @@
 	"github.com/thymewind/thymewind/account"
 	"github.com/thymewind/thymewind/configuration"
 	"github.com/thymewind/thymewind/forward"
-	"github.com/thymewind/thymewind/permit"
+	"github.com/thymewind/thymewind/idempotency"
 	"github.com/thymewind/thymewind/refusal"
 	"github.com/thymewind/thymewind/relay"
 	"github.com/thymewind/thymewind/resume"
@@ -48,24 +48,24 @@
 	// Configuration returns the revision in force; nil before the first.
 	Configuration func() *configuration.Configuration
 	// Permits gives marked requests the permission to run.
-	Permits *permit.Office
+	Permits *idempotency.Guard
 	Run     func(ctx context.Context, request relay.Request) (stream.Frame, error)
 	Forward func(w http.ResponseWriter, r *http.Request, call forward.Call) error
 	// Resume reads a run again from an offset.
-	Resume func(ctx context.Context, token resume.Token, offset int, write func(text string, offset int) error) (stream.Frame, error)
-	Sign   func(resume.Token) (string, error)
-	Check  func(text, account string, now time.Time) (resume.Token, error)
-	// Refused hears of every refusal, for counters and records.
-	Refused func(request, account string, r *refusal.Refusal)
+	Resume      func(ctx context.Context, token resume.Token, offset int, write func(text string, offset int) error) (stream.Frame, error)
+	SignToken   func(resume.Token) (string, error)
+	VerifyToken func(text, account string, now time.Time) (resume.Token, error)
+	// OnRefused hears of every refusal, for counters and records.
+	OnRefused func(request, account string, r *refusal.Refusal)
 	// RequestID returns a new request ID each time.
 	RequestID func() string
 	Now       func() time.Time
-	// BodyBytes bounds a request's body.
-	BodyBytes int64
+	// MaxBodyBytes bounds a request's body.
+	MaxBodyBytes int64
 	// Timeout bounds a request that names no bound of its own.
 	Timeout time.Duration
-	// ResumeFor is how long engines keep a run for resuming.
-	ResumeFor time.Duration
+	// ResumeRetention is how long engines keep a run for resuming.
+	ResumeRetention time.Duration
 }
 
 // call is one request of a known account.
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -45,9 +45,9 @@
 		Resume: func(context.Context, resume.Token, int, func(string, int) error) (stream.Frame, error) {
 			return stream.Frame{}, errors.New("none")
 		},
-		Sign: signer.Sign, Check: signer.Check, Refused: func(string, string, *refusal.Refusal) {},
+		SignToken: signer.Sign, VerifyToken: signer.Check, OnRefused: func(string, string, *refusal.Refusal) {},
 		RequestID: func() string { return "r1" }, Now: func() time.Time { return time.Unix(1000, 0) },
-		BodyBytes: 1 << 16, Timeout: time.Minute,
+		MaxBodyBytes: 1 << 16, Timeout: time.Minute,
 	}
 	return f.Handler()
 }
--- a/caller/complete.go
+++ b/caller/complete.go
@@ -74,7 +74,7 @@
 
 // resume takes a cut stream up again.
 func (c *call) resume() error {
-	token, err := c.Check(c.r.Header.Get(HeaderResume), c.account.Name, c.Now())
+	token, err := c.VerifyToken(c.r.Header.Get(HeaderResume), c.account.Name, c.Now())
 	if err != nil {
 		return refusal.New(refusal.Unknown, http.StatusForbidden, "bad_resume_token", "the resume token is not good")
 	}
@@ -115,10 +115,10 @@
 
 // token returns a resume token for an attempt.
 func (c *call) token(placed route.Placed, model string, chat bool) string {
-	text, err := c.Sign(resume.Token{
+	text, err := c.SignToken(resume.Token{
 		Account: c.account.Name, Request: c.id, Target: placed.Address, Attempt: placed.Attempt,
 		Version: placed.Version, Scope: placed.Scope.String(), Model: model, Chat: chat,
-		Until: c.Now().Add(c.Timeout + c.ResumeFor),
+		Until: c.Now().Add(c.Timeout + c.ResumeRetention),
 	})
 	if err != nil {
 		return ""
@@ -179,6 +179,6 @@
 	}
 	return c.Forward(c.w, c.r, forward.Call{
 		Request: c.id, Account: c.account.Name, Pool: name, Path: strings.TrimPrefix(c.r.URL.EscapedPath(), servicePrefix+name),
-		BodyBytes: c.BodyBytes, Timeout: timeout, OnceByTarget: p.OnceByTarget,
+		BodyBytes: c.MaxBodyBytes, Timeout: timeout, OnceByTarget: p.OnceByTarget,
 	})
 }
--- a/caller/once.go
+++ b/caller/once.go
@@ -10,7 +10,7 @@
 
 	"github.com/thymewind/thymewind/claim"
 	"github.com/thymewind/thymewind/forward"
-	"github.com/thymewind/thymewind/permit"
+	"github.com/thymewind/thymewind/idempotency"
 	"github.com/thymewind/thymewind/relay"
 	"github.com/thymewind/thymewind/stream"
 )
@@ -33,10 +33,10 @@
 	if key == "" {
 		return bad("key_missing", "a request marked not repeatable needs an %s header", forward.HeaderKey)
 	}
-	p := c.Permits.Ask(permit.Request{
-		ID: c.id, Account: c.account.Name, Pool: request.Pool, Key: key, Digest: permit.Digest(a.body, c.r.URL.Path),
+	p := c.Permits.NewPermit(idempotency.Request{
+		ID: c.id, Account: c.account.Name, Pool: request.Pool, Key: key, Digest: idempotency.Digest(a.body, c.r.URL.Path),
 	})
-	earlier, err := p.Earlier(ctx)
+	earlier, err := p.Previous(ctx)
 	if err != nil {
 		return err
 	}
@@ -45,12 +45,12 @@
 	}
 	request.Once = true
 	request.Permit = func(ctx context.Context) error {
-		if earlier, err = p.Obtain(ctx); err == nil && earlier != nil {
+		if earlier, err = p.Acquire(ctx); err == nil && earlier != nil {
 			err = errReplayed
 		}
 		return err
 	}
-	request.GiveBack = p.GiveBack
+	request.GiveBack = p.Abandon
 	end, err := c.Run(ctx, request)
 	if errors.Is(err, errReplayed) {
 		return out.replay(earlier)
@@ -64,16 +64,16 @@
 }
 
 // keep stores a whole answer, before the caller is told that it is whole.
-func (a *answer) keep(ctx context.Context, p *permit.Permit, end stream.Frame) {
+func (a *answer) keep(ctx context.Context, p *idempotency.Permit, end stream.Frame) {
 	body, err := json.Marshal(stored{a.text.String(), end})
 	if err != nil {
 		return
 	}
 	answer := claim.Answer{Status: http.StatusOK, Body: body}
-	if len(body) > permit.MaxStored {
+	if len(body) > idempotency.MaxStored {
 		answer.Body, answer.Cut = nil, true
 	}
-	p.Answered(ctx, answer)
+	p.Complete(ctx, answer)
 }
 
 // replay gives the caller the answer of an earlier run, in the shape asked for.
--- a/caller/refuse.go
+++ b/caller/refuse.go
@@ -11,7 +11,7 @@
 
 // refuse writes the final answer to a request that is given up, at once.
 func (c *call) refuse(r *refusal.Refusal) {
-	c.Refused(c.id, c.account.Name, r)
+	c.OnRefused(c.id, c.account.Name, r)
 	c.w.Header().Set(HeaderOutcome, r.Outcome)
 	c.w.Header().Set("Content-Type", "application/json")
 	if r.RetryAfter > 0 {
--- a/canary/canary.go
+++ b/canary/canary.go
@@ -13,17 +13,17 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// Ask is what the operator asks for: a pool's requests are to move to a version of its
+// Rollout is what the operator asks for: a pool's requests are to move to a version of its
 // software, if that is no worse.
-type Ask struct {
+type Rollout struct {
 	Pool string
 	// Version is the software's, as its targets tell it; empty if what was asked for can't
 	// be read, and then no target that comes from then on is to be used.
 	Version string
 	// Order numbers what was asked for, so that the same ask made again is another one.
 	Order uint64
-	// Lasts is how long it may take until it is decided.
-	Lasts time.Duration
+	// Timeout is how long it may take until it is decided.
+	Timeout time.Duration
 }
 
 // restoreSpan is how many numbers an Order has between two restores of the table service, far
@@ -37,7 +37,7 @@
 
 // Same says that two asks are one: a restored table service has its older rows again, and the
 // operator writes those it lost again, so that the same ask may come at two orders.
-func (a Ask) Same(b Ask) bool {
+func (a Rollout) Same(b Rollout) bool {
 	return a.Order == b.Order || a.Pool == b.Pool && a.Version == b.Version && a.Order/restoreSpan != b.Order/restoreSpan
 }
 
--- a/canary/judge.go
+++ b/canary/judge.go
@@ -35,25 +35,25 @@
 // it. They only rise; a box that starts again begins anew.
 type Counts struct {
 	Good, Bad int
-	// OldGood and OldBad are the older version's.
-	OldGood, OldBad int
+	// BaselineGood and OldBad are the older version's.
+	BaselineGood, BaselineBad int
 }
 
 // all is how many answers are counted.
-func (c Counts) all() int { return c.Good + c.Bad + c.OldGood + c.OldBad }
+func (c Counts) all() int { return c.Good + c.Bad + c.BaselineGood + c.BaselineBad }
 
 // plus adds counts.
 func (c Counts) plus(b Counts) Counts {
-	return Counts{c.Good + b.Good, c.Bad + b.Bad, c.OldGood + b.OldGood, c.OldBad + b.OldBad}
+	return Counts{c.Good + b.Good, c.Bad + b.Bad, c.BaselineGood + b.BaselineGood, c.BaselineBad + b.BaselineBad}
 }
 
 // since returns what came after an earlier count. One with less than that is of a box that
 // started again: all of it came after.
 func (c Counts) since(before Counts) Counts {
-	if c.Good < before.Good || c.Bad < before.Bad || c.OldGood < before.OldGood || c.OldBad < before.OldBad {
+	if c.Good < before.Good || c.Bad < before.Bad || c.BaselineGood < before.BaselineGood || c.BaselineBad < before.BaselineBad {
 		return c
 	}
-	return Counts{c.Good - before.Good, c.Bad - before.Bad, c.OldGood - before.OldGood, c.OldBad - before.OldBad}
+	return Counts{c.Good - before.Good, c.Bad - before.Bad, c.BaselineGood - before.BaselineGood, c.BaselineBad - before.BaselineBad}
 }
 
 // Judge compares a version with the older one. It is not safe for concurrent use.
@@ -81,8 +81,8 @@
 	return &Judge{seen: make(map[source]Counts), routes: make(map[string]*route)}
 }
 
-// See takes what a box counted on a route in place of what it told before.
-func (j *Judge) See(box, name string, c Counts) {
+// Observe takes what a box counted on a route in place of what it told before.
+func (j *Judge) Observe(box, name string, c Counts) {
 	at := source{box, name}
 	more := c.since(j.seen[at])
 	if more.all() == 0 {
@@ -110,7 +110,7 @@
 
 // base is the older version's share of bad answers.
 func (r *route) base() float64 {
-	share := (float64(r.OldBad) + guessed*guessedWeight) / (float64(r.OldBad+r.OldGood) + guessedWeight)
+	share := (float64(r.BaselineBad) + guessed*guessedWeight) / (float64(r.BaselineBad+r.BaselineGood) + guessedWeight)
 	return min(max(share, leastBad), 1-leastBad)
 }
 
@@ -134,7 +134,7 @@
 		return false
 	}
 	for name, r := range j.routes {
-		matters := float64(r.OldGood+r.OldBad) >= routePart*float64(all.OldGood+all.OldBad)
+		matters := float64(r.BaselineGood+r.BaselineBad) >= routePart*float64(all.BaselineGood+all.BaselineBad)
 		if name != "" && matters && r.more > acceptEach {
 			return false
 		}
--- a/canary/judge_test.go
+++ b/canary/judge_test.go
@@ -27,12 +27,12 @@
 				c.Good++
 			}
 		} else if dice.Float64() < oldBad {
-			c.OldBad++
+			c.BaselineBad++
 		} else {
-			c.OldGood++
+			c.BaselineGood++
 		}
 		counts[at] = c
-		j.See(string(rune('a'+at[0])), string(rune('x'+at[1])), c)
+		j.Observe(string(rune('a'+at[0])), string(rune('x'+at[1])), c)
 		if j.Bad() {
 			return tried, bad, true
 		}
@@ -91,7 +91,7 @@
 
 // TestGood says when a version counts as good.
 func TestGood(t *testing.T) {
-	old := canary.Counts{OldGood: 980, OldBad: 20}
+	old := canary.Counts{BaselineGood: 980, BaselineBad: 20}
 	with := func(good, bad int) canary.Counts {
 		c := old
 		c.Good, c.Bad = good, bad
@@ -106,7 +106,7 @@
 		{"too few", map[string]canary.Counts{"x": with(30, 0)}, false},
 		{"enough", map[string]canary.Counts{"x": with(90, 1)}, true},
 		{"a route without any", map[string]canary.Counts{"x": with(90, 1), "y": old}, false},
-		{"a route that hardly matters without any", map[string]canary.Counts{"x": with(90, 1), "y": {OldGood: 20}}, true},
+		{"a route that hardly matters without any", map[string]canary.Counts{"x": with(90, 1), "y": {BaselineGood: 20}}, true},
 		{"something speaks against it", map[string]canary.Counts{"x": with(90, 12)}, false},
 	}
 	for _, tt := range tests {
@@ -114,7 +114,7 @@
 			j := canary.NewJudge()
 			for _, name := range []string{"x", "y"} {
 				if c, told := tt.told[name]; told {
-					j.See("box", name, c)
+					j.Observe("box", name, c)
 				}
 			}
 			if got := j.Good(); got != tt.want {
@@ -129,10 +129,10 @@
 func TestToldAgain(t *testing.T) {
 	j := canary.NewJudge()
 	for _, good := range []int{5, 5, 8, 2} {
-		j.See("a", "x", canary.Counts{Good: good})
+		j.Observe("a", "x", canary.Counts{Good: good})
 	}
-	j.See("b", "x", canary.Counts{Good: 1, OldBad: 3})
-	if got, want := j.Total(), (canary.Counts{Good: 11, OldBad: 3}); got != want {
+	j.Observe("b", "x", canary.Counts{Good: 1, BaselineBad: 3})
+	if got, want := j.Total(), (canary.Counts{Good: 11, BaselineBad: 3}); got != want {
 		t.Errorf("counted %+v, want %+v", got, want)
 	}
 }
--- a/changelog/log.go
+++ b/changelog/log.go
@@ -38,16 +38,16 @@
 type Cursor struct {
 	// Number is the last change that was told.
 	Number uint64
-	// From is the last change when everything there is began to be told; zero once that was.
-	From uint64
+	// SnapshotAt is the last change when everything there is began to be told; zero once that was.
+	SnapshotAt uint64
 }
 
-// Part is what changed behind a cursor.
-type Part[K cmp.Ordered] struct {
-	// Whole says that it is the beginning of everything there is, and not of what changed.
-	Whole   bool
-	Changed []K
-	Removed []K
+// Batch is what changed behind a cursor.
+type Batch[K cmp.Ordered] struct {
+	// Snapshot says that it is the beginning of everything there is, and not of what changed.
+	Snapshot bool
+	Changed  []K
+	Removed  []K
 	// Next is the cursor behind the part; More says that there is more.
 	Next Cursor
 	More bool
@@ -105,10 +105,10 @@
 
 // Since returns what changed behind a cursor, at most so many things. One that is not of this
 // log, or too old, gets everything.
-func (l *Log[K]) Since(c Cursor, most int) Part[K] {
-	var part Part[K]
+func (l *Log[K]) Since(c Cursor, most int) Batch[K] {
+	var part Batch[K]
 	if l.lost(c) {
-		part.Whole, c = true, Cursor{From: l.number}
+		part.Snapshot, c = true, Cursor{SnapshotAt: l.number}
 	}
 	part.Next = Cursor{Number: l.number}
 	first, _ := slices.BinarySearchFunc(l.changes, c.Number+1, func(c change[K], number uint64) int { return cmp.Compare(c.number, number) })
@@ -118,7 +118,7 @@
 		}
 		if len(part.Changed) == most {
 			part.More = true
-			part.Next = Cursor{l.at[part.Changed[most-1]], c.From}
+			part.Next = Cursor{l.at[part.Changed[most-1]], c.SnapshotAt}
 			break
 		}
 		part.Changed = append(part.Changed, one.key)
@@ -129,8 +129,8 @@
 
 // behind is the number behind which what went was not told.
 func (c Cursor) behind() uint64 {
-	if c.From > 0 {
-		return c.From
+	if c.SnapshotAt > 0 {
+		return c.SnapshotAt
 	}
 	return c.Number
 }
--- a/changelog/log_test.go
+++ b/changelog/log_test.go
@@ -22,8 +22,8 @@
 }
 
 // take takes a part over; values are the things' own at that moment.
-func (f *follower) take(part changelog.Part[string], values map[string]int) {
-	if part.Whole {
+func (f *follower) take(part changelog.Batch[string], values map[string]int) {
+	if part.Snapshot {
 		f.seen = make(map[string]bool)
 	}
 	for _, key := range part.Changed {
@@ -44,7 +44,7 @@
 
 // play changes things, in between tells a follower some parts, and at last all. It returns
 // whether the follower holds what there is.
-func play(seed uint64, take func(f *follower, part changelog.Part[string], values map[string]int)) bool {
+func play(seed uint64, take func(f *follower, part changelog.Batch[string], values map[string]int)) bool {
 	dice := rand.New(rand.NewPCG(seed, 5))
 	l := changelog.New[string](dice.Uint64N(1 << 40))
 	values := make(map[string]int)
@@ -82,7 +82,7 @@
 }
 
 func TestFollowersNeedTheRemovals(t *testing.T) {
-	if play(1, func(f *follower, part changelog.Part[string], values map[string]int) {
+	if play(1, func(f *follower, part changelog.Batch[string], values map[string]int) {
 		part.Removed = nil
 		f.take(part, values)
 	}) {
@@ -97,13 +97,13 @@
 	l.Touch("a")
 	l.Touch("b")
 	part := l.Since(changelog.Cursor{}, 10)
-	if !part.Whole || len(part.Changed) != 2 || part.More {
+	if !part.Snapshot || len(part.Changed) != 2 || part.More {
 		t.Errorf("the first part is %+v", part)
 	}
-	if part = l.Since(part.Next, 10); part.Whole || len(part.Changed)+len(part.Removed) != 0 {
+	if part = l.Since(part.Next, 10); part.Snapshot || len(part.Changed)+len(part.Removed) != 0 {
 		t.Errorf("told again: %+v", part)
 	}
-	if part = l.Since(changelog.Cursor{Number: l.Number() + 1}, 10); !part.Whole {
+	if part = l.Since(changelog.Cursor{Number: l.Number() + 1}, 10); !part.Snapshot {
 		t.Errorf("a number of another log gets %+v", part)
 	}
 }
--- a/clockbound/clockbound.go
+++ b/clockbound/clockbound.go
@@ -27,10 +27,10 @@
 	low, high time.Duration
 }
 
-// See notes what the other clock showed between two local times. It returns false
+// Observe notes what the other clock showed between two local times. It returns false
 // if that contradicts what was seen before, which it then replaces: the other
 // clock was set or began anew.
-func (c *Clock) See(asked, answered time.Time, told time.Duration) bool {
+func (c *Clock) Observe(asked, answered time.Time, told time.Duration) bool {
 	if !c.Seen() {
 		c.origin = asked
 		c.begin(asked, answered, told)
@@ -60,14 +60,14 @@
 	return c.origin.Add(told - c.high), c.Seen()
 }
 
-// Least returns the least that the other clock can have shown at a local time, or
+// Min returns the least that the other clock can have shown at a local time, or
 // false if the clock was never seen.
-func (c *Clock) Least(at time.Time) (time.Duration, bool) {
+func (c *Clock) Min(at time.Time) (time.Duration, bool) {
 	return at.Sub(c.origin) + c.low, c.Seen()
 }
 
-// Most returns the most that the other clock can have shown at a local time, or
+// Max returns the most that the other clock can have shown at a local time, or
 // false if the clock was never seen.
-func (c *Clock) Most(at time.Time) (time.Duration, bool) {
+func (c *Clock) Max(at time.Time) (time.Duration, bool) {
 	return at.Sub(c.origin) + c.high, c.Seen()
 }
--- a/clockbound/clockbound_test.go
+++ b/clockbound/clockbound_test.go
@@ -32,7 +32,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var c clockbound.Clock
 			for _, a := range tt.answers {
-				if !c.See(start.Add(a.asked), start.Add(a.answered), a.read+ahead) {
+				if !c.Observe(start.Add(a.asked), start.Add(a.answered), a.read+ahead) {
 					t.Error("the clock is said to have jumped")
 				}
 			}
@@ -40,7 +40,7 @@
 			if early := start.Add(time.Minute).Sub(at); !ok || early < 0 || early > tt.within {
 				t.Errorf("dated %v too early", early)
 			}
-			told, ok := c.Least(start.Add(time.Minute))
+			told, ok := c.Min(start.Add(time.Minute))
 			if low := time.Minute + ahead - told; !ok || low < 0 || low > tt.within {
 				t.Errorf("told %v too low", low)
 			}
@@ -51,9 +51,9 @@
 // TestJump shows that a clock that began anew is noticed and followed.
 func TestJump(t *testing.T) {
 	var c clockbound.Clock
-	c.See(start, start.Add(time.Millisecond), time.Hour)
+	c.Observe(start, start.Add(time.Millisecond), time.Hour)
 	later := start.Add(time.Minute)
-	if c.See(later, later.Add(time.Millisecond), time.Second) {
+	if c.Observe(later, later.Add(time.Millisecond), time.Second) {
 		t.Error("the jump was not noticed")
 	}
 	if at, _ := c.Earliest(time.Second); at.Before(later.Add(-time.Millisecond)) || at.After(later.Add(time.Millisecond)) {
--- a/cmd/thymefront/main.go
+++ b/cmd/thymefront/main.go
@@ -116,9 +116,9 @@
 
 func run(ctx context.Context, s settings.Settings, logger *log.Logger, reload <-chan settings.Settings) error {
 	dialer := net.Dialer{}
-	connections := &exchange.Client{Dial: dialer.DialContext, DialFor: dialFor, Idle: idleFor, SilentAfter: silentAfter}
+	connections := &exchange.Client{Dial: dialer.DialContext, DialTimeout: dialFor, IdleTimeout: idleFor, SilentAfter: silentAfter}
 	rows := &store.Store{
-		Base: "http://" + s.Store.Address.String(), Least: storeLeast, Patience: storePatience,
+		Base: "http://" + s.Store.Address.String(), MinTimeout: storeLeast, Timeout: storePatience,
 		HTTP: &http.Client{Transport: &http.Transport{
 			DialContext: (&net.Dialer{Timeout: dialFor}).DialContext, MaxIdleConnsPerHost: 4, DisableCompression: true,
 		}},
@@ -126,11 +126,11 @@
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector())
 	d := entry.Daemon{
-		Settings: s, Platform: platform.Join(rows, connections), Front: platform.Front, Log: logger, Registry: registry,
+		Settings: s, Platform: platform.New(rows, connections), Front: platform.Ingress, Log: logger, Registry: registry,
 		Reload: reload,
 		Sweep:  connections.Sweep,
 	}
-	rows.Silent = func(call string, waited time.Duration) { d.Silence(entry.ToTableService, call, waited) }
-	connections.Silent = d.SilentTarget
+	rows.OnSilent = func(call string, waited time.Duration) { d.ReportSilence(entry.ToTableService, call, waited) }
+	connections.OnSilent = d.ReportSilentTarget
 	return d.Run(ctx)
 }
--- a/congestion/congestion.go
+++ b/congestion/congestion.go
@@ -45,8 +45,8 @@
 	last           time.Time
 }
 
-// See notes how long an answer took, whole and without failure.
-func (g *Gauge) See(now time.Time, took time.Duration) {
+// Observe notes how long an answer took, whole and without failure.
+func (g *Gauge) Observe(now time.Time, took time.Duration) {
 	s := took.Seconds()
 	if g.last.IsZero() {
 		g.mean, g.quickest, g.last = s, s, now
@@ -58,16 +58,16 @@
 	g.last = now
 }
 
-// Share returns the part of the requests with a goal that is to be refused.
-func (g *Gauge) Share(goal time.Duration) float64 {
+// ShedShare returns the part of the requests with a goal that is to be refused.
+func (g *Gauge) ShedShare(goal time.Duration) float64 {
 	if goal <= 0 || g.mean < queued*g.quickest {
 		return 0
 	}
 	return min(max((g.mean/goal.Seconds()-free)*gain, 0), most)
 }
 
-// Refuse says that a request with a goal is to be refused; draw lies between 0 and 1.
-func (g *Gauge) Refuse(goal time.Duration, draw float64) bool { return draw < g.Share(goal) }
+// Shed says that a request with a goal is to be refused; draw lies between 0 and 1.
+func (g *Gauge) Shed(goal time.Duration, draw float64) bool { return draw < g.ShedShare(goal) }
 
 // Mean returns how long the last answers took.
 func (g *Gauge) Mean() time.Duration { return time.Duration(g.mean * float64(time.Second)) }
--- a/congestion/congestion_test.go
+++ b/congestion/congestion_test.go
@@ -82,7 +82,7 @@
 		e := heap.Pop(&queue).(event)
 		if e.target >= 0 {
 			busy[e.target]--
-			gauges[e.request.box].See(start.Add(time.Duration(e.at*1e9)), time.Duration((e.at-e.request.sent)*1e9))
+			gauges[e.request.box].Observe(start.Add(time.Duration(e.at*1e9)), time.Duration((e.at-e.request.sent)*1e9))
 			if e.at-e.request.came <= goal {
 				got.inTime++
 			} else {
@@ -95,7 +95,7 @@
 			continue
 		}
 		r, target := e.request, random.IntN(targets)
-		if refuse && gauges[r.box].Refuse(time.Duration(goal*1e9), random.Float64()) {
+		if refuse && gauges[r.box].Shed(time.Duration(goal*1e9), random.Float64()) {
 			turned(e.at, 0.4+0.4*random.Float64(), r)
 			continue
 		}
@@ -166,9 +166,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var g congestion.Gauge
 			for i, took := range tt.took {
-				g.See(start.Add(time.Duration(i)*200*ms), took)
+				g.Observe(start.Add(time.Duration(i)*200*ms), took)
 			}
-			if got := g.Share(tt.goal); got < tt.least || got > tt.most {
+			if got := g.ShedShare(tt.goal); got < tt.least || got > tt.most {
 				t.Errorf("share %.2f at a mean of %v, want %.2f to %.2f", got, g.Mean(), tt.least, tt.most)
 			}
 		})
--- a/crash/crash.go
+++ b/crash/crash.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// Doubt is how long a life is doubted after a request was cut off there. The
+	// SuspectFor is how long a life is doubted after a request was cut off there. The
 	// platform's list drops a target that crashed after some 4 s.
-	Doubt = 6 * time.Second
-	// Remember is how long it is known that a life is over, for requests whose ends
+	SuspectFor = 6 * time.Second
+	// RememberFor is how long it is known that a life is over, for requests whose ends
 	// are told late: those that wait for a silent target do so for seconds.
-	Remember = time.Minute
+	RememberFor = time.Minute
 	// askFirst is when a target is first asked whether it lives: its news, which come
 	// each 0.4 s at most, and refused connections mostly tell before. askEach is the
 	// pause after that.
@@ -34,9 +34,9 @@
 	most = 256
 )
 
-// Watch is what one box knows of requests that were cut off. The zero value is ready; it
+// Tracker is what one box knows of requests that were cut off. The zero value is ready; it
 // is not safe for concurrent use.
-type Watch struct {
+type Tracker struct {
 	// doubted are the lives that may be over, ended when others were known to be.
 	doubted map[string]*doubt
 	ended   map[string]time.Time
@@ -53,9 +53,9 @@
 	ask time.Time
 }
 
-// Cut notes that a request was cut off at a target. It says whether that life is known to
+// CutOff notes that a request was cut off at a target. It says whether that life is known to
 // be over.
-func (w *Watch) Cut(now time.Time, life string, sum fingerprint.Sum) bool {
+func (w *Tracker) CutOff(now time.Time, life string, sum fingerprint.Sum) bool {
 	x, over := w.doubt(now, life)
 	if x == nil {
 		return over
@@ -67,8 +67,8 @@
 	return false
 }
 
-// Left notes that a request's caller left while it ran at a target. It says the same.
-func (w *Watch) Left(now time.Time, life string, sum fingerprint.Sum) bool {
+// CallerLeft notes that a request's caller left while it ran at a target. It says the same.
+func (w *Tracker) CallerLeft(now time.Time, life string, sum fingerprint.Sum) bool {
 	x, over := w.doubt(now, life)
 	if x == nil {
 		return over
@@ -79,7 +79,7 @@
 
 // doubt returns what is kept of a life, or nil if it is known to be over, or if there are
 // too many.
-func (w *Watch) doubt(now time.Time, life string) (x *doubt, over bool) {
+func (w *Tracker) doubt(now time.Time, life string) (x *doubt, over bool) {
 	if _, over := w.ended[life]; over {
 		return nil, true
 	}
@@ -106,7 +106,7 @@
 
 // Alive notes that a target answered what it was asked at a time. What was cut off there
 // before was not cut off by its end.
-func (w *Watch) Alive(life string, asked time.Time) {
+func (w *Tracker) Alive(life string, asked time.Time) {
 	if at, over := w.ended[life]; over && asked.After(at) {
 		delete(w.ended, life) // A link that refused connections in its place.
 	}
@@ -116,7 +116,7 @@
 }
 
 // Ended notes that a life is over and returns what was cut off there.
-func (w *Watch) Ended(now time.Time, life string) []fingerprint.Sum {
+func (w *Tracker) Ended(now time.Time, life string) []fingerprint.Sum {
 	if w.ended == nil {
 		w.ended = make(map[string]time.Time)
 	}
@@ -131,17 +131,17 @@
 	return slices.SortedFunc(maps.Keys(x.sums), func(a, b fingerprint.Sum) int { return strings.Compare(string(a[:]), string(b[:])) })
 }
 
-// Over says whether a life is known to be over.
-func (w *Watch) Over(life string) bool {
+// HasEnded says whether a life is known to be over.
+func (w *Tracker) HasEnded(life string) bool {
 	_, over := w.ended[life]
 	return over
 }
 
-// Doubted says whether a life may be over.
-func (w *Watch) Doubted(life string) bool { return w.doubted[life] != nil }
+// Suspected says whether a life may be over.
+func (w *Tracker) Suspected(life string) bool { return w.doubted[life] != nil }
 
-// Lives returns how many lives that may be over cut a request off.
-func (w *Watch) Lives(sum fingerprint.Sum) int {
+// Suspects returns how many lives that may be over cut a request off.
+func (w *Tracker) Suspects(sum fingerprint.Sum) int {
 	n := 0
 	for _, x := range w.doubted {
 		if x.sums[sum] {
@@ -152,10 +152,10 @@
 }
 
 // Len is how many lives are doubted.
-func (w *Watch) Len() int { return len(w.doubted) }
+func (w *Tracker) Len() int { return len(w.doubted) }
 
 // Due returns the lives that should be asked whether they go on, each once in askEach.
-func (w *Watch) Due(now time.Time) []string {
+func (w *Tracker) Due(now time.Time) []string {
 	var lives []string
 	for life, x := range w.doubted {
 		if x.ask.IsZero() || now.Before(x.ask) {
@@ -169,7 +169,7 @@
 }
 
 // Expire forgets doubts that nothing bore out and ends that are long known.
-func (w *Watch) Expire(now time.Time) {
-	maps.DeleteFunc(w.doubted, func(_ string, x *doubt) bool { return now.Sub(x.last) > Doubt })
-	maps.DeleteFunc(w.ended, func(_ string, at time.Time) bool { return now.Sub(at) > Remember })
+func (w *Tracker) Expire(now time.Time) {
+	maps.DeleteFunc(w.doubted, func(_ string, x *doubt) bool { return now.Sub(x.last) > SuspectFor })
+	maps.DeleteFunc(w.ended, func(_ string, at time.Time) bool { return now.Sub(at) > RememberFor })
 }
--- a/crash/crash_test.go
+++ b/crash/crash_test.go
@@ -17,29 +17,29 @@
 // TestEnded says which requests ran on a target when it ended.
 func TestEnded(t *testing.T) {
 	one, two := fingerprint.Sum{1}, fingerprint.Sum{2}
-	cut := func(ms int, life string, sum fingerprint.Sum) func(*crash.Watch) {
-		return func(w *crash.Watch) { w.Cut(at(ms), life, sum) }
+	cut := func(ms int, life string, sum fingerprint.Sum) func(*crash.Tracker) {
+		return func(w *crash.Tracker) { w.CutOff(at(ms), life, sum) }
 	}
-	alive := func(asked int) func(*crash.Watch) {
-		return func(w *crash.Watch) { w.Alive("a", at(asked)) }
+	alive := func(asked int) func(*crash.Tracker) {
+		return func(w *crash.Tracker) { w.Alive("a", at(asked)) }
 	}
 	tests := []struct {
 		name  string
-		steps []func(*crash.Watch)
+		steps []func(*crash.Tracker)
 		want  []fingerprint.Sum
 	}{
 		{"nothing was cut off", nil, nil},
-		{"two were", []func(*crash.Watch){cut(0, "a", two), cut(5, "a", one)}, []fingerprint.Sum{one, two}},
-		{"elsewhere", []func(*crash.Watch){cut(0, "b", one)}, nil},
-		{"it answered since", []func(*crash.Watch){cut(0, "a", one), alive(1)}, nil},
-		{"it answered what was asked before", []func(*crash.Watch){cut(10, "a", one), alive(9)}, []fingerprint.Sum{one}},
-		{"it answered between two", []func(*crash.Watch){cut(0, "a", one), alive(5), cut(10, "a", two)}, []fingerprint.Sum{two}},
-		{"a caller left", []func(*crash.Watch){func(w *crash.Watch) { w.Left(at(0), "a", one) }}, []fingerprint.Sum{one}},
-		{"nothing bore it out for long", []func(*crash.Watch){cut(0, "a", one), func(w *crash.Watch) { w.Expire(at(0).Add(crash.Doubt + 1)) }}, nil},
+		{"two were", []func(*crash.Tracker){cut(0, "a", two), cut(5, "a", one)}, []fingerprint.Sum{one, two}},
+		{"elsewhere", []func(*crash.Tracker){cut(0, "b", one)}, nil},
+		{"it answered since", []func(*crash.Tracker){cut(0, "a", one), alive(1)}, nil},
+		{"it answered what was asked before", []func(*crash.Tracker){cut(10, "a", one), alive(9)}, []fingerprint.Sum{one}},
+		{"it answered between two", []func(*crash.Tracker){cut(0, "a", one), alive(5), cut(10, "a", two)}, []fingerprint.Sum{two}},
+		{"a caller left", []func(*crash.Tracker){func(w *crash.Tracker) { w.CallerLeft(at(0), "a", one) }}, []fingerprint.Sum{one}},
+		{"nothing bore it out for long", []func(*crash.Tracker){cut(0, "a", one), func(w *crash.Tracker) { w.Expire(at(0).Add(crash.SuspectFor + 1)) }}, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := crash.Watch{}
+			w := crash.Tracker{}
 			for _, step := range tt.steps {
 				step(&w)
 			}
@@ -52,13 +52,13 @@
 
 // TestLate has the end of a request be told after that of its target.
 func TestLate(t *testing.T) {
-	w := crash.Watch{}
+	w := crash.Tracker{}
 	w.Ended(at(0), "a")
-	if !w.Cut(at(10), "a", fingerprint.Sum{1}) || !w.Left(at(10), "a", fingerprint.Sum{1}) {
+	if !w.CutOff(at(10), "a", fingerprint.Sum{1}) || !w.CallerLeft(at(10), "a", fingerprint.Sum{1}) {
 		t.Error("the target is known to have ended")
 	}
 	w.Alive("a", at(20))
-	if w.Cut(at(30), "a", fingerprint.Sum{1}) {
+	if w.CutOff(at(30), "a", fingerprint.Sum{1}) {
 		t.Error("it answered since")
 	}
 }
@@ -66,17 +66,17 @@
 // TestLives counts the targets that may have ended under a request: those that cut it off
 // and nothing was heard of since.
 func TestLives(t *testing.T) {
-	w := crash.Watch{}
+	w := crash.Tracker{}
 	sum := fingerprint.Sum{1}
-	w.Cut(at(0), "a", sum)
-	w.Cut(at(0), "b", sum)
-	w.Left(at(0), "c", sum)
-	if got := w.Lives(sum); got != 2 {
+	w.CutOff(at(0), "a", sum)
+	w.CutOff(at(0), "b", sum)
+	w.CallerLeft(at(0), "c", sum)
+	if got := w.Suspects(sum); got != 2 {
 		t.Errorf("%d lives, want 2", got)
 	}
 	w.Alive("a", at(1))
 	w.Ended(at(1), "b")
-	if got := w.Lives(sum); got != 0 {
+	if got := w.Suspects(sum); got != 0 {
 		t.Errorf("%d lives, want none", got)
 	}
 }
@@ -84,9 +84,9 @@
 // TestDue asks a target that cut requests off, once in a while, and none that callers
 // merely left.
 func TestDue(t *testing.T) {
-	w := crash.Watch{}
-	w.Cut(at(0), "a", fingerprint.Sum{1})
-	w.Left(at(0), "b", fingerprint.Sum{1})
+	w := crash.Tracker{}
+	w.CutOff(at(0), "a", fingerprint.Sum{1})
+	w.CallerLeft(at(0), "b", fingerprint.Sum{1})
 	tests := []struct {
 		ms   int
 		want []string
@@ -105,10 +105,10 @@
 
 // TestBounded has many requests be cut off at many targets.
 func TestBounded(t *testing.T) {
-	w := crash.Watch{}
+	w := crash.Tracker{}
 	for i := range 1000 {
 		for j := range 1000 {
-			w.Cut(at(0), fmt.Sprint(i), fingerprint.Sum{byte(j), byte(j >> 8)})
+			w.CutOff(at(0), fmt.Sprint(i), fingerprint.Sum{byte(j), byte(j >> 8)})
 		}
 	}
 	if w.Len() > 256 || len(w.Ended(at(1), "0")) > 256 {
--- a/deliver/admit.go
+++ b/deliver/admit.go
@@ -27,19 +27,19 @@
 	}
 	path, _, _ := strings.Cut(call.Path, "?")
 	r := table.Route(call.Host, path)
-	if r == nil && !s.Newest(s.Now()) {
+	if r == nil && !s.ConfigurationFresh(s.Now()) {
 		return nil, s.notNow(job, "stale", "this box can't tell whether there is a route for %s%s by now", call.Host, path)
 	}
 	if r == nil {
 		return nil, refusal.New(refusal.DidNotRun, http.StatusNotFound, "no_route", "no route for %s%s", call.Host, path)
 	}
 	job.Route = r
-	if table.Keyed(r) {
-		if !s.Fresh(s.Now()) {
+	if table.NeedsKey(r) {
+		if !s.KeysFresh(s.Now()) {
 			return nil, s.notNow(job, "stale", "this box can't tell whether the key is still good")
 		}
 		account, known := table.Account(call.Key)
-		if !known && !s.Newest(s.Now()) {
+		if !known && !s.ConfigurationFresh(s.Now()) {
 			return nil, s.notNow(job, "stale", "this box can't tell whether the key is known by now")
 		}
 		if !known {
@@ -47,7 +47,7 @@
 		}
 		job.Account = account
 	}
-	job.Pool = table.Pools[r.Pick(s.Draw())]
+	job.Pool = table.Pools[r.Pick(s.Random())]
 	if job.Pool == nil {
 		return nil, s.notNow(job, "no_pool", "the route's pool is not configured")
 	}
@@ -59,12 +59,12 @@
 // its caller the wait, and a target the work. A stream that is taken up needs less
 // than a whole one.
 func (s *Server) refuseHasty(job *Job) *refusal.Refusal {
-	if s.Least == nil || job.After != "" {
+	if s.MinAnswerTime == nil || job.LastEventID != "" {
 		return nil
 	}
 	now := s.Now()
 	left := job.Until.Sub(now)
-	least, known := s.Least(now, job)
+	least, known := s.MinAnswerTime(now, job)
 	if !known || left >= least {
 		return nil
 	}
@@ -85,7 +85,7 @@
 
 // notNow refuses a request that has not run, with a time to come back.
 func (s *Server) notNow(job *Job, code, format string, args ...any) *refusal.Refusal {
-	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, code, format, args...).After(s.ComeBack(code, job))
+	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, code, format, args...).After(s.RetryAfter(code, job))
 }
 
 // read takes the whole body in, within the configured bound and the request's
--- a/deliver/begin_test.go
+++ b/deliver/begin_test.go
@@ -34,14 +34,14 @@
 				s := x.server(route(false, true, tt.repeatable, 2))
 				began, sent := time.Now(), 0
 				s.Suspect = func(context.Context, string) bool { return false }
-				s.Place = func(context.Context, deliver.Ask) (deliver.Place, error) {
+				s.Place = func(context.Context, deliver.PlacementRequest) (deliver.Placement, error) {
 					sent++
 					if sent > 1 {
-						return deliver.Place{Target: "newer"}, nil
+						return deliver.Placement{Target: "newer"}, nil
 					}
-					return deliver.Place{Target: "old", BeginBy: began.Add(by)}, nil
+					return deliver.Placement{Target: "old", BeginBy: began.Add(by)}, nil
 				}
-				s.Send = func(ctx context.Context, sending deliver.Sending) (*deliver.Reply, error) {
+				s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
 					if sending.Place.Target == "old" {
 						select {
 						case <-time.After(tt.begins):
@@ -51,8 +51,8 @@
 					}
 					return streamReply(&ending{ctx, &delayed{1500 * time.Millisecond, strings.NewReader(wholeStream)}}), nil
 				}
-				var ended []deliver.Ended
-				s.Ended = func(e deliver.Ended) { ended = append(ended, e) }
+				var ended []deliver.AttemptResult
+				s.Ended = func(e deliver.AttemptResult) { ended = append(ended, e) }
 				got := ask(s)
 				status := got.status
 				if got.refused != nil {
--- a/deliver/deliver.go
+++ b/deliver/deliver.go
@@ -21,8 +21,8 @@
 
 	"github.com/thymewind/thymewind/fingerprint"
 	"github.com/thymewind/thymewind/notice"
-	"github.com/thymewind/thymewind/pace"
 	"github.com/thymewind/thymewind/routing"
+	"github.com/thymewind/thymewind/throughput"
 )
 
 // Call is what a caller sent, decoded.
@@ -43,17 +43,17 @@
 	Model string
 	// Parts are the prompt's, in order; the last is the request's own.
 	Parts []Part
-	// Input and Output are tokens: of the prompt, and the most that is made.
-	Input, Output int
+	// PromptTokens and Output are tokens: of the prompt, and the most that is made.
+	PromptTokens, MaxOutputTokens int
 	// Timeout is how long the caller waits; zero if it does not say.
 	Timeout time.Duration
-	// After is the last event that the caller has, if it takes up a stream.
-	After string
+	// LastEventID is the last event that the caller has, if it takes up a stream.
+	LastEventID string
 	// Received is when the head was read.
 	Received time.Time
-	// Gone says whether the caller has closed its connection, also before the
+	// Disconnected says whether the caller has closed its connection, also before the
 	// request's context tells; nil knows nothing.
-	Gone func() bool
+	Disconnected func() bool
 }
 
 // Part is a piece of a prompt that other prompts may share.
@@ -93,26 +93,26 @@
 	return sum
 }
 
-// Ask is what a place is asked for.
-type Ask struct {
+// PlacementRequest is what a place is asked for.
+type PlacementRequest struct {
 	Job *Job
-	// Tried names targets that this request was sent to, or that could not be
+	// Attempted names targets that this request was sent to, or that could not be
 	// reached, in order.
-	Tried []string
+	Attempted []string
 }
 
-// Place is where a request is sent and with what.
-type Place struct {
+// Placement is where a request is sent and with what.
+type Placement struct {
 	Target string
-	// Born is when the target's life began that was placed on, if it told.
-	Born    time.Time
-	Address netip.AddrPort
+	// StartedAt is when the target's life began that was placed on, if it told.
+	StartedAt time.Time
+	Address   netip.AddrPort
 	// Version is the weight version that the target must have; zero for none.
 	Version int64
-	// Newest is the newest version that the placing box knew, Replaced for how
+	// NewestVersion is the newest version that the placing box knew, Replaced for how
 	// long it took Version to be replaced; zero if Version is the newest.
-	Newest   int64
-	Replaced time.Duration
+	NewestVersion int64
+	ReplacedFor   time.Duration
 	// BeginBy is when the target must have begun to answer, as its weights must not
 	// be used for a request that begins later; zero if it may begin at any time.
 	BeginBy time.Time
@@ -124,17 +124,17 @@
 	// FetchUntil is when a fetch that has not ended is thrown away, on the
 	// targets' clock.
 	FetchUntil time.Duration
-	// Unread is how many prompt tokens the target was thought to read, Tokens
+	// PrefillTokens is how many prompt tokens the target was thought to read, Tokens
 	// the memory that the request takes up.
-	Unread, Tokens int
-	// Granted says that the target limits requests and that this one is among those that this
+	PrefillTokens, Tokens int
+	// QuotaGranted says that the target limits requests and that this one is among those that this
 	// box may send.
-	Granted bool
-	// At is when the request was placed, Ahead how many prompt tokens of others
+	QuotaGranted bool
+	// PlacedAt is when the request was placed, Ahead how many prompt tokens of others
 	// the target was thought to read before, and Moves what it fetches.
-	At    time.Time
-	Ahead int
-	Moves []pace.Move
+	PlacedAt       time.Time
+	PrefillBacklog int
+	Transfers      []throughput.Transfer
 	// Kept, Fetched and Saved are the prompt tokens that the target was thought
 	// to keep, told to fetch, and told to save.
 	Kept, Fetched, Saved int
@@ -142,14 +142,14 @@
 	Rule string
 }
 
-// Sending is one request on its way to a target.
-type Sending struct {
+// Attempt is one request on its way to a target.
+type Attempt struct {
 	Job   *Job
-	Place Place
-	// Left is the time that the target may take.
-	Left time.Duration
-	// After is the last event that was passed on, for a stream that is resumed.
-	After string
+	Place Placement
+	// Timeout is the time that the target may take.
+	Timeout time.Duration
+	// LastEventID is the last event that was passed on, for a stream that is resumed.
+	LastEventID string
 	// Allow is asked right before the request leaves this box; its error keeps it here.
 	// Nil allows it.
 	Allow func() error
@@ -161,8 +161,8 @@
 	MayHaveRun = iota
 	// DidNotRun is the target's own promise.
 	DidNotRun
-	// Elsewhere says that another replica has the address; it did not run.
-	Elsewhere
+	// OtherReplica says that another replica has the address; it did not run.
+	OtherReplica
 	// OtherVersion says that the target has other weights; it did not run.
 	OtherVersion
 )
@@ -173,8 +173,8 @@
 	Header http.Header
 	// Verdict says whether the request may have run.
 	Verdict int
-	// Said is what the target says of itself, if it is the one placed that answers.
-	Said notice.Said
+	// Signals is what the target says of itself, if it is the one placed that answers.
+	Signals notice.Signals
 	// Version is the target's weight version, if it told.
 	Version int64
 	// Length is the body's in bytes, or -1.
@@ -185,9 +185,9 @@
 	Close  func()
 }
 
-// Ended tells how one sending went.
-type Ended struct {
-	Place Place
+// AttemptResult tells how one sending went.
+type AttemptResult struct {
+	Place Placement
 	Job   *Job
 	// Began says that an answer's head came.
 	Began bool
@@ -195,17 +195,17 @@
 	Failed bool
 	// Unreachable says that no connection or no answer came.
 	Unreachable bool
-	// Cut says that the target may have run the request and that no whole answer came,
+	// CutOff says that the target may have run the request and that no whole answer came,
 	// not by the caller's doing; Left that the caller went away before that. Answered
 	// says that the whole answer came.
-	Cut, Left, Answered bool
-	// Refused says that the target's address refuses connections.
-	Refused bool
+	CutOff, CallerLeft, Answered bool
+	// ConnectionRefused says that the target's address refuses connections.
+	ConnectionRefused bool
 	// Late says that the first event or a pause came later than the route's goals,
 	// Whole that the stream came to its end; only then Late means anything.
-	Late, Whole bool
-	Verdict     int
-	Version     int64
+	Late, Completed bool
+	Verdict         int
+	Version         int64
 }
 
 // Outcome is the end of a request, for the log and the counters.
@@ -213,31 +213,31 @@
 	Call *Call
 	Job  *Job
 	// Place is the last one.
-	Place Place
-	// Sent counts the targets that may have got the request.
-	Sent   int
-	Status int
+	Place Placement
+	// Attempts counts the targets that may have got the request.
+	Attempts int
+	Status   int
 	// Cause says in a few words why it ended so, Reason more; empty for a whole
 	// answer.
 	Cause, Reason string
-	// First and Took are from the receipt to the first byte and to the end.
-	First, Took time.Duration
-	// Refused is the code of the refusal that the caller got, ComeBack when it said
+	// FirstByte and Took are from the receipt to the first byte and to the end.
+	FirstByte, Took time.Duration
+	// RefusalCode is the code of the refusal that the caller got, ComeBack when it said
 	// to return.
-	Refused  string
-	ComeBack time.Duration
-	// Left says that the caller went away, Ending how long after that was seen all
+	RefusalCode string
+	RetryAfter  time.Duration
+	// CallerLeft says that the caller went away, Ending how long after that was seen all
 	// that was under way for it had ended.
-	Left   bool
-	Ending time.Duration
-	// Broken says that an answer was begun and broken off.
-	Broken bool
+	CallerLeft bool
+	Teardown   time.Duration
+	// Aborted says that an answer was begun and broken off.
+	Aborted bool
 }
 
-// Retried is one more try, for the log.
-type Retried struct {
+// Retry is one more try, for the log.
+type Retry struct {
 	Job   *Job
-	Place Place
+	Place Placement
 	Cause string
 	// Resumed names the event behind which a stream goes on.
 	Resumed string
@@ -248,18 +248,18 @@
 type Server struct {
 	// Table is the configuration in force, or nil.
 	Table func() *routing.Table
-	// Fresh says that keys may be trusted: no key can have been taken away
+	// KeysFresh says that keys may be trusted: no key can have been taken away
 	// for so long that it must not be used.
-	Fresh func(now time.Time) bool
-	// Newest says that the configuration in force can't lack what was configured for so long
+	KeysFresh func(now time.Time) bool
+	// ConfigurationFresh says that the configuration in force can't lack what was configured for so long
 	// that it must be known: what it does not have may be refused for good.
-	Newest func(now time.Time) bool
-	Place  func(ctx context.Context, ask Ask) (Place, error)
-	Send   func(ctx context.Context, s Sending) (*Reply, error)
+	ConfigurationFresh func(now time.Time) bool
+	Place              func(ctx context.Context, ask PlacementRequest) (Placement, error)
+	Send               func(ctx context.Context, s Attempt) (*Reply, error)
 	// Began hears when an answer's head came, Ended how a sending ended. Each
 	// sending is told to Ended exactly once.
-	Began func(Place)
-	Ended func(Ended)
+	Began func(Placement)
+	Ended func(AttemptResult)
 	// Spend asks the retry budget of a pool for one more sending, Refund gives one
 	// back that never left this box, and Earn notes a request for the pool.
 	Spend  func(pool string) bool
@@ -268,16 +268,16 @@
 	// Suspect says whether a target looks dead by now, so that a request that
 	// may be repeated need not wait for it any longer. Without it none is hurried.
 	Suspect func(ctx context.Context, target string) bool
-	// Least is the time in which no request like a job's can be expected to be
+	// MinAnswerTime is the time in which no request like a job's can be expected to be
 	// answered whole, if that is known. Without it none is refused for its deadline.
-	Least func(now time.Time, job *Job) (time.Duration, bool)
-	Now   func() time.Time
-	Draw  func() uint64
-	// ComeBack says when a caller should return who was refused with a code; of
+	MinAnswerTime func(now time.Time, job *Job) (time.Duration, bool)
+	Now           func() time.Time
+	Random        func() uint64
+	// RetryAfter says when a caller should return who was refused with a code; of
 	// the job, only the call and what was found of its route are set.
-	ComeBack func(code string, job *Job) time.Duration
-	Note     func(Outcome)
-	Retried  func(Retried)
+	RetryAfter    func(code string, job *Job) time.Duration
+	RecordOutcome func(Outcome)
+	Retried       func(Retry)
 
 	mu sync.Mutex
 	// watched are the requests that Look sees to, with how to end each.
--- a/deliver/deliver_test.go
+++ b/deliver/deliver_test.go
@@ -54,13 +54,13 @@
 	left []time.Duration
 }
 
-func (x *targets) send(ctx context.Context, s deliver.Sending) (*deliver.Reply, error) {
+func (x *targets) send(ctx context.Context, s deliver.Attempt) (*deliver.Reply, error) {
 	way := answers
 	if x.sent < len(x.script) {
 		way = x.script[x.sent]
 	}
 	x.sent++
-	x.left = append(x.left, s.Left)
+	x.left = append(x.left, s.Timeout)
 	if way == unreachable {
 		return nil, fmt.Errorf("%w: refused", exchange.ErrNotSent)
 	}
@@ -97,8 +97,8 @@
 const events = 4
 
 // streamed goes on behind the last event that the caller has.
-func streamed(s deliver.Sending, breaks bool) *deliver.Reply {
-	from, _ := strconv.Atoi(s.After) // Zero for a stream from its beginning.
+func streamed(s deliver.Attempt, breaks bool) *deliver.Reply {
+	from, _ := strconv.Atoi(s.LastEventID) // Zero for a stream from its beginning.
 	var text strings.Builder
 	for i := from + 1; i <= events; i++ {
 		if breaks && i > from+1 {
@@ -128,17 +128,17 @@
 	route.Shares = []routing.Share{{Pool: "p", Weight: 1}}
 	table := routing.New(1, []*routing.Route{route}, []*routing.Pool{{Name: "p"}}, nil)
 	return &deliver.Server{
-		Table: func() *routing.Table { return table }, Fresh: func(time.Time) bool { return true }, Newest: func(time.Time) bool { return true },
-		Place: func(context.Context, deliver.Ask) (deliver.Place, error) {
+		Table: func() *routing.Table { return table }, KeysFresh: func(time.Time) bool { return true }, ConfigurationFresh: func(time.Time) bool { return true },
+		Place: func(context.Context, deliver.PlacementRequest) (deliver.Placement, error) {
 			x.placed++
-			return deliver.Place{Target: "t" + strconv.Itoa(x.placed)}, nil
+			return deliver.Placement{Target: "t" + strconv.Itoa(x.placed)}, nil
 		},
-		Send: x.send, Began: func(deliver.Place) {}, Ended: func(deliver.Ended) { x.ended++ },
+		Send: x.send, Began: func(deliver.Placement) {}, Ended: func(deliver.AttemptResult) { x.ended++ },
 		Spend:  func(string) bool { x.spent++; return true },
 		Refund: func(string) { x.spent-- }, Earn: func(string) {},
 		Suspect: func(context.Context, string) bool { return true },
-		Now:     time.Now, Draw: func() uint64 { return 0 }, ComeBack: func(string, *deliver.Job) time.Duration { return time.Second },
-		Note: func(deliver.Outcome) {}, Retried: func(deliver.Retried) {},
+		Now:     time.Now, Random: func() uint64 { return 0 }, RetryAfter: func(string, *deliver.Job) time.Duration { return time.Second },
+		RecordOutcome: func(deliver.Outcome) {}, Retried: func(deliver.Retry) {},
 	}
 }
 
@@ -208,7 +208,7 @@
 func TestPromisesNeedToKnowWhatWasSent(t *testing.T) {
 	proof.Breaks(t, keepsPromises(t, func(s *deliver.Server) {
 		send := s.Send
-		s.Send = func(ctx context.Context, sending deliver.Sending) (*deliver.Reply, error) {
+		s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
 			r, err := send(ctx, sending)
 			if err != nil {
 				err = fmt.Errorf("%w: %w", exchange.ErrNotSent, err)
@@ -223,7 +223,7 @@
 func TestPromisesNeedTheVerdict(t *testing.T) {
 	proof.Breaks(t, keepsPromises(t, func(s *deliver.Server) {
 		send := s.Send
-		s.Send = func(ctx context.Context, sending deliver.Sending) (*deliver.Reply, error) {
+		s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
 			r, err := send(ctx, sending)
 			if r != nil && r.Status >= http.StatusInternalServerError {
 				r.Verdict = deliver.DidNotRun
@@ -237,9 +237,9 @@
 func TestPromisesNeedThePlaceBehind(t *testing.T) {
 	proof.Breaks(t, keepsPromises(t, func(s *deliver.Server) {
 		send := s.Send
-		s.Send = func(ctx context.Context, sending deliver.Sending) (*deliver.Reply, error) {
-			if sending.After != "" {
-				sending.After = strconv.Itoa(events)
+		s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
+			if sending.LastEventID != "" {
+				sending.LastEventID = strconv.Itoa(events)
 			}
 			return send(ctx, sending)
 		}
@@ -318,8 +318,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		x := &targets{script: []int{heldBack}}
 		s := x.server(route(false, false, false, 1))
-		s.Ended = func(e deliver.Ended) {
-			if e.Place.Target == "t1" && (e.Failed || e.Unreachable || e.Cut || e.Began) {
+		s.Ended = func(e deliver.AttemptResult) {
+			if e.Place.Target == "t1" && (e.Failed || e.Unreachable || e.CutOff || e.Began) {
 				t.Errorf("told of the target: %+v", e)
 			}
 		}
@@ -348,7 +348,7 @@
 	r := s.Table().Route("h", "/")
 	table := routing.New(2, []*routing.Route{r}, []*routing.Pool{{Name: "p"}}, []*routing.Account{{Name: "a", Keys: []string{"k"}}})
 	s.Table = func() *routing.Table { return table }
-	s.Fresh = func(time.Time) bool { return false }
+	s.KeysFresh = func(time.Time) bool { return false }
 	got := ask(s)
 	if got.refused == nil || got.refused.Status != http.StatusServiceUnavailable || got.refused.RetryAfter == 0 || x.sent != 0 {
 		t.Errorf("got %+v", got)
--- a/deliver/hasty_test.go
+++ b/deliver/hasty_test.go
@@ -37,23 +37,23 @@
 		t.Run(tt.name, func(t *testing.T) {
 			x := &targets{}
 			s := x.server(route(true, false, false, 1))
-			s.Least = func(time.Time, *deliver.Job) (time.Duration, bool) { return tt.least, tt.known }
+			s.MinAnswerTime = func(time.Time, *deliver.Job) (time.Duration, bool) { return tt.least, tt.known }
 			now := time.Unix(1000, 0)
 			s.Now = func() time.Time { return now }
-			s.Place = func(context.Context, deliver.Ask) (deliver.Place, error) {
-				return deliver.Place{}, refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "placed", "got as far as that")
+			s.Place = func(context.Context, deliver.PlacementRequest) (deliver.Placement, error) {
+				return deliver.Placement{}, refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "placed", "got as far as that")
 			}
 			var told deliver.Outcome
-			s.Note = func(o deliver.Outcome) { told = o }
+			s.RecordOutcome = func(o deliver.Outcome) { told = o }
 			body := strings.NewReader("body")
-			call := deliver.Call{ID: "r", Path: "/x", Host: "h", Body: body, Timeout: tt.timeout, After: tt.after, Received: now.Add(-tt.late)}
+			call := deliver.Call{ID: "r", Path: "/x", Host: "h", Body: body, Timeout: tt.timeout, LastEventID: tt.after, Received: now.Add(-tt.late)}
 			err := s.Serve(context.Background(), httptest.NewRecorder(), &call)
 			var refused *refusal.Refusal
 			if !errors.As(err, &refused) || refused.Outcome != refusal.DidNotRun || (refused.Code == "no_time") != tt.refused {
 				t.Fatalf("refused %+v", refused)
 			}
-			if told.Refused != refused.Code || told.ComeBack != refused.RetryAfter {
-				t.Errorf("told of %q, %v", told.Refused, told.ComeBack)
+			if told.RefusalCode != refused.Code || told.RetryAfter != refused.RetryAfter {
+				t.Errorf("told of %q, %v", told.RefusalCode, told.RetryAfter)
 			}
 			if unread := body.Len() > 0; unread != tt.refused || x.sent > 0 {
 				t.Errorf("body left unread: %v; sent %d times", unread, x.sent)
--- a/deliver/late_test.go
+++ b/deliver/late_test.go
@@ -42,14 +42,14 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := route(false, true, false, 1)
-				r.Goal, r.Pause = 100*time.Millisecond, 50*time.Millisecond
+				r.Goal, r.GapGoal = 100*time.Millisecond, 50*time.Millisecond
 				s := (&targets{}).server(r)
-				s.Send = func(context.Context, deliver.Sending) (*deliver.Reply, error) { return streamReply(tt.body), nil }
-				var ended deliver.Ended
-				s.Ended = func(e deliver.Ended) { ended = e }
+				s.Send = func(context.Context, deliver.Attempt) (*deliver.Reply, error) { return streamReply(tt.body), nil }
+				var ended deliver.AttemptResult
+				s.Ended = func(e deliver.AttemptResult) { ended = e }
 				ask(s)
-				if ended.Whole != tt.whole || (ended.Whole && ended.Late != tt.late) {
-					t.Errorf("whole %v, late %v", ended.Whole, ended.Late)
+				if ended.Completed != tt.whole || (ended.Completed && ended.Late != tt.late) {
+					t.Errorf("whole %v, late %v", ended.Completed, ended.Late)
 				}
 			})
 		})
--- a/deliver/leave.go
+++ b/deliver/leave.go
@@ -41,14 +41,14 @@
 	}
 }
 
-// Look ends the requests whose callers have closed their connections, and those whose
+// Reap ends the requests whose callers have closed their connections, and those whose
 // time is up. The HTTP server tells of most callers by itself, but stops looking once a
 // byte of the next request has come; timers end most that are late, but stood still if
 // the machine was suspended. Call it some times a second.
-func (s *Server) Look() {
+func (s *Server) Reap() {
 	now := s.Now()
 	for x, cancel := range s.underWay() {
-		if x.outcome.Call.Gone != nil && x.outcome.Call.Gone() {
+		if x.outcome.Call.Disconnected != nil && x.outcome.Call.Disconnected() {
 			cancel()
 		}
 		x.begin.end(now)
@@ -105,12 +105,12 @@
 // tells of a close only some time after the body was read: a box that was behind
 // for 0.6 s passed on requests whose callers had left before, every time.
 func (x *run) left() bool {
-	x.gone = x.gone || x.caller.Err() != nil || (x.outcome.Call.Gone != nil && x.outcome.Call.Gone())
+	x.gone = x.gone || x.caller.Err() != nil || (x.outcome.Call.Disconnected != nil && x.outcome.Call.Disconnected())
 	return x.gone
 }
 
 // hungUp tells a caller that left from a body that came too late: the server ends
 // the context for both, but the latter's caller is still owed an answer.
 func (x *run) hungUp() bool {
-	return x.outcome.Call.Gone == nil || x.outcome.Call.Gone()
+	return x.outcome.Call.Disconnected == nil || x.outcome.Call.Disconnected()
 }
--- a/deliver/leave_test.go
+++ b/deliver/leave_test.go
@@ -67,24 +67,24 @@
 					}
 				}
 				send := s.Send
-				s.Send = func(ctx context.Context, sending deliver.Sending) (*deliver.Reply, error) {
+				s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
 					if x.sent+1 == tt.during {
 						leave()
 					}
 					return send(ctx, sending)
 				}
 				var noted deliver.Outcome
-				s.Note = func(o deliver.Outcome) { noted = o }
+				s.RecordOutcome = func(o deliver.Outcome) { noted = o }
 				retried := 0
-				s.Retried = func(deliver.Retried) { retried++ }
+				s.Retried = func(deliver.Retry) { retried++ }
 				if tt.during == 0 {
 					leave()
 				}
-				time.AfterFunc(200*time.Millisecond, s.Look)
+				time.AfterFunc(200*time.Millisecond, s.Reap)
 				began := time.Now()
 				err := s.Serve(ctx, httptest.NewRecorder(), &deliver.Call{
 					ID: "r", Method: "POST", Path: "/x", Host: "h", Body: strings.NewReader("b"), Header: http.Header{},
-					Received: began, Gone: gone.Load,
+					Received: began, Disconnected: gone.Load,
 				})
 				refused := new(refusal.Refusal)
 				if !errors.As(err, &refused) || refused.Outcome != tt.outcome {
@@ -99,7 +99,7 @@
 				if want := max(tt.sent-1, 0); retried != want {
 					t.Errorf("noted %d retries, want %d", retried, want)
 				}
-				if !noted.Left {
+				if !noted.CallerLeft {
 					t.Errorf("noted %+v", noted)
 				}
 				if took := time.Since(began); took != tt.took {
@@ -146,7 +146,7 @@
 		x := &targets{}
 		s := x.server(route(true, false, false, 1))
 		var noted deliver.Outcome
-		s.Note = func(o deliver.Outcome) { noted = o }
+		s.RecordOutcome = func(o deliver.Outcome) { noted = o }
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(time.Second, cancel)
 		began := time.Now()
@@ -156,7 +156,7 @@
 				ID: "r", Method: "POST", Path: "/x", Host: "h", Body: strings.NewReader("b"), Header: http.Header{}, Received: began,
 			})
 		}()
-		if took := time.Since(began); took != time.Second || !noted.Left || !noted.Broken {
+		if took := time.Since(began); took != time.Second || !noted.CallerLeft || !noted.Aborted {
 			t.Errorf("took %v, noted %+v", took, noted)
 		}
 	})
@@ -186,7 +186,7 @@
 		}
 	}
 	send := s.Send
-	s.Send = func(ctx context.Context, sending deliver.Sending) (*deliver.Reply, error) {
+	s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
 		reply, err := send(ctx, sending)
 		if x.sent == l.during && left.IsZero() {
 			leave()
@@ -204,7 +204,7 @@
 	}()
 	err := s.Serve(ctx, httptest.NewRecorder(), &deliver.Call{
 		ID: "r", Method: "POST", Path: "/x", Host: "h", Body: strings.NewReader("b"), Header: http.Header{},
-		Received: time.Now(), Gone: gone.Load,
+		Received: time.Now(), Disconnected: gone.Load,
 	})
 	errors.As(err, &refused)
 	return refused, before, took
@@ -257,7 +257,7 @@
 func TestLeavesNothingNeedsTheEnd(t *testing.T) {
 	proof.Breaks(t, leavesNothing(t, func(s *deliver.Server, _ *leaver) {
 		ended := s.Ended
-		s.Ended = func(e deliver.Ended) {
+		s.Ended = func(e deliver.AttemptResult) {
 			if e.Began {
 				ended(e)
 			}
--- a/deliver/pass.go
+++ b/deliver/pass.go
@@ -33,11 +33,11 @@
 	}
 	x.w.WriteHeader(reply.Status)
 	x.outcome.Status = reply.Status
-	x.outcome.First = x.Now().Sub(x.job.Received)
+	x.outcome.FirstByte = x.Now().Sub(x.job.Received)
 }
 
 // whole passes an ordinary answer on. A short one is read to its end first.
-func (x *run) whole(place Place, reply *Reply) (*refusal.Refusal, error) {
+func (x *run) whole(place Placement, reply *Reply) (*refusal.Refusal, error) {
 	first, err := io.ReadAll(io.LimitReader(reply.Body, gather))
 	if err == nil && len(first) == gather {
 		return x.long(place, reply, first)
@@ -48,7 +48,7 @@
 	if err != nil {
 		return x.cut(place, err)
 	}
-	x.Ended(Ended{Place: place, Job: x.job, Began: true, Failed: reply.Status >= http.StatusInternalServerError, Answered: true})
+	x.Ended(AttemptResult{Place: place, Job: x.job, Began: true, Failed: reply.Status >= http.StatusInternalServerError, Answered: true})
 	x.outcome.Cause = ""
 	x.head(reply)
 	if _, err := x.w.Write(first); err != nil {
@@ -58,14 +58,14 @@
 }
 
 // long passes an answer on while it comes.
-func (x *run) long(place Place, reply *Reply, first []byte) (*refusal.Refusal, error) {
+func (x *run) long(place Placement, reply *Reply, first []byte) (*refusal.Refusal, error) {
 	x.head(reply)
 	_, err := x.w.Write(first)
 	if err == nil {
 		_, err = io.Copy(x.w, reply.Body)
 	}
 	failed := err != nil && x.ctx.Err() == nil
-	x.Ended(Ended{Place: place, Job: x.job, Began: true, Failed: failed, Cut: failed, Answered: err == nil, Left: x.caller.Err() != nil})
+	x.Ended(AttemptResult{Place: place, Job: x.job, Began: true, Failed: failed, CutOff: failed, Answered: err == nil, CallerLeft: x.caller.Err() != nil})
 	if err != nil {
 		return x.broken(err.Error())
 	}
@@ -74,9 +74,9 @@
 }
 
 // cut handles an answer that broke off before anything of it was passed on.
-func (x *run) cut(place Place, err error) (*refusal.Refusal, error) {
+func (x *run) cut(place Placement, err error) (*refusal.Refusal, error) {
 	failed := x.ctx.Err() == nil
-	x.Ended(Ended{Place: place, Job: x.job, Began: true, Failed: failed, Unreachable: failed, Cut: failed, Left: x.caller.Err() != nil})
+	x.Ended(AttemptResult{Place: place, Job: x.job, Began: true, Failed: failed, Unreachable: failed, CutOff: failed, CallerLeft: x.caller.Err() != nil})
 	x.outcome.Cause = "the answer broke off: " + err.Error()
 	if failed && x.repeatable() && x.again(true) {
 		return nil, errNext
@@ -85,7 +85,7 @@
 }
 
 // stream passes events on as they come, whole ones only.
-func (x *run) stream(ctx context.Context, place Place, reply *Reply) (*refusal.Refusal, error) {
+func (x *run) stream(ctx context.Context, place Placement, reply *Reply) (*refusal.Refusal, error) {
 	events := eventstream.Reader{From: reply.Body}
 	wait := &pauses{}
 	if x.Suspect != nil && x.job.Route.Resumable && x.sent < x.job.Route.Attempts {
@@ -97,7 +97,7 @@
 		event, err := events.Next()
 		wait.end()
 		if errors.Is(err, io.EOF) {
-			x.Ended(Ended{Place: place, Job: x.job, Began: true, Whole: true, Late: x.late, Answered: true})
+			x.Ended(AttemptResult{Place: place, Job: x.job, Began: true, Completed: true, Late: x.late, Answered: true})
 			x.outcome.Cause = ""
 			x.head(reply)
 			return nil, nil
@@ -118,7 +118,7 @@
 			err = flush.Flush()
 		}
 		if err != nil {
-			x.Ended(Ended{Place: place, Job: x.job, Began: true, Left: true})
+			x.Ended(AttemptResult{Place: place, Job: x.job, Began: true, CallerLeft: true})
 			return x.broken("the caller can't be written to: " + err.Error())
 		}
 		if id != "" {
@@ -131,7 +131,7 @@
 // goals. Without a goal nothing is late.
 func (x *run) noteEvent() {
 	now := x.Now()
-	waited, goal := now.Sub(x.event), x.job.Route.Pause
+	waited, goal := now.Sub(x.event), x.job.Route.GapGoal
 	if x.event.IsZero() {
 		waited, goal = now.Sub(x.job.Received), x.job.Route.Goal
 	}
@@ -140,9 +140,9 @@
 }
 
 // cutStream handles a stream that broke off.
-func (x *run) cutStream(place Place, err error) (*refusal.Refusal, error) {
+func (x *run) cutStream(place Placement, err error) (*refusal.Refusal, error) {
 	failed := x.ctx.Err() == nil
-	x.Ended(Ended{Place: place, Job: x.job, Began: true, Failed: failed, Unreachable: failed, Cut: failed, Left: x.caller.Err() != nil})
+	x.Ended(AttemptResult{Place: place, Job: x.job, Began: true, Failed: failed, Unreachable: failed, CutOff: failed, CallerLeft: x.caller.Err() != nil})
 	x.outcome.Cause = "the stream broke off: " + err.Error()
 	if failed && x.job.Route.Resumable && x.again(true) {
 		return nil, errNext
--- a/deliver/pause.go
+++ b/deliver/pause.go
@@ -52,8 +52,8 @@
 
 // longPause is the pause after which a stream's target is doubted.
 func (x *run) longPause() time.Duration {
-	if x.job.Route.Pause == 0 {
+	if x.job.Route.GapGoal == 0 {
 		return mostSilence
 	}
-	return min(max(silence*x.job.Route.Pause, leastSilence), mostSilence)
+	return min(max(silence*x.job.Route.GapGoal, leastSilence), mostSilence)
 }
--- a/deliver/run.go
+++ b/deliver/run.go
@@ -72,21 +72,21 @@
 // *refusal.Refusal, returned only if nothing was written. It panics with
 // http.ErrAbortHandler to break off an answer that can't be completed.
 func (s *Server) Serve(ctx context.Context, w http.ResponseWriter, call *Call) error {
-	x := &run{Server: s, w: w, after: call.After, outcome: Outcome{Call: call}}
+	x := &run{Server: s, w: w, after: call.LastEventID, outcome: Outcome{Call: call}}
 	departed := x.watch(ctx)
 	refused := x.serve()
-	x.outcome.Ending, x.outcome.Left = departed()
+	x.outcome.Teardown, x.outcome.CallerLeft = departed()
 	x.outcome.Took = s.Now().Sub(call.Received)
-	x.outcome.Sent = x.sent
+	x.outcome.Attempts = x.sent
 	if x.paid || x.reserved.Load() {
 		s.Refund(x.job.Pool.Name)
 	}
 	if refused != nil {
 		x.outcome.Status, x.outcome.Cause, x.outcome.Reason = refused.Status, refused.Code, refused.Reason
-		x.outcome.Refused, x.outcome.ComeBack = refused.Code, refused.RetryAfter
+		x.outcome.RefusalCode, x.outcome.RetryAfter = refused.Code, refused.RetryAfter
 	}
-	s.Note(x.outcome)
-	if x.outcome.Broken {
+	s.RecordOutcome(x.outcome)
+	if x.outcome.Aborted {
 		panic(http.ErrAbortHandler)
 	}
 	if refused != nil {
@@ -113,7 +113,7 @@
 		if x.left() {
 			return x.giveUp(x.notNow(x.job, "caller_left", "the caller closed its connection"))
 		}
-		place, err := x.Place(x.ctx, Ask{Job: job, Tried: x.tried})
+		place, err := x.Place(x.ctx, PlacementRequest{Job: job, Attempted: x.tried})
 		if err != nil {
 			return x.giveUp(refusal.Of(err, refusal.DidNotRun, http.StatusServiceUnavailable))
 		}
@@ -123,7 +123,7 @@
 		if !errors.Is(err, errNext) {
 			return refused
 		}
-		x.Retried(Retried{Job: job, Place: place, Cause: x.outcome.Cause, Resumed: x.resumed()})
+		x.Retried(Retry{Job: job, Place: place, Cause: x.outcome.Cause, Resumed: x.resumed()})
 	}
 }
 
@@ -138,7 +138,7 @@
 func (x *run) repeatable() bool { return x.job.Route.Repeatable || x.job.Route.Resumable }
 
 // try sends the request to one target and passes its answer on.
-func (x *run) try(place Place) (*refusal.Refusal, error) {
+func (x *run) try(place Placement) (*refusal.Refusal, error) {
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	defer cancel(nil)
 	x.cancel = cancel
@@ -158,7 +158,7 @@
 
 // hurried sends the request and, if it may be repeated, breaks that off once the
 // target looks dead; answered is called when an answer or an error has come.
-func (x *run) hurried(ctx context.Context, cancel context.CancelCauseFunc, answered func(), place Place) (*refusal.Refusal, error) {
+func (x *run) hurried(ctx context.Context, cancel context.CancelCauseFunc, answered func(), place Placement) (*refusal.Refusal, error) {
 	if x.Suspect != nil && x.repeatable() && x.sent+1 < x.job.Route.Attempts {
 		over := make(chan struct{})
 		go x.hurry(ctx, cancel, over, place.Target)
@@ -167,8 +167,8 @@
 	return x.exchange(ctx, answered, place)
 }
 
-func (x *run) exchange(ctx context.Context, answered func(), place Place) (*refusal.Refusal, error) {
-	reply, err := x.Send(ctx, Sending{Job: x.job, Place: place, Left: x.job.Until.Sub(x.Now()), After: x.after})
+func (x *run) exchange(ctx context.Context, answered func(), place Placement) (*refusal.Refusal, error) {
+	reply, err := x.Send(ctx, Attempt{Job: x.job, Place: place, Timeout: x.job.Until.Sub(x.Now()), LastEventID: x.after})
 	answered()
 	if err != nil {
 		if cause := context.Cause(ctx); errors.Is(cause, errSilent) || errors.Is(cause, errOverdue) {
@@ -189,11 +189,11 @@
 	x.Began(place)
 	if reply.Status >= http.StatusInternalServerError && x.job.Route.Repeatable && x.again(true) {
 		x.outcome.Cause = fmt.Sprintf("answered %d", reply.Status)
-		x.Ended(Ended{Place: place, Job: x.job, Began: true, Failed: true})
+		x.Ended(AttemptResult{Place: place, Job: x.job, Began: true, Failed: true})
 		return nil, errNext
 	}
 	if x.begun && (reply.Status != http.StatusOK || !reply.Events) {
-		x.Ended(Ended{Place: place, Job: x.job, Began: true, Failed: true})
+		x.Ended(AttemptResult{Place: place, Job: x.job, Began: true, Failed: true})
 		return x.broken(fmt.Sprintf("the stream can't be resumed: %d", reply.Status))
 	}
 	if reply.Events && reply.Status == http.StatusOK {
@@ -203,14 +203,14 @@
 }
 
 // noAnswer handles a sending without an answer.
-func (x *run) noAnswer(place Place, err error) (*refusal.Refusal, error) {
+func (x *run) noAnswer(place Placement, err error) (*refusal.Refusal, error) {
 	notSent := errors.Is(err, exchange.ErrNotSent)
 	left := x.caller.Err() != nil
 	over := !left && x.ctx.Err() != nil
 	failed := !left && !blameless(err)
-	x.Ended(Ended{
+	x.Ended(AttemptResult{
 		Place: place, Job: x.job, Failed: failed, Unreachable: failed && !over,
-		Cut: failed && !notSent, Left: left && !notSent, Refused: errors.Is(err, syscall.ECONNREFUSED),
+		CutOff: failed && !notSent, CallerLeft: left && !notSent, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED),
 	})
 	x.outcome.Cause = err.Error()
 	if notSent {
@@ -228,14 +228,14 @@
 
 // blameless says that a sending failed for a reason of this box's own.
 func blameless(err error) bool {
-	own := []error{exchange.ErrFull, exchange.ErrLate, errOverdue, notice.ErrLeaving, notice.ErrBackoff, notice.ErrLimited}
+	own := []error{exchange.ErrConnectionLimit, exchange.ErrLate, errOverdue, notice.ErrLeaving, notice.ErrBackoff, notice.ErrLimited}
 	return slices.ContainsFunc(own, func(reason error) bool { return errors.Is(err, reason) })
 }
 
 // turnedAway handles a target's promise that it did not run the request.
-func (x *run) turnedAway(place Place, reply *Reply) (*refusal.Refusal, error) {
+func (x *run) turnedAway(place Placement, reply *Reply) (*refusal.Refusal, error) {
 	x.arrived()
-	x.Ended(Ended{Place: place, Job: x.job, Began: false, Failed: reply.Verdict == DidNotRun, Verdict: reply.Verdict, Version: reply.Version})
+	x.Ended(AttemptResult{Place: place, Job: x.job, Began: false, Failed: reply.Verdict == DidNotRun, Verdict: reply.Verdict, Version: reply.Version})
 	x.outcome.Cause = fmt.Sprintf("turned away with %d", reply.Status)
 	if x.again(true) {
 		return nil, errNext
@@ -295,6 +295,6 @@
 
 // broken breaks an answer off that was begun.
 func (x *run) broken(cause string) (*refusal.Refusal, error) {
-	x.outcome.Broken, x.outcome.Cause = true, cause
+	x.outcome.Aborted, x.outcome.Cause = true, cause
 	return nil, nil
 }
--- a/deliver/silent_test.go
+++ b/deliver/silent_test.go
@@ -63,11 +63,11 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := route(false, true, tt.resumable, tt.attempts)
-				r.Timeout, r.Pause = 10*time.Second, tt.pause
+				r.Timeout, r.GapGoal = 10*time.Second, tt.pause
 				x := &targets{}
 				s := x.server(r)
 				s.Suspect = func(context.Context, string) bool { return tt.suspect }
-				s.Send = func(ctx context.Context, sending deliver.Sending) (*deliver.Reply, error) {
+				s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
 					if x.sent++; x.sent == 1 {
 						return streamReply(&hushed{ctx, strings.NewReader(two)}), nil
 					}
@@ -93,7 +93,7 @@
 func TestSluggishCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := route(false, true, true, 2)
-		r.Timeout, r.Pause = time.Minute, 300*time.Millisecond
+		r.Timeout, r.GapGoal = time.Minute, 300*time.Millisecond
 		x := &targets{}
 		s := x.server(r)
 		w := &sluggish{httptest.NewRecorder(), 5 * time.Second}
@@ -122,10 +122,10 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := route(true, tt.stream, true, 3)
-				r.Timeout, r.Pause = 10*time.Second, 300*time.Millisecond
+				r.Timeout, r.GapGoal = 10*time.Second, 300*time.Millisecond
 				s := (&targets{}).server(r)
 				s.Spend = func(string) bool { return false }
-				s.Send = func(ctx context.Context, _ deliver.Sending) (*deliver.Reply, error) {
+				s.Send = func(ctx context.Context, _ deliver.Attempt) (*deliver.Reply, error) {
 					late := &ending{ctx, &delayed{tt.pause, strings.NewReader("id: 2\n\n")}}
 					if tt.stream {
 						return streamReply(io.MultiReader(strings.NewReader("id: 1\n\n"), late)), nil
@@ -157,7 +157,7 @@
 		spent, refunded := 0, 0
 		s.Spend = func(string) bool { spent++; return true }
 		s.Refund = func(string) { refunded++ }
-		s.Send = func(ctx context.Context, _ deliver.Sending) (*deliver.Reply, error) {
+		s.Send = func(ctx context.Context, _ deliver.Attempt) (*deliver.Reply, error) {
 			<-ctx.Done()
 			return reply(http.StatusOK, deliver.MayHaveRun, strings.NewReader("whole")), nil
 		}
--- a/deliver/suspended_test.go
+++ b/deliver/suspended_test.go
@@ -42,14 +42,14 @@
 				r.Timeout = route15
 				s := x.server(r)
 				s.Now = now
-				s.Place = func(context.Context, deliver.Ask) (deliver.Place, error) {
-					p := deliver.Place{Target: "old"}
+				s.Place = func(context.Context, deliver.PlacementRequest) (deliver.Placement, error) {
+					p := deliver.Placement{Target: "old"}
 					if tt.beginBy > 0 {
 						p.BeginBy = began.Add(tt.beginBy)
 					}
 					return p, nil
 				}
-				s.Send = func(ctx context.Context, _ deliver.Sending) (*deliver.Reply, error) {
+				s.Send = func(ctx context.Context, _ deliver.Attempt) (*deliver.Reply, error) {
 					<-ctx.Done()
 					return nil, ctx.Err()
 				}
@@ -62,7 +62,7 @@
 						case <-done:
 							return
 						case <-time.After(look):
-							s.Look()
+							s.Reap()
 						}
 					}
 				}()
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -21,8 +21,8 @@
 // another walled account, gives another key.
 type Key uint64
 
-// Of returns the key of a part.
-func Of(scope, part string) Key {
+// KeyOf returns the key of a part.
+func KeyOf(scope, part string) Key {
 	var h xxhash.Digest
 	h.Reset()
 	_, _ = h.WriteString(scope) // A hash never fails to take bytes.
@@ -74,9 +74,9 @@
 	return s
 }
 
-// Begin notes that a source is heard, in the epoch given. What it kept in
+// Connected notes that a source is heard, in the epoch given. What it kept in
 // another epoch is gone; Begin says whether there was another one.
-func (d *Directory) Begin(name string, epoch uint64) bool {
+func (d *Directory) Connected(name string, epoch uint64) bool {
 	s := d.of(name)
 	s.silent = false
 	restarted := s.begun && s.epoch != epoch
@@ -96,16 +96,16 @@
 	s.kept = make(map[Key]int)
 }
 
-// Silence notes that a source can't be heard. Its entries count again once it
+// Disconnected notes that a source can't be heard. Its entries count again once it
 // is heard in the same epoch.
-func (d *Directory) Silence(name string) {
+func (d *Directory) Disconnected(name string) {
 	if s := d.sources[name]; s != nil {
 		s.silent = true
 	}
 }
 
-// Heard says whether a source can be heard.
-func (d *Directory) Heard(name string) bool {
+// IsConnected says whether a source can be heard.
+func (d *Directory) IsConnected(name string) bool {
 	s := d.sources[name]
 	return s != nil && s.begun && !s.silent
 }
@@ -148,8 +148,8 @@
 	s.tokens += blocks(tokens)
 }
 
-// Whole says whether a source told that it keeps a part whole.
-func (d *Directory) Whole(name string, key Key) bool {
+// Has says whether a source told that it keeps a part whole.
+func (d *Directory) Has(name string, key Key) bool {
 	s := d.sources[name]
 	if s == nil || s.silent {
 		return false
@@ -158,9 +158,9 @@
 	return kept
 }
 
-// Likely says whether a source keeps a part or is about to.
-func (d *Directory) Likely(name string, key Key, now time.Time) bool {
-	if d.Whole(name, key) {
+// HasOrExpects says whether a source keeps a part or is about to.
+func (d *Directory) HasOrExpects(name string, key Key, now time.Time) bool {
+	if d.Has(name, key) {
 		return true
 	}
 	s := d.sources[name]
@@ -171,11 +171,11 @@
 	return sent && now.Before(p.until)
 }
 
-// Run counts the leading parts that a source keeps or is about to. Engines use
+// LeadingParts counts the leading parts that a source keeps or is about to. Engines use
 // a part only together with all parts before it.
-func (d *Directory) Run(name string, keys []Key, now time.Time) int {
+func (d *Directory) LeadingParts(name string, keys []Key, now time.Time) int {
 	for i, key := range keys {
-		if !d.Likely(name, key, now) {
+		if !d.HasOrExpects(name, key, now) {
 			return i
 		}
 	}
@@ -191,8 +191,8 @@
 	return s.tokens
 }
 
-// Known counts the entries of a source.
-func (d *Directory) Known(name string) int {
+// Len counts the entries of a source.
+func (d *Directory) Len(name string) int {
 	s := d.sources[name]
 	if s == nil {
 		return 0
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -9,7 +9,7 @@
 
 func TestRun(t *testing.T) {
 	start := time.Unix(0, 0)
-	keys := []directory.Key{directory.Of("m@1", "a"), directory.Of("m@1", "b"), directory.Of("m@1", "c")}
+	keys := []directory.Key{directory.KeyOf("m@1", "a"), directory.KeyOf("m@1", "b"), directory.KeyOf("m@1", "c")}
 	tests := []struct {
 		name   string
 		change func(d *directory.Directory)
@@ -17,30 +17,30 @@
 		whole  bool
 	}{
 		{"told", func(*directory.Directory) {}, 2, true},
-		{"another scope is another part", func(d *directory.Directory) { d.Add("e", directory.Of("m@2", "c"), 5) }, 2, true},
+		{"another scope is another part", func(d *directory.Directory) { d.Add("e", directory.KeyOf("m@2", "c"), 5) }, 2, true},
 		{"dropped first part", func(d *directory.Directory) { d.Remove("e", keys[0]) }, 0, false},
 		{"expected counts for placing, not as whole", func(d *directory.Directory) { d.Expect("e", keys[2], 30, start.Add(time.Second)) }, 3, true},
 		{"expected in vain", func(d *directory.Directory) { d.Expect("e", keys[2], 30, start) }, 2, true},
-		{"new epoch", func(d *directory.Directory) { d.Begin("e", 8) }, 0, false},
-		{"silent", func(d *directory.Directory) { d.Silence("e") }, 0, false},
-		{"silent and heard again", func(d *directory.Directory) { d.Silence("e"); d.Begin("e", 7) }, 2, true},
+		{"new epoch", func(d *directory.Directory) { d.Connected("e", 8) }, 0, false},
+		{"silent", func(d *directory.Directory) { d.Disconnected("e") }, 0, false},
+		{"silent and heard again", func(d *directory.Directory) { d.Disconnected("e"); d.Connected("e", 7) }, 2, true},
 		{"gone", func(d *directory.Directory) { d.Forget("e") }, 0, false},
 		{"listed anew", func(d *directory.Directory) { d.Clear("e"); d.Add("e", keys[0], 5) }, 1, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := directory.New()
-			d.Begin("e", 7)
+			d.Connected("e", 7)
 			d.Add("e", keys[0], 10)
 			d.Add("e", keys[1], 20)
 			tt.change(d)
-			if got := d.Run("e", keys, start); got != tt.want {
+			if got := d.LeadingParts("e", keys, start); got != tt.want {
 				t.Errorf("Run = %d, want %d", got, tt.want)
 			}
-			if got := d.Whole("e", keys[0]); got != tt.whole {
+			if got := d.Has("e", keys[0]); got != tt.whole {
 				t.Errorf("Whole = %v, want %v", got, tt.whole)
 			}
-			if d.Whole("e", keys[2]) {
+			if d.Has("e", keys[2]) {
 				t.Error("a part that was not told is not whole")
 			}
 		})
@@ -49,7 +49,7 @@
 
 func TestTokens(t *testing.T) {
 	d := directory.New()
-	d.Begin("s", 1)
+	d.Connected("s", 1)
 	d.Add("s", 1, 10)
 	d.Add("s", 1, 12)
 	d.Add("s", 2, 5)
@@ -86,15 +86,15 @@
 	}{
 		{"never", func(*directory.Directory) {}, false},
 		{"something was sent there", func(d *directory.Directory) { d.Expect("e", 1, 5, time.Unix(9, 0)) }, false},
-		{"heard", func(d *directory.Directory) { d.Begin("e", 0) }, true},
-		{"silent since", func(d *directory.Directory) { d.Begin("e", 0); d.Silence("e") }, false},
-		{"gone", func(d *directory.Directory) { d.Begin("e", 0); d.Forget("e") }, false},
+		{"heard", func(d *directory.Directory) { d.Connected("e", 0) }, true},
+		{"silent since", func(d *directory.Directory) { d.Connected("e", 0); d.Disconnected("e") }, false},
+		{"gone", func(d *directory.Directory) { d.Connected("e", 0); d.Forget("e") }, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := directory.New()
 			tt.change(d)
-			if got := d.Heard("e"); got != tt.want {
+			if got := d.IsConnected("e"); got != tt.want {
 				t.Errorf("Heard = %v, want %v", got, tt.want)
 			}
 		})
--- a/dispatch/board.go
+++ b/dispatch/board.go
@@ -34,23 +34,23 @@
 // recentPrompts bounds the prompts remembered as served lately.
 const recentPrompts = 8192
 
-// StorePause keeps a store box out of use after it failed.
-const StorePause = 2 * time.Second
+// StoreBackoff keeps a store box out of use after it failed.
+const StoreBackoff = 2 * time.Second
 
-// Board holds what decisions need. Set the exported function fields before
+// Scheduler holds what decisions need. Set the exported function fields before
 // Start; it is not safe for concurrent use.
-type Board struct {
+type Scheduler struct {
 	Configuration *configuration.Configuration
 	Targets       entity.Table[string, *target.Target]
 	// Pools lists the targets of each pool in name order; see Group.
 	Pools  map[string][]*target.Target
 	Stores entity.Table[string, boxes.Box]
 	Gate   admission.Gate
-	// StoreAvoid keeps store boxes that failed out of use for a while.
-	StoreAvoid map[string]time.Time
+	// StoreAvoidUntil keeps store boxes that failed out of use for a while.
+	StoreAvoidUntil map[string]time.Time
 
 	// Choose picks a target; it is (*placement.Chooser).Choose.
-	Choose func(now time.Time, ask placement.Ask, targets []*target.Target) (placement.Choice, error)
+	Choose func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error)
 	// Scope names the cache of one client account and weight version; it is
 	// prefix.Scope.
 	Scope func(account, version string) prefix.Key
@@ -60,17 +60,17 @@
 	// Boxes counts the entry boxes that share the work. It is at least 1.
 	Boxes func() int
 	// Others is the use of a pool by other boxes.
-	Others func(pool string) Use
-	// Part is this box's part, in requests a second, of the rate that a target takes of all
+	Others func(pool string) Usage
+	// RateShare is this box's part, in requests a second, of the rate that a target takes of all
 	// boxes. Without it this box has all of it.
-	Part func(x *target.Target) float64
+	RateShare func(x *target.Target) float64
 	// Limit is this box's part of an account's limit.
 	Limit  func(account string, limit int) int
 	Jitter func(mean time.Duration) time.Duration
 	Record func(decision.Record)
-	// Failing and Leaving hear when a target begins to fail or to leave.
-	Failing func(name string)
-	Leaving func(name, heard string)
+	// OnFailing and Leaving hear when a target begins to fail or to leave.
+	OnFailing func(name string)
+	OnLeaving func(name, heard string)
 
 	// quotas hold what this box may send to targets that limit requests, by the target's ID.
 	quotas map[uint64]*quota.Bucket
@@ -111,10 +111,10 @@
 }
 
 // Start makes an empty board ready.
-func (b *Board) Start() {
+func (b *Scheduler) Start() {
 	b.Configuration = &configuration.Configuration{}
 	b.Pools = make(map[string][]*target.Target)
-	b.StoreAvoid = make(map[string]time.Time)
+	b.StoreAvoidUntil = make(map[string]time.Time)
 	b.cache = make(map[string]*cache)
 	b.quotas = make(map[uint64]*quota.Bucket)
 	b.asked = fair.Meter{Window: fairWindow}
@@ -122,8 +122,8 @@
 	b.recent, _ = lru.NewLRU[prefix.Key, string](recentPrompts, nil)
 }
 
-// Group lists the targets by pool anew. Call it when targets came or went.
-func (b *Board) Group() {
+// GroupByPool lists the targets by pool anew. Call it when targets came or went.
+func (b *Scheduler) GroupByPool() {
 	b.Pools = make(map[string][]*target.Target)
 	quotas := make(map[uint64]*quota.Bucket)
 	for _, x := range b.Targets.All() {
@@ -137,7 +137,7 @@
 
 // Capacity is how many requests the pool's usable targets take at once, and
 // load how many are thought to be on them.
-func (b *Board) Capacity(now time.Time, pool string) (capacity, load int) {
+func (b *Scheduler) Capacity(now time.Time, pool string) (capacity, load int) {
 	perTarget := b.Configuration.Pools[pool].Concurrency
 	for _, x := range b.Pools[pool] {
 		if x.Usable(now) {
@@ -153,7 +153,7 @@
 const LeavingFor = 2 * time.Minute
 
 // MarkLeaving stops new work to a target that was said to be leaving at a time.
-func (b *Board) MarkLeaving(x *target.Target, at time.Time, heard string) {
+func (b *Scheduler) MarkLeaving(x *target.Target, at time.Time, heard string) {
 	if at.After(x.LeavingAt) {
 		x.LeavingAt = at
 	}
@@ -161,12 +161,12 @@
 		return
 	}
 	x.Leaving = true
-	b.Leaving(x.Name, heard)
+	b.OnLeaving(x.Name, heard)
 }
 
-// StillLeaving lets targets that nothing has called leaving for long take new
+// ExpireLeaving lets targets that nothing has called leaving for long take new
 // work again, such as one that was restarted at its address.
-func (b *Board) StillLeaving(now time.Time) {
+func (b *Scheduler) ExpireLeaving(now time.Time) {
 	for _, x := range b.Targets.All() {
 		if x.Leaving && now.Sub(x.LeavingAt) > LeavingFor {
 			x.Leaving = false
@@ -175,21 +175,21 @@
 }
 
 // Fail keeps new work off a target for a while that grows with its failures.
-func (b *Board) Fail(now time.Time, x *target.Target) {
+func (b *Scheduler) Fail(now time.Time, x *target.Target) {
 	const (
 		first   = 500 * time.Millisecond
 		longest = 8 * time.Second
 		doubled = 10
 	)
 	if x.Failures == 0 {
-		b.Failing(x.Name)
+		b.OnFailing(x.Name)
 	}
 	x.Failures++
 	x.AvoidUntil = now.Add(min(first<<min(x.Failures-1, doubled), longest))
 }
 
 // cacheOf returns a pool's state, new if need be.
-func (b *Board) cacheOf(pool string) *cache {
+func (b *Scheduler) cacheOf(pool string) *cache {
 	c, known := b.cache[pool]
 	if !known {
 		c = &cache{
--- a/dispatch/ended.go
+++ b/dispatch/ended.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/kvcache"
 	"github.com/thymewind/thymewind/notice"
 	"github.com/thymewind/thymewind/pool"
 	"github.com/thymewind/thymewind/retention"
@@ -14,7 +14,7 @@
 
 // Ended takes back what Place counted and learns from how the attempt went. It
 // returns true if the prompt's cache should be exported to its store box.
-func (b *Board) Ended(now time.Time, e route.Ended) (export bool) {
+func (b *Scheduler) Ended(now time.Time, e route.Ended) (export bool) {
 	b.Gate.Release(e.Placed.Account, e.Placed.Pool)
 	x, known := b.Targets.Lookup(e.Placed.Target)
 	if !known || x.Address != e.Placed.Address {
@@ -35,9 +35,9 @@
 	return false
 }
 
-// Said takes in what a target says of itself in an answer, as soon as its head has come:
+// ApplySignals takes in what a target says of itself in an answer, as soon as its head has come:
 // the answer itself may last for minutes.
-func (b *Board) Said(now time.Time, placed route.Placed, said notice.Said) {
+func (b *Scheduler) ApplySignals(now time.Time, placed route.Placed, said notice.Signals) {
 	x, known := b.Targets.Lookup(placed.Target)
 	if !known || x.Address != placed.Address {
 		return
@@ -45,14 +45,14 @@
 	if said.Leaving {
 		b.MarkLeaving(x, now, "its own answer")
 	}
-	if until := now.Add(min(said.Backoff, notice.Longest)); until.After(x.BackoffUntil) {
+	if until := now.Add(min(said.Backoff, notice.MaxBackoff)); until.After(x.BackoffUntil) {
 		x.BackoffUntil = until
 	}
 }
 
 // learn takes in what a whole answer tells about cache and decides whether the
 // prompt's cache is kept.
-func (b *Board) learn(now time.Time, e route.Ended) (export bool) {
+func (b *Scheduler) learn(now time.Time, e route.Ended) (export bool) {
 	p := b.Configuration.Pools[e.Placed.Pool]
 	if p.Kind != pool.KindModel || len(e.Placed.Keys) == 0 {
 		return false
@@ -60,15 +60,15 @@
 	c := b.cacheOf(p.Name)
 	bytes := 0
 	if e.Placed.Import != nil {
-		_, bytes = kept.Size(e.Placed.Import.Run)
+		_, bytes = kvcache.Size(e.Placed.Import.Run)
 	}
-	c.estimate.Learn(now, reuse.Sample{Usage: e.End.Usage, Bytes: bytes, Said: e.Placed.Said})
+	c.estimate.Learn(now, reuse.Sample{Usage: e.End.Usage, Bytes: bytes, Predicted: e.Placed.Said})
 	if e.Placed.Import != nil && e.End.Usage.Imported == 0 && e.End.Usage.Reused == 0 {
-		b.StoreAvoid[e.Placed.StoreName] = now.Add(StorePause)
+		b.StoreAvoidUntil[e.Placed.StoreName] = now.Add(StoreBackoff)
 	}
 	c.spent(e)
 	c.learnShare(e)
-	c.policy.Saw(e.Placed.Account, e.Placed.Warm || e.Placed.KeptPieces > 0)
+	c.policy.Observe(e.Placed.Account, e.Placed.Warm || e.Placed.KeptPieces > 0)
 	b.recent.Add(e.Placed.Home, e.Placed.Target+e.Placed.Version)
 	if !p.Stores || !e.Placed.Store.IsValid() || e.Placed.KeptPieces >= len(e.Placed.Keys) {
 		return false
@@ -84,14 +84,14 @@
 }
 
 // Exported takes in what an export wrote.
-func (b *Board) Exported(pool string, run []kept.Manifest) {
-	if tokens, bytes := kept.Size(run); tokens > 0 {
+func (b *Scheduler) Exported(pool string, run []kvcache.Manifest) {
+	if tokens, bytes := kvcache.Size(run); tokens > 0 {
 		b.cacheOf(pool).bytesPerToken = float64(bytes) / float64(tokens)
 	}
 }
 
 // learnSpeed takes in how long a target took to compute a prompt.
-func (b *Board) learnSpeed(now time.Time, x *target.Target, e route.Ended) {
+func (b *Scheduler) learnSpeed(now time.Time, x *target.Target, e route.Ended) {
 	u := e.End.Usage
 	computed := float64(u.Prompt - u.Reused - u.Imported)
 	prefill := b.cacheOf(x.Pool).estimate.Prefill
--- a/dispatch/fairness.go
+++ b/dispatch/fairness.go
@@ -25,16 +25,16 @@
 	learnWeight = 0.05
 )
 
-// Use is how many engines and slots other boxes' requests keep busy.
-type Use struct {
+// Usage is how many engines and slots other boxes' requests keep busy.
+type Usage struct {
 	Engines, Slots float64
-	// Unheard counts the boxes that have not told of their use lately.
-	Unheard int
+	// Unreported counts the boxes that have not told of their use lately.
+	Unreported int
 }
 
 // priority returns the engines' priority of a request, or refuses it if its
 // account has more than its fair part of a pool that is nearly full.
-func (b *Board) priority(now time.Time, ask route.Ask, p pool.Pool) (int, error) {
+func (b *Scheduler) priority(now time.Time, ask route.Ask, p pool.Pool) (int, error) {
 	if p.Kind != pool.KindModel {
 		return 0, nil
 	}
@@ -43,11 +43,11 @@
 	engines, slots := b.size(now, p.Name)
 	others := b.Others(p.Name)
 	over := func(share float64) bool {
-		return c.prefill.Over(now, ask.Account, b.part(share*engines, others.Engines, others.Unheard)) ||
-			c.slots.Over(now, ask.Account, b.part(share*slots, others.Slots, others.Unheard))
+		return c.prefill.OverShare(now, ask.Account, b.part(share*engines, others.Engines, others.Unreported)) ||
+			c.slots.OverShare(now, ask.Account, b.part(share*slots, others.Slots, others.Unreported))
 	}
 	switch {
-	case over(highShare), c.floods(now, ask.Account, b.part(floodPart*engines, others.Engines, others.Unheard)) && over(floodShare):
+	case over(highShare), c.floods(now, ask.Account, b.part(floodPart*engines, others.Engines, others.Unreported)) && over(floodShare):
 		return 0, refusal.New(refusal.DidNotRun, http.StatusTooManyRequests, "over_share",
 			"pool %s is crowded and the account has its share", p.Name).After(b.Jitter(fairWindow / 2))
 	case over(lowShare):
@@ -59,28 +59,28 @@
 // part is what this box may use of a capacity: what the other boxes leave of
 // it, of which those not heard of are thought to use their equal part, but at
 // least an equal part.
-func (b *Board) part(capacity, others float64, unheard int) float64 {
+func (b *Scheduler) part(capacity, others float64, unheard int) float64 {
 	equal := capacity / float64(b.Boxes())
 	return max(equal, capacity-others-float64(unheard)*equal)
 }
 
 // Demand is how many requests an account has under way or asked for lately, in
 // the time over which work fades.
-func (b *Board) Demand(now time.Time, account string) int {
-	return b.Gate.Account(account) + int(math.Ceil(b.asked.Rate(now, account)*fairWindow.Seconds()))
+func (b *Scheduler) Demand(now time.Time, account string) int {
+	return b.Gate.AccountInFlight(account) + int(math.Ceil(b.asked.Rate(now, account)*fairWindow.Seconds()))
 }
 
 // Active lists the accounts that asked for something lately.
-func (b *Board) Active() []string { return b.asked.Accounts() }
+func (b *Scheduler) Active() []string { return b.asked.Accounts() }
 
 // Used is how many engines and slots this box's requests in a pool keep busy.
-func (b *Board) Used(now time.Time, name string) (engines, slots float64) {
+func (b *Scheduler) Used(now time.Time, name string) (engines, slots float64) {
 	c := b.cacheOf(name)
 	return c.prefill.Sum(now), c.slots.Sum(now)
 }
 
 // size counts the pool's engines and slots.
-func (b *Board) size(now time.Time, name string) (engines, slots float64) {
+func (b *Scheduler) size(now time.Time, name string) (engines, slots float64) {
 	for _, x := range b.Pools[name] {
 		if x.Usable(now) {
 			engines++
@@ -91,7 +91,7 @@
 }
 
 // use notes what an admitted request is expected to cost.
-func (b *Board) use(now time.Time, ask route.Ask, p pool.Pool, tokens int) {
+func (b *Scheduler) use(now time.Time, ask route.Ask, p pool.Pool, tokens int) {
 	if p.Kind != pool.KindModel {
 		return
 	}
--- a/dispatch/fairness_test.go
+++ b/dispatch/fairness_test.go
@@ -17,12 +17,12 @@
 )
 
 // board knows one pool of engines that compute 1000 tokens a second.
-func board(engines, boxes int, others dispatch.Use) *dispatch.Board {
-	b := &dispatch.Board{
-		Scope: prefix.Scope, Boxes: func() int { return boxes }, Others: func(string) dispatch.Use { return others },
+func board(engines, boxes int, others dispatch.Usage) *dispatch.Scheduler {
+	b := &dispatch.Scheduler{
+		Scope: prefix.Scope, Boxes: func() int { return boxes }, Others: func(string) dispatch.Usage { return others },
 		Limit:  func(_ string, limit int) int { return limit },
 		Jitter: func(d time.Duration) time.Duration { return d }, Record: func(decision.Record) {},
-		Failing: func(string) {}, Leaving: func(_, _ string) {},
+		OnFailing: func(string) {}, OnLeaving: func(_, _ string) {},
 	}
 	chooser := &placement.Chooser{Usable: (*target.Target).Usable, Wait: b.Wait}
 	b.Choose = chooser.Choose
@@ -36,12 +36,12 @@
 		name := string(rune('a' + i))
 		b.Targets.Put(name, &target.Target{Name: name, Pool: "p", Hash: placement.Hash(name), Listed: true, Version: "v", Slots: 1000})
 	}
-	b.Group()
+	b.GroupByPool()
 	return b
 }
 
 // serve runs one request of half a second of an engine, if it is admitted.
-func serve(b *dispatch.Board, now time.Time, account string) bool {
+func serve(b *dispatch.Scheduler, now time.Time, account string) bool {
 	prompt := string(make([]byte, 500*dispatch.BytesPerToken))
 	placed, err := b.Place(now, route.Ask{Request: "r", Account: account, Model: "m", Attempt: 1, Prompt: prompt})
 	if err != nil {
@@ -55,7 +55,7 @@
 
 // admitted sends ten requests a second for ten seconds and returns the engines
 // that the admitted ones keep busy.
-func admitted(b *dispatch.Board) float64 {
+func admitted(b *dispatch.Scheduler) float64 {
 	now := time.Unix(1000, 0)
 	n := 0
 	for range 100 {
@@ -73,13 +73,13 @@
 	tests := []struct {
 		name        string
 		boxes       int
-		others      dispatch.Use
+		others      dispatch.Usage
 		least, most float64
 	}{
-		{"alone", 1, dispatch.Use{}, all, all},
-		{"the other boxes are idle", 3, dispatch.Use{}, all, all},
-		{"nothing is heard of them", 3, dispatch.Use{Unheard: 2}, 2.5, 4.0},
-		{"they are busy", 3, dispatch.Use{Engines: 5}, 3.0, 4.6},
+		{"alone", 1, dispatch.Usage{}, all, all},
+		{"the other boxes are idle", 3, dispatch.Usage{}, all, all},
+		{"nothing is heard of them", 3, dispatch.Usage{Unreported: 2}, 2.5, 4.0},
+		{"they are busy", 3, dispatch.Usage{Engines: 5}, 3.0, 4.6},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -103,7 +103,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := board(6, 1, dispatch.Use{})
+			b := board(6, 1, dispatch.Usage{})
 			if tt.other {
 				serve(b, time.Unix(999, 0), "b")
 				serve(b, time.Unix(1000, 0), "b")
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -19,7 +19,7 @@
 
 // Place admits a request and chooses the target of one attempt. The error is a
 // *refusal.Refusal.
-func (b *Board) Place(now time.Time, ask route.Ask) (route.Placed, error) {
+func (b *Scheduler) Place(now time.Time, ask route.Ask) (route.Placed, error) {
 	b.now, b.at = now, target.Since(now)
 	name := ask.Pool
 	if ask.Model != "" {
@@ -30,7 +30,7 @@
 		return route.Placed{}, refusal.New(refusal.DidNotRun, http.StatusNotFound, "unknown_pool", "pool %q is not configured any more", name)
 	}
 	if ask.Attempt > 1 {
-		b.Gate.Count(ask.Account, name)
+		b.Gate.AddAttempt(ask.Account, name)
 	} else if err := b.admit(now, ask, name); err != nil {
 		return route.Placed{}, err
 	}
@@ -53,7 +53,7 @@
 }
 
 // admit asks the gate and turns a no into a refusal with a time to come back.
-func (b *Board) admit(now time.Time, ask route.Ask, name string) error {
+func (b *Scheduler) admit(now time.Time, ask route.Ask, name string) error {
 	a := b.Configuration.Accounts[ask.Account]
 	capacity, load := b.Capacity(now, name)
 	b.asked.Add(now, ask.Account, 1, 1)
@@ -64,7 +64,7 @@
 	if a.TokensPerMinute > 0 {
 		tokens = b.Limit(ask.Account, a.TokensPerMinute)
 	}
-	v := b.Gate.Admit(admission.Ask{
+	v := b.Gate.Admit(admission.Request{
 		Account: ask.Account, Pool: name, Weight: max(a.Weight, 1),
 		WeightOf: func(other string) int { return max(b.Configuration.Accounts[other].Weight, 1) },
 		Capacity: float64(capacity), Load: float64(load), Concurrency: concurrency,
@@ -78,7 +78,7 @@
 }
 
 // choose picks the target of an attempt and counts the attempt on it.
-func (b *Board) choose(now time.Time, ask route.Ask, p pool.Pool) (route.Placed, error) {
+func (b *Scheduler) choose(now time.Time, ask route.Ask, p pool.Pool) (route.Placed, error) {
 	targets := b.Pools[p.Name]
 	skip := func(x *target.Target) bool {
 		if slices.Contains(ask.Exclude, x.Name) || slices.Contains(p.Leave, x.Name) || !b.withinQuota(now, x) {
@@ -91,7 +91,7 @@
 	}
 	tokens := len(ask.Prompt) / BytesPerToken
 	b.computing = b.computes(p, ask, tokens)
-	want := placement.Ask{Home: ask.Home.Rank(), Slack: b.slack(p, ask, tokens), Skip: func(x *target.Target) bool {
+	want := placement.Request{Home: ask.Home.Rank(), Slack: b.slack(p, ask, tokens), Skip: func(x *target.Target) bool {
 		return skip(x) || (ask.AvoidDomain != "" && x.Domain == ask.AvoidDomain)
 	}}
 	choice, err := b.Choose(now, want, targets)
@@ -125,7 +125,7 @@
 // slack is how long a request may wait more to be where its cache probably is:
 // as long as waiting costs no more, by the pool's weights, than computing again
 // what engines lately had in memory of such prompts.
-func (b *Board) slack(p pool.Pool, ask route.Ask, tokens int) time.Duration {
+func (b *Scheduler) slack(p pool.Pool, ask route.Ask, tokens int) time.Duration {
 	if p.Kind != pool.KindModel || p.Policy.FirstToken <= 0 {
 		return leastSlack
 	}
@@ -140,7 +140,7 @@
 
 // Wait predicts the wait at a target, and how much longer than elsewhere the
 // request being placed is computed there; it is for the chooser.
-func (b *Board) Wait(x *target.Target) time.Duration {
+func (b *Scheduler) Wait(x *target.Target) time.Duration {
 	if x.Slots == 0 {
 		return time.Duration(x.InFlight) * serviceWait
 	}
@@ -153,7 +153,7 @@
 
 // computes predicts how long a prompt's computing takes, at the share that was
 // computed lately of prompts like it.
-func (b *Board) computes(p pool.Pool, ask route.Ask, tokens int) time.Duration {
+func (b *Scheduler) computes(p pool.Pool, ask route.Ask, tokens int) time.Duration {
 	c := b.cacheOf(p.Name)
 	share := c.computedNew
 	if b.recent.Contains(ask.Home) {
@@ -164,7 +164,7 @@
 
 // Report takes a target's own report in; queued are the prompt tokens that
 // were still to be computed, and lag how old it is already.
-func (b *Board) Report(now time.Time, x *target.Target, running, waiting, queued int, lag time.Duration) {
+func (b *Scheduler) Report(now time.Time, x *target.Target, running, waiting, queued int, lag time.Duration) {
 	busy := over(float64(queued), b.cacheOf(x.Pool).estimate.Prefill)
 	x.Report(now.Add(-lag-reportLag), running, waiting, slowed(now, time.Duration(busy*float64(time.Second)), x))
 }
@@ -212,7 +212,7 @@
 }
 
 // addCache says what is known about the cache of a prompt's beginning.
-func (b *Board) addCache(now time.Time, ask route.Ask, p pool.Pool, placed *route.Placed) {
+func (b *Scheduler) addCache(now time.Time, ask route.Ask, p pool.Pool, placed *route.Placed) {
 	last, known := b.recent.Get(ask.Home)
 	placed.Known = known
 	placed.Warm = known && last == placed.Target+placed.Version
@@ -228,13 +228,13 @@
 
 // storeOf returns the store box that keeps a prompt's cache: the best ranked
 // one that is not failing.
-func (b *Board) storeOf(now time.Time, home prefix.Key) (boxes.Box, bool) {
+func (b *Scheduler) storeOf(now time.Time, home prefix.Key) (boxes.Box, bool) {
 	var best boxes.Box
 	var weight uint64
 	found := false
 	for name, box := range b.Stores.All() {
 		w := placement.Weight(home.Rank(), placement.Hash(name))
-		if now.Before(b.StoreAvoid[name]) || box.Leaving || (found && w <= weight) {
+		if now.Before(b.StoreAvoidUntil[name]) || box.Leaving || (found && w <= weight) {
 			continue
 		}
 		best, weight, found = box, w, true
@@ -242,10 +242,10 @@
 	return best, found
 }
 
-func (b *Board) recordPlaced(now time.Time, ask route.Ask, p pool.Pool, targets []*target.Target, choice placement.Choice) {
+func (b *Scheduler) recordPlaced(now time.Time, ask route.Ask, p pool.Pool, targets []*target.Target, choice placement.Choice) {
 	r := decision.Record{
 		At: now, Kind: decision.Placed, Request: ask.Request, Account: ask.Account, Pool: p.Name, Rule: choice.Rule,
-		Inputs: fmt.Sprintf("attempt %d, %d usable targets, shortest wait %v, excluded %v", ask.Attempt, choice.Usable, choice.Least, ask.Exclude),
+		Inputs: fmt.Sprintf("attempt %d, %d usable targets, shortest wait %v, excluded %v", ask.Attempt, choice.Usable, choice.MinWait, ask.Exclude),
 		Result: targets[choice.Index].Name,
 	}
 	r.Candidates = append(r.Candidates, candidate(b.Wait(targets[choice.Home]), targets[choice.Home], "best ranked"))
--- a/dispatch/quota.go
+++ b/dispatch/quota.go
@@ -13,12 +13,12 @@
 )
 
 // withinQuota says that a target limits no requests, or that this box may send one now.
-func (b *Board) withinQuota(now time.Time, x *target.Target) bool {
+func (b *Scheduler) withinQuota(now time.Time, x *target.Target) bool {
 	return !x.Limited || b.bucket(now, x).Ready()
 }
 
 // takeQuota counts a request that goes to a target, and says whether that limits requests.
-func (b *Board) takeQuota(now time.Time, x *target.Target) bool {
+func (b *Scheduler) takeQuota(now time.Time, x *target.Target) bool {
 	if !x.Limited {
 		return false
 	}
@@ -27,22 +27,22 @@
 }
 
 // bucket holds what this box may send to a target that limits requests, as of now.
-func (b *Board) bucket(now time.Time, x *target.Target) *quota.Bucket {
+func (b *Scheduler) bucket(now time.Time, x *target.Target) *quota.Bucket {
 	bucket := b.quotas[x.ID]
 	if bucket == nil {
 		bucket = &quota.Bucket{}
 		b.quotas[x.ID] = bucket
 	}
 	part := x.Rate
-	if b.Part != nil {
-		part = b.Part(x)
+	if b.RateShare != nil {
+		part = b.RateShare(x)
 	}
 	bucket.Refill(now, part)
 	return bucket
 }
 
 // SetLimit takes over how many requests a second a target takes of all boxes, if it limits them.
-func (b *Board) SetLimit(x *target.Target, limited bool, perSecond float64) {
+func (b *Scheduler) SetLimit(x *target.Target, limited bool, perSecond float64) {
 	x.Limited, x.Rate = limited, perSecond
 	if !limited {
 		delete(b.quotas, x.ID)
@@ -51,11 +51,11 @@
 
 // Resumed counts that a run's answer is read again from a target. It can't wait, as the run
 // goes on meanwhile, so later requests do.
-func (b *Board) Resumed(now time.Time, x *target.Target) { b.takeQuota(now, x) }
+func (b *Scheduler) Resumed(now time.Time, x *target.Target) { b.takeQuota(now, x) }
 
 // refuseNone refuses a request that no target takes, and says whether that is as they got the
 // requests that they take a second.
-func (b *Board) refuseNone(now time.Time, ask route.Ask, p pool.Pool) *refusal.Refusal {
+func (b *Scheduler) refuseNone(now time.Time, ask route.Ask, p pool.Pool) *refusal.Refusal {
 	spent := func(x *target.Target) bool {
 		return x.Usable(now) && !slices.Contains(ask.Exclude, x.Name) && !b.withinQuota(now, x)
 	}
--- a/duty.go
+++ b/duty.go
@@ -125,10 +125,10 @@
 		length := d.Settings.Timing.Lease
 		x = &duty{
 			lease: &lease.Lease{
-				Duty: name, Holder: d.Settings.Name, Length: length, Margin: length / 6,
+				Name: name, Holder: d.Settings.Name, TTL: length, Margin: length / 6,
 				Commit: d.table.Commit, Read: d.table.Read, Nonce: newID, Now: d.now,
 			},
-			rollout: weights.Rollout{Patience: loadPatience},
+			rollout: weights.Rollout{Timeout: loadPatience},
 		}
 		t.held[name] = x
 	}
@@ -259,7 +259,7 @@
 	})
 	for _, l := range leases {
 		if err := l.Release(ctx); err != nil {
-			d.Log.Warn("a lease was not given back; it runs out by itself", "duty", l.Duty, "err", err)
+			d.Log.Warn("a lease was not given back; it runs out by itself", "duty", l.Name, "err", err)
 		}
 	}
 }
--- a/effect.go
+++ b/effect.go
@@ -74,7 +74,7 @@
 		load, err := d.engines.Load(ctx, e.address)
 		return loadRead{e.target, load, err, asked}
 	case stepLease:
-		return leaseStepped{e.duty, e.lease.Step(ctx)}
+		return leaseStepped{e.duty, e.lease.AcquireOrRenew(ctx)}
 	case readOrders:
 		return d.readOrders(ctx, e)
 	case sendOrder:
--- a/engine/client.go
+++ b/engine/client.go
@@ -15,7 +15,7 @@
 	"github.com/dghubble/sling"
 	"github.com/gravitational/trace"
 
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/kvcache"
 	"github.com/thymewind/thymewind/notice"
 	"github.com/thymewind/thymewind/stream"
 )
@@ -33,12 +33,12 @@
 
 // Said reads what an answer to a request says of the target, an engine or a plain service,
 // that gave it.
-func Said(response *http.Response) notice.Said {
-	said := notice.Said{Leaving: response.Header.Get(HeaderLeaving) != ""}
+func Said(response *http.Response) notice.Signals {
+	said := notice.Signals{Leaving: response.Header.Get(HeaderLeaving) != ""}
 	if response.StatusCode == http.StatusServiceUnavailable {
-		said.Backoff = notice.Seconds(response.Header.Get("Retry-After"))
+		said.Backoff = notice.ParseRetryAfter(response.Header.Get("Retry-After"))
 	}
-	said.Rate, said.Limited = notice.PerSecond(response.Header.Get(HeaderLimit))
+	said.Rate, said.Limited = notice.ParseRate(response.Header.Get(HeaderLimit))
 	said.Unlimited = !said.Limited
 	return said
 }
@@ -58,7 +58,7 @@
 // Frames reads the frames of one stream.
 type Frames struct {
 	// Said is what the answer's head says of the engine.
-	Said notice.Said
+	Said notice.Signals
 	// Next returns the next frame, or io.EOF behind the last.
 	Next func() (stream.Frame, error)
 	// Close ends the reading; the engine keeps the run for a while.
@@ -132,14 +132,14 @@
 
 // Export has the engine write the cache of one run's prompt to a store box and
 // returns the pieces, all of which are written whole.
-func (c *Client) Export(ctx context.Context, at netip.AddrPort, request, scope string, store netip.AddrPort) ([]kept.Piece, error) {
+func (c *Client) Export(ctx context.Context, at netip.AddrPort, request, scope string, store netip.AddrPort) ([]kvcache.Piece, error) {
 	body := struct {
 		Request string         `json:"request"`
 		Scope   string         `json:"scope"`
 		Store   netip.AddrPort `json:"store"`
 	}{request, scope, store}
 	var answer struct {
-		Pieces []kept.Piece `json:"pieces"`
+		Pieces []kvcache.Piece `json:"pieces"`
 	}
 	err := c.call(ctx, c.to(at).Post("/v1/export").BodyJSON(body), &answer)
 	return answer.Pieces, trace.Wrap(err)
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -11,7 +11,7 @@
 	"net/netip"
 	"time"
 
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/kvcache"
 	"github.com/thymewind/thymewind/notice"
 )
 
@@ -42,7 +42,7 @@
 type Import struct {
 	Store netip.AddrPort `json:"store"`
 	// Run are the manifests from the prompt's first boundary on.
-	Run []kept.Manifest `json:"run"`
+	Run []kvcache.Manifest `json:"run"`
 }
 
 // Load is what an engine reports of itself, with a lag.
@@ -78,7 +78,7 @@
 	Status int
 	Reason string
 	// Said is what the engine says of itself.
-	Said notice.Said
+	Said notice.Signals
 }
 
 // Error implements error.
--- a/entry/ablate.go
+++ b/entry/ablate.go
@@ -8,40 +8,40 @@
 	"github.com/thymewind/thymewind/deliver"
 	"github.com/thymewind/thymewind/entry/settings"
 	"github.com/thymewind/thymewind/fingerprint"
+	"github.com/thymewind/thymewind/headroom"
 	"github.com/thymewind/thymewind/peer"
-	"github.com/thymewind/thymewind/strain"
 )
 
-// seams are the mechanisms that can be switched off one by one, to measure what
+// hooks are the mechanisms that can be switched off one by one, to measure what
 // each is worth. All are on unless the settings name them under "without".
-type seams struct {
+type hooks struct {
 	// usual is what a job's requests take up as a rule.
 	usual func(t *tables, job *deliver.Job) int
 	// reserve is what the least urgent leave free while answers are late, and
 	// fillLeast up to where they are admitted otherwise.
-	reserve   func(g *strain.Gauge) float64
+	reserve   func(g *headroom.Gauge) float64
 	fillLeast float64
-	// hear takes over what another box's requests take up.
-	hear func(now time.Time, t *tables, m peer.Message)
-	// clears says below which version parts may be freed.
-	clears func(now time.Time, w *weights) int64
-	// near is the failure domain whose engines are taken first.
-	near func(domain string) string
+	// applyUsage takes over what another box's requests take up.
+	applyUsage func(now time.Time, t *tables, m peer.Message)
+	// freeableBelow says below which version parts may be freed.
+	freeableBelow func(now time.Time, w *modelRollout) int64
+	// preferredDomain is the failure domain whose engines are taken first.
+	preferredDomain func(domain string) string
 	// quarantined says whether a request must reach no target.
 	quarantined func(now time.Time, t *tables, sum fingerprint.Sum) bool
 }
 
-func newSeams() seams {
-	return seams{
-		usual:     (*tables).usualTokens,
-		reserve:   (*strain.Gauge).Reserve,
-		fillLeast: fillLeast,
-		hear: func(now time.Time, t *tables, m peer.Message) {
-			t.heard(now, m.From, m.Shares)
-			t.heardReads(now, m.From, m.Reads)
+func newHooks() hooks {
+	return hooks{
+		usual:     (*tables).learnTypicalTokens,
+		reserve:   (*headroom.Gauge).Reserve,
+		fillLeast: maxShareLowPriority,
+		applyUsage: func(now time.Time, t *tables, m peer.Message) {
+			t.receiveLoads(now, m.From, m.TargetLoads)
+			t.receivePrefill(now, m.From, m.PrefillTotals)
 		},
-		clears: func(now time.Time, w *weights) int64 { return w.clearing.Below(now) },
-		near:   func(domain string) string { return domain },
+		freeableBelow:   func(now time.Time, w *modelRollout) int64 { return w.clearing.Below(now) },
+		preferredDomain: func(domain string) string { return domain },
 		quarantined: func(now time.Time, t *tables, sum fingerprint.Sum) bool {
 			return t.quarantined(now, sum)
 		},
@@ -53,41 +53,41 @@
 func (d *Daemon) ablate() {
 	off := func(mechanism string) bool { return slices.Contains(d.Settings.Without, mechanism) }
 	if off(settings.Saves) {
-		d.engines.Saves = func(*affinity.Source) bool { return false }
+		d.engines.AllowSave = func(*affinity.Source) bool { return false }
 	}
 	if off(settings.StoreFetches) {
-		d.engines.FromStores = func(*affinity.Source) bool { return false }
+		d.engines.AllowStoreFetch = func(*affinity.Source) bool { return false }
 	}
 	if off(settings.EngineFetches) {
-		d.engines.FromEngines = func(*affinity.Source) bool { return false }
+		d.engines.AllowEngineFetch = func(*affinity.Source) bool { return false }
 	}
 	if off(settings.LearntMoves) {
-		d.engines.Stretch = func(time.Time, string) float64 { return 1 }
+		d.engines.Slowdown = func(time.Time, string) float64 { return 1 }
 	}
 	if off(settings.LearntReading) {
-		d.engines.Reading = func() time.Duration { return time.Millisecond / 112 }
+		d.engines.PrefillPerToken = func() time.Duration { return time.Millisecond / 112 }
 	}
 	if off(settings.RankSlack) {
 		d.engines.Slack = 0
 	}
 	if off(settings.OwnDomain) {
-		d.near = func(string) string { return "" }
+		d.preferredDomain = func(string) string { return "" }
 	}
 	if off(settings.LeastUrgent) {
-		d.fillLeast = fillMost
-		d.reserve = func(*strain.Gauge) float64 { return 0 }
+		d.fillLeast = maxShare
+		d.reserve = func(*headroom.Gauge) float64 { return 0 }
 	}
 	if off(settings.Reserve) {
-		d.reserve = func(*strain.Gauge) float64 { return 0 }
+		d.reserve = func(*headroom.Gauge) float64 { return 0 }
 	}
 	if off(settings.UsualSize) {
-		d.usual = func(_ *tables, job *deliver.Job) int { return job.Input + job.Output }
+		d.usual = func(_ *tables, job *deliver.Job) int { return job.PromptTokens + job.MaxOutputTokens }
 	}
 	if off(settings.Freeing) {
-		d.clears = func(time.Time, *weights) int64 { return 0 }
+		d.freeableBelow = func(time.Time, *modelRollout) int64 { return 0 }
 	}
 	if off(settings.Loads) {
-		d.hear = func(time.Time, *tables, peer.Message) {}
+		d.applyUsage = func(time.Time, *tables, peer.Message) {}
 	}
 	if off(settings.Hurry) {
 		d.server.Suspect = nil
--- a/entry/ablate_test.go
+++ b/entry/ablate_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/thymewind/thymewind/affinity"
 	"github.com/thymewind/thymewind/entry/settings"
-	"github.com/thymewind/thymewind/pace"
 	"github.com/thymewind/thymewind/peer"
 	"github.com/thymewind/thymewind/placement"
+	"github.com/thymewind/thymewind/throughput"
 )
 
 // TestAblate shows for each mechanism that it is on as a rule and off where the
@@ -19,47 +19,47 @@
 		mechanism string
 		on        func(d *Daemon) bool
 	}{
-		{settings.Saves, func(d *Daemon) bool { return d.engines.Saves(&affinity.Source{}) }},
-		{settings.StoreFetches, func(d *Daemon) bool { return d.engines.FromStores(&affinity.Source{}) }},
-		{settings.EngineFetches, func(d *Daemon) bool { return d.engines.FromEngines(&affinity.Source{}) }},
+		{settings.Saves, func(d *Daemon) bool { return d.engines.AllowSave(&affinity.Source{}) }},
+		{settings.StoreFetches, func(d *Daemon) bool { return d.engines.AllowStoreFetch(&affinity.Source{}) }},
+		{settings.EngineFetches, func(d *Daemon) bool { return d.engines.AllowEngineFetch(&affinity.Source{}) }},
 		{settings.LearntMoves, func(d *Daemon) bool {
 			d.tables.members["b2"] = &member{}
-			d.tables.heard(start, "b2", []peer.Share{{Target: placement.Hash(source), AskedMS: 500, TookMS: 5000}})
-			return d.engines.Stretch(start, source) > 2
+			d.tables.receiveLoads(start, "b2", []peer.TargetLoad{{Target: placement.Hash(source), ExpectedMS: 500, ActualMS: 5000}})
+			return d.engines.Slowdown(start, source) > 2
 		}},
 		{settings.LearntReading, func(d *Daemon) bool {
-			before := d.engines.Reading()
+			before := d.engines.PrefillPerToken()
 			for range 100 {
-				d.tables.pace.See(start, pace.Sample{Took: before * 40000, Tokens: 10000})
+				d.tables.pace.Observe(start, throughput.Sample{Took: before * 40000, Tokens: 10000})
 			}
-			return d.engines.Reading() > 2*before
+			return d.engines.PrefillPerToken() > 2*before
 		}},
 		{settings.RankSlack, func(d *Daemon) bool { return d.engines.Slack > 0 }},
-		{settings.OwnDomain, func(d *Daemon) bool { return d.near("a") == "a" }},
-		{settings.LeastUrgent, func(d *Daemon) bool { return d.room(&d.tables, job("long", 10)).fill < fillMost }},
+		{settings.OwnDomain, func(d *Daemon) bool { return d.preferredDomain("a") == "a" }},
+		{settings.LeastUrgent, func(d *Daemon) bool { return d.admissionLimit(&d.tables, job("long", 10)).maxMemoryShare < maxShare }},
 		{settings.Reserve, func(d *Daemon) bool {
 			for range 100 {
-				d.tables.strain("models").See(true)
+				d.tables.lateness("models").Observe(true)
 			}
-			return d.room(&d.tables, job("long", 10)).fill < fillLeast
+			return d.admissionLimit(&d.tables, job("long", 10)).maxMemoryShare < maxShareLowPriority
 		}},
 		{settings.UsualSize, func(d *Daemon) bool {
-			d.room(&d.tables, job("long", 1000))
-			return d.room(&d.tables, job("long", 9000)).usual < 9000
+			d.admissionLimit(&d.tables, job("long", 1000))
+			return d.admissionLimit(&d.tables, job("long", 9000)).typicalTokens < 9000
 		}},
 		{settings.Freeing, func(d *Daemon) bool {
-			w := d.tables.model("m")
+			w := d.tables.rolloutOf("m")
 			w.name(start, 2)
-			w.clearing.See(start, 2)
-			return d.clears(start.Add(60e9), w) == 2
+			w.clearing.SetFloor(start, 2)
+			return d.freeableBelow(start.Add(60e9), w) == 2
 		}},
 		{settings.Loads, func(d *Daemon) bool {
 			d.tables.members["b2"] = &member{}
-			d.hear(start, &d.tables, peer.Message{From: "b2", Shares: []peer.Share{{Target: 7, Tokens: 1}}})
-			return d.tables.others.Of(7).Tokens == 1
+			d.applyUsage(start, &d.tables, peer.Message{From: "b2", TargetLoads: []peer.TargetLoad{{Target: 7, Tokens: 1}}})
+			return d.tables.othersUsage.Of(7).Tokens == 1
 		}},
 		{settings.Quarantine, func(d *Daemon) bool {
-			sum := work("same").Fingerprint()
+			sum := jobWithBody("same").Fingerprint()
 			for _, life := range []string{"a", "b", "c"} {
 				d.tables.quarantine.Ended(start, sum, life)
 			}
--- a/entry/admit_test.go
+++ b/entry/admit_test.go
@@ -29,10 +29,10 @@
 			d := newDaemon("b1")
 			d.now = func() time.Time { return start }
 			d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
-			d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 			d.tables.members["b1"], d.tables.members["b2"] = &member{}, &member{}
-			d.update(start, peerAsks{peer.Message{From: "b2", Shares: []peer.Share{{Target: placement.Hash("a"), Tokens: tt.taken}}}, make(chan peer.Message, 1)})
-			place, err := d.place(start, &d.tables, deliver.Ask{Job: job(tt.route, 5000)})
+			d.update(start, peerRequest{peer.Message{From: "b2", TargetLoads: []peer.TargetLoad{{Target: placement.Hash("a"), Tokens: tt.taken}}}, make(chan peer.Message, 1)})
+			place, err := d.place(start, &d.tables, deliver.PlacementRequest{Job: job(tt.route, 5000)})
 			if (err == nil) != tt.admitted {
 				t.Fatalf("place %+v, %v", place, err)
 			}
@@ -52,9 +52,9 @@
 func takenUp(tokens int) *Daemon {
 	d := newDaemon("b1")
 	d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
-	d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+	d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 	d.tables.members["b2"] = &member{}
-	d.tables.heard(start, "b2", []peer.Share{{Target: placement.Hash("a"), Tokens: tokens}})
+	d.tables.receiveLoads(start, "b2", []peer.TargetLoad{{Target: placement.Hash("a"), Tokens: tokens}})
 	return d
 }
 
@@ -77,9 +77,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := takenUp(tt.taken)
 			for range 200 {
-				d.tables.usualTokens(job("long", usual))
+				d.tables.learnTypicalTokens(job("long", usual))
 			}
-			_, err := d.place(start, &d.tables, deliver.Ask{Job: job("long", tt.asked)})
+			_, err := d.place(start, &d.tables, deliver.PlacementRequest{Job: job("long", tt.asked)})
 			if (err == nil) != tt.admitted {
 				t.Errorf("admitted: %v (%v)", err == nil, err)
 			}
@@ -91,20 +91,20 @@
 // that a hub admits by what the asking box learnt.
 func TestUsual(t *testing.T) {
 	d := newDaemon("b1")
-	if got := d.tables.usualTokens(job("long", 8000)); got != 8000 {
+	if got := d.tables.learnTypicalTokens(job("long", 8000)); got != 8000 {
 		t.Errorf("the first one: %d", got)
 	}
 	for range 200 {
-		d.tables.usualTokens(job("short", 1000))
-		d.tables.usualTokens(job("long", 12000))
+		d.tables.learnTypicalTokens(job("short", 1000))
+		d.tables.learnTypicalTokens(job("long", 12000))
 	}
-	if got := d.tables.usualTokens(job("long", 12000)); got < 11500 || got > 12000 {
+	if got := d.tables.learnTypicalTokens(job("long", 12000)); got < 11500 || got > 12000 {
 		t.Errorf("the long route's: %d", got)
 	}
-	if got := d.tables.usualTokens(job("short", 1000)); got != 1000 {
+	if got := d.tables.learnTypicalTokens(job("short", 1000)); got != 1000 {
 		t.Errorf("the short route's: %d", got)
 	}
-	if got := roomOf(&peer.PlaceAsk{Fill: 0.9, Usual: 700}); got != (room{0.9, 700}) {
+	if got := roomOf(&peer.PlacementRequest{MaxMemoryShare: 0.9, TypicalTokens: 700}); got != (admissionLimit{0.9, 700}) {
 		t.Errorf("a hub's: %+v", got)
 	}
 }
@@ -129,10 +129,10 @@
 				for range 100 {
 					x := d.tables.fleet.Target("a")
 					x.Sent(start, 0, 0)
-					d.update(start, sendingEnded{deliver.Ended{Place: deliver.Place{Target: "a"}, Job: job("long", 0), Began: true, Whole: true, Late: late}})
+					d.update(start, attemptEnded{deliver.AttemptResult{Place: deliver.Placement{Target: "a"}, Job: job("long", 0), Began: true, Completed: true, Late: late}})
 				}
 			}
-			_, err := d.place(start, &d.tables, deliver.Ask{Job: job(tt.route, 5000)})
+			_, err := d.place(start, &d.tables, deliver.PlacementRequest{Job: job(tt.route, 5000)})
 			if (err == nil) != tt.admitted {
 				t.Errorf("admitted: %v (%v)", err == nil, err)
 			}
@@ -159,17 +159,17 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := threeDomains()
+			d := boxWithThreeDomains()
 			job := &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{Goal: tt.goal}, Pool: &routing.Pool{Name: "orders"}}
 			now := start
 			answered := func(took time.Duration) {
-				place, err := d.place(now, &d.tables, deliver.Ask{Job: job, Tried: []string{"i-c"}})
+				place, err := d.place(now, &d.tables, deliver.PlacementRequest{Job: job, Attempted: []string{"i-c"}})
 				if err != nil {
 					t.Fatal(err)
 				}
 				now = now.Add(took)
 				d.update(now, answerBegan{place})
-				d.update(now, sendingEnded{deliver.Ended{Place: place, Job: job, Began: true}})
+				d.update(now, attemptEnded{deliver.AttemptResult{Place: place, Job: job, Began: true}})
 			}
 			answered(40 * time.Millisecond)
 			for range 20 {
@@ -177,7 +177,7 @@
 			}
 			refused := 0
 			for range 200 {
-				_, err := d.place(now, &d.tables, deliver.Ask{Job: job, Tried: tt.tried})
+				_, err := d.place(now, &d.tables, deliver.PlacementRequest{Job: job, Attempted: tt.tried})
 				if err == nil {
 					continue
 				}
--- a/entry/build.go
+++ b/entry/build.go
@@ -13,16 +13,16 @@
 
 	"github.com/thymewind/thymewind/affinity"
 	"github.com/thymewind/thymewind/boottime"
-	"github.com/thymewind/thymewind/comeback"
 	"github.com/thymewind/thymewind/deliver"
 	"github.com/thymewind/thymewind/fleet"
 	"github.com/thymewind/thymewind/lease"
-	"github.com/thymewind/thymewind/nearest"
+	"github.com/thymewind/thymewind/leastrequest"
+	"github.com/thymewind/thymewind/minlatency"
 	"github.com/thymewind/thymewind/notice"
 	"github.com/thymewind/thymewind/peer"
 	"github.com/thymewind/thymewind/placement"
-	"github.com/thymewind/thymewind/quickest"
 	"github.com/thymewind/thymewind/retry"
+	"github.com/thymewind/thymewind/retryafter"
 	"github.com/thymewind/thymewind/rollout"
 )
 
@@ -52,74 +52,74 @@
 // whether connections should end after their answer.
 type Front func(serve func(ctx context.Context, w http.ResponseWriter, call *deliver.Call) error, now func() time.Time, closing func() bool) http.Handler
 
-// parts are the packages that the daemon is put together from.
-type parts struct {
+// components are the packages that the daemon is put together from.
+type components struct {
 	now func() time.Time
 	// suspended is for how long the machine was suspended in all.
 	suspended func() time.Duration
-	began     time.Time
+	startedAt time.Time
 	systems   []system
 	outage    outage
 	lease     lease.Lease
 	plan      rollout.Plan
 	engines   affinity.Chooser
-	services  nearest.Chooser
+	services  leastrequest.Chooser
 	budget    retry.Budget
-	// purse is what a hub keeps for the boxes that live on it, and what such a box's requests
+	// sharedRetryBudget is what a hub keeps for the boxes that live on it, and what such a box's requests
 	// earned since its last gossip; lender says which.
-	purse    retry.Purse
-	lender   atomic.Pointer[lender]
-	server   deliver.Server
-	returns  comeback.Estimator
-	quickest quickest.Record
+	sharedRetryBudget retry.SharedBudget
+	retryBudget       atomic.Pointer[retryBudgetSource]
+	server            deliver.Server
+	retryEstimator    retryafter.Estimator
+	minAnswerTimes    minlatency.Tracker
 	// notices are what targets said of themselves.
-	notices notice.Book
+	notices notice.Registry
 	peers   peer.Node
-	seams
+	hooks
 	// chance says yes once in so many times.
 	chance func(oneIn int) bool
-	// dice returns a number from 0 to below 1, drawn anew.
-	dice func() float64
-	// lines bounds the log's lines on whole answers; all others are written.
-	lines *rate.Limiter
+	// random returns a number from 0 to below 1, drawn anew.
+	random func() float64
+	// logLimiter bounds the log's lines on whole answers; all others are written.
+	logLimiter *rate.Limiter
 }
 
 // build puts the parts together.
 func (d *Daemon) build() {
 	d.now = boottime.Now
 	d.suspended = boottime.Suspended
-	d.began = d.now()
+	d.startedAt = d.now()
 	d.bounds.Store(&d.Settings.Bounds)
 	d.tables = newTables()
 	d.tables.regions[d.Settings.Domain] = d.Settings.Region
 	d.messages = make(chan message, messageRoom)
-	d.seams = newSeams()
-	d.counts = newCounters(d.Registry)
+	d.hooks = newHooks()
+	d.metrics = newMetricSet(d.Registry)
 	d.ended = make(chan struct{})
-	d.systems = []system{d.sweep, d.keepInUse, d.probeSilent, d.rollWeights, d.askLoading, d.examineDoubted, d.readOvertaken, d.judgeCanaries, d.tellCrashes, d.noteSuspension, d.assumeRole, d.gossip, d.lookAtCallers}
-	d.plan = rollout.Plan{Least: atOnce, Share: atOnceShare}
-	d.services = nearest.Chooser{Domain: d.Settings.Domain, Self: placement.Hash(d.Settings.Name)}
-	d.tables.reads.Token = d.readingToken
+	d.systems = []system{d.sweep, d.updateInUse, d.probeSilent, d.rollWeights, d.pollLoading, d.probeSuspects, d.rereadIfStale, d.judgeCanaries, d.reportCrashes, d.noteSuspension, d.updateRole, d.gossip, d.reapRequests}
+	d.plan = rollout.Plan{Least: concurrentLoads, Share: concurrentLoadShare}
+	d.services = leastrequest.Chooser{Domain: d.Settings.Domain, Self: placement.Hash(d.Settings.Name)}
+	d.tables.prefillBacklog.TokenTime = d.readingToken
 	d.engines = affinity.Chooser{
-		Directory: d.tables.directory,
-		Stores:    func() []*affinity.Source { return d.tables.stores },
-		Token:     func() time.Duration { return d.tables.engineToken },
-		Slack:     affinity.Slack,
-		Saves:     every, FromStores: every, FromEngines: every,
-		Reading: d.readingToken,
-		Base:    func() time.Duration { base, _ := d.tables.pace.Reading(); return base },
-		Stretch: func(now time.Time, source string) float64 { return d.tables.stretch(now, source) },
-		Load:    func(now time.Time, x *fleet.Target) (int, int) { return d.load(now, &d.tables, x) },
+		Directory:        d.tables.directory,
+		Stores:           func() []*affinity.Source { return d.tables.stores },
+		TransferPerToken: func() time.Duration { return d.tables.engineToken },
+		Slack:            affinity.Slack,
+		AllowSave:        every, AllowStoreFetch: every, AllowEngineFetch: every,
+		PrefillPerToken: d.readingToken,
+		FirstEventBase:  func() time.Duration { base, _ := d.tables.pace.Prefill(); return base },
+		Slowdown:        func(now time.Time, source string) float64 { return d.tables.stretch(now, source) },
+		Load:            func(now time.Time, x *fleet.Target) (int, int) { return d.load(now, &d.tables, x) },
 	}
 	d.budget = retry.Budget{
 		Share: d.bounds.Load().RetryShare * retryUse,
-		Burst: d.burst(d.began, &d.tables), Empty: true,
+		Burst: d.retryBurst(d.startedAt, &d.tables), StartEmpty: true,
 	}
 	d.chance = func(oneIn int) bool { return rand.N(oneIn) == 0 }
-	d.dice = rand.Float64
-	d.returns = comeback.Estimator{Draw: d.dice}
-	d.returns.Began(d.began, noConfiguration)
-	d.lines = rate.NewLimiter(answeredLines, answeredLines)
+	d.random = rand.Float64
+	d.retryEstimator = retryafter.Estimator{Draw: d.random}
+	d.retryEstimator.Started(d.startedAt, noConfiguration)
+	d.logLimiter = rate.NewLimiter(answeredLines, answeredLines)
 	d.buildLease()
 	d.buildServer()
 	d.buildPeers()
@@ -132,10 +132,10 @@
 func (d *Daemon) buildPeers() {
 	d.peers = peer.Node{
 		Handle: d.answerPeer, HTTP: http.DefaultClient, Scheme: "ws",
-		Shown:    d.shown,
-		Silent:   func(at netip.AddrPort, waited time.Duration) { d.Silence(ToBox, at.String(), waited) },
-		Sent:     func(n int) { d.counts.peerBytes.WithLabelValues("sent").Add(float64(n)) },
-		Received: func(n int) { d.counts.peerBytes.WithLabelValues("received").Add(float64(n)) },
+		CredentialFunc: d.shown,
+		OnSilent:       func(at netip.AddrPort, waited time.Duration) { d.ReportSilence(ToBox, at.String(), waited) },
+		OnSent:         func(n int) { d.metrics.peerBytes.WithLabelValues("sent").Add(float64(n)) },
+		OnReceived:     func(n int) { d.metrics.peerBytes.WithLabelValues("received").Add(float64(n)) },
 	}
 }
 
@@ -151,31 +151,31 @@
 // buildLease prepares the lease of the rollout.
 func (d *Daemon) buildLease() {
 	d.lease = lease.Lease{
-		Duty: "weights", Holder: d.Settings.Name, Margin: leaseMargin, Length: leaseLength,
+		Name: "weights", Holder: d.Settings.Name, Margin: leaseMargin, TTL: leaseLength,
 		Commit: d.Platform.Commit, Read: d.Platform.Read, Nonce: func() string { return ulid.Make().String() }, Now: d.now,
 	}
 }
 
 func (d *Daemon) buildServer() {
 	d.server = deliver.Server{
-		Table: d.current.Load, Fresh: d.fresh, Newest: d.newest, Place: d.askPlace, Send: d.send,
-		Began:   func(p deliver.Place) { d.report(answerBegan{p}) },
-		Ended:   func(e deliver.Ended) { d.report(sendingEnded{e}) },
-		Suspect: d.suspect, Least: d.least,
+		Table: d.current.Load, KeysFresh: d.keysFresh, ConfigurationFresh: d.configurationFresh, Place: d.askPlace, Send: d.send,
+		Began:   func(p deliver.Placement) { d.post(answerBegan{p}) },
+		Ended:   func(e deliver.AttemptResult) { d.post(attemptEnded{e}) },
+		Suspect: d.isSuspect, MinAnswerTime: d.minAnswerTime,
 		Spend: d.spend, Refund: d.refund, Earn: d.earn,
-		Now: d.now, Draw: rand.Uint64, ComeBack: d.comeBack, Note: d.note, Retried: d.noteRetry,
+		Now: d.now, Random: rand.Uint64, RetryAfter: d.retryAfter, RecordOutcome: d.recordOutcome, Retried: d.recordRetry,
 	}
 }
 
-// fresh says that no key can have been taken away for so long that it must not
+// keysFresh says that no key can have been taken away for so long that it must not
 // be used any more.
-func (d *Daemon) fresh(now time.Time) bool {
+func (d *Daemon) keysFresh(now time.Time) bool {
 	return d.provedWithin(now, d.bounds.Load().RevokedWithin, proofMargin)
 }
 
-// newest says that nothing can have been configured for so long that it must be known, and
+// configurationFresh says that nothing can have been configured for so long that it must be known, and
 // not be in the configuration in force.
-func (d *Daemon) newest(now time.Time) bool {
+func (d *Daemon) configurationFresh(now time.Time) bool {
 	return d.provedWithin(now, d.bounds.Load().AppliedWithin, answerMargin)
 }
 
@@ -185,7 +185,7 @@
 	if bound == 0 {
 		return true
 	}
-	proved := d.proved.Load()
+	proved := d.provedAt.Load()
 	return proved != nil && now.Sub(*proved) < bound-margin
 }
 
@@ -193,7 +193,7 @@
 func (d *Daemon) jitter(below time.Duration) time.Duration { return rand.N(below) }
 
 // uptime is this process's own clock, which its clock offset refers to.
-func (d *Daemon) uptime(now time.Time) time.Duration { return now.Sub(d.began) }
+func (d *Daemon) uptime(now time.Time) time.Duration { return now.Sub(d.startedAt) }
 
 // version is the configuration's in force, or zero.
 func (d *Daemon) version() int64 {
@@ -205,7 +205,7 @@
 
 // provedAgo is when the configuration was last known to be the newest.
 func (d *Daemon) provedAgo(now time.Time) time.Duration {
-	if proved := d.proved.Load(); proved != nil {
+	if proved := d.provedAt.Load(); proved != nil {
 		return now.Sub(*proved)
 	}
 	return d.uptime(now)
--- a/entry/burst.go
+++ b/entry/burst.go
@@ -10,15 +10,15 @@
 // boxes may join before the others know them.
 const burstBoxes = 10
 
-// burst is how many retries this box may save up, so that all boxes together stay
+// retryBurst is how many retries this box may save up, so that all boxes together stay
 // within the platform's bound whatever each has saved: a share of it or, where
 // that is less than one, one for as many boxes as the bound has room for. A box
 // that does not know the others yet saves one.
-func (d *Daemon) burst(now time.Time, t *tables) float64 {
+func (d *Daemon) retryBurst(now time.Time, t *tables) float64 {
 	all := d.bounds.Load().RetryExtra * retryUse
-	boxes := t.boxes(now)
+	boxes := t.boxCount(now)
 	switch {
-	case d.unlisted.Load() && t.toldBoxes == 0:
+	case d.unlisted.Load() && t.hubBoxes == 0:
 		return 0 // Others may have saved up all that there is.
 	case len(t.members) == 0:
 		return min(1, all)
@@ -26,8 +26,8 @@
 	if float64(boxes) <= all {
 		return max(1, all/float64(max(boxes, burstBoxes)))
 	}
-	if t.partly(now) {
-		return drawnBurst(d.Settings.Name, boxes, all)
+	if t.hasUnregistered(now) {
+		return sampledBurst(d.Settings.Name, boxes, all)
 	}
 	rank := slices.Index(slices.Sorted(maps.Keys(t.members)), d.Settings.Name)
 	if rank >= 0 && float64(rank+1) <= all {
--- a/entry/burst_test.go
+++ b/entry/burst_test.go
@@ -55,14 +55,14 @@
 	case asks, asksMuch:
 		requests = 1 + 50*(action-asks)
 	case startsAgain:
-		*b = retry.Budget{Share: b.Share, Burst: b.Burst, Empty: true}
+		*b = retry.Budget{Share: b.Share, Burst: b.Burst, StartEmpty: true}
 	case retries:
 		for b.Spend("p") {
 			retried++
 		}
 	}
 	for range requests {
-		b.Request("p")
+		b.Deposit("p")
 	}
 	return requests, retried
 }
@@ -80,7 +80,7 @@
 	return prop.ForAll(func(size int, history []int) bool {
 		var fleet []retry.Budget
 		for _, most := range bursts[sizes[size]] {
-			fleet = append(fleet, retry.Budget{Share: retryRatio * retryUse, Burst: most, Empty: true})
+			fleet = append(fleet, retry.Budget{Share: retryRatio * retryUse, Burst: most, StartEmpty: true})
 		}
 		return keepsBudget(fleet, history)
 	}, gen.IntRange(0, len(sizes)-1), gen.SliceOfN(phases, gen.IntRange(0, 2*window*actions-1)))
@@ -118,7 +118,7 @@
 // TestRetriesOverAllBoxes shows that boxes keep the platform's bound together,
 // each by itself.
 func TestRetriesOverAllBoxes(t *testing.T) {
-	proof.Holds(t, withinBudget(t, func(d *Daemon) float64 { return d.burst(start, &d.tables) }))
+	proof.Holds(t, withinBudget(t, func(d *Daemon) float64 { return d.retryBurst(start, &d.tables) }))
 }
 
 // TestRetriesOverAllBoxesNeedTheBoxesCounted has each box save up as much as ten
@@ -129,7 +129,7 @@
 
 // TestRetriesOverAllBoxesNeedFewSavers has each of many boxes save up one.
 func TestRetriesOverAllBoxesNeedFewSavers(t *testing.T) {
-	proof.Breaks(t, withinBudget(t, func(d *Daemon) float64 { return max(1, d.burst(start, &d.tables)) }))
+	proof.Breaks(t, withinBudget(t, func(d *Daemon) float64 { return max(1, d.retryBurst(start, &d.tables)) }))
 }
 
 // TestBurst says how many retries a box may save up.
@@ -154,7 +154,7 @@
 			for i := range tt.boxes {
 				d.tables.members[fmt.Sprintf("b%03d", i)] = &member{}
 			}
-			if got := d.burst(start, &d.tables); got < tt.want-1e-9 || got > tt.want+1e-9 {
+			if got := d.retryBurst(start, &d.tables); got < tt.want-1e-9 || got > tt.want+1e-9 {
 				t.Errorf("%v, want %v", got, tt.want)
 			}
 		})
--- a/entry/canary.go
+++ b/entry/canary.go
@@ -21,9 +21,9 @@
 // version has come, is one row in the table service, which is changed only as it was read
 // (canaryrow.go). docs/design/canaries.md weighs the other ways.
 
-// trying is a version of a pool's software that is tried out, as this box sees it.
-type trying struct {
-	ask canary.Ask
+// canaryRollout is a version of a pool's software that is tried out, as this box sees it.
+type canaryRollout struct {
+	ask canary.Rollout
 	// state, until and barred are as the row says, of which the revision was read.
 	state    canary.State
 	revision revision.Revision
@@ -58,10 +58,10 @@
 }
 
 // canaryOf returns what is tried out in a pool, or nil.
-func (t *tables) canaryOf(pool string) *trying { return t.canaries[pool] }
+func (t *tables) canaryOf(pool string) *canaryRollout { return t.canaries[pool] }
 
-// canariesRead takes over what the operator asks for.
-func (d *Daemon) canariesRead(now time.Time, t *tables, m operatorRead) {
+// applyCanaryAsks takes over what the operator asks for.
+func (d *Daemon) applyCanaryAsks(now time.Time, t *tables, m operatorRead) {
 	asked := m.change.Canaries
 	for _, pool := range slices.Sorted(maps.Keys(asked)) {
 		if ask := asked[pool]; ask != nil {
@@ -70,12 +70,12 @@
 	}
 	for pool, c := range t.canaries {
 		ask, told := asked[pool]
-		lost := m.change.Whole && asked != nil && !told
+		lost := m.change.Snapshot && asked != nil && !told
 		switch {
 		case told && ask != nil:
 			c.lostAt = time.Time{}
 		case lost && m.change.Known.Restores > t.operatorKnown.Restores:
-			d.Log.Warn("a restore lost what version is to be tried out; the operator has the time to ask again", "pool", pool, "version", c.ask.Version, "for", askAgainWithin)
+			d.Log.Warn("a restore lost what version is to be tried out; the operator has the time to ask again", "pool", pool, "version", c.ask.Version, "for", operatorRewriteGrace)
 			c.lostAt = now
 		case told || lost && c.lostAt.IsZero():
 			d.stopTrying(now, c, "the operator took it back")
@@ -83,11 +83,11 @@
 	}
 }
 
-// endLostCanaries stops trying versions for which the operator did not ask again after a restore
+// stopLostCanaries stops trying versions for which the operator did not ask again after a restore
 // lost that.
-func (d *Daemon) endLostCanaries(now time.Time, t *tables) {
+func (d *Daemon) stopLostCanaries(now time.Time, t *tables) {
 	for _, c := range t.canaries {
-		if !c.lostAt.IsZero() && now.Sub(c.lostAt) >= askAgainWithin {
+		if !c.lostAt.IsZero() && now.Sub(c.lostAt) >= operatorRewriteGrace {
 			c.lostAt = time.Time{}
 			d.stopTrying(now, c, "the operator did not ask again after a restore")
 		}
@@ -96,16 +96,16 @@
 
 // canaryAsked begins to try a version out, if that is news. An earlier one that was not
 // completed gets nothing any more.
-func (d *Daemon) canaryAsked(now time.Time, t *tables, ask canary.Ask, from string) *trying {
+func (d *Daemon) canaryAsked(now time.Time, t *tables, ask canary.Rollout, from string) *canaryRollout {
 	before := t.canaries[ask.Pool]
 	if before != nil && ask.Same(before.ask) {
-		before.ask.Order, before.ask.Lasts = max(before.ask.Order, ask.Order), max(before.ask.Lasts, ask.Lasts)
+		before.ask.Order, before.ask.Timeout = max(before.ask.Order, ask.Order), max(before.ask.Timeout, ask.Timeout)
 		return before
 	}
 	if before != nil && before.ask.Order >= ask.Order {
 		return before
 	}
-	c := &trying{
+	c := &canaryRollout{
 		ask: ask, asked: now, since: now, gate: exposure.New(d.bounds.Load().TriedShare), judge: canary.NewJudge(),
 		own: make(map[string]canary.Counts), seen: make(map[seenAt]seenOf),
 	}
@@ -116,13 +116,13 @@
 	if ask.Version == "" {
 		d.Log.Error("what version is to be tried out can't be read; targets that come now get nothing", "pool", ask.Pool, "order", ask.Order)
 	}
-	d.Log.Info("a version is tried out", "pool", ask.Pool, "version", ask.Version, "order", ask.Order, "within", ask.Lasts, "older", t.fleet.Software(ask.Pool), "barred", c.barred, "told_by", from)
-	d.counts.canaries.WithLabelValues("tried").Inc()
+	d.Log.Info("a version is tried out", "pool", ask.Pool, "version", ask.Version, "order", ask.Order, "within", ask.Timeout, "older", t.fleet.Software(ask.Pool), "barred", c.barred, "told_by", from)
+	d.metrics.canaries.WithLabelValues("tried").Inc()
 	return c
 }
 
 // bars lists the versions that get nothing once this one is followed by another.
-func (c *trying) bars() []string {
+func (c *canaryRollout) bars() []string {
 	list := slices.Clone(c.barred)
 	if c.state != canary.Completed && c.ask.Version != "" && !slices.Contains(list, c.ask.Version) {
 		list = append(list, c.ask.Version)
@@ -131,33 +131,33 @@
 }
 
 // stopTrying sends nothing more to the version, unless it was completed before.
-func (d *Daemon) stopTrying(now time.Time, c *trying, why string) {
+func (d *Daemon) stopTrying(now time.Time, c *canaryRollout, why string) {
 	if c.stopped || c.state.Ended() {
 		return
 	}
 	c.stopped = true
 	d.Log.Warn("a version gets no more requests", "pool", c.ask.Pool, "version", c.ask.Version, "order", c.ask.Order, "why", why, "after", now.Sub(c.since), "answers", c.judge.Total())
-	d.counts.canaries.WithLabelValues("stopped").Inc()
+	d.metrics.canaries.WithLabelValues("stopped").Inc()
 }
 
 // moved takes over how far the version has come.
-func (d *Daemon) moved(now time.Time, c *trying, state canary.State, from string) {
+func (d *Daemon) moved(now time.Time, c *canaryRollout, state canary.State, from string) {
 	if state <= c.state {
 		return
 	}
 	c.state, c.since = state, now
 	d.Log.Info("a version that is tried out", "pool", c.ask.Pool, "version", c.ask.Version, "order", c.ask.Order, "state", state, "told_by", from, "answers", c.judge.Total())
 	if state == canary.RolledBack {
-		d.counts.canaries.WithLabelValues("taken_back").Inc()
+		d.metrics.canaries.WithLabelValues("taken_back").Inc()
 	}
 	if state == canary.Completed {
-		d.counts.canaries.WithLabelValues("completed").Inc()
+		d.metrics.canaries.WithLabelValues("completed").Inc()
 	}
 }
 
 // fresh says that a target runs the version that is tried out. If that can't be read, it is
 // each one that came after that was asked for.
-func (c *trying) fresh(x *fleet.Target) bool {
+func (c *canaryRollout) fresh(x *fleet.Target) bool {
 	if c.ask.Version == "" {
 		return x.ListedAt.After(c.asked)
 	}
@@ -170,7 +170,7 @@
 const overFor = 30 * time.Second
 
 // sends says which of the versions get requests at all.
-func (c *trying) sends(now time.Time) (fresh, older bool) {
+func (c *canaryRollout) sends(now time.Time) (fresh, older bool) {
 	switch {
 	case c.state == canary.Completed:
 		return true, now.Sub(c.since) > overFor
@@ -199,38 +199,38 @@
 // several, and what the operator asks for was last read before it came. What is asked for
 // stands there before such targets start.
 func (d *Daemon) unproved(t *tables, x *fleet.Target) bool {
-	if !t.fleet.Mixed(x.Pool) || x.Software == t.fleet.Software(x.Pool) {
+	if !t.fleet.MixedSoftware(x.Pool) || x.Software == t.fleet.Software(x.Pool) {
 		return false
 	}
-	proved := d.proved.Load()
+	proved := d.provedAt.Load()
 	return proved == nil || proved.Before(x.ListedAt)
 }
 
 // turns lists what to pass over for a request, in the order in which that is tried: a
 // request that may go to the version that is tried out goes there, if any of its targets
 // takes it.
-func (d *Daemon) turns(now time.Time, t *tables, ask deliver.Ask) []func(*fleet.Target) bool {
+func (d *Daemon) turns(now time.Time, t *tables, ask deliver.PlacementRequest) []func(*fleet.Target) bool {
 	closed := func(x *fleet.Target) bool { return d.closedTo(now, t, x) }
 	c := t.canaryOf(ask.Job.Pool.Name)
 	if c == nil || c.state != canary.Trying {
 		return []func(*fleet.Target) bool{closed}
 	}
 	older := func(x *fleet.Target) bool { return c.fresh(x) || closed(x) }
-	if fresh, _ := c.sends(now); !fresh || !c.gate.Room(ask.Job.Route.Name) {
+	if fresh, _ := c.sends(now); !fresh || !c.gate.Allow(ask.Job.Route.Name) {
 		return []func(*fleet.Target) bool{older}
 	}
 	return []func(*fleet.Target) bool{func(x *fleet.Target) bool { return !c.fresh(x) || closed(x) }, older}
 }
 
 // takeTurn counts a request that was placed.
-func (t *tables) takeTurn(ask deliver.Ask, x *fleet.Target) {
+func (t *tables) takeTurn(ask deliver.PlacementRequest, x *fleet.Target) {
 	if c := t.canaryOf(x.Pool); c != nil && c.state == canary.Trying {
-		c.gate.Take(ask.Job.Route.Name, c.fresh(x))
+		c.gate.Record(ask.Job.Route.Name, c.fresh(x))
 	}
 }
 
-// canariesTold lists what is tried out for boxes that take this one's view.
-func (t *tables) canariesTold() []peer.Canary {
+// canarySnapshot lists what is tried out for boxes that take this one's view.
+func (t *tables) canarySnapshot() []peer.Canary {
 	var list []peer.Canary
 	for _, pool := range slices.Sorted(maps.Keys(t.canaries)) {
 		c := t.canaries[pool]
@@ -239,11 +239,11 @@
 	return list
 }
 
-// canariesFromHub takes over what is tried out, as a hub sees it.
-func (d *Daemon) canariesFromHub(now time.Time, t *tables, hub string, list []peer.Canary) {
+// applyHubCanaries takes over what is tried out, as a hub sees it.
+func (d *Daemon) applyHubCanaries(now time.Time, t *tables, hub string, list []peer.Canary) {
 	for _, told := range list {
-		c := d.canaryAsked(now, t, canary.Ask{Pool: told.Pool, Version: told.Version, Order: told.Order}, hub)
-		if !c.ask.Same(canary.Ask{Pool: told.Pool, Version: told.Version, Order: told.Order}) {
+		c := d.canaryAsked(now, t, canary.Rollout{Pool: told.Pool, Version: told.Version, Order: told.Order}, hub)
+		if !c.ask.Same(canary.Rollout{Pool: told.Pool, Version: told.Version, Order: told.Order}) {
 			continue // The hub has not heard of the newer one.
 		}
 		for _, version := range told.Barred {
