--- a/entry/canary_test.go
+++ b/entry/canary_test.go
@@ -46,21 +46,21 @@
 	w := &canaryWorld{emulator: emulate(boxes, 3, configuration(1)), dice: rand.New(rand.NewPCG(seed, 4))}
 	w.answer = func(string, int) (bool, float64) { return false, 1 }
 	for i := range 5 {
-		w.enter(serviceAt(fmt.Sprintf("old-%d", i), "v1", i))
+		w.addTargets(serviceAt(fmt.Sprintf("old-%d", i), "v1", i))
 	}
-	w.play(time.Second, w.serve)
+	w.advance(time.Second, w.serve)
 	return w
 }
 
 // ask has the operator ask for a version, whose targets start a second later.
 func (w *canaryWorld) ask(version string) {
-	w.write(func(o *Operator) {
-		o.Canaries = map[string]*canary.Ask{"orders": {Pool: "orders", Version: version, Order: w.version, Lasts: tryFor}}
+	w.writeOperator(func(o *Operator) {
+		o.Canaries = map[string]*canary.Rollout{"orders": {Pool: "orders", Version: version, Order: w.version, Timeout: tryFor}}
 	})
 	w.asked = true
-	w.later(time.Second, func() {
+	w.after(time.Second, func() {
 		for i := range 5 {
-			w.enter(serviceAt(fmt.Sprintf("%s-%d", version, i), version, 10+i))
+			w.addTargets(serviceAt(fmt.Sprintf("%s-%d", version, i), version, 10+i))
 		}
 	})
 }
@@ -78,7 +78,7 @@
 func (w *canaryWorld) request(d *Daemon) {
 	route := []string{"short", "long"}[min(w.dice.IntN(3), 1)]
 	job := &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{Name: route, Goal: 300 * time.Millisecond}, Pool: d.current.Load().Pools["orders"]}
-	place, err := d.place(w.now, &d.tables, deliver.Ask{Job: job})
+	place, err := d.place(w.now, &d.tables, deliver.PlacementRequest{Job: job})
 	if err != nil {
 		return
 	}
@@ -87,14 +87,14 @@
 	if w.asked {
 		w.sent++
 	}
-	if fresh := w.listed[place.Target].Software != "v1"; fresh {
+	if fresh := w.targets[place.Target].Software != "v1"; fresh {
 		failed, took = w.arriveFresh(route, took)
-	} else if states := w.told["orders"]; len(states) > 0 && states[len(states)-1] == canary.Completed {
+	} else if states := w.canaryReports["orders"]; len(states) > 0 && states[len(states)-1] == canary.Completed {
 		w.olderLate++
 	}
-	w.later(took, func() {
+	w.after(took, func() {
 		w.reach(d, answerBegan{place})
-		w.reach(d, sendingEnded{deliver.Ended{Place: place, Job: job, Began: true, Failed: failed, Answered: true}})
+		w.reach(d, attemptEnded{deliver.AttemptResult{Place: place, Job: job, Began: true, Failed: failed, Answered: true}})
 	})
 }
 
@@ -115,7 +115,7 @@
 
 // last is what the operator was told last.
 func (w *canaryWorld) last() canary.State {
-	if states := w.told["orders"]; len(states) > 0 {
+	if states := w.canaryReports["orders"]; len(states) > 0 {
 		return states[len(states)-1]
 	}
 	return canary.Trying
@@ -157,10 +157,10 @@
 			w := newCanaryWorld(1, 70)
 			w.answer = tt.answer(w)
 			w.ask("v2")
-			w.play(tryFor, w.serve)
-			t.Logf("%d of %d requests reached the new version, %d bad answers, told %v", w.tried, w.sent, w.bad, w.told["orders"])
+			w.advance(tryFor, w.serve)
+			t.Logf("%d of %d requests reached the new version, %d bad answers, told %v", w.tried, w.sent, w.bad, w.canaryReports["orders"])
 			if w.last() != tt.want {
-				t.Errorf("told %v at the end, want %v", w.told["orders"], tt.want)
+				t.Errorf("told %v at the end, want %v", w.canaryReports["orders"], tt.want)
 			}
 			if tt.want == canary.RolledBack && float64(w.tried) > 0.1*float64(w.sent)+50 {
 				t.Errorf("a bad version got %d of %d requests", w.tried, w.sent)
@@ -179,7 +179,7 @@
 }{
 	{"none", func(*canaryWorld) {}},
 	{"the holder dies", func(w *canaryWorld) { w.dead[w.holder()] = true }},
-	{"the holder is cut off from the table service", func(w *canaryWorld) { w.noRows[w.holder()] = true }},
+	{"the holder is cut off from the table service", func(w *canaryWorld) { w.tableServiceDown[w.holder()] = true }},
 	{"hubs die", func(w *canaryWorld) { w.dead["box-0000"], w.dead["box-0001"] = true, true }},
 	{"boxes start again", func(w *canaryWorld) {
 		for i := 20; i < 40; i++ {
@@ -190,7 +190,7 @@
 		w.rows.Fault = func() fake.Kind { return []fake.Kind{fake.None, fake.Lost, fake.Dropped, fake.Late}[w.dice.IntN(4)] }
 	}},
 	{"asked for again", func(w *canaryWorld) { w.ask("v2") }},
-	{"an older target goes", func(w *canaryWorld) { w.leave("old-0") }},
+	{"an older target goes", func(w *canaryWorld) { w.removeTargets("old-0") }},
 }
 
 // holder is the box that holds the lease, or the first.
@@ -225,15 +225,15 @@
 		w := newCanaryWorld(seed, 70)
 		w.answer = w.badIn(percent, seed%2 == 0, int(seed%50), "")
 		w.ask("v2")
-		w.play(time.Duration(after)*time.Second, w.serve)
+		w.advance(time.Duration(after)*time.Second, w.serve)
 		troubles[trouble].do(w)
-		w.play(tryFor+time.Second, w.serve) // Asked for again, it has as long again.
+		w.advance(tryFor+time.Second, w.serve) // Asked for again, it has as long again.
 		ok := w.late == 0 && w.olderLate == 0 && w.last().Ended()
 		if percent > 0 {
 			ok = ok && float64(w.tried) <= 0.1*float64(w.sent)+50 && w.last() == canary.RolledBack
 		}
 		if !ok {
-			t.Logf("seed %d, %d in 100 bad, %s after %d s: %d of %d reached it, %d late, %d to the older one, told %v", seed, percent, troubles[trouble].name, after, w.tried, w.sent, w.late, w.olderLate, w.told["orders"])
+			t.Logf("seed %d, %d in 100 bad, %s after %d s: %d of %d reached it, %d late, %d to the older one, told %v", seed, percent, troubles[trouble].name, after, w.tried, w.sent, w.late, w.olderLate, w.canaryReports["orders"])
 		}
 		return ok
 	}, gen.UInt64Range(1, 1000), gen.OneConstOf(0, 20, 50, 100), gen.IntRange(0, len(troubles)-1), gen.IntRange(1, 6)))
@@ -268,13 +268,13 @@
 			w.answer = w.badIn(tt.percent, tt.percent == 20, 0, "")
 			w.ask("v2")
 			over := 0.0
-			w.play(tryFor, func() {
+			w.advance(tryFor, func() {
 				w.serve()
 				if c := w.boxes[0].tables.canaryOf("orders"); c == nil || c.state == canary.Trying {
 					over = max(over, float64(w.tried)-share*float64(w.sent)-extra)
 				}
 			})
-			t.Logf("%d of %d requests reached the new version, told %v", w.tried, w.sent, w.told["orders"])
+			t.Logf("%d of %d requests reached the new version, told %v", w.tried, w.sent, w.canaryReports["orders"])
 			if holds := over <= 0; holds != tt.holds {
 				t.Errorf("%v requests more than the share at the most", over)
 			}
@@ -301,9 +301,9 @@
 			}
 			w.answer = w.badIn(tt.bad, false, 0, "")
 			w.ask("v2")
-			w.play(tryFor, w.serve)
+			w.advance(tryFor, w.serve)
 			if float64(w.tried) <= 0.1*float64(w.sent)+50 && w.late == 0 && w.last() == canary.RolledBack {
-				t.Errorf("holds without: %d of %d reached it, told %v", w.tried, w.sent, w.told["orders"])
+				t.Errorf("holds without: %d of %d reached it, told %v", w.tried, w.sent, w.canaryReports["orders"])
 			}
 		})
 	}
--- a/entry/canaryrow.go
+++ b/entry/canaryrow.go
@@ -45,29 +45,29 @@
 	Told bool `json:"told,omitempty"`
 }
 
-// decideCanary changes a row as it was read.
-type decideCanary struct {
+// writeCanary changes a row as it was read.
+type writeCanary struct {
 	pool     string
 	row      canaryRow
 	revision revision.Revision
 }
 
-// canaryDecided tells what came of it; current is the row as it stands, if it was another.
-type canaryDecided struct {
-	decideCanary
+// canaryWritten tells what came of it; current is the row as it stands, if it was another.
+type canaryWritten struct {
+	writeCanary
 	current table.Row
 	err     error
 }
 
-// tellCanary tells the operator.
-type tellCanary struct {
-	ask   canary.Ask
+// reportCanary tells the operator.
+type reportCanary struct {
+	ask   canary.Rollout
 	state canary.State
 }
 
-// canaryTold tells what came of it.
-type canaryTold struct {
-	tellCanary
+// canaryReported tells what came of it.
+type canaryReported struct {
+	reportCanary
 	err error
 }
 
@@ -92,21 +92,21 @@
 	return effects
 }
 
-// rowGone notes that a restore of the table service lost the row, so that the next change makes
+// markRowLost notes that a restore of the table service lost the row, so that the next change makes
 // it anew, and one is due.
-func (c *trying) rowGone(restores uint64) {
+func (c *canaryRollout) markRowLost(restores uint64) {
 	c.revision = revision.Revision{Restores: restores}
 	c.rowLost, c.rowTold = true, false
 }
 
 // settled says that nothing is left to decide or to tell.
-func (c *trying) settled() bool { return c.state.Ended() && c.rowTold }
+func (c *canaryRollout) settled() bool { return c.state.Ended() && c.rowTold }
 
 // toldNow says that the operator was told of the state as it is, by this box.
-func (c *trying) toldNow() bool { return c.told && c.toldState == c.state }
+func (c *canaryRollout) toldNow() bool { return c.told && c.toldState == c.state }
 
 // decide has the row written as it should be, and the operator told of it as it is.
-func (d *Daemon) decide(now time.Time, t *tables, c *trying) []effect {
+func (d *Daemon) decide(now time.Time, t *tables, c *canaryRollout) []effect {
 	if now.Before(c.again) {
 		return nil
 	}
@@ -114,19 +114,19 @@
 	if !c.writing {
 		if row, changes := d.next(now, t, c); changes {
 			c.writing = true
-			effects = append(effects, decideCanary{c.ask.Pool, row, c.revision})
+			effects = append(effects, writeCanary{c.ask.Pool, row, c.revision})
 		}
 	}
 	if stands := c.until != 0; stands && !c.telling && !c.toldNow() {
 		c.telling = true
-		effects = append(effects, tellCanary{c.ask, c.state})
+		effects = append(effects, reportCanary{c.ask, c.state})
 	}
 	return effects
 }
 
 // next returns the row that should stand, and whether that is another one.
-func (d *Daemon) next(now time.Time, t *tables, c *trying) (canaryRow, bool) {
-	clock, known := t.clockOfTable.Most(now)
+func (d *Daemon) next(now time.Time, t *tables, c *canaryRollout) (canaryRow, bool) {
+	clock, known := t.tableClock.Max(now)
 	row := canaryRow{Order: c.ask.Order, Version: c.ask.Version, State: c.state, UntilMS: c.until.Milliseconds(), Barred: c.barred}
 	switch {
 	case !known:
@@ -135,7 +135,7 @@
 		row.Told = c.toldNow()
 		return row, row.Told && !c.rowTold
 	case c.until == 0:
-		row.UntilMS = (clock + c.ask.Lasts - now.Sub(c.since)).Milliseconds()
+		row.UntilMS = (clock + c.ask.Timeout - now.Sub(c.since)).Milliseconds()
 		return row, true
 	case c.stopped || c.ask.Version == "":
 		row.State = canary.RolledBack
@@ -149,12 +149,12 @@
 
 // afterTrying is the state by the time that is left. A version that is not shown to be no
 // worse by then is taken back: the older one serves, and the operator may ask again.
-func (c *trying) afterTrying(clock time.Duration) canary.State {
+func (c *canaryRollout) afterTrying(clock time.Duration) canary.State {
 	left := c.until - clock
 	switch {
 	case left <= decideBefore:
 		return canary.RolledBack
-	case left <= time.Duration(float64(c.ask.Lasts)*(1-completeAt)) && c.judge.Good():
+	case left <= time.Duration(float64(c.ask.Timeout)*(1-completeAt)) && c.judge.Good():
 		return canary.Completing
 	}
 	return canary.Trying
@@ -162,17 +162,17 @@
 
 // mayComplete says that boxes have heard that nothing goes to the older version, and that
 // nothing runs there any more, or that time is up.
-func (d *Daemon) mayComplete(now time.Time, clock time.Duration, t *tables, c *trying) bool {
+func (d *Daemon) mayComplete(now time.Time, clock time.Duration, t *tables, c *canaryRollout) bool {
 	if now.Sub(c.since) < settleFor {
 		return false
 	}
 	return d.oldRuns(now, t, c) == 0 || c.until-clock <= decideBefore
 }
 
-func (d *Daemon) decideCanary(ctx context.Context, e decideCanary) canaryDecided {
+func (d *Daemon) writeCanary(ctx context.Context, e writeCanary) canaryWritten {
 	value, err := json.Marshal(e.row)
 	if err != nil {
-		return canaryDecided{decideCanary: e, err: trace.Wrap(err)}
+		return canaryWritten{writeCanary: e, err: trace.Wrap(err)}
 	}
 	key := canaryPrefix + e.pool
 	err = d.Platform.Commit(ctx, table.Transaction{
@@ -182,11 +182,11 @@
 	if readErr != nil && err == nil {
 		err = readErr
 	}
-	return canaryDecided{e, current, err}
+	return canaryWritten{e, current, err}
 }
 
-// canaryDecided takes over the row as it stands after a change.
-func (d *Daemon) canaryDecided(now time.Time, t *tables, m canaryDecided) {
+// canaryWritten takes over the row as it stands after a change.
+func (d *Daemon) canaryWritten(now time.Time, t *tables, m canaryWritten) {
 	if c := t.canaryOf(m.pool); c != nil {
 		c.writing = false
 		c.again = now.Add(canaryAgain)
@@ -206,7 +206,7 @@
 		d.Log.Error("the row of a version that is tried out can't be read", "pool", pool, "err", err)
 		return
 	}
-	ask := canary.Ask{Pool: pool, Version: row.Version, Order: row.Order}
+	ask := canary.Rollout{Pool: pool, Version: row.Version, Order: row.Order}
 	c := d.canaryAsked(now, t, ask, "its row")
 	if c.revision.After(changed) {
 		return
@@ -237,12 +237,12 @@
 	return slices.Compact(all)
 }
 
-func (d *Daemon) tellCanary(ctx context.Context, e tellCanary) canaryTold {
-	return canaryTold{e, d.Platform.TellCanary(ctx, e.ask, e.state)}
+func (d *Daemon) reportCanary(ctx context.Context, e reportCanary) canaryReported {
+	return canaryReported{e, d.Platform.ReportCanary(ctx, e.ask, e.state)}
 }
 
-// canaryTold notes that the operator was told.
-func (d *Daemon) canaryTold(now time.Time, t *tables, m canaryTold) {
+// canaryReported notes that the operator was told.
+func (d *Daemon) canaryReported(now time.Time, t *tables, m canaryReported) {
 	c := t.canaryOf(m.ask.Pool)
 	if c == nil || !c.ask.Same(m.ask) {
 		return
--- a/entry/canaryseen.go
+++ b/entry/canaryseen.go
@@ -6,14 +6,14 @@
 	"github.com/thymewind/thymewind/canary"
 	"github.com/thymewind/thymewind/deliver"
 	"github.com/thymewind/thymewind/fleet"
+	"github.com/thymewind/thymewind/outlier"
 	"github.com/thymewind/thymewind/peer"
-	"github.com/thymewind/thymewind/usual"
 )
 
 const (
-	// seenEvery is how often hubs tell each other what boxes saw of versions that are tried
+	// canaryGossipEvery is how often hubs tell each other what boxes saw of versions that are tried
 	// out. Boxes tell their hub each spokeEvery.
-	seenEvery = 500 * time.Millisecond
+	canaryGossipEvery = 500 * time.Millisecond
 	// runsFor is how long what a box told of requests under way counts.
 	runsFor = 2 * time.Second
 )
@@ -23,21 +23,21 @@
 
 // seenOf is what was told of it, when that was last heard, and when it last changed.
 type seenOf struct {
-	seen           peer.Seen
+	seen           peer.CanarySample
 	heard, changed time.Time
 }
 
-// seeCanary counts the end of a request in a pool in which a version is tried out.
-func (d *Daemon) seeCanary(now time.Time, t *tables, x *fleet.Target, m sendingEnded) {
-	if m.Left || m.Verdict == deliver.OtherVersion || m.Verdict == deliver.Elsewhere {
+// countCanarySample counts the end of a request in a pool in which a version is tried out.
+func (d *Daemon) countCanarySample(now time.Time, t *tables, x *fleet.Target, m attemptEnded) {
+	if m.CallerLeft || m.Verdict == deliver.OtherVersion || m.Verdict == deliver.OtherReplica {
 		return
 	}
 	c := t.canaryOf(x.Pool)
-	route, took := m.Job.Route.Name, now.Sub(m.Place.At)
+	route, took := m.Job.Route.Name, now.Sub(m.Place.PlacedAt)
 	before := t.usualTook(alike(m.Job))
 	fresh := c != nil && c.fresh(x)
 	if !fresh && !m.Failed {
-		defer before.See(took)
+		defer before.Observe(took)
 	}
 	if c == nil || c.state.Ended() || !m.Failed && !before.Known() {
 		return
@@ -50,52 +50,52 @@
 	case fresh:
 		counts.Good++
 	case bad:
-		counts.OldBad++
+		counts.BaselineBad++
 	default:
-		counts.OldGood++
+		counts.BaselineGood++
 	}
 	c.own[route] = counts
-	c.judge.See(d.Settings.Name, route, counts)
+	c.judge.Observe(d.Settings.Name, route, counts)
 	d.stopIfBad(now, c)
 }
 
 // usualTook is how long the older version's answers take, of requests that are alike. It is
 // learnt all the time, to be known when a version is tried out.
-func (t *tables) usualTook(alike string) *usual.Time {
-	took := t.tooks[alike]
+func (t *tables) usualTook(alike string) *outlier.Detector {
+	took := t.answerTimes[alike]
 	if took == nil {
-		took = &usual.Time{}
-		t.tooks[alike] = took
+		took = &outlier.Detector{}
+		t.answerTimes[alike] = took
 	}
 	return took
 }
 
 // stopIfBad stops what is tried out as soon as what this box knows speaks against it.
-func (d *Daemon) stopIfBad(now time.Time, c *trying) {
+func (d *Daemon) stopIfBad(now time.Time, c *canaryRollout) {
 	if c.judge.Bad() {
 		d.stopTrying(now, c, "its answers are worse than the older version's")
 	}
 }
 
-// seenFor lists what to tell a box in a call: a hub tells another one only now and then.
-func (d *Daemon) seenFor(now time.Time, t *tables, m *member) []peer.Seen {
+// canarySamplesFor lists what to tell a box in a call: a hub tells another one only now and then.
+func (d *Daemon) canarySamplesFor(now time.Time, t *tables, m *member) []peer.CanarySample {
 	if len(t.canaries) == 0 {
 		return nil
 	}
 	if d.spoke.Load() {
-		return d.seenTold(t, now, false)
+		return d.canarySamples(t, now, false)
 	}
 	if now.Before(m.seenDue) {
 		return nil
 	}
-	m.seenDue = now.Add(seenEvery)
-	return d.seenTold(t, now.Add(-2*seenEvery), true)
+	m.seenDue = now.Add(canaryGossipEvery)
+	return d.canarySamples(t, now.Add(-2*canaryGossipEvery), true)
 }
 
-// seenTold lists what boxes saw: what this one did and, for another hub, what others told
+// canarySamples lists what boxes saw: what this one did and, for another hub, what others told
 // this one since a time.
-func (d *Daemon) seenTold(t *tables, since time.Time, others bool) []peer.Seen {
-	var list []peer.Seen
+func (d *Daemon) canarySamples(t *tables, since time.Time, others bool) []peer.CanarySample {
+	var list []peer.CanarySample
 	for pool, c := range t.canaries {
 		if c.state.Ended() {
 			continue
@@ -115,25 +115,25 @@
 
 // ownSeen is what this box saw, and under no route how many requests the older version has
 // under way for it.
-func (d *Daemon) ownSeen(t *tables, pool string, c *trying) []peer.Seen {
-	runs := peer.Seen{Box: d.Settings.Name, Pool: pool, Order: c.ask.Order}
+func (d *Daemon) ownSeen(t *tables, pool string, c *canaryRollout) []peer.CanarySample {
+	runs := peer.CanarySample{Box: d.Settings.Name, Pool: pool, Order: c.ask.Order}
 	for _, x := range t.fleet.Pool(pool) {
 		if !c.fresh(x) {
-			runs.OldRuns += x.InFlight
+			runs.BaselineInFlight += x.InFlight
 		}
 	}
-	list := []peer.Seen{runs}
+	list := []peer.CanarySample{runs}
 	for route, n := range c.own {
-		list = append(list, peer.Seen{
+		list = append(list, peer.CanarySample{
 			Box: d.Settings.Name, Pool: pool, Route: route, Order: c.ask.Order,
-			Good: n.Good, Bad: n.Bad, OldGood: n.OldGood, OldBad: n.OldBad,
+			Good: n.Good, Bad: n.Bad, BaselineGood: n.BaselineGood, BaselineBad: n.BaselineBad,
 		})
 	}
 	return list
 }
 
-// hearSeen takes over what boxes saw.
-func (d *Daemon) hearSeen(now time.Time, t *tables, list []peer.Seen) {
+// receiveCanarySamples takes over what boxes saw.
+func (d *Daemon) receiveCanarySamples(now time.Time, t *tables, list []peer.CanarySample) {
 	for _, s := range list {
 		c := t.canaryOf(s.Pool)
 		if c == nil || c.ask.Order != s.Order || s.Box == d.Settings.Name {
@@ -146,17 +146,17 @@
 		}
 		of.seen, of.heard = s, now
 		c.seen[at] = of
-		c.judge.See(s.Box, s.Route, canary.Counts{Good: s.Good, Bad: s.Bad, OldGood: s.OldGood, OldBad: s.OldBad})
+		c.judge.Observe(s.Box, s.Route, canary.Counts{Good: s.Good, Bad: s.Bad, BaselineGood: s.BaselineGood, BaselineBad: s.BaselineBad})
 		d.stopIfBad(now, c)
 	}
 }
 
 // oldRuns sums up the requests that the older version has under way, as boxes told lately.
-func (d *Daemon) oldRuns(now time.Time, t *tables, c *trying) int {
-	n := d.ownSeen(t, c.ask.Pool, c)[0].OldRuns
+func (d *Daemon) oldRuns(now time.Time, t *tables, c *canaryRollout) int {
+	n := d.ownSeen(t, c.ask.Pool, c)[0].BaselineInFlight
 	for at, of := range c.seen {
 		if at.route == "" && now.Sub(of.heard) < runsFor {
-			n += of.seen.OldRuns
+			n += of.seen.BaselineInFlight
 		}
 	}
 	return n
--- a/entry/cold.go
+++ b/entry/cold.go
@@ -9,7 +9,7 @@
 	"github.com/thymewind/thymewind/fleet"
 	"github.com/thymewind/thymewind/placement"
 	"github.com/thymewind/thymewind/routing"
-	"github.com/thymewind/thymewind/warming"
+	"github.com/thymewind/thymewind/slowstart"
 )
 
 // placersFor is how long the list of the boxes that place requests is used. It changes
@@ -23,7 +23,7 @@
 	if pool.ColdRate <= 0 {
 		return false
 	}
-	return x.Cold(now) || pool.Engine == nil && x.Shaken(now, pool.ColdFor)
+	return x.Cold(now) || pool.Engine == nil && x.Recovering(now, pool.ColdFor)
 }
 
 // overCold says that a target is cold and has got what this box may send it.
@@ -32,24 +32,24 @@
 		return false
 	}
 	target := placement.Hash(x.ID)
-	return !t.gate.Room(now, target, d.coldShare(now, t, pool, target))
+	return !t.gate.Allow(now, target, d.coldShare(now, t, pool, target))
 }
 
 // coldShare is how many requests this box may send to a cold target in a window. A box
 // that does not know the others sends none.
 func (d *Daemon) coldShare(now time.Time, t *tables, pool *routing.Pool, target uint64) int {
-	if !t.settled {
+	if !t.membersKnown {
 		return 0
 	}
 	bounds := d.bounds.Load()
-	most := warming.Most(pool.ColdRate, bounds.ColdFactor, bounds.ColdExtra)
-	return warming.Share(most, target, d.Settings.Name, t.placing(now, pool))
+	most := slowstart.Limit(pool.ColdRate, bounds.ColdFactor, bounds.ColdExtra)
+	return slowstart.Share(most, target, d.Settings.Name, t.placing(now, pool))
 }
 
 // placing lists the boxes that place requests for a pool: all, but the hubs only where
 // there are hubs and the pool is of engines, or nobody knows all boxes.
 func (t *tables) placing(now time.Time, pool *routing.Pool) []string {
-	if pool.Engine == nil && !t.partly(now) {
+	if pool.Engine == nil && !t.hasUnregistered(now) {
 		return slices.Collect(maps.Keys(t.members))
 	}
 	if t.placersAt.IsZero() || now.Sub(t.placersAt) > placersFor {
@@ -66,18 +66,18 @@
 }
 
 // heldBack counts the targets that would take a request if they were not cold.
-func (d *Daemon) heldBack(now time.Time, t *tables, ask deliver.Ask) int {
+func (d *Daemon) heldBack(now time.Time, t *tables, ask deliver.PlacementRequest) int {
 	n := 0
 	for _, x := range t.fleet.Pool(ask.Job.Pool.Name) {
-		if x.Open(now) && !slices.Contains(ask.Tried, x.ID) && d.overCold(now, t, ask.Job.Pool, x) {
+		if x.Available(now) && !slices.Contains(ask.Attempted, x.ID) && d.overCold(now, t, ask.Job.Pool, x) {
 			n++
 		}
 	}
 	return n
 }
 
-// coldOnes counts the targets that are cold, or may be.
-func (t *tables) coldOnes(now time.Time, table *routing.Table) int {
+// coldTargets counts the targets that are cold, or may be.
+func (t *tables) coldTargets(now time.Time, table *routing.Table) int {
 	if table == nil {
 		return 0
 	}
@@ -92,10 +92,10 @@
 	return n
 }
 
-// maybeCold takes the targets of a domain that was evacuated for cold: they may have
+// assumeCold takes the targets of a domain that was evacuated for cold: they may have
 // turned cold shortly before the end, and their entries tell that up to a heartbeat and
 // the list's lag later.
-func (d *Daemon) maybeCold(now time.Time, t *tables, domain string) {
+func (d *Daemon) assumeCold(now time.Time, t *tables, domain string) {
 	table := d.current.Load()
 	if table == nil {
 		return
--- a/entry/cold_test.go
+++ b/entry/cold_test.go
@@ -29,7 +29,7 @@
 	bounds := *d.bounds.Load()
 	bounds.ColdFactor, bounds.ColdExtra = 1.5, 5
 	d.bounds.Store(&bounds)
-	d.tables.settled = true
+	d.tables.membersKnown = true
 	if len(d.tables.members) == 0 {
 		d.tables.members[d.Settings.Name] = &member{domain: "a", share: 1}
 	}
@@ -50,7 +50,7 @@
 	for range n {
 		j := job("short", 100)
 		j.Pool = d.current.Load().Pools[j.Pool.Name]
-		place, err := d.place(now, &d.tables, deliver.Ask{Job: j})
+		place, err := d.place(now, &d.tables, deliver.PlacementRequest{Job: j})
 		if err != nil {
 			refused[refusal.Of(err, "", 0).Code]++
 			continue
@@ -118,19 +118,19 @@
 		{"an entry that tells none", "box-00", func(d *Daemon) { d.listTarget(start, &d.tables, engine("i-00", 1)) }, 0, 40},
 		{"a box that is no hub", "box-05", nil, 0, 0},
 		{"a box that is asked as a hub", "box-05", func(d *Daemon) {
-			d.peerAsks(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "box-06"})
-			d.assumeRole(start, &d.tables)
+			d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "box-06"})
+			d.updateRole(start, &d.tables)
 		}, 0, 0},
-		{"a box that does not know the others", "box-00", func(d *Daemon) { d.tables.settled = false }, 0, 0},
+		{"a box that does not know the others", "box-00", func(d *Daemon) { d.tables.membersKnown = false }, 0, 0},
 		{"news that broke off", "box-00", func(d *Daemon) {
-			d.tables.followed["i-00"] = func() {}
-			d.newsRead(start.Add(time.Second), &d.tables, newsRead{source: "i-00", err: told})
+			d.tables.watched["i-00"] = func() {}
+			d.cacheEventsRead(start.Add(time.Second), &d.tables, cacheEventsRead{source: "i-00", err: told})
 		}, 9 * time.Second, 6},
 		{"news that go on", "box-00", func(d *Daemon) {
-			d.tables.followed["i-00"] = func() {}
-			d.newsRead(start.Add(time.Second), &d.tables, newsRead{source: "i-00", news: News{Epoch: 1}})
-			d.newsRead(start.Add(time.Second), &d.tables, newsRead{source: "i-00", err: told})
-			d.newsRead(start.Add(2*time.Second), &d.tables, newsRead{source: "i-00", news: News{Epoch: 1}})
+			d.tables.watched["i-00"] = func() {}
+			d.cacheEventsRead(start.Add(time.Second), &d.tables, cacheEventsRead{source: "i-00", events: CacheEvents{Epoch: 1}})
+			d.cacheEventsRead(start.Add(time.Second), &d.tables, cacheEventsRead{source: "i-00", err: told})
+			d.cacheEventsRead(start.Add(2*time.Second), &d.tables, cacheEventsRead{source: "i-00", events: CacheEvents{Epoch: 1}})
 		}, 9 * time.Second, 40},
 		{"an evacuation that is over", "box-00", func(d *Daemon) {
 			d.evacuate(start.Add(4*time.Second), &d.tables, "a", true, "test")
@@ -175,12 +175,12 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := withCold(largeFleet("box-05"), 0, 0)
-			d.tables.fleet.List(start.Add(-time.Minute), fleet.Entry{ID: "s", Pool: "orders", Domain: "a", Slots: 9})
+			d.tables.fleet.Upsert(start.Add(-time.Minute), fleet.Entry{ID: "s", Pool: "orders", Domain: "a", Slots: 9})
 			x := d.tables.fleet.Target("s")
 			tt.do(x)
 			n := 0
 			for range 40 {
-				ask := deliver.Ask{Job: &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{}, Pool: d.current.Load().Pools["orders"]}}
+				ask := deliver.PlacementRequest{Job: &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{}, Pool: d.current.Load().Pools["orders"]}}
 				if _, err := d.place(start, &d.tables, ask); err == nil {
 					n++
 				}
@@ -196,7 +196,7 @@
 func TestColdTravels(t *testing.T) {
 	hub, spoke := withCold(largeFleet("box-00"), 1, 1), largeFleet("box-05")
 	hub.tables.beginList()
-	spoke.entriesRead(start, &spoke.tables, hub.view(start.Add(time.Second), &hub.tables, changelog.Cursor{}).Entries)
+	spoke.applyHubEntries(start, &spoke.tables, hub.view(start.Add(time.Second), &hub.tables, changelog.Cursor{}).Entries)
 	for id, want := range map[string]bool{"i-00": false, "i-01": true} {
 		if x := spoke.tables.fleet.Target(id); x == nil || x.Cold(start.Add(time.Second)) != want {
 			t.Errorf("%s: cold %v", id, !want)
--- a/entry/comeback.go
+++ b/entry/comeback.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"github.com/thymewind/thymewind/comeback"
 	"github.com/thymewind/thymewind/deliver"
 	"github.com/thymewind/thymewind/peer"
 	"github.com/thymewind/thymewind/refusal"
+	"github.com/thymewind/thymewind/retryafter"
 	"github.com/thymewind/thymewind/routing"
 )
 
@@ -18,36 +18,36 @@
 	noTarget        = "no target of "
 )
 
-// comeBack says when a caller should return who was refused with a code.
-func (d *Daemon) comeBack(code string, job *deliver.Job) time.Duration {
+// retryAfter says when a caller should return who was refused with a code.
+func (d *Daemon) retryAfter(code string, job *deliver.Job) time.Duration {
 	now, urgency := d.now(), urgencyOf(job)
 	switch code {
 	case "crowded", "warming":
-		return d.returns.Crowded(job.Route.Goal, urgency)
+		return d.retryEstimator.MemoryFull(job.Route.Goal, urgency)
 	case "congested", codeLimited:
-		return d.returns.Congested(urgency)
+		return d.retryEstimator.Congested(urgency)
 	case "no_target", "old_weights":
-		return d.returns.Lasting(now, noTarget+job.Pool.Name, urgency)
+		return d.retryEstimator.DuringOutage(now, noTarget+job.Pool.Name, urgency)
 	case "no_configuration":
-		return d.returns.Lasting(now, noConfiguration, urgency)
+		return d.retryEstimator.DuringOutage(now, noConfiguration, urgency)
 	case "stale":
 		if d.openElsewhere(now) {
-			return d.returns.Soon(urgency)
+			return d.retryEstimator.Soon(urgency)
 		}
-		d.returns.Began(now, noProof)
-		return d.returns.Lasting(now, noProof, urgency)
+		d.retryEstimator.Started(now, noProof)
+		return d.retryEstimator.DuringOutage(now, noProof, urgency)
 	case "no_time", "no_model", "over_memory", codeQuarantined, codeRegion:
-		return comeback.Longest
+		return retryafter.MaxOutage
 	}
-	return d.returns.Soon(urgency)
+	return d.retryEstimator.Soon(urgency)
 }
 
 // returnAfter is comeBack where the cause may be one whose end is known.
 func (d *Daemon) returnAfter(now time.Time, t *tables, code string, job *deliver.Job) time.Duration {
 	if code == codeBackoff {
-		return d.returns.Ends(t.backoffLeft(now, job.Pool.Name), urgencyOf(job))
+		return d.retryEstimator.Ends(t.backoffLeft(now, job.Pool.Name), urgencyOf(job))
 	}
-	return d.comeBack(code, job)
+	return d.retryAfter(code, job)
 }
 
 // urgencyOf returns a job's rank, or the first rank if its route is not known.
@@ -55,44 +55,46 @@
 	if job.Route == nil {
 		return 0
 	}
-	return routing.Urgency(job.Route, job.Account)
+	return routing.Priority(job.Route, job.Account)
 }
 
 // notePlace notes since when a pool has no target that takes work. That none is
 // left beside those that a request was sent to says nothing of the pool.
-func (d *Daemon) notePlace(now time.Time, ask deliver.Ask, refused *refusal.Refusal) {
+func (d *Daemon) notePlace(now time.Time, ask deliver.PlacementRequest, refused *refusal.Refusal) {
 	pool := ask.Job.Pool.Name
 	switch {
 	case refused != nil && refused.Code == codeBackoff: // Neither: the end is known by itself.
 	case refused == nil || refused.Code != "no_target" && refused.Code != "old_weights":
-		if lasted := d.returns.Over(now, noTarget+pool); lasted > 0 {
+		if lasted := d.retryEstimator.Ended(now, noTarget+pool); lasted > 0 {
 			d.Log.Info("pool has targets again", "pool", pool, "without_for", lasted)
 		}
-	case len(ask.Tried) == 0:
-		d.returns.Began(now, noTarget+pool)
+	case len(ask.Attempted) == 0:
+		d.retryEstimator.Started(now, noTarget+pool)
 	}
 }
 
-// noteOpen notes that callers who need a key are admitted again. How long they
+// logAdmitting notes that callers who need a key are admitted again. How long they
 // were refused counts, not the outage of the table service behind it: it begins
 // seconds later.
-func (d *Daemon) noteOpen(now time.Time) {
-	if !d.fresh(now) {
+func (d *Daemon) logAdmitting(now time.Time) {
+	if !d.keysFresh(now) {
 		return
 	}
-	if lasted := d.returns.Over(now, noProof); lasted > 0 {
+	if lasted := d.retryEstimator.Ended(now, noProof); lasted > 0 {
 		d.Log.Info("callers with keys are admitted again", "refused_for", lasted)
 	}
 }
 
-// shut says that this box refuses callers who need a key.
-func (d *Daemon) shut(now time.Time) bool { return d.current.Load() == nil || !d.fresh(now) }
+// refusesKeyed says that this box refuses callers who need a key.
+func (d *Daemon) refusesKeyed(now time.Time) bool {
+	return d.current.Load() == nil || !d.keysFresh(now)
+}
 
-// hearOpen notes that another box admits callers. One that is shut as well says
+// receiveAdmitting notes that another box admits callers. One that is shut as well says
 // nothing of the others.
-func (d *Daemon) hearOpen(now time.Time, m peer.Message) {
+func (d *Daemon) receiveAdmitting(now time.Time, m peer.Message) {
 	if !m.Stale {
-		d.elsewhere.Store(&now)
+		d.otherReadyAt.Store(&now)
 	}
 }
 
@@ -100,6 +102,6 @@
 // finds it by returning at once: a box that refuses is not ready, and gets no new
 // connections.
 func (d *Daemon) openElsewhere(now time.Time) bool {
-	at := d.elsewhere.Load()
-	return at != nil && now.Sub(*at) < heardFor
+	at := d.otherReadyAt.Load()
+	return at != nil && now.Sub(*at) < peerLoadTTL
 }
--- a/entry/comeback_test.go
+++ b/entry/comeback_test.go
@@ -16,7 +16,7 @@
 func refusing(now *time.Time) *Daemon {
 	d := newDaemon("b1")
 	d.now = func() time.Time { return *now }
-	d.returns.Draw = func() float64 { return 0 }
+	d.retryEstimator.Draw = func() float64 { return 0 }
 	d.update(*now, operatorRead{*now, Operator{Table: configuration(1)}})
 	return d
 }
@@ -46,35 +46,35 @@
 		}, 1200 * time.Millisecond, 1200 * time.Millisecond},
 		{"no proof, another box admits callers", "stale", func(d *Daemon) {
 			stale(d)
-			d.update(start.Add(500*time.Millisecond), peerAsks{peer.Message{Kind: peer.KindGossip, From: "b2"}, make(chan peer.Message, 1)})
+			d.update(start.Add(500*time.Millisecond), peerRequest{peer.Message{Kind: peer.KindGossip, From: "b2"}, make(chan peer.Message, 1)})
 		}, 1200 * time.Millisecond, soonest},
 		{"no proof, another box answers that it admits callers", "stale", func(d *Daemon) {
 			stale(d)
 			d.tables.members["b2"] = &member{}
-			d.update(start.Add(500*time.Millisecond), peerCalled{name: "b2", m: peer.Message{Kind: peer.KindGossip}})
+			d.update(start.Add(500*time.Millisecond), peerAnswered{name: "b2", m: peer.Message{Kind: peer.KindGossip}})
 		}, 1200 * time.Millisecond, soonest},
 		{"no proof, another box is shut as well", "stale", func(d *Daemon) {
 			stale(d)
-			d.update(start.Add(500*time.Millisecond), peerAsks{peer.Message{Kind: peer.KindGossip, From: "b2", Stale: true}, make(chan peer.Message, 1)})
+			d.update(start.Add(500*time.Millisecond), peerRequest{peer.Message{Kind: peer.KindGossip, From: "b2", Stale: true}, make(chan peer.Message, 1)})
 		}, 1200 * time.Millisecond, 1200 * time.Millisecond},
 		{"no proof, another box admitted callers long ago", "stale", func(d *Daemon) {
 			stale(d)
-			d.update(start, peerAsks{peer.Message{Kind: peer.KindGossip, From: "b2"}, make(chan peer.Message, 1)})
+			d.update(start, peerRequest{peer.Message{Kind: peer.KindGossip, From: "b2"}, make(chan peer.Message, 1)})
 		}, 1200 * time.Millisecond, 1200 * time.Millisecond},
 		{"no target for a while", "no_target", func(d *Daemon) { asked(d, start) }, 700 * time.Millisecond, 700 * time.Millisecond},
 		{"no target beside those tried", "no_target", func(d *Daemon) { asked(d, start, "a") }, 700 * time.Millisecond, soonest},
 		{"no target, and one again", "no_target", func(d *Daemon) {
 			asked(d, start)
-			d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 			asked(d, start)
 		}, 700 * time.Millisecond, soonest},
 		{"no target, and one again by a hub", "no_target", func(d *Daemon) {
 			asked(d, start)
-			d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
-			d.accept(start, &d.tables, deliver.Ask{Job: job("short", 10)}, &peer.Placed{Target: "a"})
+			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+			d.acceptHubPlace(start, &d.tables, deliver.PlacementRequest{Job: job("short", 10)}, &peer.PlacementResponse{Target: "a"})
 		}, 700 * time.Millisecond, soonest},
 		{"no target told by a hub", "no_target", func(d *Daemon) {
-			d.accept(start, &d.tables, deliver.Ask{Job: job("short", 10)}, &peer.Placed{Refused: "no_target"})
+			d.acceptHubPlace(start, &d.tables, deliver.PlacementRequest{Job: job("short", 10)}, &peer.PlacementResponse{Refused: "no_target"})
 		}, 700 * time.Millisecond, 700 * time.Millisecond},
 	}
 	for _, tt := range tests {
@@ -85,7 +85,7 @@
 			now = start.Add(tt.passed)
 			j := job("short", 10)
 			j.Route.Goal = 1200 * time.Millisecond
-			if got := d.comeBack(tt.code, j); got != tt.want {
+			if got := d.retryAfter(tt.code, j); got != tt.want {
 				t.Errorf("come back after %v, want %v", got, tt.want)
 			}
 		})
@@ -95,13 +95,13 @@
 // stale has a caller refused for want of a proof, of which the last is old.
 func stale(d *Daemon) {
 	old := start.Add(-time.Minute)
-	d.proved.Store(&old)
-	d.comeBack("stale", job("short", 10))
+	d.provedAt.Store(&old)
+	d.retryAfter("stale", job("short", 10))
 }
 
 // asked asks for a place.
 func asked(d *Daemon, now time.Time, tried ...string) error {
-	_, err := d.place(now, &d.tables, deliver.Ask{Job: job("short", 10), Tried: tried})
+	_, err := d.place(now, &d.tables, deliver.PlacementRequest{Job: job("short", 10), Attempted: tried})
 	return err
 }
 
@@ -109,13 +109,13 @@
 // without one for as long again, and that its callers' routes need not be known.
 func TestNoConfigurationYet(t *testing.T) {
 	d := newDaemon("b1")
-	d.returns.Draw = func() float64 { return 0 }
-	d.now = func() time.Time { return d.began.Add(900 * time.Millisecond) }
-	if got := d.comeBack("no_configuration", &deliver.Job{Call: &deliver.Call{}}); got != 900*time.Millisecond {
+	d.retryEstimator.Draw = func() float64 { return 0 }
+	d.now = func() time.Time { return d.startedAt.Add(900 * time.Millisecond) }
+	if got := d.retryAfter("no_configuration", &deliver.Job{Call: &deliver.Call{}}); got != 900*time.Millisecond {
 		t.Errorf("come back after %v", got)
 	}
 	d.update(d.now(), operatorRead{d.now(), Operator{Table: configuration(1)}})
-	if got := d.comeBack("no_configuration", &deliver.Job{Call: &deliver.Call{}}); got != soonest {
+	if got := d.retryAfter("no_configuration", &deliver.Job{Call: &deliver.Call{}}); got != soonest {
 		t.Errorf("come back after %v though there is a configuration", got)
 	}
 }
@@ -136,13 +136,13 @@
 			d := refusing(&now)
 			now = start.Add(tt.after)
 			reply := make(chan peer.Message, 1)
-			d.update(now, peerAsks{peer.Message{Kind: peer.KindGossip, From: "b2", Stale: true}, reply})
+			d.update(now, peerRequest{peer.Message{Kind: peer.KindGossip, From: "b2", Stale: true}, reply})
 			if got := <-reply; got.Stale != tt.closed {
 				t.Errorf("answers that it is shut: %v", got.Stale)
 			}
 			credential := "c"
 			d.credential.Store(&credential)
-			d.tables.members["b2"] = &member{at: netip.MustParseAddrPort("10.0.0.2:1")}
+			d.tables.members["b2"] = &member{address: netip.MustParseAddrPort("10.0.0.2:1")}
 			effects := d.gossip(now, &d.tables)
 			if len(effects) != 1 || effects[0].(callPeer).m.Stale != tt.closed {
 				t.Errorf("calls with %+v", effects)
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -24,12 +24,12 @@
 // targets 6 end in place of all: three for each of two boxes to which it comes each 5 ms,
 // before either has heard of the other's (TestCrashingRequest).
 
-// lifeText names a target's life among boxes.
-func lifeText(life fleet.Life) string {
-	if life.Born.IsZero() {
+// incarnationKey names a target's life among boxes.
+func incarnationKey(life fleet.Incarnation) string {
+	if life.StartedAt.IsZero() {
 		return life.ID
 	}
-	return life.ID + lifeMark + strconv.FormatInt(unixMS(life.Born), 10)
+	return life.ID + lifeMark + strconv.FormatInt(unixMS(life.StartedAt), 10)
 }
 
 // lifeMark stands between a target's ID and when its life began.
@@ -44,38 +44,40 @@
 }
 
 // lifeOf names the life that a request was placed on.
-func lifeOf(p deliver.Place) string { return lifeText(fleet.Life{ID: p.Target, Born: p.Born}) }
+func lifeOf(p deliver.Placement) string {
+	return incarnationKey(fleet.Incarnation{ID: p.Target, StartedAt: p.StartedAt})
+}
 
-// watchEnd takes from a request's end whether its target lives.
-func (d *Daemon) watchEnd(now time.Time, t *tables, m sendingEnded) {
+// recordLiveness takes from a request's end whether its target lives.
+func (d *Daemon) recordLiveness(now time.Time, t *tables, m attemptEnded) {
 	life := lifeOf(m.Place)
 	if m.Began || m.Verdict == deliver.DidNotRun || m.Verdict == deliver.OtherVersion {
-		t.crashes.Alive(life, m.Place.At)
+		t.crashes.Alive(life, m.Place.PlacedAt)
 	}
 	over := false
 	switch {
-	case m.Refused:
-		d.targetEnded(now, t, life, "its address refuses connections")
+	case m.ConnectionRefused:
+		d.incarnationEnded(now, t, life, "its address refuses connections")
 	case m.Answered:
 		d.answered(now, t, m.Job)
-	case m.Cut:
-		over = t.crashes.Cut(now, life, m.Job.Fingerprint())
-	case m.Left:
-		over = t.crashes.Left(now, life, m.Job.Fingerprint())
+	case m.CutOff:
+		over = t.crashes.CutOff(now, life, m.Job.Fingerprint())
+	case m.CallerLeft:
+		over = t.crashes.CallerLeft(now, life, m.Job.Fingerprint())
 	}
 	if over {
 		d.reportEnded(now, t, life, []fingerprint.Sum{m.Job.Fingerprint()}, "known before")
 	}
 }
 
-// targetEnded notes that a target's life is over, and holds that against the requests that
+// incarnationEnded notes that a target's life is over, and holds that against the requests that
 // were cut off there since it last answered.
-func (d *Daemon) targetEnded(now time.Time, t *tables, life, foundBy string) {
+func (d *Daemon) incarnationEnded(now time.Time, t *tables, life, foundBy string) {
 	sums := t.crashes.Ended(now, life)
 	if len(sums) == 0 {
 		return
 	}
-	d.counts.ended.Inc()
+	d.metrics.endedTargets.Inc()
 	d.reportEnded(now, t, life, sums, foundBy)
 }
 
@@ -83,19 +85,19 @@
 // this box's own doubts, and is told on to boxes that hear of it from here only. A box whose
 // caller left asks the target nothing, and would know by the list alone, 4 s later.
 func (d *Daemon) lifeOver(now time.Time, t *tables, life, from string) {
-	if _, known := t.over[life]; known || len(t.over) >= overMost {
+	if _, known := t.endedIncarnations[life]; known || len(t.endedIncarnations) >= overMost {
 		return
 	}
-	t.over[life] = now
-	d.targetEnded(now, t, life, from)
+	t.endedIncarnations[life] = now
+	d.incarnationEnded(now, t, life, from)
 }
 
 // overMost bounds the lives that other boxes found to be over.
 const overMost = 256
 
-// expireOver forgets them.
-func (t *tables) expireOver(now time.Time) {
-	maps.DeleteFunc(t.over, func(_ string, at time.Time) bool { return now.Sub(at) > crash.Remember })
+// expireEnded forgets them.
+func (t *tables) expireEnded(now time.Time) {
+	maps.DeleteFunc(t.endedIncarnations, func(_ string, at time.Time) bool { return now.Sub(at) > crash.RememberFor })
 }
 
 // reportEnded counts requests that ran on a target when it ended, and has the other boxes
@@ -103,13 +105,13 @@
 func (d *Daemon) reportEnded(now time.Time, t *tables, life string, sums []fingerprint.Sum, foundBy string) {
 	d.Log.Warn("target ended under requests", "target", life, "requests", len(sums), "found_by", foundBy)
 	for _, sum := range sums {
-		d.endedUnder(now, t, life, sum, d.Settings.Name)
+		d.blameRequest(now, t, life, sum, d.Settings.Name)
 	}
 	t.reports.add(now, life, sums)
 }
 
-// endedUnder counts one request that ran on a target when it ended.
-func (d *Daemon) endedUnder(now time.Time, t *tables, life string, sum fingerprint.Sum, from string) {
+// blameRequest counts one request that ran on a target when it ended.
+func (d *Daemon) blameRequest(now time.Time, t *tables, life string, sum fingerprint.Sum, from string) {
 	if !t.quarantine.Ended(now, sum, life) {
 		return
 	}
@@ -117,14 +119,14 @@
 	d.Log.Warn("request is refused from now on", "fingerprint", sum, "targets_ended", quarantine.Threshold, "last", life, "told_by", from)
 }
 
-// examineDoubted asks targets that cut requests off whether they live, if this box does not
+// probeSuspects asks targets that cut requests off whether they live, if this box does not
 // follow their news anyway. One whose process is gone refuses the connection, which is not
 // charged for.
-func (d *Daemon) examineDoubted(now time.Time, t *tables) []effect {
+func (d *Daemon) probeSuspects(now time.Time, t *tables) []effect {
 	var effects []effect
 	for _, life := range t.crashes.Due(now) {
 		x := t.fleet.Target(lifeID(life))
-		if x == nil || lifeText(x.Life()) != life || t.followed[x.ID] != nil || t.probing[x.ID] {
+		if x == nil || incarnationKey(x.Incarnation()) != life || t.watched[x.ID] != nil || t.probing[x.ID] {
 			continue
 		}
 		if p, ok := d.examination(now, t, x); ok {
@@ -142,11 +144,11 @@
 		return probe{}, false
 	}
 	pool := table.Pools[x.Pool]
-	p := probe{target: x.ID, path: pool.HealthPath, at: x.Address, life: x.Life(), engine: pool.Engine != nil, doubted: true, asked: now}
+	p := probe{target: x.ID, path: pool.HealthPath, at: x.Address, life: x.Incarnation(), engine: pool.Engine != nil, suspected: true, asked: now}
 	if p.engine {
 		return p, true
 	}
-	if p.path == "" || x.BacksOff(now) || !d.withinQuota(now, t, x) {
+	if p.path == "" || x.InBackoff(now) || !d.withinQuota(now, t, x) {
 		return probe{}, false // A question for its health waits like a request.
 	}
 	d.takeQuota(now, t, x)
@@ -161,31 +163,31 @@
 		return err
 	}
 	report, err := d.Platform.Report(ctx, p.at)
-	d.heedReport(p.asked, p.life, report)
-	if err == nil && !p.life.Born.IsZero() && report.Born.After(p.life.Born) {
+	d.signalsFromReport(p.asked, p.life, report)
+	if err == nil && !p.life.StartedAt.IsZero() && report.StartedAt.After(p.life.StartedAt) {
 		return ErrReplaced
 	}
 	return err
 }
 
-// examined takes from a probe's answer whether the target lives.
-func (d *Daemon) examined(now time.Time, t *tables, m probed) {
-	life := lifeText(m.life)
+// probeAnswered takes from a probe's answer whether the target lives.
+func (d *Daemon) probeAnswered(now time.Time, t *tables, m probed) {
+	life := incarnationKey(m.life)
 	switch {
-	case m.err == nil || errors.Is(m.err, ErrUnwell):
+	case m.err == nil || errors.Is(m.err, ErrUnhealthy):
 		t.crashes.Alive(life, m.asked)
 	case errors.Is(m.err, syscall.ECONNREFUSED):
-		d.targetEnded(now, t, life, "its address refuses connections")
+		d.incarnationEnded(now, t, life, "its address refuses connections")
 	}
 }
 
-// newsOfLife takes from an engine's news, or from its failing to tell any, whether it lives.
-func (d *Daemon) newsOfLife(now time.Time, t *tables, x *fleet.Target, m newsRead) {
+// livenessFromEvents takes from an engine's news, or from its failing to tell any, whether it lives.
+func (d *Daemon) livenessFromEvents(now time.Time, t *tables, x *fleet.Target, m cacheEventsRead) {
 	switch {
 	case m.err == nil:
-		t.crashes.Alive(lifeText(x.Life()), m.asked)
+		t.crashes.Alive(incarnationKey(x.Incarnation()), m.asked)
 	case errors.Is(m.err, syscall.ECONNREFUSED):
-		d.targetEnded(now, t, lifeText(x.Life()), "its news")
+		d.incarnationEnded(now, t, incarnationKey(x.Incarnation()), "its news")
 	}
 }
 
@@ -194,10 +196,10 @@
 	target, path string
 	at           netip.AddrPort
 	// life is the target's at asked, when the question was decided on.
-	life  fleet.Life
+	life  fleet.Incarnation
 	asked time.Time
 	// engine says that its report is asked for, doubted that it may have ended.
-	engine, doubted bool
+	engine, suspected bool
 }
 
 // probed tells a target's health.
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -25,35 +25,35 @@
 	d := newDaemon(name)
 	d.now = func() time.Time { return start }
 	d.tables.members["b2"] = &member{}
-	d.tables.settled = true
+	d.tables.membersKnown = true
 	d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
 	var list []fleet.Entry
 	for i := range 8 {
 		list = append(list, engine(fmt.Sprintf("e%d", i), 1))
 	}
-	d.update(start, targetsRead{start, Targets{Whole: true, Listed: list}, false})
+	d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: list}, false})
 	return d
 }
 
-// work is a request for something; equal names ask for the same.
-func work(name string) *deliver.Job {
+// jobWithBody is a request for something; equal names ask for the same.
+func jobWithBody(name string) *deliver.Job {
 	j := job("long", 10)
 	j.ID, j.Body = "r", []byte(name)
 	return j
 }
 
 // placeAt is where a request was sent at a time.
-func placeAt(ms int, target string) deliver.Place {
-	return deliver.Place{Target: target, At: start.Add(time.Duration(ms) * time.Millisecond)}
+func placeAt(ms int, target string) deliver.Placement {
+	return deliver.Placement{Target: target, PlacedAt: start.Add(time.Duration(ms) * time.Millisecond)}
 }
 
 // Messages that tell of targets.
 func cutOff(target, name string) message {
-	return sendingEnded{deliver.Ended{Place: placeAt(0, target), Job: work(name), Failed: true, Unreachable: true, Cut: true}}
+	return attemptEnded{deliver.AttemptResult{Place: placeAt(0, target), Job: jobWithBody(name), Failed: true, Unreachable: true, CutOff: true}}
 }
 
 func refusesDial(target string) message {
-	return sendingEnded{deliver.Ended{Place: placeAt(0, target), Job: work("another"), Failed: true, Unreachable: true, Refused: true}}
+	return attemptEnded{deliver.AttemptResult{Place: placeAt(0, target), Job: jobWithBody("another"), Failed: true, Unreachable: true, ConnectionRefused: true}}
 }
 
 func answersAt(ms int, target string) message { return answerBegan{placeAt(ms, target)} }
@@ -61,7 +61,7 @@
 // code returns the code with which a request is refused a place at once, or an empty text.
 func code(d *Daemon, at time.Time, j *deliver.Job) string {
 	reply := make(chan placeAnswer, 1)
-	d.placeAsked(at, &d.tables, placeAsked{ctx: context.Background(), ask: deliver.Ask{Job: j}, reply: reply})
+	d.placementRequested(at, &d.tables, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: j}, reply: reply})
 	select {
 	case answer := <-reply:
 		return codeOf(answer.err)
@@ -86,7 +86,7 @@
 // that it did not.
 func TestEndedUnder(t *testing.T) {
 	refusedNews := func(target string) message {
-		return newsRead{source: target, err: fmt.Errorf("dial: %w", syscall.ECONNREFUSED)}
+		return cacheEventsRead{source: target, err: fmt.Errorf("dial: %w", syscall.ECONNREFUSED)}
 	}
 	tests := []struct {
 		name string
@@ -96,7 +96,7 @@
 	}{
 		{"its address refuses connections", func(x string) []message { return []message{refusesDial(x)} }, true},
 		{"its news can't be had, as its address refuses connections", func(x string) []message { return []message{refusedNews(x)} }, true},
-		{"its news can't be had", func(x string) []message { return []message{newsRead{source: x, err: errors.New("reset")}} }, false},
+		{"its news can't be had", func(x string) []message { return []message{cacheEventsRead{source: x, err: errors.New("reset")}} }, false},
 		{"the list drops it", func(x string) []message { return []message{targetsRead{start, Targets{Gone: []string{x}}, false}} }, true},
 		{"it leaves and the list drops it", func(x string) []message {
 			leaving := engine(x, 1)
@@ -105,21 +105,21 @@
 		}, false},
 		{"its address is another's", func(x string) []message { return []message{probed{probe{target: x}, ErrReplaced}} }, true},
 		{"another box found it replaced", func(x string) []message {
-			return []message{peerCalled{name: "b2", m: peer.Message{Replaced: []peer.Life{{ID: x}}}}}
+			return []message{peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: x}}}}}
 		}, true},
 		{"asked for its health, it refuses connections", func(x string) []message {
-			return []message{probed{probe{target: x, life: fleet.Life{ID: x}, asked: start.Add(time.Second)}, syscall.ECONNREFUSED}}
+			return []message{probed{probe{target: x, life: fleet.Incarnation{ID: x}, asked: start.Add(time.Second)}, syscall.ECONNREFUSED}}
 		}, true},
 		{"asked for its health, it says that it is not well, and then ends", func(x string) []message {
-			return []message{probed{probe{target: x, life: fleet.Life{ID: x}, asked: start.Add(time.Second)}, ErrUnwell}, refusesDial(x)}
+			return []message{probed{probe{target: x, life: fleet.Incarnation{ID: x}, asked: start.Add(time.Second)}, ErrUnhealthy}, refusesDial(x)}
 		}, false},
 		{"it answers what was sent later, and then ends", func(x string) []message { return []message{answersAt(1, x), refusesDial(x)} }, false},
 		{"it answers what was sent before, and then ends", func(x string) []message { return []message{answersAt(-1, x), refusesDial(x)} }, true},
 		{"it tells news that was asked for later, and then ends", func(x string) []message {
-			return []message{newsRead{source: x, asked: start.Add(time.Millisecond)}, refusesDial(x)}
+			return []message{cacheEventsRead{source: x, asked: start.Add(time.Millisecond)}, refusesDial(x)}
 		}, false},
 		{"it tells news that was asked for before, and then ends", func(x string) []message {
-			return []message{newsRead{source: x, asked: start.Add(-time.Millisecond)}, refusesDial(x)}
+			return []message{cacheEventsRead{source: x, asked: start.Add(-time.Millisecond)}, refusesDial(x)}
 		}, true},
 	}
 	for _, tt := range tests {
@@ -135,10 +135,10 @@
 			later := start.Add(10 * time.Second)
 			d.tables.crashes.Expire(later)
 			d.update(later, operatorRead{later, Operator{}})
-			if got := code(d, later, work("same")) == codeQuarantined; got != tt.want {
+			if got := code(d, later, jobWithBody("same")) == codeQuarantined; got != tt.want {
 				t.Errorf("refused: %v, want %v", got, tt.want)
 			}
-			if got := code(d, later, work("another")); got == codeQuarantined {
+			if got := code(d, later, jobWithBody("another")); got == codeQuarantined {
 				t.Error("another request is refused")
 			}
 		})
@@ -152,11 +152,11 @@
 	for i := range quarantine.Threshold {
 		d.update(start, cutOff(fmt.Sprintf("e%d", i), "same"))
 	}
-	if got := code(d, start, work("same")); got != codeQuarantined {
+	if got := code(d, start, jobWithBody("same")); got != codeQuarantined {
 		t.Errorf("refused with %q", got)
 	}
 	d.update(start, answersAt(1, "e1"))
-	if got := code(d, start, work("same")); got == codeQuarantined {
+	if got := code(d, start, jobWithBody("same")); got == codeQuarantined {
 		t.Error("refused though one of the targets lives")
 	}
 }
@@ -170,9 +170,9 @@
 		d.update(start, cutOff(target, "bystander"))
 		d.update(start, refusesDial(target))
 		if i%2 == 1 {
-			d.update(start, sendingEnded{deliver.Ended{Place: placeAt(1, "e7"), Job: work("bystander"), Began: true, Answered: true}})
+			d.update(start, attemptEnded{deliver.AttemptResult{Place: placeAt(1, "e7"), Job: jobWithBody("bystander"), Began: true, Answered: true}})
 		}
-		if got := code(d, start, work("bystander")); got == codeQuarantined {
+		if got := code(d, start, jobWithBody("bystander")); got == codeQuarantined {
 			t.Fatalf("refused after %d targets", i+1)
 		}
 	}
@@ -183,13 +183,13 @@
 	d := engines("b1")
 	for i := range quarantine.Threshold {
 		target := fmt.Sprintf("e%d", i)
-		d.update(start, sendingEnded{deliver.Ended{Place: placeAt(0, target), Job: work("same"), Left: true}})
-		if got := code(d, start, work("same")); got == codeQuarantined {
+		d.update(start, attemptEnded{deliver.AttemptResult{Place: placeAt(0, target), Job: jobWithBody("same"), CallerLeft: true}})
+		if got := code(d, start, jobWithBody("same")); got == codeQuarantined {
 			t.Fatal("refused as callers left")
 		}
 		d.update(start, refusesDial(target))
 	}
-	if got := code(d, start, work("same")); got != codeQuarantined {
+	if got := code(d, start, jobWithBody("same")); got != codeQuarantined {
 		t.Errorf("refused with %q", got)
 	}
 }
@@ -197,7 +197,7 @@
 // rowsOf has a box tell what it found and returns its rows.
 func rowsOf(t *testing.T, d *Daemon, now time.Time) []table.Row {
 	t.Helper()
-	effects := d.tellCrashes(now, &d.tables)
+	effects := d.reportCrashes(now, &d.tables)
 	if len(effects) != 1 {
 		t.Fatalf("%d effects", len(effects))
 	}
@@ -223,31 +223,31 @@
 	}
 	boxes = append(boxes, engines("b4"), engines("b1"))
 	for _, d := range boxes {
-		d.update(start, ownRead{Own{Whole: true, Rows: rows}, true})
-		if got := code(d, start, work("same")); got != codeQuarantined {
+		d.update(start, ownRead{OwnRows{Snapshot: true, Rows: rows}, true})
+		if got := code(d, start, jobWithBody("same")); got != codeQuarantined {
 			t.Errorf("%s refuses with %q", d.Settings.Name, got)
 		}
-		if got := code(d, start, work("bystander of b1")); got == codeQuarantined {
+		if got := code(d, start, jobWithBody("bystander of b1")); got == codeQuarantined {
 			t.Errorf("%s refuses a request that merely ran there", d.Settings.Name)
 		}
 	}
 	again := boxes[4]
-	if effects := again.tellCrashes(start, &again.tables); len(effects) != 0 || len(again.tables.reports.byLife) != 1 {
+	if effects := again.reportCrashes(start, &again.tables); len(effects) != 0 || len(again.tables.reports.byIncarnation) != 1 {
 		t.Errorf("a box that started anew tells its own rows again: %v", effects)
 	}
 }
 
 // TestSpoiltRows has other writers' rows stand among the boxes' own.
 func TestSpoiltRows(t *testing.T) {
-	many, err := json.Marshal(crashRow{Sums: slices.Repeat([]string{work("same").Fingerprint().String()}, crashSums+1)})
+	many, err := json.Marshal(crashRow{Sums: slices.Repeat([]string{jobWithBody("same").Fingerprint().String()}, crashSums+1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := engines("b1")
 	for i, value := range []string{"", "7", `{"sums":7}`, `{"sums":["xyz","",null]}`, string(many)} {
-		d.update(start, ownRead{Own{Rows: []table.Row{{Key: crashPrefix + "b2/e" + fmt.Sprint(i), Value: []byte(value)}}}, true})
+		d.update(start, ownRead{OwnRows{Rows: []table.Row{{Key: crashPrefix + "b2/e" + fmt.Sprint(i), Value: []byte(value)}}}, true})
 	}
-	d.update(start, ownRead{Own{Rows: []table.Row{{Key: crashPrefix + "nobody", Value: []byte(`{}`)}}}, true})
+	d.update(start, ownRead{OwnRows{Rows: []table.Row{{Key: crashPrefix + "nobody", Value: []byte(`{}`)}}}, true})
 	if n := d.tables.quarantine.Len(); n != 0 {
 		t.Errorf("%d requests are counted", n)
 	}
@@ -259,12 +259,12 @@
 	d := engines("b1")
 	d.update(start, cutOff("e0", "same"))
 	d.update(start, refusesDial("e0"))
-	first := d.tellCrashes(start, &d.tables)[0].(writeCrashes)
-	if again := d.tellCrashes(start, &d.tables); len(again) != 0 {
+	first := d.reportCrashes(start, &d.tables)[0].(writeCrashes)
+	if again := d.reportCrashes(start, &d.tables); len(again) != 0 {
 		t.Error("two writes at once")
 	}
 	d.update(start, crashesWritten{lives: first.lives, err: errors.New("lost")})
-	if early := d.tellCrashes(start.Add(crashAgain-1), &d.tables); len(early) != 0 {
+	if early := d.reportCrashes(start.Add(crashAgain-1), &d.tables); len(early) != 0 {
 		t.Error("no pause after a failed write")
 	}
 	if rows := rowsOf(t, d, start.Add(crashAgain)); len(rows) != 1 || rows[0].Key != "ended/b1/e0" {
@@ -272,23 +272,23 @@
 	}
 	now := start.Add(time.Second)
 	for i := range 2 {
-		d.endedUnder(now, &d.tables, fmt.Sprint("x", i), work("same").Fingerprint(), "b2")
+		d.blameRequest(now, &d.tables, fmt.Sprint("x", i), jobWithBody("same").Fingerprint(), "b2")
 	}
 	gone := 0
 	for i := range 3 * crashRows {
 		now = now.Add(time.Second)
 		d.reportEnded(now, &d.tables, fmt.Sprint("n", i), []fingerprint.Sum{{byte(i)}}, "test")
-		e := d.tellCrashes(now, &d.tables)[0].(writeCrashes)
+		e := d.reportCrashes(now, &d.tables)[0].(writeCrashes)
 		d.update(now, crashesWritten{lives: e.lives})
 		gone += len(e.tx.Delete)
 		if slices.Contains(e.tx.Delete, "ended/b1/e0") {
 			t.Error("the row of what is refused went before others")
 		}
 	}
-	if n := len(d.tables.reports.byLife); n != crashRows || gone != 2*crashRows+1 {
+	if n := len(d.tables.reports.byIncarnation); n != crashRows || gone != 2*crashRows+1 {
 		t.Errorf("%d rows stand, %d went", n, gone)
 	}
-	late := d.tellCrashes(now.Add(quarantine.Keep+time.Second), &d.tables)[0].(writeCrashes)
+	late := d.reportCrashes(now.Add(quarantine.Retention+time.Second), &d.tables)[0].(writeCrashes)
 	if len(late.tx.Delete) != crashRows-1 || slices.Contains(late.tx.Delete, "ended/b1/e0") {
 		t.Errorf("an hour later %d rows go", len(late.tx.Delete))
 	}
@@ -297,25 +297,25 @@
 // TestRefusedTravels has a box that lives on a hub refuse what the hub refuses, and serve
 // it again once another box has answered it.
 func TestRefusedTravels(t *testing.T) {
-	hub, spoke := listed("box-00"), listed("box-05")
-	sum := work("same").Fingerprint()
+	hub, spoke := boxWithEngines("box-00"), boxWithEngines("box-05")
+	sum := jobWithBody("same").Fingerprint()
 	for i := range quarantine.Threshold {
-		hub.endedUnder(start, &hub.tables, fmt.Sprint("e", i), sum, "box-07")
+		hub.blameRequest(start, &hub.tables, fmt.Sprint("e", i), sum, "box-07")
 	}
 	ask := func(now time.Time) peer.Message {
-		return hub.peerAsks(now, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05", Refuses: spoke.tables.hubRefuses})
+		return hub.peerRequest(now, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05", QuarantineVersion: spoke.tables.hubQuarantineVersion})
 	}
 	answer := ask(start)
-	spoke.update(start, peerCalled{"box-00", start, answer, nil})
-	if got := code(spoke, start, work("same")); got != codeQuarantined {
+	spoke.update(start, peerAnswered{"box-00", start, answer, nil})
+	if got := code(spoke, start, jobWithBody("same")); got != codeQuarantined {
 		t.Errorf("refused with %q", got)
 	}
-	if again := ask(start); len(answer.View.Refused) != 1 || len(again.View.Refused) != 0 || again.View.Refuses != answer.View.Refuses {
-		t.Errorf("the set is told again: %v", again.View.Refused)
+	if again := ask(start); len(answer.View.Quarantined) != 1 || len(again.View.Quarantined) != 0 || again.View.QuarantineVersion != answer.View.QuarantineVersion {
+		t.Errorf("the set is told again: %v", again.View.Quarantined)
 	}
-	hub.update(start, sendingEnded{deliver.Ended{Place: placeAt(0, "a"), Job: work("same"), Began: true, Answered: true}})
-	spoke.update(start, peerCalled{"box-00", start, ask(start), nil})
-	if got := code(spoke, start, work("same")); got == codeQuarantined {
+	hub.update(start, attemptEnded{deliver.AttemptResult{Place: placeAt(0, "a"), Job: jobWithBody("same"), Began: true, Answered: true}})
+	spoke.update(start, peerAnswered{"box-00", start, ask(start), nil})
+	if got := code(spoke, start, jobWithBody("same")); got == codeQuarantined {
 		t.Error("refused though it was answered")
 	}
 }
@@ -326,13 +326,13 @@
 	b2.tables.members["b1"] = &member{}
 	b1.update(start, cutOff("e0", "same"))
 	b1.update(start, refusesDial("e0"))
-	told := b1.peerAsks(start, &b1.tables, peer.Message{Kind: peer.KindGossip, From: "b2"})
-	b2.update(start, peerCalled{"b1", start, told, nil})
-	if got := b2.tables.quarantine.Lives(work("same").Fingerprint()); got != 1 {
+	told := b1.peerRequest(start, &b1.tables, peer.Message{Kind: peer.KindGossip, From: "b2"})
+	b2.update(start, peerAnswered{"b1", start, told, nil})
+	if got := b2.tables.quarantine.Crashes(jobWithBody("same").Fingerprint()); got != 1 {
 		t.Errorf("%d targets count, want 1", got)
 	}
-	late := b1.peerAsks(start.Add(tellFor+time.Second), &b1.tables, peer.Message{Kind: peer.KindGossip, From: "b2"})
-	if len(late.Ended) != 0 {
+	late := b1.peerRequest(start.Add(announceFor+time.Second), &b1.tables, peer.Message{Kind: peer.KindGossip, From: "b2"})
+	if len(late.CrashReports) != 0 {
 		t.Error("told for ever")
 	}
 }
@@ -340,23 +340,23 @@
 // TestOneFindsOut has one box find out that a target ended; another one, where a caller had
 // left a request there, holds that against the request, and its hub passes the news on.
 func TestOneFindsOut(t *testing.T) {
-	hub, spoke, finder := listed("box-00"), listed("box-05"), listed("box-07")
-	spoke.update(start, sendingEnded{deliver.Ended{Place: placeAt(0, "a"), Job: work("same"), Left: true}})
+	hub, spoke, finder := boxWithEngines("box-00"), boxWithEngines("box-05"), boxWithEngines("box-07")
+	spoke.update(start, attemptEnded{deliver.AttemptResult{Place: placeAt(0, "a"), Job: jobWithBody("same"), CallerLeft: true}})
 	finder.update(start, cutOff("a", "bystander"))
 	finder.update(start, refusesDial("a"))
-	hub.update(start, ownRead{Own{Rows: rowsOf(t, finder, start)}, true})
-	told := hub.peerAsks(start, &hub.tables, gossipFrom("box-05"))
+	hub.update(start, ownRead{OwnRows{Rows: rowsOf(t, finder, start)}, true})
+	told := hub.peerRequest(start, &hub.tables, gossipFrom("box-05"))
 	told.View = nil // Its list has no addresses, so it would tell the same.
-	spoke.update(start, peerCalled{"box-00", start, told, nil})
-	if got := spoke.tables.quarantine.Lives(work("same").Fingerprint()); got != 1 {
+	spoke.update(start, peerAnswered{"box-00", start, told, nil})
+	if got := spoke.tables.quarantine.Crashes(jobWithBody("same").Fingerprint()); got != 1 {
 		t.Errorf("%d targets count, want 1", got)
 	}
 	if rows := rowsOf(t, spoke, start); len(rows) != 1 || rows[0].Key != "ended/box-05/a" {
 		t.Errorf("rows %v", rows)
 	}
-	later := start.Add(tellFor + time.Second)
-	if late := hub.peerAsks(later, &hub.tables, gossipFrom("box-05")); len(late.Ended) != 0 {
-		t.Errorf("told for ever: %v", late.Ended)
+	later := start.Add(announceFor + time.Second)
+	if late := hub.peerRequest(later, &hub.tables, gossipFrom("box-05")); len(late.CrashReports) != 0 {
+		t.Errorf("told for ever: %v", late.CrashReports)
 	}
 }
 
@@ -368,24 +368,24 @@
 		want int
 	}{
 		{"a box that follows its news", engines("b1"), 0},
-		{"a box that lives on a hub", listed("box-05"), 1},
+		{"a box that lives on a hub", boxWithEngines("box-05"), 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			target := tt.box.tables.fleet.All()[0]
+			target := tt.box.tables.fleet.IDs()[0]
 			tt.box.update(start, cutOff(target, "same"))
 			later := start.Add(time.Second)
-			effects := tt.box.examineDoubted(later, &tt.box.tables)
+			effects := tt.box.probeSuspects(later, &tt.box.tables)
 			if len(effects) != tt.want {
 				t.Fatalf("%d questions", len(effects))
 			}
-			if again := tt.box.examineDoubted(later, &tt.box.tables); len(again) != 0 {
+			if again := tt.box.probeSuspects(later, &tt.box.tables); len(again) != 0 {
 				t.Error("asked twice")
 			}
 			for _, e := range effects {
 				p := e.(probe)
 				tt.box.update(later, probed{p, syscall.ECONNREFUSED})
-				if tt.box.tables.quarantine.Lives(work("same").Fingerprint()) != 1 {
+				if tt.box.tables.quarantine.Crashes(jobWithBody("same").Fingerprint()) != 1 {
 					t.Error("the answer does not count")
 				}
 			}
@@ -395,9 +395,9 @@
 
 // TestLifeText names lives so that two of one ID differ.
 func TestLifeText(t *testing.T) {
-	plain, born := fleet.Life{ID: "i-7f"}, fleet.Life{ID: "i-7f", Born: start}
-	if lifeText(plain) == lifeText(born) || lifeID(lifeText(plain)) != "i-7f" || lifeID(lifeText(born)) != "i-7f" || strings.Contains(lifeText(plain), lifeMark) {
-		t.Errorf("%q and %q", lifeText(plain), lifeText(born))
+	plain, born := fleet.Incarnation{ID: "i-7f"}, fleet.Incarnation{ID: "i-7f", StartedAt: start}
+	if incarnationKey(plain) == incarnationKey(born) || lifeID(incarnationKey(plain)) != "i-7f" || lifeID(incarnationKey(born)) != "i-7f" || strings.Contains(incarnationKey(plain), lifeMark) {
+		t.Errorf("%q and %q", incarnationKey(plain), incarnationKey(born))
 	}
 }
 
@@ -407,11 +407,11 @@
 	for _, remembered := range []int{0, 1} {
 		b.Run(fmt.Sprintf("%d remembered", remembered), func(b *testing.B) {
 			if remembered > 0 {
-				d.endedUnder(start, &d.tables, "e0", fingerprint.Sum{1}, "b2")
+				d.blameRequest(start, &d.tables, "e0", fingerprint.Sum{1}, "b2")
 			}
 			body := make([]byte, 2400)
 			for b.Loop() {
-				j := work("")
+				j := jobWithBody("")
 				j.Body = body
 				d.refuseQuarantined(start, &d.tables, j)
 			}
--- a/entry/crashrow.go
+++ b/entry/crashrow.go
@@ -37,20 +37,20 @@
 	AtMS int64 `json:"at_ms"`
 }
 
-// reports are this box's own rows.
-type reports struct {
-	byLife map[string]*report
-	// drop are the keys of rows beside them that are to go, such as the count of trials
+// crashReports are this box's own rows.
+type crashReports struct {
+	byIncarnation map[string]*crashReport
+	// deleteKeys are the keys of rows beside them that are to go, such as the count of trials
 	// of a request that was answered. If that fails they stand, and fewer are tried.
-	drop []string
+	deleteKeys []string
 	// writing says that a write is under way; after a failed one the next waits until
 	// again.
 	writing bool
-	again   time.Time
+	retryAt time.Time
 }
 
-// report is one of them.
-type report struct {
+// crashReport is one of them.
+type crashReport struct {
 	sums map[fingerprint.Sum]bool
 	at   time.Time
 	// written says that the row stands as it is here.
@@ -58,14 +58,14 @@
 }
 
 // add notes requests that ran on a target when it ended.
-func (r *reports) add(now time.Time, life string, sums []fingerprint.Sum) {
-	if r.byLife == nil {
-		r.byLife = make(map[string]*report)
+func (r *crashReports) add(now time.Time, life string, sums []fingerprint.Sum) {
+	if r.byIncarnation == nil {
+		r.byIncarnation = make(map[string]*crashReport)
 	}
-	x := r.byLife[life]
+	x := r.byIncarnation[life]
 	if x == nil {
-		x = &report{sums: make(map[fingerprint.Sum]bool, len(sums)), at: now}
-		r.byLife[life] = x
+		x = &crashReport{sums: make(map[fingerprint.Sum]bool, len(sums)), at: now}
+		r.byIncarnation[life] = x
 	}
 	for _, sum := range sums {
 		if !x.sums[sum] && len(x.sums) < crashSums {
@@ -76,10 +76,10 @@
 
 // surplus returns the lives whose rows are to go: the oldest of too many, those last that
 // hold a request that is refused, and all that are too old.
-func (r *reports) surplus(now time.Time, refused func(fingerprint.Sum) bool) []string {
-	lives := make([]string, 0, len(r.byLife))
-	weight := make(map[string]int, len(r.byLife))
-	for life, x := range r.byLife {
+func (r *crashReports) surplus(now time.Time, refused func(fingerprint.Sum) bool) []string {
+	lives := make([]string, 0, len(r.byIncarnation))
+	weight := make(map[string]int, len(r.byIncarnation))
+	for life, x := range r.byIncarnation {
 		lives = append(lives, life)
 		for sum := range x.sums {
 			if refused(sum) {
@@ -88,12 +88,12 @@
 		}
 	}
 	slices.SortFunc(lives, func(a, b string) int {
-		return cmp.Or(cmp.Compare(weight[a], weight[b]), r.byLife[a].at.Compare(r.byLife[b].at))
+		return cmp.Or(cmp.Compare(weight[a], weight[b]), r.byIncarnation[a].at.Compare(r.byIncarnation[b].at))
 	})
 	many := max(len(lives)-crashRows, 0)
 	gone := slices.Clone(lives[:many])
 	for _, life := range lives[many:] {
-		if now.Sub(r.byLife[life].at) > quarantine.Keep && weight[life] == 0 {
+		if now.Sub(r.byIncarnation[life].at) > quarantine.Retention && weight[life] == 0 {
 			gone = append(gone, life)
 		}
 	}
@@ -112,25 +112,25 @@
 	err   error
 }
 
-// tellCrashes has the rows written that changed, all in one call.
-func (d *Daemon) tellCrashes(now time.Time, t *tables) []effect {
+// reportCrashes has the rows written that changed, all in one call.
+func (d *Daemon) reportCrashes(now time.Time, t *tables) []effect {
 	r := &t.reports
-	if r.writing || now.Before(r.again) {
+	if r.writing || now.Before(r.retryAt) {
 		return nil
 	}
-	e := writeCrashes{tx: table.Transaction{Delete: r.drop}}
-	r.drop = nil
-	if len(r.byLife) > 0 {
-		for _, life := range r.surplus(now, func(sum fingerprint.Sum) bool { return t.quarantine.Lives(sum) >= quarantine.Threshold }) {
+	e := writeCrashes{tx: table.Transaction{Delete: r.deleteKeys}}
+	r.deleteKeys = nil
+	if len(r.byIncarnation) > 0 {
+		for _, life := range r.surplus(now, func(sum fingerprint.Sum) bool { return t.quarantine.Crashes(sum) >= quarantine.Threshold }) {
 			e.tx.Delete = append(e.tx.Delete, d.crashKey(life))
-			delete(r.byLife, life)
+			delete(r.byIncarnation, life)
 		}
 	}
-	for life, x := range r.byLife {
+	for life, x := range r.byIncarnation {
 		if !x.written {
 			x.written = true
 			e.lives = append(e.lives, life)
-			e.tx.Put = append(e.tx.Put, table.Row{Key: d.crashKey(life), Value: x.value()})
+			e.tx.Put = append(e.tx.Put, table.Row{Key: d.crashKey(life), Value: x.encode()})
 		}
 	}
 	if len(e.tx.Put)+len(e.tx.Delete) == 0 {
@@ -142,7 +142,7 @@
 
 func (d *Daemon) crashKey(life string) string { return crashPrefix + d.Settings.Name + "/" + life }
 
-func (x *report) value() []byte {
+func (x *crashReport) encode() []byte {
 	row := crashRow{AtMS: x.at.UnixMilli()}
 	for sum := range x.sums {
 		row.Sums = append(row.Sums, sum.String())
@@ -168,9 +168,9 @@
 		return
 	}
 	d.Log.Warn("boxes were not told which requests ran on targets that ended; trying again", "targets", len(m.lives), "err", m.err)
-	r.again = now.Add(crashAgain)
+	r.retryAt = now.Add(crashAgain)
 	for _, life := range m.lives {
-		if x := r.byLife[life]; x != nil {
+		if x := r.byIncarnation[life]; x != nil {
 			x.written = false
 		}
 	}
@@ -194,11 +194,11 @@
 			continue
 		}
 		sums = append(sums, sum)
-		d.endedUnder(now, t, life, sum, box)
+		d.blameRequest(now, t, life, sum, box)
 	}
-	if box == d.Settings.Name && t.reports.byLife[life] == nil {
+	if box == d.Settings.Name && t.reports.byIncarnation[life] == nil {
 		t.reports.add(now, life, sums)
-		own := t.reports.byLife[life]
+		own := t.reports.byIncarnation[life]
 		own.written = true
 		if at := time.UnixMilli(row.AtMS); at.Before(now) {
 			own.at = at
@@ -206,35 +206,35 @@
 	}
 }
 
-// endedLately lists what this box found lately of requests that ran on targets when these
+// recentCrashes lists what this box found lately of requests that ran on targets when these
 // ended, for boxes that can't read the rows now, and of which other targets it heard.
-func (t *tables) endedLately(now time.Time) []peer.EndedUnder {
-	var list []peer.EndedUnder
-	for life, x := range t.reports.byLife {
-		if now.Sub(x.at) > tellFor {
+func (t *tables) recentCrashes(now time.Time) []peer.CrashReport {
+	var list []peer.CrashReport
+	for life, x := range t.reports.byIncarnation {
+		if now.Sub(x.at) > announceFor {
 			continue
 		}
-		told := peer.EndedUnder{Life: life}
+		told := peer.CrashReport{Incarnation: life}
 		for sum := range x.sums {
-			told.Sums = append(told.Sums, sum)
+			told.Fingerprints = append(told.Fingerprints, sum)
 		}
 		list = append(list, told)
 	}
-	for life, at := range t.over {
-		if now.Sub(at) <= tellFor && t.reports.byLife[life] == nil {
-			list = append(list, peer.EndedUnder{Life: life})
+	for life, at := range t.endedIncarnations {
+		if now.Sub(at) <= announceFor && t.reports.byIncarnation[life] == nil {
+			list = append(list, peer.CrashReport{Incarnation: life})
 		}
 	}
 	return list
 }
 
-// hearQuarantine takes over what another box says of requests that ran on targets when
+// receiveQuarantine takes over what another box says of requests that ran on targets when
 // these ended, and of such that were answered after all.
-func (d *Daemon) hearQuarantine(now time.Time, t *tables, m peer.Message) {
-	for _, told := range m.Ended {
-		d.lifeOver(now, t, told.Life, m.From)
-		for _, sum := range told.Sums[:min(len(told.Sums), crashSums)] {
-			d.endedUnder(now, t, told.Life, sum, m.From)
+func (d *Daemon) receiveQuarantine(now time.Time, t *tables, m peer.Message) {
+	for _, told := range m.CrashReports {
+		d.lifeOver(now, t, told.Incarnation, m.From)
+		for _, sum := range told.Fingerprints[:min(len(told.Fingerprints), crashSums)] {
+			d.blameRequest(now, t, told.Incarnation, sum, m.From)
 		}
 	}
 	for _, sum := range m.Lifted {
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -38,39 +38,39 @@
 	// called about once a second.
 	Sweep func(now time.Time)
 
-	parts
-	tables tables
-	counts counters
+	components
+	tables  tables
+	metrics metricSet
 	// messages has room, so that requests rarely wait for the loop.
 	messages chan message
 	// current is the configuration in force, proved when it was last known to
 	// be the newest; both are for readers outside the loop.
-	current atomic.Pointer[routing.Table]
-	proved  atomic.Pointer[time.Time]
-	// elsewhere is when another box last said that it can admit callers.
-	elsewhere atomic.Pointer[time.Time]
+	current  atomic.Pointer[routing.Table]
+	provedAt atomic.Pointer[time.Time]
+	// otherReadyAt is when another box last said that it can admit callers.
+	otherReadyAt atomic.Pointer[time.Time]
 	// bounds are the platform's as last read.
 	bounds atomic.Pointer[settings.Bounds]
-	// raw is the configuration as it was read, for boxes that ask this one.
-	raw atomic.Pointer[[]byte]
+	// rawConfiguration is the configuration as it was read, for boxes that ask this one.
+	rawConfiguration atomic.Pointer[[]byte]
 	// spoke says that this box takes a hub's view of the platform.
 	spoke atomic.Bool
 	// unlisted says that this box has no row.
 	unlisted atomic.Bool
-	// roleAt is since when this box knows its role in the fleet.
-	roleAt atomic.Pointer[time.Time]
+	// roleSince is since when this box knows its role in the fleet.
+	roleSince atomic.Pointer[time.Time]
 	// listReads has the list read at once when another box knows of a later change.
 	listReads listReads
-	// waiting says that this box waits for the other boxes' rows and so does not
+	// roleUnknown says that this box waits for the other boxes' rows and so does not
 	// know its role.
-	waiting atomic.Bool
-	// serving says that other boxes take this one's view.
-	serving atomic.Bool
-	// vouches is for how long another hub's proofs are waited for before this box reads
+	roleUnknown atomic.Bool
+	// hasSpokes says that other boxes take this one's view.
+	hasSpokes atomic.Bool
+	// peerProofMaxAge is for how long another hub's proofs are waited for before this box reads
 	// the operator's rows itself, in nanoseconds; zero waits for none. behind says that
 	// another one knows of a later change.
-	vouches atomic.Int64
-	behind  atomic.Bool
+	peerProofMaxAge atomic.Int64
+	operatorBehind  atomic.Bool
 	// credential is what boxes show each other, once it was read.
 	credential atomic.Pointer[string]
 	// stopping is set once a planned stop has begun, closing once connections
@@ -91,7 +91,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	d.Log.Info("started", "callers", d.Settings.Callers, "ready", d.Settings.Ready, "store", d.Settings.Store.Address, "counts_suspensions", boottime.Counts())
+	d.Log.Info("started", "callers", d.Settings.Callers, "ready", d.Settings.Ready, "store", d.Settings.Store.Address, "counts_suspensions", boottime.CountsSuspensions())
 	var work sync.WaitGroup
 	d.outage.start(background)
 	work.Go(func() { d.loop(background) })
@@ -120,7 +120,7 @@
 		case m := <-d.messages:
 			now := d.now()
 			d.run(ctx, d.update(now, m))
-			d.run(ctx, d.hurryGossip(now, &d.tables))
+			d.run(ctx, d.gossipBetweenTicks(now, &d.tables))
 		case <-ticks.C:
 			now := d.now()
 			for _, system := range d.systems {
@@ -130,16 +130,16 @@
 	}
 }
 
-// report hands a message to the loop, unless the loop has ended.
-func (d *Daemon) report(m message) {
+// post hands a message to the loop, unless the loop has ended.
+func (d *Daemon) post(m message) {
 	select {
 	case d.messages <- m:
 	case <-d.ended:
 	}
 }
 
-// tell hands a message to the loop, unless ctx ends first.
-func (d *Daemon) tell(ctx context.Context, m message) {
+// postContext hands a message to the loop, unless ctx ends first.
+func (d *Daemon) postContext(ctx context.Context, m message) {
 	select {
 	case d.messages <- m:
 	case <-ctx.Done():
--- a/entry/departed.go
+++ b/entry/departed.go
@@ -10,9 +10,9 @@
 // A restored table service may list a target again that went before the restore, until the
 // platform drops its entry. Such entries are held back.
 
-// departure is how a target went from the list.
-type departure struct {
-	life fleet.Life
+// tombstone is how a target went from the list.
+type tombstone struct {
+	life fleet.Incarnation
 	// leaving says that it had been said to leave, which no life takes back.
 	leaving bool
 	at      time.Time
@@ -36,15 +36,15 @@
 // holdBack keeps an entry of a restored list from being taken over, if its target went from the
 // list before: it may still serve, but nobody is to send it anything.
 func (d *Daemon) holdBack(now time.Time, t *tables, e fleet.Entry) bool {
-	last, known := t.departed[e.ID]
-	if !known || e.Born.After(last.life.Born) || now.Sub(last.at) > departedFor {
+	last, known := t.tombstones[e.ID]
+	if !known || e.StartedAt.After(last.life.StartedAt) || now.Sub(last.at) > departedFor {
 		return false
 	}
 	held := heldEntry{entry: e, until: now.Add(staleEntryFor)}
 	if last.leaving {
 		held.until = time.Time{}
 	}
-	t.heldBack[e.ID] = held
+	t.heldEntries[e.ID] = held
 	d.Log.Warn("target's entry is not taken over, as it went before the table service was restored", "target", e.ID, "gone_for", now.Sub(last.at), "left", last.leaving)
 	return true
 }
@@ -52,13 +52,13 @@
 // releaseHeld takes over the entries that the list has kept for longer than it keeps those of
 // targets that went.
 func (d *Daemon) releaseHeld(now time.Time, t *tables) {
-	for id, held := range t.heldBack {
+	for id, held := range t.heldEntries {
 		if held.until.IsZero() || now.Before(held.until) {
 			continue
 		}
-		delete(t.heldBack, id)
+		delete(t.heldEntries, id)
 		d.Log.Info("target's entry is taken over, as the list kept it", "target", id)
 		d.listTarget(now, t, held.entry)
 	}
-	maps.DeleteFunc(t.departed, func(_ string, x departure) bool { return now.Sub(x.at) > departedFor })
+	maps.DeleteFunc(t.tombstones, func(_ string, x tombstone) bool { return now.Sub(x.at) > departedFor })
 }
--- a/entry/effect.go
+++ b/entry/effect.go
@@ -14,8 +14,8 @@
 // effect is something to do outside the loop.
 type effect any
 
-// followSource reads a source's news until ctx ends.
-type followSource struct {
+// watchSource reads a source's news until ctx ends.
+type watchSource struct {
 	ctx  context.Context
 	name string
 	at   netip.AddrPort
@@ -48,7 +48,7 @@
 	order rollout.Order
 	at    netip.AddrPort
 	// life is the target's when the order was decided on.
-	life fleet.Life
+	life fleet.Incarnation
 }
 
 // run starts effects; each tells the loop what came of it.
@@ -60,50 +60,50 @@
 
 func (d *Daemon) do(ctx context.Context, e effect) {
 	switch e := e.(type) {
-	case followSource:
-		d.followSource(ctx, e)
+	case watchSource:
+		d.watchSource(ctx, e)
 	case stepLease:
-		d.tell(ctx, d.step(ctx, e))
+		d.postContext(ctx, d.step(ctx, e))
 	case freeParts:
-		d.tell(ctx, freedOld{e.model, e.version, d.free(ctx, e)})
+		d.postContext(ctx, staleFreed{e.model, e.version, d.free(ctx, e)})
 	case announce:
-		d.tell(ctx, announced{e.model, d.write(ctx, e.row)})
+		d.postContext(ctx, announced{e.model, d.write(ctx, e.row)})
 	case sendOrder:
-		err := d.bring(ctx, e)
-		d.tell(ctx, orderEnded{e.order.Target, e.order.Model, e.order.Version, err})
+		err := d.loadWeights(ctx, e)
+		d.postContext(ctx, orderEnded{e.order.Target, e.order.Model, e.order.Version, err})
 	case askHub:
-		d.tell(ctx, d.askHub(ctx, e))
-	case readFromHub:
-		d.tell(ctx, d.readFromHub(ctx, e))
+		d.postContext(ctx, d.askHub(ctx, e))
+	case fetchConfiguration:
+		d.postContext(ctx, d.fetchConfiguration(ctx, e))
 	case callPeer:
-		d.tell(ctx, d.callPeer(ctx, e))
-	case askLoaded:
+		d.postContext(ctx, d.callPeer(ctx, e))
+	case pollLoaded:
 		asked := d.now()
 		report, err := d.Platform.Report(ctx, e.at)
-		d.heedReport(asked, e.life, report)
-		d.tell(ctx, loadedAsked{e.target, report, err})
+		d.signalsFromReport(asked, e.life, report)
+		d.postContext(ctx, loadPolled{e.target, report, err})
 	case probe:
-		d.tell(ctx, probed{e, d.ask(ctx, e)})
+		d.postContext(ctx, probed{e, d.ask(ctx, e)})
 	case claimTrial:
-		d.tell(ctx, d.claimTrial(ctx, e))
-	case decideCanary:
-		d.tell(ctx, d.decideCanary(ctx, e))
-	case tellCanary:
-		d.tell(ctx, d.tellCanary(ctx, e))
+		d.postContext(ctx, d.claimTrial(ctx, e))
+	case writeCanary:
+		d.postContext(ctx, d.writeCanary(ctx, e))
+	case reportCanary:
+		d.postContext(ctx, d.reportCanary(ctx, e))
 	case writeCrashes:
-		d.tell(ctx, d.writeCrashes(ctx, e))
+		d.postContext(ctx, d.writeCrashes(ctx, e))
 	case rewrite:
-		d.tell(ctx, d.rewrite(ctx, e))
+		d.postContext(ctx, d.rewrite(ctx, e))
 	}
 }
 
 func (d *Daemon) step(ctx context.Context, e stepLease) leaseStepped {
-	m := leaseStepped{err: d.lease.Step(ctx)}
+	m := leaseStepped{err: d.lease.AcquireOrRenew(ctx)}
 	epoch, _, held := d.lease.Held()
 	if !held || epoch == e.known {
 		return m
 	}
-	own, err := d.Platform.Own(ctx, revision.Revision{}, 0)
+	own, err := d.Platform.OwnRows(ctx, revision.Revision{}, 0)
 	if err != nil {
 		m.err = err
 		return m
--- a/entry/emulator_test.go
+++ b/entry/emulator_test.go
@@ -43,17 +43,17 @@
 	rows    *fake.Table
 	// fed are the rows as they were last told.
 	fed []table.Row
-	// noRows are boxes that the table service does not answer, dead those that answer nobody.
-	noRows, dead map[string]bool
+	// tableServiceDown are boxes that the table service does not answer, dead those that answer nobody.
+	tableServiceDown, dead map[string]bool
 	// operator is what the operator wrote last, changed its version.
 	operator Operator
-	// listed is what the list of targets holds.
-	listed map[string]fleet.Entry
+	// targets is what the list of targets holds.
+	targets map[string]fleet.Entry
 	// version is the table service's, of the copy that it was last restored from on.
 	version, restores uint64
-	// told is what the operator was told, by pool.
-	told map[string][]canary.State
-	cost map[string]*emulatedCost
+	// canaryReports is what the operator was told, by pool.
+	canaryReports map[string][]canary.State
+	cost          map[string]*emulatedCost
 }
 
 // emulatedCost is what one box did.
@@ -70,10 +70,10 @@
 // emulate starts boxes in domains d0, d1 and so on, which know each other.
 func emulate(boxes, domains int, table *routing.Table) *emulator {
 	w := &emulator{
-		now: start, byName: make(map[string]*Daemon), rows: &fake.Table{}, noRows: make(map[string]bool), dead: make(map[string]bool),
-		listed: make(map[string]fleet.Entry), version: 10, told: make(map[string][]canary.State), cost: make(map[string]*emulatedCost),
+		now: start, byName: make(map[string]*Daemon), rows: &fake.Table{}, tableServiceDown: make(map[string]bool), dead: make(map[string]bool),
+		targets: make(map[string]fleet.Entry), version: 10, canaryReports: make(map[string][]canary.State), cost: make(map[string]*emulatedCost),
 	}
-	w.operator = Operator{Table: table, Raw: []byte("raw"), Whole: true, Changed: rev(9), Known: rev(10)}
+	w.operator = Operator{Table: table, Raw: []byte("raw"), Snapshot: true, Changed: rev(9), Known: rev(10)}
 	for i := range boxes {
 		w.add(fmt.Sprintf("box-%04d", i), fmt.Sprintf("d%d", i%domains), i < strongEach*domains)
 	}
@@ -100,12 +100,12 @@
 		w.cost[name].storeCalls++
 		return w.rows.Read(ctx, key)
 	}
-	d.Platform.Own = func(ctx context.Context, _ revision.Revision, _ time.Duration) (Own, error) {
+	d.Platform.OwnRows = func(ctx context.Context, _ revision.Revision, _ time.Duration) (OwnRows, error) {
 		w.cost[name].storeCalls++
 		rows, err := w.rows.ListAll(ctx, "")
-		return Own{Whole: true, Rows: rows, Known: w.revision()}, err
+		return OwnRows{Snapshot: true, Rows: rows, Known: w.revision()}, err
 	}
-	d.Platform.TellCanary = func(_ context.Context, ask canary.Ask, state canary.State) error {
+	d.Platform.ReportCanary = func(_ context.Context, ask canary.Rollout, state canary.State) error {
 		w.cost[name].storeCalls++
 		w.tell(ask.Pool, state)
 		return nil
@@ -119,11 +119,11 @@
 
 // tell tells the operator, of whose row nothing is taken back but for another ask.
 func (w *emulator) tell(pool string, state canary.State) {
-	told := w.told[pool]
+	told := w.canaryReports[pool]
 	if len(told) > 0 && told[len(told)-1].Ended() && !state.Ended() {
 		return
 	}
-	w.told[pool] = append(told, state)
+	w.canaryReports[pool] = append(told, state)
 }
 
 // join has a box know all others and what the platform says.
@@ -133,12 +133,12 @@
 		if other == d {
 			d.Settings.Peers = at
 		}
-		d.tables.members[other.Settings.Name] = &member{at: at, domain: other.Settings.Domain, share: other.Settings.Box.Share}
+		d.tables.members[other.Settings.Name] = &member{address: at, domain: other.Settings.Domain, share: other.Settings.Box.Share}
 	}
-	d.tables.settled = true
-	w.carry(d, d.assumeRole(w.now, &d.tables))
-	w.carry(d, d.update(w.now, operatorRead{w.now, w.operator}))
-	w.carry(d, d.update(w.now, targetsRead{w.now, w.list(), false}))
+	d.tables.membersKnown = true
+	w.perform(d, d.updateRole(w.now, &d.tables))
+	w.perform(d, d.update(w.now, operatorRead{w.now, w.operator}))
+	w.perform(d, d.update(w.now, targetsRead{w.now, w.list(), false}))
 }
 
 // revision is the table service's newest.
@@ -148,8 +148,8 @@
 
 // list is the whole list.
 func (w *emulator) list() Targets {
-	all := Targets{Whole: true, Known: w.revision(), Changed: w.revision()}
-	for _, e := range w.listed {
+	all := Targets{Snapshot: true, Known: w.revision(), Changed: w.revision()}
+	for _, e := range w.targets {
 		all.Listed = append(all.Listed, e)
 	}
 	return all
@@ -170,43 +170,43 @@
 	}
 	w.fed = rows
 	for _, d := range w.boxes {
-		if !d.spoke.Load() && !w.noRows[d.Settings.Name] && !w.dead[d.Settings.Name] {
-			whole := d.tables.ownKnownAt.Restores < w.restores
-			w.carry(d, d.update(w.now, ownRead{Own{Whole: whole, Rows: rows, Known: w.revision()}, true}))
+		if !d.spoke.Load() && !w.tableServiceDown[d.Settings.Name] && !w.dead[d.Settings.Name] {
+			whole := d.tables.ownRowsRevision.Restores < w.restores
+			w.perform(d, d.update(w.now, ownRead{OwnRows{Snapshot: whole, Rows: rows, Known: w.revision()}, true}))
 		}
 	}
 }
 
-// enter puts targets into the list; the boxes that read it know after at most targetsEvery.
-func (w *emulator) enter(entries ...fleet.Entry) {
+// addTargets puts targets into the list; the boxes that read it know after at most targetsEvery.
+func (w *emulator) addTargets(entries ...fleet.Entry) {
 	w.version++
 	for _, e := range entries {
-		w.listed[e.ID] = e
+		w.targets[e.ID] = e
 	}
 	w.tellList(Targets{Listed: entries, Known: w.revision(), Changed: w.revision()})
 }
 
-// leave takes targets out of the list.
-func (w *emulator) leave(ids ...string) {
+// removeTargets takes targets out of the list.
+func (w *emulator) removeTargets(ids ...string) {
 	w.version++
 	for _, id := range ids {
-		delete(w.listed, id)
+		delete(w.targets, id)
 	}
 	w.tellList(Targets{Gone: ids, Known: w.revision(), Changed: w.revision()})
 }
 
 func (w *emulator) tellList(change Targets) {
 	for _, d := range w.boxes {
-		w.later(targetsEvery/2, func() {
-			if !d.viewed(w.now) && !w.noRows[d.Settings.Name] {
-				w.carry(d, d.update(w.now, targetsRead{w.now, change, false}))
+		w.after(targetsReadInterval/2, func() {
+			if !d.hasFreshView(w.now) && !w.tableServiceDown[d.Settings.Name] {
+				w.perform(d, d.update(w.now, targetsRead{w.now, change, false}))
 			}
 		})
 	}
 }
 
-// write has the operator write something.
-func (w *emulator) write(change func(o *Operator)) {
+// writeOperator has the operator write something.
+func (w *emulator) writeOperator(change func(o *Operator)) {
 	w.version++
 	w.operator.Changed, w.operator.Known = w.revision(), w.revision()
 	change(&w.operator)
@@ -218,8 +218,8 @@
 	w.version -= lost
 	w.restores++
 	w.rows.Restore(own)
-	w.write(func(o *Operator) {
-		asks := make(map[string]*canary.Ask, len(o.Canaries))
+	w.writeOperator(func(o *Operator) {
+		asks := make(map[string]*canary.Rollout, len(o.Canaries))
 		for pool, ask := range o.Canaries {
 			again := *ask
 			again.Order = canary.OrderAt(w.revision())
@@ -233,20 +233,20 @@
 	}
 	w.fed = rows
 	for _, d := range w.boxes {
-		if !d.viewed(w.now) && !w.noRows[d.Settings.Name] {
-			w.carry(d, d.update(w.now, targetsRead{w.now, w.list(), true}))
-			w.carry(d, d.update(w.now, ownRead{Own{Whole: true, Rows: rows, Known: w.revision()}, true}))
+		if !d.hasFreshView(w.now) && !w.tableServiceDown[d.Settings.Name] {
+			w.perform(d, d.update(w.now, targetsRead{w.now, w.list(), true}))
+			w.perform(d, d.update(w.now, ownRead{OwnRows{Snapshot: true, Rows: rows, Known: w.revision()}, true}))
 		}
 	}
 }
 
-// later has something done after a time.
-func (w *emulator) later(after time.Duration, run func()) {
+// after has something done after a time.
+func (w *emulator) after(after time.Duration, run func()) {
 	w.pending = append(w.pending, pending{w.now.Add(after), run})
 }
 
-// play passes time, in which each box's systems run, and what is under way arrives.
-func (w *emulator) play(length time.Duration, each func()) {
+// advance passes time, in which each box's systems run, and what is under way arrives.
+func (w *emulator) advance(length time.Duration, each func()) {
 	for end := w.now.Add(length); w.now.Before(end); w.now = w.now.Add(emulatedStep) {
 		w.arrive()
 		w.feedRows()
@@ -277,52 +277,52 @@
 
 // tick runs a box's systems and reads the operator's rows if it is its turn.
 func (w *emulator) tick(d *Daemon) {
-	if w.now.Sub(start)%hubHold == 0 && !w.noRows[d.Settings.Name] && !d.viewed(w.now) && !d.vouched(w.now) {
+	if w.now.Sub(start)%hubHold == 0 && !w.tableServiceDown[d.Settings.Name] && !d.hasFreshView(w.now) && !d.hasPeerProof(w.now) {
 		w.cost[d.Settings.Name].storeCalls++
 		read := w.operator
 		read.Known = w.revision()
 		read.Clock = time.Hour + w.now.Sub(start)
-		w.carry(d, d.update(w.now, operatorRead{w.now, read}))
+		w.perform(d, d.update(w.now, operatorRead{w.now, read}))
 	}
 	for _, system := range d.systems {
-		w.carry(d, system(w.now, &d.tables))
+		w.perform(d, system(w.now, &d.tables))
 	}
 }
 
-// carry carries effects out.
-func (w *emulator) carry(d *Daemon, effects []effect) {
+// perform carries effects out.
+func (w *emulator) perform(d *Daemon, effects []effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case callPeer:
 			w.call(d, e.name, e.m, func(answer peer.Message, err error) {
-				w.carry(d, d.update(w.now, peerCalled{e.name, e.asked, answer, err}))
+				w.perform(d, d.update(w.now, peerAnswered{e.name, e.asked, answer, err}))
 			})
 		case askHub:
-			m := peer.Message{Kind: peer.KindPlace, From: d.Settings.Name, Ask: &e.ask}
+			m := peer.Message{Kind: peer.KindPlace, From: d.Settings.Name, PlacementRequest: &e.ask}
 			w.call(d, e.hub, m, func(answer peer.Message, err error) {
-				w.carry(d, d.update(w.now, hubPlaced{e.hub, e.m, answer.Placed, err}))
+				w.perform(d, d.update(w.now, hubPlaced{e.hub, e.m, answer.PlacementResponse, err}))
 			})
-		case readFromHub:
-			w.later(2*emulatedHop, func() {
-				w.carry(d, d.update(w.now, configurationFromHub{e.proof, Operator{Table: w.operator.Table}, nil}))
+		case fetchConfiguration:
+			w.after(2*emulatedHop, func() {
+				w.perform(d, d.update(w.now, configurationFromHub{e.proof, Operator{Table: w.operator.Table}, nil}))
 			})
-		case followSource:
+		case watchSource:
 			w.cost[d.Settings.Name].followed++
-			w.later(storeAnswer, func() {
+			w.after(storeAnswer, func() {
 				if e.ctx.Err() == nil {
-					w.carry(d, d.update(w.now, newsRead{source: e.name, asked: w.now}))
+					w.perform(d, d.update(w.now, cacheEventsRead{source: e.name, asked: w.now}))
 				}
 			})
 		case rewrite:
-			w.later(e.after+storeAnswer, func() { w.reach(d, rewritten{e, d.Platform.Commit(context.Background(), e.tx)}) })
+			w.after(e.after+storeAnswer, func() { w.reach(d, rewritten{e, d.Platform.Commit(context.Background(), e.tx)}) })
 		case writeCrashes:
-			w.later(storeAnswer, func() { w.reach(d, d.writeCrashes(context.Background(), e)) })
+			w.after(storeAnswer, func() { w.reach(d, d.writeCrashes(context.Background(), e)) })
 		case stepLease:
-			w.later(storeAnswer, func() { w.reach(d, d.step(context.Background(), e)) })
-		case decideCanary:
-			w.later(storeAnswer, func() { w.reach(d, d.decideCanary(context.Background(), e)) })
-		case tellCanary:
-			w.later(storeAnswer, func() { w.reach(d, d.tellCanary(context.Background(), e)) })
+			w.after(storeAnswer, func() { w.reach(d, d.step(context.Background(), e)) })
+		case writeCanary:
+			w.after(storeAnswer, func() { w.reach(d, d.writeCanary(context.Background(), e)) })
+		case reportCanary:
+			w.after(storeAnswer, func() { w.reach(d, d.reportCanary(context.Background(), e)) })
 		}
 	}
 }
@@ -330,7 +330,7 @@
 // reach brings a message to a box that lives.
 func (w *emulator) reach(d *Daemon, m message) {
 	if !w.dead[d.Settings.Name] {
-		w.carry(d, d.update(w.now, m))
+		w.perform(d, d.update(w.now, m))
 	}
 }
 
@@ -338,14 +338,14 @@
 func (w *emulator) call(from *Daemon, name string, m peer.Message, done func(peer.Message, error)) {
 	to := w.byName[name]
 	if to == nil || w.dead[name] {
-		w.later(gossipFor, func() { done(peer.Message{}, context.DeadlineExceeded) })
+		w.after(gossipTimeout, func() { done(peer.Message{}, context.DeadlineExceeded) })
 		return
 	}
 	w.count(from, m)
-	w.later(emulatedHop, func() {
-		answer := to.peerAsks(w.now, &to.tables, m)
+	w.after(emulatedHop, func() {
+		answer := to.peerRequest(w.now, &to.tables, m)
 		w.count(to, answer)
-		w.later(emulatedHop, func() { done(answer, nil) })
+		w.after(emulatedHop, func() { done(answer, nil) })
 	})
 }
 
--- a/entry/evacuate.go
+++ b/entry/evacuate.go
@@ -13,18 +13,18 @@
 // be about to switch it off. Targets there still load weights, to be fit to return.
 // If every domain is evacuated, requests are refused: the ask is the operator's.
 
-// evacuationsRead takes over which domains the operator wants empty.
-func (d *Daemon) evacuationsRead(now time.Time, t *tables, m operatorRead) {
+// applyEvacuations takes over which domains the operator wants empty.
+func (d *Daemon) applyEvacuations(now time.Time, t *tables, m operatorRead) {
 	if m.change.Evacuations == nil {
 		return // A configuration read from a hub tells nothing of it.
 	}
 	t.evacuatedAt = now
 	wanted := m.change.Evacuations
-	if m.change.Whole {
+	if m.change.Snapshot {
 		d.evacuationsMissing(now, t, m)
 	}
 	for _, domain := range slices.Sorted(maps.Keys(wanted)) {
-		delete(t.evacuationLost, domain)
+		delete(t.lostEvacuations, domain)
 		d.evacuate(now, t, domain, wanted[domain], "the operator")
 	}
 }
@@ -33,24 +33,24 @@
 // restore lost: they stand until the operator has had the time to ask again.
 func (d *Daemon) evacuationsMissing(now time.Time, t *tables, m operatorRead) {
 	for _, domain := range t.fleet.Evacuated() {
-		_, lost := t.evacuationLost[domain]
+		_, lost := t.lostEvacuations[domain]
 		switch {
 		case m.change.Evacuations[domain] || lost:
 		case m.change.Known.Restores > t.operatorKnown.Restores:
-			d.Log.Warn("a restore lost the ask for an evacuation; it stands until the operator has had the time to ask again", "domain", domain, "for", askAgainWithin)
-			t.evacuationLost[domain] = now
+			d.Log.Warn("a restore lost the ask for an evacuation; it stands until the operator has had the time to ask again", "domain", domain, "for", operatorRewriteGrace)
+			t.lostEvacuations[domain] = now
 		default:
 			d.evacuate(now, t, domain, false, "the operator")
 		}
 	}
 }
 
-// endLostEvacuations opens the domains of which the operator did not ask again for the
+// expireLostEvacuations opens the domains of which the operator did not ask again for the
 // evacuation that a restore lost.
-func (d *Daemon) endLostEvacuations(now time.Time, t *tables) {
-	for domain, at := range t.evacuationLost {
-		if now.Sub(at) >= askAgainWithin {
-			delete(t.evacuationLost, domain)
+func (d *Daemon) expireLostEvacuations(now time.Time, t *tables) {
+	for domain, at := range t.lostEvacuations {
+		if now.Sub(at) >= operatorRewriteGrace {
+			delete(t.lostEvacuations, domain)
 			d.evacuate(now, t, domain, false, "the operator, who did not ask again")
 		}
 	}
@@ -84,9 +84,9 @@
 		d.Log.Warn("a domain without any target is evacuated", "domain", domain)
 	}
 	if !closed {
-		d.maybeCold(now, t, domain)
+		d.assumeCold(now, t, domain)
 	}
-	d.counts.evacuated.Set(float64(len(t.fleet.Evacuated())))
+	d.metrics.evacuated.Set(float64(len(t.fleet.Evacuated())))
 }
 
 // evacuationsUnknown says that this box's last proof of what the operator wrote is so
--- a/entry/evacuate_test.go
+++ b/entry/evacuate_test.go
@@ -13,11 +13,11 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// threeDomains makes a box before a service with a target in each of three domains.
-func threeDomains() *Daemon {
+// boxWithThreeDomains makes a box before a service with a target in each of three domains.
+func boxWithThreeDomains() *Daemon {
 	d := newDaemon("box")
 	for _, domain := range []string{"a", "b", "c"} {
-		d.tables.fleet.List(start, fleet.Entry{ID: "i-" + domain, Pool: "orders", Domain: domain, Address: netip.MustParseAddrPort("10.0.0.1:1"), Slots: 4})
+		d.tables.fleet.Upsert(start, fleet.Entry{ID: "i-" + domain, Pool: "orders", Domain: domain, Address: netip.MustParseAddrPort("10.0.0.1:1"), Slots: 4})
 	}
 	return d
 }
@@ -26,7 +26,7 @@
 func domainsUsed(d *Daemon, now time.Time) []string {
 	used := make(map[string]bool)
 	for range 12 {
-		ask := deliver.Ask{Job: &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{}, Pool: &routing.Pool{Name: "orders"}}}
+		ask := deliver.PlacementRequest{Job: &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{}, Pool: &routing.Pool{Name: "orders"}}}
 		place, err := d.place(now, &d.tables, ask)
 		if err != nil {
 			return nil
@@ -47,7 +47,7 @@
 	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 	own := func(seconds int, whole bool, rows map[string]bool) func(*Daemon) {
 		return func(d *Daemon) {
-			d.operatorRead(at(seconds), &d.tables, operatorRead{at(seconds), Operator{Evacuations: rows, Whole: whole}})
+			d.operatorRead(at(seconds), &d.tables, operatorRead{at(seconds), Operator{Evacuations: rows, Snapshot: whole}})
 		}
 	}
 	hub := func(seconds int, domains ...string) func(*Daemon) {
@@ -55,7 +55,7 @@
 	}
 	enters := func(domain string) func(*Daemon) {
 		return func(d *Daemon) {
-			d.tables.fleet.List(start, fleet.Entry{ID: "j-" + domain, Pool: "orders", Domain: domain, Address: netip.MustParseAddrPort("10.0.0.1:1"), Slots: 4})
+			d.tables.fleet.Upsert(start, fleet.Entry{ID: "j-" + domain, Pool: "orders", Domain: domain, Address: netip.MustParseAddrPort("10.0.0.1:1"), Slots: 4})
 		}
 	}
 	tests := []struct {
@@ -78,7 +78,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := threeDomains()
+			d := boxWithThreeDomains()
 			for _, step := range tt.steps {
 				step(d)
 			}
@@ -92,13 +92,13 @@
 // TestEvacuationTravels shows that a hub's view tells of evacuations, and that its
 // place in an evacuated domain is not taken by a box that knows better.
 func TestEvacuationTravels(t *testing.T) {
-	d := threeDomains()
+	d := boxWithThreeDomains()
 	d.tables.fleet.Evacuate("b", true)
 	if v := d.view(start, &d.tables, changelog.Cursor{}); !slices.Equal(v.Evacuated, []string{"b"}) {
 		t.Errorf("the view tells of %v", v.Evacuated)
 	}
-	ask := deliver.Ask{Job: &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{}, Pool: &routing.Pool{Name: "orders"}}}
-	if _, ok := d.accept(start, &d.tables, ask, &peer.Placed{Target: "i-b"}); ok {
+	ask := deliver.PlacementRequest{Job: &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{}, Pool: &routing.Pool{Name: "orders"}}}
+	if _, ok := d.acceptHubPlace(start, &d.tables, ask, &peer.PlacementResponse{Target: "i-b"}); ok {
 		t.Error("a place in an evacuated domain is taken")
 	}
 }
@@ -116,12 +116,12 @@
 		{0, 6 * time.Second, time.Hour, true},
 	}
 	for _, tt := range tests {
-		d := threeDomains()
+		d := boxWithThreeDomains()
 		bounds := *d.bounds.Load()
 		bounds.EvacuatedWithin, bounds.Stretch = tt.within, tt.stretch
 		d.bounds.Store(&bounds)
 		proved := start
-		d.proved.Store(&proved)
+		d.provedAt.Store(&proved)
 		if served := domainsUsed(d, start.Add(tt.ago)) != nil; served != tt.served {
 			t.Errorf("bound %v and %v, proof %v old: served %v", tt.within, tt.stretch, tt.ago, served)
 		}
--- a/entry/follow.go
+++ b/entry/follow.go
@@ -29,8 +29,8 @@
 	newsLater = 3 * time.Second
 )
 
-// listStores takes the stores of kept parts from the configuration.
-func (d *Daemon) listStores(t *tables, table *routing.Table) {
+// configureStores takes the stores of kept parts from the configuration.
+func (d *Daemon) configureStores(t *tables, table *routing.Table) {
 	t.stores = t.stores[:0]
 	for _, p := range table.Pools {
 		if p.Store == nil {
@@ -38,7 +38,7 @@
 		}
 		t.stores = append(t.stores, &affinity.Source{
 			Name: p.Name, Address: p.Store.Address, Domain: p.Store.Domain, Capacity: p.Store.Capacity,
-			First: p.Store.First, Token: move(tokenBytes(table), p.Store.Megabits),
+			Delay: p.Store.TransferDelay, PerToken: move(tokenBytes(table), p.Store.Megabits),
 		})
 	}
 	t.engineToken = move(tokenBytes(table), engineMegabits(table))
@@ -75,13 +75,13 @@
 	return time.Duration(float64(bytes) * 8 / megabits * float64(time.Microsecond))
 }
 
-// follow starts and stops the reading of sources' news: a hub follows the stores
+// reconcileSources starts and stops the reading of sources' news: a hub follows the stores
 // and the engines that are listed, a box that hears no hub only the stores, and
 // not with calls that are held, as each source takes few of them.
-func (d *Daemon) follow(now time.Time, t *tables) []effect {
+func (d *Daemon) reconcileSources(now time.Time, t *tables) []effect {
 	wanted := make(map[string]netip.AddrPort)
-	lone := d.lone(now, t)
-	if !t.settled || d.spoke.Load() && !lone {
+	lone := d.hubless(now, t)
+	if !t.membersKnown || d.spoke.Load() && !lone {
 		return d.followOnly(t, wanted, false)
 	}
 	for _, s := range t.stores {
@@ -92,7 +92,7 @@
 	}
 	if table := d.current.Load(); table != nil {
 		for name, p := range table.Pools {
-			if p.Engine == nil || !t.steady(now, name) {
+			if p.Engine == nil || !t.stable(now, name) {
 				continue
 			}
 			for _, x := range t.engines(name) {
@@ -106,23 +106,23 @@
 // followOnly has just the sources given followed. What others keep is not used
 // any more, as it may change unheard.
 func (d *Daemon) followOnly(t *tables, wanted map[string]netip.AddrPort, alone bool) []effect {
-	for name, stop := range t.followed {
-		if _, still := wanted[name]; !still || alone != t.alone {
+	for name, stop := range t.watched {
+		if _, still := wanted[name]; !still || alone != t.followsHubless {
 			stop()
-			delete(t.followed, name)
-			t.directory.Silence(name)
+			delete(t.watched, name)
+			t.directory.Disconnected(name)
 		}
 	}
-	t.alone = alone
-	t.warmed = t.warmed && !alone && len(wanted) > 0
+	t.followsHubless = alone
+	t.hubWarm = t.hubWarm && !alone && len(wanted) > 0
 	var effects []effect
 	for name, at := range wanted {
-		if t.followed[name] != nil {
+		if t.watched[name] != nil {
 			continue
 		}
 		ctx, stop := context.WithCancel(context.Background())
-		t.followed[name] = stop
-		effect := followSource{ctx: ctx, name: name, at: at, hold: newsHold, every: newsEvery}
+		t.watched[name] = stop
+		effect := watchSource{ctx: ctx, name: name, at: at, hold: newsHold, every: newsEvery}
 		if alone {
 			effect.hold, effect.every = 0, loneEvery
 		}
@@ -131,8 +131,8 @@
 	return effects
 }
 
-// followSource reads one source's news until either context ends.
-func (d *Daemon) followSource(ctx context.Context, e followSource) {
+// watchSource reads one source's news until either context ends.
+func (d *Daemon) watchSource(ctx context.Context, e watchSource) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := context.AfterFunc(e.ctx, cancel)
@@ -140,21 +140,21 @@
 	var since uint64
 	for ctx.Err() == nil {
 		began := d.now()
-		m := newsRead{source: e.name, asked: began}
-		m.news, m.err = d.Platform.News(ctx, e.at, since, e.hold)
-		if m.err == nil && m.news.Gap && since > 0 {
-			m.news, m.err = d.Platform.List(ctx, e.at)
+		m := cacheEventsRead{source: e.name, asked: began}
+		m.events, m.err = d.Platform.CacheEvents(ctx, e.at, since, e.hold)
+		if m.err == nil && m.events.Gap && since > 0 {
+			m.events, m.err = d.Platform.ListCache(ctx, e.at)
 			m.listed = true
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		d.tell(ctx, m)
+		d.postContext(ctx, m)
 		if m.err != nil {
-			d.pause(ctx, max(newsAgain, min(m.news.Said.Backoff, newsLater)))
+			d.sleep(ctx, max(newsAgain, min(m.events.Signals.Backoff, newsLater)))
 			continue
 		}
-		since = m.news.Next
-		d.pause(ctx, e.every-d.now().Sub(began))
+		since = m.events.Next
+		d.sleep(ctx, e.every-d.now().Sub(began))
 	}
 }
--- a/entry/follow_test.go
+++ b/entry/follow_test.go
@@ -30,13 +30,13 @@
 				d := newDaemon("b1")
 				d.now = time.Now
 				calls := 0
-				d.Platform.News = func(context.Context, netip.AddrPort, uint64, time.Duration) (News, error) {
+				d.Platform.CacheEvents = func(context.Context, netip.AddrPort, uint64, time.Duration) (CacheEvents, error) {
 					calls++
-					return News{Said: notice.Said{Backoff: tt.after}}, errors.New("turned away")
+					return CacheEvents{Signals: notice.Signals{Backoff: tt.after}}, errors.New("turned away")
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 6*time.Second-time.Millisecond)
 				defer cancel()
-				d.followSource(ctx, followSource{ctx: ctx, name: "a", hold: newsHold, every: newsEvery})
+				d.watchSource(ctx, watchSource{ctx: ctx, name: "a", hold: newsHold, every: newsEvery})
 				if calls != tt.calls {
 					t.Errorf("%d calls, want %d", calls, tt.calls)
 				}
--- a/entry/free.go
+++ b/entry/free.go
@@ -28,17 +28,17 @@
 }
 
 // toFree says that stores may still keep parts made on older weights.
-func (w *weights) toFree(t *tables) bool {
-	return t.ownKnown && len(t.stores) > 0 && w.clearing.Floor() > 1 && w.freed < w.clearing.Floor()
+func (w *modelRollout) toFree(t *tables) bool {
+	return t.ownRowsKnown && len(t.stores) > 0 && w.clearing.Floor() > 1 && w.freed < w.clearing.Floor()
 }
 
 // freeOld clears the stores of parts made on older weights, once no fetch of
 // them can be under way. Only the lease's holder does.
-func (d *Daemon) freeOld(now time.Time, t *tables, model string, w *weights) []effect {
-	if w.freeing || !w.toFree(t) || !t.timed || t.storeAway || now.Before(w.freeAgain) {
+func (d *Daemon) freeOld(now time.Time, t *tables, model string, w *modelRollout) []effect {
+	if w.freeing || !w.toFree(t) || !t.clockKnown || t.tableServiceDown || now.Before(w.freeRetryAt) {
 		return nil
 	}
-	version := d.clears(now, w)
+	version := d.freeableBelow(now, w)
 	if version <= w.freed {
 		return nil
 	}
@@ -62,7 +62,7 @@
 }
 
 func (d *Daemon) freeStore(ctx context.Context, e freeParts, at netip.AddrPort) error {
-	news, err := d.Platform.List(ctx, at)
+	news, err := d.Platform.ListCache(ctx, at)
 	if err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 		if _, _, held := d.lease.Held(); !held {
 			return errNotHeld
 		}
-		if err := d.Platform.Free(ctx, at, news.Epoch, e.until, some); err != nil {
+		if err := d.Platform.FreeCache(ctx, at, news.Epoch, e.until, some); err != nil {
 			return err
 		}
 	}
@@ -95,18 +95,18 @@
 	return err == nil && made < version
 }
 
-func (d *Daemon) freedOld(now time.Time, t *tables, m freedOld) []effect {
-	w := t.model(m.model)
+func (d *Daemon) staleFreed(now time.Time, t *tables, m staleFreed) []effect {
+	w := t.rolloutOf(m.model)
 	w.freeing = false
 	if m.err != nil {
-		w.freeTries++
-		w.freeAgain = now.Add(freePause)
-		d.Log.Warn("a store was not cleared of older parts", "model", m.model, "version", m.version, "tries", w.freeTries, "err", m.err)
-		if w.freeTries < freeMost {
+		w.freeAttempts++
+		w.freeRetryAt = now.Add(freePause)
+		d.Log.Warn("a store was not cleared of older parts", "model", m.model, "version", m.version, "tries", w.freeAttempts, "err", m.err)
+		if w.freeAttempts < freeMost {
 			return nil
 		}
 	}
-	w.freeTries = 0
+	w.freeAttempts = 0
 	w.freed = max(w.freed, m.version)
 	epoch, _, held := d.lease.Held()
 	if !held || w.announcing {
--- a/entry/free_test.go
+++ b/entry/free_test.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"github.com/thymewind/thymewind/affinity"
-	"github.com/thymewind/thymewind/clearing"
 	"github.com/thymewind/thymewind/deliver"
 	"github.com/thymewind/thymewind/fleet"
+	"github.com/thymewind/thymewind/reclaim"
 )
 
 // TestFreeing shows when parts made on older weights may be freed: not before
@@ -36,21 +36,21 @@
 		{"an engine with the newer weights went without notice", func(d *Daemon, now time.Time) {
 			d.update(now, targetsRead{now, Targets{Gone: []string{"b"}}, false})
 		}, later, true},
-		{"the store came back meanwhile", func(d *Daemon, now time.Time) { d.update(now, storeBack{}) }, later, false},
-		{"the store is away", func(d *Daemon, now time.Time) { d.update(now, storeLost{errors.New("away")}) }, later, false},
-		{"the clock is not known", func(d *Daemon, _ time.Time) { d.tables.timed = false }, later, false},
-		{"they were cleared already", func(d *Daemon, _ time.Time) { d.tables.model("m").freed = 2 }, later, false},
+		{"the store came back meanwhile", func(d *Daemon, now time.Time) { d.update(now, tableServiceBack{}) }, later, false},
+		{"the store is away", func(d *Daemon, now time.Time) { d.update(now, tableServiceLost{errors.New("away")}) }, later, false},
+		{"the clock is not known", func(d *Daemon, _ time.Time) { d.tables.clockKnown = false }, later, false},
+		{"they were cleared already", func(d *Daemon, _ time.Time) { d.tables.rolloutOf("m").freed = 2 }, later, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
-			d.tables.timed, d.tables.ownKnown = true, true
+			d.tables.clockKnown, d.tables.ownRowsKnown = true, true
 			d.tables.stores = []*affinity.Source{{Name: "s"}}
 			d.update(start, operatorRead{start, Operator{Weights: map[string]int64{"m": 2}}})
-			w := d.tables.model("m")
-			w.clearing.See(start, 1)
-			d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 2), engine("b", 2)}}, false})
-			w.clearing.See(start.Add(10*time.Second), 2)
+			w := d.tables.rolloutOf("m")
+			w.clearing.SetFloor(start, 1)
+			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 2), engine("b", 2)}}, false})
+			w.clearing.SetFloor(start.Add(10*time.Second), 2)
 			tt.change(d, start.Add(later-time.Second))
 			if effects := d.freeOld(start.Add(tt.after), &d.tables, "m", w); (len(effects) > 0) != tt.frees {
 				t.Errorf("effects %v, want some: %v", effects, tt.frees)
@@ -66,14 +66,14 @@
 	now := start
 	d.now = func() time.Time { return now }
 	d.lease.Now = d.now
-	d.tables.timed, d.tables.ownKnown = true, true
+	d.tables.clockKnown, d.tables.ownRowsKnown = true, true
 	d.update(now, operatorRead{now, Operator{Table: configuration(1), Weights: map[string]int64{"m": 2}}})
 	d.tables.stores = []*affinity.Source{{Name: "s"}}
-	d.update(now, targetsRead{now, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 2), engine("b", 2), engine("c", 2)}}, false})
+	d.update(now, targetsRead{now, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 2), engine("b", 2), engine("c", 2)}}, false})
 	d.rollWeights(now, &d.tables)
 	now = now.Add(10 * time.Second)
 	d.update(now, operatorRead{now, Operator{Weights: map[string]int64{"m": 3}}})
-	if err := d.lease.Step(context.Background()); err != nil {
+	if err := d.lease.AcquireOrRenew(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	d.tables.readEpoch, _, _ = d.lease.Held()
@@ -97,10 +97,10 @@
 // TestFreedAgain tries to clear a store again that did not answer, some times.
 func TestFreedAgain(t *testing.T) {
 	d := newDaemon("b1")
-	w := d.tables.model("m")
+	w := d.tables.rolloutOf("m")
 	for try := 1; try <= freeMost; try++ {
 		w.freeing = true
-		d.update(start, freedOld{"m", 2, errors.New("no answer")})
+		d.update(start, staleFreed{"m", 2, errors.New("no answer")})
 		if w.freeing {
 			t.Fatal("the next try never comes")
 		}
@@ -108,8 +108,8 @@
 			t.Errorf("after %d failures: given up %v", try, done)
 		}
 	}
-	if w.freeTries != 0 || !w.freeAgain.After(start) {
-		t.Errorf("%d tries, again at %v", w.freeTries, w.freeAgain)
+	if w.freeAttempts != 0 || !w.freeRetryAt.After(start) {
+		t.Errorf("%d tries, again at %v", w.freeAttempts, w.freeRetryAt)
 	}
 }
 
@@ -121,18 +121,18 @@
 		proved time.Duration
 		want   time.Duration
 	}{
-		{"the newest weights", 1, time.Second, clearing.FetchFor(true, 0)},
-		{"older weights", 2, time.Second, clearing.FetchFor(false, 0)},
-		{"cut off", 1, 10 * time.Second, clearing.FetchFor(false, 0)},
+		{"the newest weights", 1, time.Second, reclaim.FetchTimeout(true, 0)},
+		{"older weights", 2, time.Second, reclaim.FetchTimeout(false, 0)},
+		{"cut off", 1, 10 * time.Second, reclaim.FetchTimeout(false, 0)},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
-			d.began = start
-			d.tables.timed = true
+			d.startedAt = start
+			d.tables.clockKnown = true
 			d.update(start, operatorRead{start.Add(-tt.proved), Operator{Table: configuration(1), Weights: map[string]int64{"m": tt.wanted}}})
-			d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
-			place, refused := d.placeModel(start, &d.tables, deliver.Ask{Job: job("long", 10)})
+			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+			place, refused := d.placeModel(start, &d.tables, deliver.PlacementRequest{Job: job("long", 10)})
 			if refused != nil || place.FetchUntil != tt.want {
 				t.Errorf("until %v, refused %v, want %v", place.FetchUntil, refused, tt.want)
 			}
@@ -163,12 +163,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d, prompt := withStore()
+			d, prompt := spokeWithStore()
 			listNone(d)
 			tt.steps(d)
-			d.follow(start.Add(loneAfter+time.Millisecond), &d.tables)
-			d.update(start, newsRead{source: "s", news: News{Epoch: 1, Changes: []Change{{Kept: true, Scope: "m@1", Part: "p", Tokens: 500}}}})
-			place, refused := d.placeModel(start, &d.tables, deliver.Ask{Job: prompt})
+			d.reconcileSources(start.Add(hublessAfter+time.Millisecond), &d.tables)
+			d.update(start, cacheEventsRead{source: "s", events: CacheEvents{Epoch: 1, Changes: []CacheEvent{{Cached: true, Scope: "m@1", Part: "p", Tokens: 500}}}})
+			place, refused := d.placeModel(start, &d.tables, deliver.PlacementRequest{Job: prompt})
 			if refused != nil || place.Fetched != tt.fetched || (place.Fetch != nil) != (tt.fetched > 0) {
 				t.Errorf("fetched %d by %v, refused %v, want %d", place.Fetched, place.Fetch, refused, tt.fetched)
 			}
@@ -177,11 +177,11 @@
 }
 
 func list(d *Daemon, version int64) {
-	d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("x", version)}}, false})
+	d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("x", version)}}, false})
 }
 
 func listNone(d *Daemon) {
-	d.update(start, targetsRead{start, Targets{Whole: true}, false})
+	d.update(start, targetsRead{start, Targets{Snapshot: true}, false})
 }
 
 func nameVersion(d *Daemon, version int64) {
--- a/entry/gossip.go
+++ b/entry/gossip.go
@@ -22,18 +22,18 @@
 	// second: what the others do not know of meanwhile meets theirs at the same
 	// targets.
 	hubsEvery = 50 * time.Millisecond
-	// spokeEvery is how often a box tells its hub: some 40 do. What its requests no
+	// spokeGossipInterval is how often a box tells its hub: some 40 do. What its requests no
 	// longer take up counts until then.
-	spokeEvery = 150 * time.Millisecond
-	// gossipFor is how long a call may take.
-	gossipFor = 300 * time.Millisecond
-	// gossipAgain is the pause after a call that failed.
-	gossipAgain = time.Second
-	// tellFor is how long boxes tell each other of a target that was replaced:
+	spokeGossipInterval = 150 * time.Millisecond
+	// gossipTimeout is how long a call may take.
+	gossipTimeout = 300 * time.Millisecond
+	// gossipRetryDelay is the pause after a call that failed.
+	gossipRetryDelay = time.Second
+	// announceFor is how long boxes tell each other of a target that was replaced:
 	// some rounds, as calls fail.
-	tellFor = 2 * time.Second
-	// heardFor is how long another box's shares count.
-	heardFor = time.Second
+	announceFor = 2 * time.Second
+	// peerLoadTTL is how long another box's shares count.
+	peerLoadTTL = time.Second
 )
 
 // callPeer exchanges shares with another box.
@@ -44,16 +44,16 @@
 	m     peer.Message
 }
 
-// peerCalled tells what another box answered.
-type peerCalled struct {
+// peerAnswered tells what another box answered.
+type peerAnswered struct {
 	name  string
 	asked time.Time
 	m     peer.Message
 	err   error
 }
 
-// peerAsks is another box's call; the loop answers on reply, which has room.
-type peerAsks struct {
+// peerRequest is another box's call; the loop answers on reply, which has room.
+type peerRequest struct {
 	m     peer.Message
 	reply chan<- peer.Message
 }
@@ -62,7 +62,7 @@
 // whose names come behind its own, so that each pair talks once; other boxes
 // call their hub.
 func (d *Daemon) gossip(now time.Time, t *tables) []effect {
-	t.others.Expire(now.Add(-heardFor))
+	t.othersUsage.Expire(now.Add(-peerLoadTTL))
 	return d.gossipDue(now, t)
 }
 
@@ -73,11 +73,11 @@
 	}
 	t.due.gossip = now.Add(d.gossipPause(t))
 	message := peer.Message{
-		Kind: peer.KindGossip, From: d.Settings.Name, Shares: d.told(now, t), Reads: t.reads.Told(now),
-		Replaced: t.replacedLately(now), Stale: d.shut(now), Ended: t.endedLately(now), Lifted: t.liftedLately(now), Listed: t.listChanged,
-		Domain: d.Settings.Domain, Unlisted: t.unlisted,
+		Kind: peer.KindGossip, From: d.Settings.Name, TargetLoads: d.gossipLoads(now, t), PrefillTotals: t.prefillBacklog.Totals(now),
+		EndedIncarnations: t.replacedLately(now), Stale: d.refusesKeyed(now), CrashReports: t.recentCrashes(now), Lifted: t.recentlyLifted(now), ListRevision: t.listChanged,
+		Domain: d.Settings.Domain, Unlisted: t.unlistedMet,
 	}
-	if !t.large() {
+	if !t.usesHubs() {
 		d.tellProof(now, t, &message)
 	}
 	return d.callPartners(now, t, message)
@@ -85,12 +85,12 @@
 
 // tellProof tells what this box knows of the operator's rows, and since when.
 func (d *Daemon) tellProof(now time.Time, t *tables, m *peer.Message) {
-	m.Operator, m.ProofMS, m.Configuration = t.operatorChange, d.provedAgo(now).Milliseconds(), d.version()
+	m.OperatorRevision, m.ProofAgeMS, m.ConfigurationVersion = t.operatorChange, d.provedAgo(now).Milliseconds(), d.version()
 }
 
-// hurryGossip has hubs tell each other between two ticks.
-func (d *Daemon) hurryGossip(now time.Time, t *tables) []effect {
-	if d.spoke.Load() || !t.large() {
+// gossipBetweenTicks has hubs tell each other between two ticks.
+func (d *Daemon) gossipBetweenTicks(now time.Time, t *tables) []effect {
+	if d.spoke.Load() || !t.usesHubs() {
 		return nil
 	}
 	return d.gossipDue(now, t)
@@ -100,8 +100,8 @@
 func (d *Daemon) gossipPause(t *tables) time.Duration {
 	switch {
 	case d.spoke.Load():
-		return spokeEvery
-	case t.large():
+		return spokeGossipInterval
+	case t.usesHubs():
 		return hubsEvery
 	}
 	return gossipEvery
@@ -112,17 +112,17 @@
 	var effects []effect
 	for _, name := range d.partners(now, t) {
 		m := t.members[name]
-		if !m.at.IsValid() || m.calling || now.Before(m.retry) {
+		if !m.address.IsValid() || m.calling || now.Before(m.retryAt) {
 			continue
 		}
 		m.calling = true
-		call := callPeer{name: name, at: m.at, asked: now, m: message}
+		call := callPeer{name: name, at: m.address, asked: now, m: message}
 		if t.hub == name {
-			call.m.List, call.m.ListFrom, call.m.Refuses = t.hubList.Number, t.hubList.From, t.hubRefuses
+			call.m.ListVersion, call.m.ListStartVersion, call.m.QuarantineVersion = t.hubList.Number, t.hubList.SnapshotAt, t.hubQuarantineVersion
 		}
-		call.m.Seen = d.seenFor(now, t, m)
-		call.m.Limits = d.limitsFor(now, m)
-		call.m.Earned = d.paid()
+		call.m.CanarySamples = d.canarySamplesFor(now, t, m)
+		call.m.RateLimits = d.limitsFor(now, m)
+		call.m.RetryCredits = d.takeCredits()
 		effects = append(effects, call)
 	}
 	return effects
@@ -148,14 +148,14 @@
 // hubs lists the boxes that exchange shares with each other: all in a small
 // fleet, the first of each domain in a large one. The caller must not change the list.
 func (t *tables) hubs() []string {
-	if !t.large() {
+	if !t.usesHubs() {
 		return slices.Sorted(maps.Keys(t.members))
 	}
 	t.freshRanks()
-	if t.firsts == nil {
-		t.firsts = t.firstOfEach()
+	if t.topHubs == nil {
+		t.topHubs = t.firstOfEach()
 	}
-	return t.firsts
+	return t.topHubs
 }
 
 // firstOfEach lists the first boxes of each domain.
@@ -172,17 +172,17 @@
 	return names
 }
 
-func (d *Daemon) callPeer(ctx context.Context, e callPeer) peerCalled {
-	ctx, cancel := context.WithTimeout(ctx, gossipFor)
+func (d *Daemon) callPeer(ctx context.Context, e callPeer) peerAnswered {
+	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
 	answer, err := d.peers.Call(ctx, e.at, e.m)
-	return peerCalled{e.name, e.asked, answer, err}
+	return peerAnswered{e.name, e.asked, answer, err}
 }
 
 // answerPeer has the loop answer another box.
 func (d *Daemon) answerPeer(ctx context.Context, m peer.Message) peer.Message {
 	reply := make(chan peer.Message, 1)
-	d.tell(ctx, peerAsks{m, reply})
+	d.postContext(ctx, peerRequest{m, reply})
 	select {
 	case answer := <-reply:
 		return answer
@@ -192,63 +192,63 @@
 	return peer.Message{Kind: m.Kind, Error: "the box is stopping"}
 }
 
-// peerAsks answers another box's call.
-func (d *Daemon) peerAsks(now time.Time, t *tables, m peer.Message) peer.Message {
+// peerRequest answers another box's call.
+func (d *Daemon) peerRequest(now time.Time, t *tables, m peer.Message) peer.Message {
 	answer := peer.Message{Kind: m.Kind, From: d.Settings.Name}
 	switch m.Kind {
 	case peer.KindPlace:
-		if m.Ask != nil {
-			answer.Placed = d.placeForPeer(now, t, m)
+		if m.PlacementRequest != nil {
+			answer.PlacementResponse = d.placeForPeer(now, t, m)
 		}
 	case peer.KindConfiguration:
-		if raw := d.raw.Load(); raw != nil {
+		if raw := d.rawConfiguration.Load(); raw != nil {
 			answer.Body = *raw
 		}
 	case peer.KindRetry:
-		l := d.lender.Load()
-		answer.Granted = l != nil && l.own && d.purse.Spend(m.Pool)
+		l := d.retryBudget.Load()
+		answer.RetryGranted = l != nil && l.local && d.sharedRetryBudget.Spend(m.RetryPool)
 	default:
 		d.meet(now, t, m)
 		d.hearReplaced(now, t, m)
-		d.hearQuarantine(now, t, m)
-		d.hearOpen(now, m)
-		d.hearLimits(now, now, t, m)
+		d.receiveQuarantine(now, t, m)
+		d.receiveAdmitting(now, m)
+		d.receiveLimits(now, now, t, m)
 		t.heardFrom(now, m.From)
-		answer.Limits = d.limitsFor(now, t.members[m.From])
-		answer.Replaced, answer.Stale = t.replacedLately(now), d.shut(now)
-		answer.Ended, answer.Lifted = t.endedLately(now), t.liftedLately(now)
-		d.hear(now, t, m)
-		if !t.large() || slices.Contains(t.hubs(), m.From) {
-			answer.Shares, answer.Reads = d.told(now, t), t.reads.Told(now)
+		answer.RateLimits = d.limitsFor(now, t.members[m.From])
+		answer.EndedIncarnations, answer.Stale = t.replacedLately(now), d.refusesKeyed(now)
+		answer.CrashReports, answer.Lifted = t.recentCrashes(now), t.recentlyLifted(now)
+		d.applyUsage(now, t, m)
+		if !t.usesHubs() || slices.Contains(t.hubs(), m.From) {
+			answer.TargetLoads, answer.PrefillTotals = d.gossipLoads(now, t), t.prefillBacklog.Totals(now)
 			d.tellProof(now, t, &answer)
 			d.hearSettled(t, m)
 			d.hearListed(now, t, m)
-			answer.Listed, answer.Unlisted = t.listChanged, t.unlisted
+			answer.ListRevision, answer.Unlisted = t.listChanged, t.unlistedMet
 			t.hearCount(now, m)
-			d.hearSeen(now, t, m.Seen)
-			if m.Seen != nil {
-				answer.Seen = d.seenTold(t, now.Add(-2*seenEvery), true)
+			d.receiveCanarySamples(now, t, m.CanarySamples)
+			if m.CanarySamples != nil {
+				answer.CanarySamples = d.canarySamples(t, now.Add(-2*canaryGossipEvery), true)
 			}
 			break
 		}
-		t.askedAsHub = now
-		d.takePaid(m)
-		d.hearSeen(now, t, m.Seen)
-		answer.View = d.view(now, t, changelog.Cursor{Number: m.List, From: m.ListFrom})
-		t.tellRefused(answer.View, m.Refuses)
-		answer.View.Restores, answer.View.RowLost = t.ownKnownAt.Restores, t.rowsLost[m.From]
+		t.lastHubRequest = now
+		d.receiveCredits(m)
+		d.receiveCanarySamples(now, t, m.CanarySamples)
+		answer.View = d.view(now, t, changelog.Cursor{Number: m.ListVersion, SnapshotAt: m.ListStartVersion})
+		t.addQuarantine(answer.View, m.QuarantineVersion)
+		answer.View.Restores, answer.View.RowLost = t.ownRowsRevision.Restores, t.lostRows[m.From]
 	}
 	return answer
 }
 
-func (d *Daemon) peerCalled(now time.Time, t *tables, m peerCalled) []effect {
+func (d *Daemon) peerAnswered(now time.Time, t *tables, m peerAnswered) []effect {
 	x := t.members[m.name]
 	if x == nil {
 		return nil
 	}
 	x.calling = false
 	if errors.Is(m.err, peer.ErrSilent) {
-		x.retry = now.Add(gossipEvery) // A new connection may work.
+		x.retryAt = now.Add(gossipEvery) // A new connection may work.
 		return nil
 	}
 	failed := m.err != nil || m.m.Error != ""
@@ -257,23 +257,23 @@
 	}
 	x.failed = failed
 	if failed {
-		x.retry = now.Add(gossipAgain)
+		x.retryAt = now.Add(gossipRetryDelay)
 		return nil
 	}
 	d.hearReplaced(now, t, m.m)
-	d.hearQuarantine(now, t, m.m)
-	d.hearOpen(now, m.m)
-	d.hearLimits(now, m.asked, t, m.m)
-	x.heard = now
+	d.receiveQuarantine(now, t, m.m)
+	d.receiveAdmitting(now, m.m)
+	d.receiveLimits(now, m.asked, t, m.m)
+	x.heardAt = now
 	if d.spoke.Load() {
-		t.hubHeard = now
+		t.hubHeardAt = now
 		return d.viewRead(now, t, m.name, m.asked, m.m.View)
 	}
-	d.hear(now, t, m.m)
+	d.applyUsage(now, t, m.m)
 	d.hearProof(t, m.asked, m.m)
 	d.hearSettled(t, m.m)
 	t.hearCount(now, m.m)
-	d.hearSeen(now, t, m.m.Seen)
+	d.receiveCanarySamples(now, t, m.m.CanarySamples)
 	d.hearListed(now, t, m.m)
 	return nil
 }
@@ -281,16 +281,16 @@
 // heardFrom notes that a box called.
 func (t *tables) heardFrom(now time.Time, name string) {
 	if m := t.members[name]; m != nil {
-		m.heard = now
+		m.heardAt = now
 	}
 }
 
 // replacedLately lists the targets that were found replaced so lately that other
 // boxes may not know.
-func (t *tables) replacedLately(now time.Time) []peer.Life {
-	var list []peer.Life
-	for _, life := range t.fleet.Replaced(now.Add(-tellFor)) {
-		list = append(list, peer.Life{ID: life.ID, BornMS: unixMS(life.Born)})
+func (t *tables) replacedLately(now time.Time) []peer.Incarnation {
+	var list []peer.Incarnation
+	for _, life := range t.fleet.Ended(now.Add(-announceFor)) {
+		list = append(list, peer.Incarnation{ID: life.ID, StartedMS: unixMS(life.StartedAt)})
 	}
 	return list
 }
@@ -313,7 +313,7 @@
 
 // hearReplaced takes over which targets another box found replaced.
 func (d *Daemon) hearReplaced(now time.Time, t *tables, m peer.Message) {
-	for _, life := range m.Replaced {
-		d.replaced(now, t, fleet.Life{ID: life.ID, Born: fromUnixMS(life.BornMS)}, m.From)
+	for _, life := range m.EndedIncarnations {
+		d.dropReplaced(now, t, fleet.Incarnation{ID: life.ID, StartedAt: fromUnixMS(life.StartedMS)}, m.From)
 	}
 }
--- a/entry/hub.go
+++ b/entry/hub.go
@@ -36,34 +36,34 @@
 	// strong is the share of the strongest box's processor that a hub has at
 	// least: following all sources takes a weak box all of its own.
 	strong = 0.5
-	// loneAfter is how long a box may hear no hub before it follows the stores
+	// hublessAfter is how long a box may hear no hub before it follows the stores
 	// of kept parts itself. Gossip with the next hub takes 0.6 s.
-	loneAfter = time.Second
-	// hubMisses is how many calls in a row a hub may leave unanswered before
+	hublessAfter = time.Second
+	// maxHubMisses is how many calls in a row a hub may leave unanswered before
 	// another is asked; one may meet a pause.
-	hubMisses = 2
+	maxHubMisses = 2
 )
 
-// large says that the fleet needs hubs.
-func (t *tables) large() bool { return len(t.members) > meshBoxes }
+// usesHubs says that the fleet needs hubs.
+func (t *tables) usesHubs() bool { return len(t.members) > meshBoxes }
 
 // ranked lists the boxes of a domain that are fit for a hub, the strongest first. The caller
 // must not change the list. It is kept, as each call between boxes asks for it, and changes
 // only when boxes join.
 func (t *tables) ranked(domain string) []string {
 	t.freshRanks()
-	list, known := t.ranks[domain]
+	list, known := t.hubRanks[domain]
 	if !known {
 		list = t.rank(domain)
-		t.ranks[domain] = list
+		t.hubRanks[domain] = list
 	}
 	return list
 }
 
 // freshRanks forgets the ranks of boxes if others joined or went.
 func (t *tables) freshRanks() {
-	if t.ranks == nil || t.rankedOf != len(t.members) {
-		t.ranks, t.firsts, t.rankedOf = make(map[string][]string), nil, len(t.members)
+	if t.hubRanks == nil || t.rankedMembers != len(t.members) {
+		t.hubRanks, t.topHubs, t.rankedMembers = make(map[string][]string), nil, len(t.members)
 	}
 }
 
@@ -77,7 +77,7 @@
 		}
 	}
 	for name, m := range t.members {
-		if m.domain == domain && m.at.IsValid() && m.share >= most*strong {
+		if m.domain == domain && m.address.IsValid() && m.share >= most*strong {
 			names = append(names, name)
 		}
 	}
@@ -93,7 +93,7 @@
 
 // hub says whether this box follows the sources and the table service.
 func (d *Daemon) hub(now time.Time, t *tables) bool {
-	if !t.large() || now.Sub(t.askedAsHub) < hubFor && !t.askedAsHub.IsZero() {
+	if !t.usesHubs() || now.Sub(t.lastHubRequest) < hubFor && !t.lastHubRequest.IsZero() {
 		return true
 	}
 	first := t.ranked(d.Settings.Domain)
@@ -105,20 +105,20 @@
 // places at once. Without that it places alone for 3 s, knows of nothing kept, and
 // reads all prompts whole.
 func (d *Daemon) surelySpoke(now time.Time, t *tables) bool {
-	return t.large() && !d.hub(now, t)
+	return t.usesHubs() && !d.hub(now, t)
 }
 
 // myHub returns the box to tell and to take the view of, or an empty name if
 // none answers.
 func (d *Daemon) myHub(now time.Time, t *tables) string {
-	return d.firstHub(t, func(_ string, m *member) bool { return !now.Before(m.retry) })
+	return d.firstHub(t, func(_ string, m *member) bool { return !now.Before(m.retryAt) })
 }
 
-// placer returns the hub to ask for a place, or an empty name if none answers.
+// placementHub returns the hub to ask for a place, or an empty name if none answers.
 // One that did not answer has to answer gossip first: a request can't wait.
-func (d *Daemon) placer(now time.Time, t *tables, asked []string) string {
+func (d *Daemon) placementHub(now time.Time, t *tables, asked []string) string {
 	return d.firstHub(t, func(name string, m *member) bool {
-		return !m.failed && !now.Before(m.retry) && !slices.Contains(asked, name)
+		return !m.failed && !now.Before(m.retryAt) && !slices.Contains(asked, name)
 	})
 }
 
@@ -132,9 +132,9 @@
 	return ""
 }
 
-// lone says that this box lives on hubs, and that none answers.
-func (d *Daemon) lone(now time.Time, t *tables) bool {
-	return d.spoke.Load() && now.Sub(t.hubHeard) > loneAfter
+// hubless says that this box lives on hubs, and that none answers.
+func (d *Daemon) hubless(now time.Time, t *tables) bool {
+	return d.spoke.Load() && now.Sub(t.hubHeardAt) > hublessAfter
 }
 
 // hubOrder lists the boxes that may be asked: those of the own domain first.
@@ -155,31 +155,31 @@
 	return order
 }
 
-// viewed says whether this box lives on a hub's view for now, so that it need
+// hasFreshView says whether this box lives on a hub's view for now, so that it need
 // not read the table service.
-func (d *Daemon) viewed(now time.Time) bool {
+func (d *Daemon) hasFreshView(now time.Time) bool {
 	return d.spoke.Load() && d.provedAgo(now) < viewFor
 }
 
-// assumeRole takes this box's role in the fleet over when it changes.
-func (d *Daemon) assumeRole(now time.Time, t *tables) []effect {
-	if !t.settled {
+// updateRole takes this box's role in the fleet over when it changes.
+func (d *Daemon) updateRole(now time.Time, t *tables) []effect {
+	if !t.membersKnown {
 		return nil
 	}
 	hub := d.hub(now, t)
-	if d.roleAt.Load() == nil || hub == d.spoke.Load() {
-		d.roleAt.Store(&now)
+	if d.roleSince.Load() == nil || hub == d.spoke.Load() {
+		d.roleSince.Store(&now)
 	}
-	d.serving.Store(hub && t.large())
-	d.vouches.Store(int64(d.vouchedFor(t)))
+	d.hasSpokes.Store(hub && t.usesHubs())
+	d.peerProofMaxAge.Store(int64(d.vouchedFor(t)))
 	if hub == !d.spoke.Load() {
 		return nil
 	}
 	d.spoke.Store(!hub)
-	t.hubHeard = now
+	t.hubHeardAt = now
 	d.Log.Info("role in the fleet", "hub", hub, "boxes", len(t.members), "of_domain", len(t.ranked(d.Settings.Domain)))
 	if !hub {
-		t.hub, t.hubList, t.hubSeen, t.hubRefuses = "", changelog.Cursor{}, nil, 0
+		t.hub, t.hubList, t.hubSeen, t.hubQuarantineVersion = "", changelog.Cursor{}, nil, 0
 	}
-	return d.follow(now, t)
+	return d.reconcileSources(now, t)
 }
--- a/entry/hub_test.go
+++ b/entry/hub_test.go
@@ -24,7 +24,7 @@
 func largeFleet(name string) *Daemon {
 	d := newDaemon(name)
 	for i := range 20 {
-		m := &member{at: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:1", i+1)), domain: "a", share: 0.2}
+		m := &member{address: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:1", i+1)), domain: "a", share: 0.2}
 		if i >= 10 {
 			m.domain = "b"
 		}
@@ -33,8 +33,8 @@
 		}
 		d.tables.members[fmt.Sprintf("box-%02d", i)] = m
 	}
-	d.tables.settled = true
-	d.assumeRole(start, &d.tables)
+	d.tables.membersKnown = true
+	d.updateRole(start, &d.tables)
 	return d
 }
 
@@ -74,22 +74,22 @@
 			break
 		}
 		asked = append(asked, hub)
-		for range hubMisses {
+		for range maxHubMisses {
 			d.hubFailed(start, &d.tables, hub, errors.New("no answer"))
 		}
 	}
 	if len(asked) != 4 || asked[0] != "box-00" || asked[1] != "box-01" || !slices.Contains(asked, "box-10") {
 		t.Errorf("asked %v", asked)
 	}
-	if got := d.myHub(start.Add(gossipAgain), &d.tables); got != "box-00" {
+	if got := d.myHub(start.Add(gossipRetryDelay), &d.tables); got != "box-00" {
 		t.Errorf("later %q is asked, want the first again", got)
 	}
-	d.peerAsks(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "box-06"})
-	d.assumeRole(start, &d.tables)
+	d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "box-06"})
+	d.updateRole(start, &d.tables)
 	if d.spoke.Load() {
 		t.Error("a box that is asked does not act as a hub")
 	}
-	d.assumeRole(start.Add(hubFor), &d.tables)
+	d.updateRole(start.Add(hubFor), &d.tables)
 	if !d.spoke.Load() {
 		t.Error("a box that is asked no longer is still a hub")
 	}
@@ -126,7 +126,7 @@
 	if own := viewFor + viewLook; own >= bound {
 		t.Errorf("a box reads for itself after %v", own)
 	}
-	if sound := 2*hubHold + spokeEvery; sound >= viewFor {
+	if sound := 2*hubHold + spokeGossipInterval; sound >= viewFor {
 		t.Errorf("a sound hub's proof is %v old", sound)
 	}
 }
@@ -136,33 +136,33 @@
 func TestView(t *testing.T) {
 	hub, spoke := largeFleet("box-00"), largeFleet("box-05")
 	hub.update(start, operatorRead{start, Operator{Table: configuration(4), Raw: []byte("raw"), Weights: map[string]int64{"m": 2}}})
-	hub.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{
+	hub.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{
 		{ID: "a", Pool: "models", Address: netip.MustParseAddrPort("10.1.0.1:1"), Versions: map[string]int64{"m": 1}},
 	}}, false})
 	later := start.Add(time.Second)
-	answer := hub.peerAsks(later, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05"})
-	effects := spoke.update(later, peerCalled{"box-00", later, answer, nil})
+	answer := hub.peerRequest(later, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05"})
+	effects := spoke.update(later, peerAnswered{"box-00", later, answer, nil})
 	if len(effects) != 1 {
 		t.Fatalf("the newer configuration is not read: %v", effects)
 	}
-	if spoke.fresh(later) {
+	if spoke.keysFresh(later) {
 		t.Error("fresh before the configuration was read")
 	}
-	read := effects[0].(readFromHub)
+	read := effects[0].(fetchConfiguration)
 	spoke.update(later, configurationFromHub{read.proof, Operator{Table: configuration(4)}, nil})
-	if spoke.version() != 4 || spoke.tables.fleet.Target("a") == nil || spoke.tables.model("m").wanted != 2 {
+	if spoke.version() != 4 || spoke.tables.fleet.Target("a") == nil || spoke.tables.rolloutOf("m").newestVersion != 2 {
 		t.Error("the view was not taken over")
 	}
 	if got := spoke.provedAgo(later); got != time.Second {
 		t.Errorf("proved %v ago, want the age at the hub", got)
 	}
-	again := hub.peerAsks(later, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05", List: spoke.tables.hubList.Number})
+	again := hub.peerRequest(later, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05", ListVersion: spoke.tables.hubList.Number})
 	if again.View.Entries != nil {
 		t.Error("the list is sent again")
 	}
 	hub.update(later, targetsRead{later, Targets{Gone: []string{"a"}}, false})
-	last := hub.peerAsks(later, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05", List: spoke.tables.hubList.Number})
-	spoke.update(later, peerCalled{"box-00", later, last, nil})
+	last := hub.peerRequest(later, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05", ListVersion: spoke.tables.hubList.Number})
+	spoke.update(later, peerAnswered{"box-00", later, last, nil})
 	if spoke.tables.fleet.Target("a") != nil {
 		t.Error("a target that is gone at the hub is kept")
 	}
@@ -172,9 +172,9 @@
 // targets.
 func TestHubWithoutList(t *testing.T) {
 	hub, spoke := largeFleet("box-00"), largeFleet("box-05")
-	spoke.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
-	answer := hub.peerAsks(start, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05"})
-	spoke.update(start, peerCalled{"box-00", start, answer, nil})
+	spoke.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+	answer := hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05"})
+	spoke.update(start, peerAnswered{"box-00", start, answer, nil})
 	if spoke.tables.fleet.Target("a") == nil {
 		t.Error("targets were dropped for a hub that knows no list")
 	}
@@ -183,10 +183,10 @@
 // TestViewOfReplaced takes a hub's list that still holds a target that this box
 // knows to be replaced.
 func TestViewOfReplaced(t *testing.T) {
-	spoke := listed("box-05")
+	spoke := boxWithEngines("box-05")
 	spoke.update(start, probed{probe{target: "a"}, ErrReplaced})
 	entries := []peer.Entry{{ID: "a", Pool: "models", Address: "10.1.0.1:1"}, {ID: "b", Pool: "models", Address: "10.1.0.2:1"}}
-	spoke.update(start, peerCalled{"box-00", start, peer.Message{View: &peer.View{Namings: map[string][]peer.Naming{}, Configuration: 1, List: 7, Entries: entries}}, nil})
+	spoke.update(start, peerAnswered{"box-00", start, peer.Message{View: &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, ConfigurationVersion: 1, ListVersion: 7, Entries: entries}}, nil})
 	if spoke.tables.fleet.Target("a") != nil || spoke.tables.fleet.Target("b") == nil {
 		t.Error("the list was not taken over as it is known to be")
 	}
@@ -215,8 +215,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			spoke := largeFleet("box-05")
 			hear := func(hub string, proof time.Duration, list uint64, entries []peer.Entry) {
-				view := &peer.View{Namings: map[string][]peer.Naming{}, ProofMS: proof.Milliseconds(), List: list, Entries: entries}
-				spoke.update(start, peerCalled{hub, start, peer.Message{View: view}, nil})
+				view := &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, ProofAgeMS: proof.Milliseconds(), ListVersion: list, Entries: entries}
+				spoke.update(start, peerAnswered{hub, start, peer.Message{View: view}, nil})
 			}
 			if tt.first {
 				hear("box-01", 0, 7, entries[1:])
@@ -235,32 +235,32 @@
 	spoke := largeFleet("box-05")
 	spoke.update(start, operatorRead{start, Operator{Table: configuration(4)}})
 	late := start.Add(10 * time.Second)
-	spoke.update(late, peerCalled{"box-00", late, peer.Message{View: &peer.View{Namings: map[string][]peer.Naming{}, Configuration: 4, ProofMS: 9000}}, nil})
-	if spoke.fresh(late) || spoke.viewed(late) {
+	spoke.update(late, peerAnswered{"box-00", late, peer.Message{View: &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, ConfigurationVersion: 4, ProofAgeMS: 9000}}, nil})
+	if spoke.keysFresh(late) || spoke.hasFreshView(late) {
 		t.Error("an old proof counts as new")
 	}
 	if got := spoke.myHub(late, &spoke.tables); got != "box-01" {
 		t.Errorf("a hub that is cut off: %q is asked next", got)
 	}
-	spoke.update(late, peerCalled{"box-00", late, peer.Message{View: &peer.View{Namings: map[string][]peer.Naming{}, Configuration: 3, ProofMS: 0}}, nil})
-	if spoke.fresh(late) {
+	spoke.update(late, peerAnswered{"box-00", late, peer.Message{View: &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, ConfigurationVersion: 3, ProofAgeMS: 0}}, nil})
+	if spoke.keysFresh(late) {
 		t.Error("the proof of an older configuration counts for this one")
 	}
-	spoke.update(late, peerCalled{"box-00", late, peer.Message{View: &peer.View{Namings: map[string][]peer.Naming{}, Configuration: 4, ProofMS: 500}}, nil})
-	if !spoke.fresh(late) || !spoke.viewed(late) {
+	spoke.update(late, peerAnswered{"box-00", late, peer.Message{View: &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, ConfigurationVersion: 4, ProofAgeMS: 500}}, nil})
+	if !spoke.keysFresh(late) || !spoke.hasFreshView(late) {
 		t.Error("a fresh proof does not count")
 	}
 }
 
-// listed is a daemon of a large fleet that knows of two engines and, if it is a
+// boxWithEngines is a daemon of a large fleet that knows of two engines and, if it is a
 // hub, heard of what they keep.
-func listed(name string) *Daemon {
+func boxWithEngines(name string) *Daemon {
 	d := largeFleet(name)
 	d.now = func() time.Time { return start }
 	d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
-	d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1), engine("b", 1)}}, false})
-	for source := range d.tables.followed {
-		d.update(start, newsRead{source: source})
+	d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1), engine("b", 1)}}, false})
+	for source := range d.tables.watched {
+		d.update(start, cacheEventsRead{source: source})
 	}
 	return d
 }
@@ -294,30 +294,30 @@
 		}, [2]error{}, "no_target", 1, ""},
 		{"the hub has no configuration", func(hub, _, _ *Daemon) { hub.current.Store(nil) }, [2]error{}, "", 2, "hub, "},
 		{"the hub has not heard of kept parts", func(hub, _, _ *Daemon) {
-			hub.tables.directory.Silence("a")
-			hub.tables.directory.Silence("b")
+			hub.tables.directory.Disconnected("a")
+			hub.tables.directory.Disconnected("b")
 		}, [2]error{}, "", 2, "hub, "},
 		{"the hub had heard of them, and an engine ended", func(hub, _, _ *Daemon) {
-			hub.warm(&hub.tables)
-			hub.tables.directory.Silence("a")
+			hub.knowsCache(&hub.tables)
+			hub.tables.directory.Disconnected("a")
 		}, [2]error{}, "", 1, "hub, "},
 		{"the hub does not answer", func(_, _, _ *Daemon) {}, [2]error{silent}, "", 2, "hub, "},
 		{"no hub answers: placed alone", func(_, _, _ *Daemon) {}, [2]error{silent, silent}, "", 2, "home"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			hubs := map[string]*Daemon{"box-00": listed("box-00"), "box-01": listed("box-01")}
-			spoke := listed("box-05")
+			hubs := map[string]*Daemon{"box-00": boxWithEngines("box-00"), "box-01": boxWithEngines("box-01")}
+			spoke := boxWithEngines("box-05")
 			tt.change(hubs["box-00"], hubs["box-01"], spoke)
 			reply := make(chan placeAnswer, 1)
-			effects := spoke.update(start, placeAsked{ctx: context.Background(), ask: deliver.Ask{Job: job("long", 1000)}, reply: reply})
+			effects := spoke.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: job("long", 1000)}, reply: reply})
 			asks := 0
 			for ; len(effects) == 1; asks++ {
 				asked := effects[0].(askHub)
 				hub := hubs[asked.hub]
 				answer := hubPlaced{hub: asked.hub, m: asked.m, err: tt.fails[asks]}
 				if answer.err == nil {
-					answer.placed = hub.peerAsks(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", Ask: &asked.ask}).Placed
+					answer.placed = hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &asked.ask}).PlacementResponse
 				}
 				effects = spoke.update(start, answer)
 			}
@@ -338,11 +338,11 @@
 	}
 }
 
-// withStore is a box that lives on hubs, in a deployment with a store that keeps
+// spokeWithStore is a box that lives on hubs, in a deployment with a store that keeps
 // the shared part of a prompt.
-func withStore() (*Daemon, *deliver.Job) {
-	d := listed("box-05")
-	d.tables.timed = true
+func spokeWithStore() (*Daemon, *deliver.Job) {
+	d := boxWithEngines("box-05")
+	d.tables.clockKnown = true
 	d.tables.stores = []*affinity.Source{{Name: "s", Address: netip.MustParseAddrPort("10.2.0.1:1"), Capacity: 100000}}
 	prompt := job("long", 1000)
 	prompt.Account = nil
@@ -351,61 +351,61 @@
 
 // TestLone has a box follow the stores while no hub answers, and only then.
 func TestLone(t *testing.T) {
-	d, prompt := withStore()
-	late := start.Add(loneAfter + time.Millisecond)
-	if effects := d.follow(start.Add(loneAfter), &d.tables); len(effects) != 0 {
+	d, prompt := spokeWithStore()
+	late := start.Add(hublessAfter + time.Millisecond)
+	if effects := d.reconcileSources(start.Add(hublessAfter), &d.tables); len(effects) != 0 {
 		t.Fatalf("too early: %v", effects)
 	}
-	effects := d.follow(late, &d.tables)
-	if len(effects) != 1 || effects[0].(followSource).name != "s" || effects[0].(followSource).hold != 0 {
+	effects := d.reconcileSources(late, &d.tables)
+	if len(effects) != 1 || effects[0].(watchSource).name != "s" || effects[0].(watchSource).hold != 0 {
 		t.Fatalf("effects %v, want the store, not held", effects)
 	}
-	d.update(late, newsRead{source: "s", news: News{Epoch: 1, Changes: []Change{{Kept: true, Scope: "m@1", Part: "p", Tokens: 500}}}})
-	place, refused := d.placeModel(late, &d.tables, deliver.Ask{Job: prompt})
+	d.update(late, cacheEventsRead{source: "s", events: CacheEvents{Epoch: 1, Changes: []CacheEvent{{Cached: true, Scope: "m@1", Part: "p", Tokens: 500}}}})
+	place, refused := d.placeModel(late, &d.tables, deliver.PlacementRequest{Job: prompt})
 	if refused != nil || place.Fetched != 500 {
 		t.Errorf("place %+v, refused %v", place, refused)
 	}
-	d.update(late, peerCalled{"box-00", late, peer.Message{View: &peer.View{Configuration: 1}}, nil})
-	if effects := d.follow(late, &d.tables); len(effects) != 0 || len(d.tables.followed) != 0 {
-		t.Errorf("effects %v, followed %v", effects, d.tables.followed)
+	d.update(late, peerAnswered{"box-00", late, peer.Message{View: &peer.View{ConfigurationVersion: 1}}, nil})
+	if effects := d.reconcileSources(late, &d.tables); len(effects) != 0 || len(d.tables.watched) != 0 {
+		t.Errorf("effects %v, followed %v", effects, d.tables.watched)
 	}
-	d.update(late, newsRead{source: "s", news: News{Epoch: 1}})
-	if place, _ := d.placeModel(late, &d.tables, deliver.Ask{Job: prompt}); place.Fetched != 0 {
+	d.update(late, cacheEventsRead{source: "s", events: CacheEvents{Epoch: 1}})
+	if place, _ := d.placeModel(late, &d.tables, deliver.PlacementRequest{Job: prompt}); place.Fetched != 0 {
 		t.Error("a store is used that is not followed any more")
 	}
 }
 
 // TestRolesFollow has a lone box that becomes a hub follow with held calls.
 func TestRolesFollow(t *testing.T) {
-	d, _ := withStore()
-	late := start.Add(loneAfter + time.Millisecond)
-	d.follow(late, &d.tables)
+	d, _ := spokeWithStore()
+	late := start.Add(hublessAfter + time.Millisecond)
+	d.reconcileSources(late, &d.tables)
 	d.spoke.Store(false)
 	names := make(map[string]time.Duration)
-	for _, e := range d.follow(late, &d.tables) {
-		names[e.(followSource).name] = e.(followSource).hold
+	for _, e := range d.reconcileSources(late, &d.tables) {
+		names[e.(watchSource).name] = e.(watchSource).hold
 	}
-	if len(names) != 3 || names["s"] != newsHold || d.warm(&d.tables) {
+	if len(names) != 3 || names["s"] != newsHold || d.knowsCache(&d.tables) {
 		t.Errorf("followed %v", names)
 	}
 }
 
 // TestPlacer asks only hubs that answered their last call for places.
 func TestPlacer(t *testing.T) {
-	d := listed("box-05")
-	again := start.Add(gossipAgain)
+	d := boxWithEngines("box-05")
+	again := start.Add(gossipRetryDelay)
 	silent := errors.New("no answer")
-	for range hubMisses {
+	for range maxHubMisses {
 		d.hubFailed(start, &d.tables, "box-00", silent)
 	}
-	if got := d.placer(again, &d.tables, nil); got != "box-01" {
+	if got := d.placementHub(again, &d.tables, nil); got != "box-01" {
 		t.Errorf("places are asked of %q", got)
 	}
 	if got := d.myHub(again, &d.tables); got != "box-00" {
 		t.Errorf("gossip goes to %q", got)
 	}
-	d.update(again, peerCalled{name: "box-00", asked: again})
-	if got := d.placer(again, &d.tables, nil); got != "box-00" {
+	d.update(again, peerAnswered{name: "box-00", asked: again})
+	if got := d.placementHub(again, &d.tables, nil); got != "box-00" {
 		t.Errorf("places are asked of %q after it answered", got)
 	}
 }
@@ -413,9 +413,9 @@
 // TestUnheardLoad takes each box that is not heard to use as much as this one,
 // spread over the engines.
 func TestUnheardLoad(t *testing.T) {
-	d := listed("box-05")
+	d := boxWithEngines("box-05")
 	d.tables.fleet.Target("a").Tokens = 100
-	d.tables.usual = d.tables.spread(start, d.tables.fleet.Pool("models"))
+	d.tables.usual = d.tables.presumedOthers(start, d.tables.fleet.Pool("models"))
 	a, _ := d.load(start, &d.tables, d.tables.fleet.Target("a"))
 	b, _ := d.load(start, &d.tables, d.tables.fleet.Target("b"))
 	if a != 100+19*100/2 || b != 19*100/2 {
@@ -427,19 +427,19 @@
 func TestSpoiltPlace(t *testing.T) {
 	tests := []struct {
 		name string
-		p    peer.Placed
+		p    peer.PlacementResponse
 		ok   bool
 	}{
-		{"no moves", peer.Placed{}, true},
-		{"some moves", peer.Placed{Fetch: []string{"", "10.0.0.1:1"}, Save: []string{"10.0.0.1:1", ""}}, true},
-		{"spoilt source", peer.Placed{Fetch: []string{"10.0.0.1"}}, false},
-		{"spoilt store", peer.Placed{Save: []string{"x"}}, false},
+		{"no moves", peer.PlacementResponse{}, true},
+		{"some moves", peer.PlacementResponse{Fetch: []string{"", "10.0.0.1:1"}, Save: []string{"10.0.0.1:1", ""}}, true},
+		{"spoilt source", peer.PlacementResponse{Fetch: []string{"10.0.0.1"}}, false},
+		{"spoilt store", peer.PlacementResponse{Save: []string{"x"}}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := listed("box-05")
+			d := boxWithEngines("box-05")
 			tt.p.Target, tt.p.Version = "a", 1
-			if _, ok := d.accept(start, &d.tables, deliver.Ask{Job: job("long", 10)}, &tt.p); ok != tt.ok {
+			if _, ok := d.acceptHubPlace(start, &d.tables, deliver.PlacementRequest{Job: job("long", 10)}, &tt.p); ok != tt.ok {
 				t.Errorf("accepted %v", ok)
 			}
 		})
@@ -449,19 +449,19 @@
 // TestHubCounts shows that a hub counts what it placed for others before they
 // tell, and what they tell once.
 func TestHubCounts(t *testing.T) {
-	hub := listed("box-00")
+	hub := boxWithEngines("box-00")
 	hub.update(start, targetsRead{start, Targets{Gone: []string{"b"}}, false})
 	tokens := func() int {
 		n, _ := hub.load(start, &hub.tables, hub.tables.fleet.Target("a"))
 		return n
 	}
 	gossip := func(tokens int) {
-		hub.peerAsks(start, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05", Shares: []peer.Share{{Target: placement.Hash("a"), Tokens: tokens}}})
+		hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05", TargetLoads: []peer.TargetLoad{{Target: placement.Hash("a"), Tokens: tokens}}})
 	}
 	gossip(100)
-	ask := peer.PlaceAsk{Pool: "models", Model: "m", Tokens: 500, Fill: 1}
-	if got := hub.peerAsks(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", Ask: &ask}); got.Placed.Target != "a" {
-		t.Fatalf("placed %+v", got.Placed)
+	ask := peer.PlacementRequest{Pool: "models", Model: "m", Tokens: 500, MaxMemoryShare: 1}
+	if got := hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &ask}); got.PlacementResponse.Target != "a" {
+		t.Fatalf("placed %+v", got.PlacementResponse)
 	}
 	if got := tokens(); got != 600 {
 		t.Errorf("%d tokens, want what was told and placed", got)
@@ -478,8 +478,8 @@
 	spoke.update(start, operatorRead{start, Operator{Table: configuration(1)}})
 	walled := job("long", 1000)
 	walled.Account = &routing.Account{Name: "w", Isolated: true}
-	effects, remote := spoke.placeRemotely(start, &spoke.tables, placeAsked{ask: deliver.Ask{Job: walled}})
-	if !remote || effects[0].(askHub).ask.Walled != "w" {
+	effects, remote := spoke.placeRemotely(start, &spoke.tables, placementRequest{ask: deliver.PlacementRequest{Job: walled}})
+	if !remote || effects[0].(askHub).ask.IsolatedAccount != "w" {
 		t.Errorf("effects %+v", effects)
 	}
 }
@@ -488,7 +488,7 @@
 func TestLinksTravel(t *testing.T) {
 	hub, spoke := largeFleet("box-00"), largeFleet("box-05")
 	linked := ""
-	spoke.Platform.Linked = func(at netip.AddrPort) bool { return at.String() == linked }
+	spoke.Platform.HasIdleConnection = func(at netip.AddrPort) bool { return at.String() == linked }
 	for _, d := range []*Daemon{hub, spoke} {
 		d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
 		for i, id := range []string{"a", "b", "c"} {
@@ -497,14 +497,14 @@
 			d.listTarget(start, &d.tables, e)
 		}
 	}
-	hub.tables.warmed = true
+	hub.tables.hubWarm = true
 	for i, id := range []string{"a", "b", "c", "a"} {
 		linked = spoke.tables.fleet.Target(id).Address.String()
-		effects := spoke.update(start, placeAsked{ctx: context.Background(), ask: deliver.Ask{Job: job("short", 100)}, reply: make(chan placeAnswer, 1)})
+		effects := spoke.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: job("short", 100)}, reply: make(chan placeAnswer, 1)})
 		ask := effects[0].(askHub).ask
-		got := hub.peerAsks(start.Add(time.Duration(i)*time.Second), &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", Ask: &ask})
-		if got.Placed == nil || got.Placed.Target != id {
-			t.Errorf("a connection rests to %s, placed on %+v", id, got.Placed)
+		got := hub.peerRequest(start.Add(time.Duration(i)*time.Second), &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &ask})
+		if got.PlacementResponse == nil || got.PlacementResponse.Target != id {
+			t.Errorf("a connection rests to %s, placed on %+v", id, got.PlacementResponse)
 		}
 	}
 }
@@ -517,8 +517,8 @@
 			spoke := largeFleet("box-05")
 			entries := []peer.Entry{{ID: "a", Pool: "models", Address: "10.1.0.1:1"}}
 			hear := func(at time.Time, proof time.Duration, list uint64) {
-				view := &peer.View{Namings: map[string][]peer.Naming{}, ProofMS: proof.Milliseconds(), List: list, Entries: entries}
-				spoke.update(at, peerCalled{"box-00", at, peer.Message{View: view}, nil})
+				view := &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, ProofAgeMS: proof.Milliseconds(), ListVersion: list, Entries: entries}
+				spoke.update(at, peerAnswered{"box-00", at, peer.Message{View: view}, nil})
 			}
 			if heard {
 				hear(start, 0, 3)
--- a/entry/idle_test.go
+++ b/entry/idle_test.go
@@ -15,20 +15,20 @@
 func idleFleet(name string, boxes, targets int) *Daemon {
 	d := newDaemon(name)
 	for i := range boxes {
-		m := &member{at: netip.MustParseAddrPort("10.0.0.1:1"), domain: "a", share: weakShare}
+		m := &member{address: netip.MustParseAddrPort("10.0.0.1:1"), domain: "a", share: weakShare}
 		if i < 2 {
 			m.share = emulatedShare
 		}
 		d.tables.members[fmt.Sprintf("box-%04d", i)] = m
 	}
-	d.tables.settled = true
+	d.tables.membersKnown = true
 	d.update(start, operatorRead{start, Operator{Table: configuration(1), Weights: map[string]int64{"m": 1}}})
 	var list []fleet.Entry
 	for i := range targets {
 		list = append(list, engine(fmt.Sprintf("i-%05d", i), 1))
 	}
-	d.update(start, targetsRead{start, Targets{Whole: true, Listed: list}, false})
-	d.assumeRole(start, &d.tables)
+	d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: list}, false})
+	d.updateRole(start, &d.tables)
 	return d
 }
 
--- a/entry/inuse.go
+++ b/entry/inuse.go
@@ -67,8 +67,8 @@
 	u.known = engines
 }
 
-// steady says that a pool's engines may be followed.
-func (t *tables) steady(now time.Time, pool string) bool {
+// stable says that a pool's engines may be followed.
+func (t *tables) stable(now time.Time, pool string) bool {
 	u := t.inUse[pool]
 	return u == nil || u.steady(now)
 }
@@ -76,7 +76,7 @@
 // unsteady says that some pool's engines are not followed yet.
 func (t *tables) unsteady(now time.Time) bool {
 	for pool := range t.inUse {
-		if !t.steady(now, pool) {
+		if !t.stable(now, pool) {
 			return true
 		}
 	}
@@ -102,25 +102,25 @@
 	return used
 }
 
-// keepInUse works out anew which engines are in use, if the list changed.
-func (d *Daemon) keepInUse(now time.Time, t *tables) []effect {
-	if t.refreshedList == t.listNumber {
+// updateInUse works out anew which engines are in use, if the list changed.
+func (d *Daemon) updateInUse(now time.Time, t *tables) []effect {
+	if t.refreshedList == t.listVersion {
 		return nil
 	}
-	d.refresh(now, t)
-	return d.follow(now, t)
+	d.refreshInUse(now, t)
+	return d.reconcileSources(now, t)
 }
 
-// refresh does so each refreshEvery at most, but at once for a pool that has become too large
+// refreshInUse does so each refreshEvery at most, but at once for a pool that has become too large
 // to be in use as a whole.
-func (d *Daemon) refresh(now time.Time, t *tables) {
+func (d *Daemon) refreshInUse(now time.Time, t *tables) {
 	table := d.current.Load()
 	if table == nil {
 		return
 	}
 	due := !now.Before(t.due.refresh)
 	if due {
-		t.refreshedList = t.listNumber
+		t.refreshedList = t.listVersion
 		t.due.refresh = now.Add(refreshEvery)
 	}
 	for name, pool := range table.Pools {
@@ -146,7 +146,7 @@
 	before := u.since
 	u.members, u.since = nil, make(map[string]time.Time)
 	if len(all) > u.set.Size() {
-		u.members = u.set.Of(all, func(x *fleet.Target) bool { return x.Open(now) })
+		u.members = u.set.Members(all, func(x *fleet.Target) bool { return x.Available(now) })
 	}
 	u.see(now, len(all))
 	for _, x := range t.engines(pool) {
@@ -155,8 +155,8 @@
 			at = now
 		}
 		u.since[x.ID] = at
-		if !used && t.log != nil && !t.log.Has(x.ID) {
-			t.log.Touch(x.ID)
+		if !used && t.changes != nil && !t.changes.Has(x.ID) {
+			t.changes.Touch(x.ID)
 		}
 	}
 	t.withdraw(pool, u)
@@ -167,18 +167,18 @@
 
 // withdraw has boxes told no more of the engines that are not in use.
 func (t *tables) withdraw(pool string, u *inUse) {
-	if t.log == nil || u.members == nil {
+	if t.changes == nil || u.members == nil {
 		return
 	}
 	for _, x := range t.fleet.Pool(pool) {
 		if _, used := u.since[x.ID]; !used {
-			t.log.Remove(x.ID)
+			t.changes.Remove(x.ID)
 		}
 	}
 }
 
-// fitInUse has pools use more engines before these fill, and fewer after.
-func (d *Daemon) fitInUse(now time.Time, t *tables) {
+// resizeInUse has pools use more engines before these fill, and fewer after.
+func (d *Daemon) resizeInUse(now time.Time, t *tables) {
 	table := d.current.Load()
 	if table == nil {
 		return
@@ -189,7 +189,7 @@
 			continue
 		}
 		share := d.takenUp(now, t, u.members, pool.Engine.Capacity)
-		if u.set.Fit(now, share, len(u.members) == len(t.fleet.Pool(name))) {
+		if u.set.Resize(now, share, len(u.members) == len(t.fleet.Pool(name))) {
 			d.Log.Info("pool uses another number of engines", "pool", name, "now", u.set.Size(), "taken_up", share)
 			d.refreshPool(now, t, name)
 		}
@@ -209,31 +209,31 @@
 // touch notes that a target came or changed, for boxes that take this one's view. A list that
 // was never read has no number.
 func (t *tables) touch(id string) {
-	if t.listNumber == 0 {
+	if t.listVersion == 0 {
 		return
 	}
-	t.listNumber++
+	t.listVersion++
 	if x := t.fleet.Target(id); x != nil && t.tells(x) {
-		t.log.Touch(id)
+		t.changes.Touch(id)
 	}
 }
 
 // untouch notes that a target went.
 func (t *tables) untouch(id string) {
-	if t.listNumber == 0 {
+	if t.listVersion == 0 {
 		return
 	}
-	t.listNumber++
-	t.log.Remove(id)
+	t.listVersion++
+	t.changes.Remove(id)
 }
 
 // beginList begins the list that other boxes take from here: with a drawn number, so that a
 // hub that starts again never gives another list the same one.
 func (t *tables) beginList() {
-	t.listNumber = rand.Uint64()>>1 + 1
-	t.log = changelog.New[string](t.listNumber)
-	for _, id := range t.fleet.All() {
-		t.log.Touch(id)
+	t.listVersion = rand.Uint64()>>1 + 1
+	t.changes = changelog.New[string](t.listVersion)
+	for _, id := range t.fleet.IDs() {
+		t.changes.Touch(id)
 	}
 }
 
@@ -242,12 +242,12 @@
 	return peer.Entry{
 		ID: x.ID, Pool: x.Pool, Address: x.Address.String(), Domain: x.Domain, Slots: x.Slots,
 		Leaving: x.Leaving, Software: x.Software, Loading: x.Loading(now), Versions: maps.Clone(x.Versions),
-		BornMS: unixMS(x.Born), ColdMS: max(x.ColdUntil.Sub(now), 0).Milliseconds(), Lapsed: !x.LapsedAt.IsZero(),
+		StartedMS: unixMS(x.StartedAt), ColdMS: max(x.ColdUntil.Sub(now), 0).Milliseconds(), Lapsed: !x.LapsedAt.IsZero(),
 	}
 }
 
 // differs says that boxes have to be told of a target anew.
 func differs(a, b peer.Entry) bool {
 	return a.Address != b.Address || a.Domain != b.Domain || a.Slots != b.Slots || a.Leaving != b.Leaving || a.Loading != b.Loading ||
-		a.BornMS != b.BornMS || a.Lapsed != b.Lapsed || (a.ColdMS > 0) != (b.ColdMS > 0) || !maps.Equal(a.Versions, b.Versions)
+		a.StartedMS != b.StartedMS || a.Lapsed != b.Lapsed || (a.ColdMS > 0) != (b.ColdMS > 0) || !maps.Equal(a.Versions, b.Versions)
 }
--- a/entry/inuse_test.go
+++ b/entry/inuse_test.go
@@ -30,7 +30,7 @@
 	for i := range 40 {
 		list = append(list, serviceAt(fmt.Sprintf("s-%02d", i), "v1", i))
 	}
-	w.enter(list...)
+	w.addTargets(list...)
 	return w
 }
 
@@ -68,7 +68,7 @@
 	t.Parallel()
 	const boxes, engines, spokeBytes = 90, 2000, 6000
 	w := manyEngines(boxes, engines)
-	w.play(3*time.Second, nil)
+	w.advance(3*time.Second, nil)
 	inUse := w.boxes[0].tables.engines("models")
 	if len(inUse) >= engines/2 || !w.agree() {
 		t.Fatalf("%d engines are in use, by all boxes: %v", len(inUse), w.agree())
@@ -86,9 +86,9 @@
 	const length = 10
 	before := w.sent()
 	for i := range length {
-		w.enter(engineAt(engines+2*i), engineAt(engines+2*i+1))
-		w.leave(engineAt(2*i).ID, engineAt(2*i+1).ID)
-		w.play(time.Second, nil)
+		w.addTargets(engineAt(engines+2*i), engineAt(engines+2*i+1))
+		w.removeTargets(engineAt(2*i).ID, engineAt(2*i+1).ID)
+		w.advance(time.Second, nil)
 	}
 	if each := (w.sent() - before) / length / boxes; each > spokeBytes {
 		t.Errorf("%d bytes a second are told to each box, %d are allowed", each, spokeBytes)
@@ -99,8 +99,8 @@
 		t.Error("boxes have other engines in use")
 	}
 	left := w.boxes[0].tables.engines("models")[0].ID
-	w.leave(left)
-	w.play(time.Second, nil)
+	w.removeTargets(left)
+	w.advance(time.Second, nil)
 	for _, d := range w.boxes {
 		if slices.Contains(ids(d.tables.engines("models")), left) {
 			t.Errorf("%s uses an engine that left a second ago", d.Settings.Name)
@@ -114,16 +114,16 @@
 	t.Parallel()
 	const engines, part = 3000, 50
 	w := manyEngines(30, 0)
-	w.play(time.Second, nil)
+	w.advance(time.Second, nil)
 	for i := 0; i < engines; i += part {
 		var some []fleet.Entry
 		for j := range part {
 			some = append(some, engineAt(i+j))
 		}
-		w.enter(some...)
-		w.play(2*emulatedStep, nil)
+		w.addTargets(some...)
+		w.advance(2*emulatedStep, nil)
 	}
-	w.play(4*time.Second, nil)
+	w.advance(4*time.Second, nil)
 	inUse := len(w.boxes[0].tables.engines("models"))
 	for _, d := range w.boxes {
 		followed := w.cost[d.Settings.Name].followed
@@ -138,15 +138,15 @@
 func TestHalfCrash(t *testing.T) {
 	t.Parallel()
 	w := manyEngines(30, 1500)
-	w.play(3*time.Second, nil)
+	w.advance(3*time.Second, nil)
 	inUse := ids(w.boxes[0].tables.engines("models"))
-	w.leave(inUse[:len(inUse)/2]...)
+	w.removeTargets(inUse[:len(inUse)/2]...)
 	spoke := w.boxes[len(w.boxes)-1]
 	placed, refused := 0, 0
-	w.play(2*time.Second, func() {
+	w.advance(2*time.Second, func() {
 		reply := make(chan placeAnswer, 1)
-		w.carry(spoke, spoke.update(w.now, placeAsked{ctx: context.Background(), ask: deliver.Ask{Job: job("short", 100)}, reply: reply}))
-		w.later(200*time.Millisecond, func() {
+		w.perform(spoke, spoke.update(w.now, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: job("short", 100)}, reply: reply}))
+		w.after(200*time.Millisecond, func() {
 			select {
 			case answer := <-reply:
 				if answer.err == nil {
--- a/entry/join.go
+++ b/entry/join.go
@@ -19,9 +19,9 @@
 // where they are found, not who is alive.
 const memberPrefix = "member/"
 
-// keyCredential is the row of what the boxes show each other. The first box
+// credentialKey is the row of what the boxes show each other. The first box
 // that starts draws it.
-const keyCredential = "credential"
+const credentialKey = "credential"
 
 // memberRow is the value of a box's row.
 type memberRow struct {
@@ -73,13 +73,13 @@
 			return
 		}
 		d.Log.Warn("a row of this box was not written; trying again", "err", err)
-		d.pause(ctx, time.Second)
+		d.sleep(ctx, time.Second)
 	}
 }
 
 // hasCredential says that the rows hold what the boxes show each other.
 func hasCredential(rows []table.Row) bool {
-	return slices.ContainsFunc(rows, func(r table.Row) bool { return r.Key == keyCredential })
+	return slices.ContainsFunc(rows, func(r table.Row) bool { return r.Key == credentialKey })
 }
 
 // draw writes the credential unless there is one.
@@ -90,8 +90,8 @@
 	}
 	// A write that took place after a restore counts as failed too; the next read tells.
 	err = d.Platform.Commit(ctx, table.Transaction{
-		Expect: []table.Condition{{Key: keyCredential}},
-		Put:    []table.Row{{Key: keyCredential, Value: value}},
+		Expect: []table.Condition{{Key: credentialKey}},
+		Put:    []table.Row{{Key: credentialKey, Value: value}},
 	})
 	if trace.IsCompareFailed(err) {
 		return nil
@@ -99,24 +99,24 @@
 	return err
 }
 
-// memberRead takes over another box's row.
-func (d *Daemon) memberRead(t *tables, name string, value []byte) {
+// applyMemberRow takes over another box's row.
+func (d *Daemon) applyMemberRow(t *tables, name string, value []byte) {
 	var row memberRow
 	if err := json.Unmarshal(value, &row); err != nil {
 		d.Log.Error("a box's row can't be read", "box", name, "err", err)
 	}
-	delete(t.rowsLost, name)
-	if m, known := t.members[name]; known && !m.unlisted && m.at == row.Peers {
+	delete(t.lostRows, name)
+	if m, known := t.members[name]; known && !m.unlisted && m.address == row.Peers {
 		return
 	}
 	d.Log.Debug("box known", "name", name, "at", row.Peers)
-	t.members[name] = &member{heard: d.now(), at: row.Peers, domain: row.Domain, share: row.Share, megabits: row.Megabits}
-	t.ranks = nil
+	t.members[name] = &member{heardAt: d.now(), address: row.Peers, domain: row.Domain, share: row.Share, megabits: row.Megabits}
+	t.hubRanks = nil
 	t.regions[row.Domain] = row.Region
 }
 
-// credentialRead takes over what the boxes show each other.
-func (d *Daemon) credentialRead(value []byte) {
+// applyCredential takes over what the boxes show each other.
+func (d *Daemon) applyCredential(value []byte) {
 	var credential string
 	if err := json.Unmarshal(value, &credential); err != nil {
 		d.Log.Error("the credential's row can't be read", "err", err)
--- a/entry/join_test.go
+++ b/entry/join_test.go
@@ -11,14 +11,14 @@
 // TestJoin says what a box writes when it starts: its row unless that stands there as
 // it would be written, and the credential if there is none and it falls to this box.
 func TestJoin(t *testing.T) {
-	credential := table.Row{Key: keyCredential, Value: []byte(`"x"`)}
+	credential := table.Row{Key: credentialKey, Value: []byte(`"x"`)}
 	tests := []struct {
 		name   string
 		rows   func(own table.Row) []table.Row
 		falls  bool
 		writes []string
 	}{
-		{"the first box", func(table.Row) []table.Row { return nil }, true, []string{"member/box-1", keyCredential}},
+		{"the first box", func(table.Row) []table.Row { return nil }, true, []string{"member/box-1", credentialKey}},
 		{"one of many that start at once", func(table.Row) []table.Row { return nil }, false, []string{"member/box-1"}},
 		{"a new box", func(table.Row) []table.Row { return []table.Row{credential} }, true, []string{"member/box-1"}},
 		{"was there before", func(own table.Row) []table.Row { return []table.Row{own, credential} }, true, nil},
@@ -79,9 +79,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("box-99")
 			d.Settings.Domain = "a"
-			d.update(start, ownRead{Own{Rows: append(tt.rows, row(99, "a", 0.2)), Known: rev(7), Whole: true}, false})
-			if got := d.spoke.Load(); got != tt.spoke || d.waiting.Load() == tt.spoke {
-				t.Errorf("lives on hubs %v, want %v; waits %v", got, tt.spoke, d.waiting.Load())
+			d.update(start, ownRead{OwnRows{Rows: append(tt.rows, row(99, "a", 0.2)), Known: rev(7), Snapshot: true}, false})
+			if got := d.spoke.Load(); got != tt.spoke || d.roleUnknown.Load() == tt.spoke {
+				t.Errorf("lives on hubs %v, want %v; waits %v", got, tt.spoke, d.roleUnknown.Load())
 			}
 		})
 	}
--- a/entry/leave_test.go
+++ b/entry/leave_test.go
@@ -29,11 +29,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			hub, spoke := listed("box-00"), listed("box-05")
+			hub, spoke := boxWithEngines("box-00"), boxWithEngines("box-05")
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			reply := make(chan placeAnswer, 1)
-			var m message = placeAsked{ctx: ctx, ask: deliver.Ask{Job: job("long", 1000)}, reply: reply}
+			var m message = placementRequest{ctx: ctx, ask: deliver.PlacementRequest{Job: job("long", 1000)}, reply: reply}
 			for i := range tt.asks {
 				asked := spoke.update(start, m)[0].(askHub)
 				answer := hubPlaced{hub: asked.hub, m: asked.m, err: errors.New("no answer")}
@@ -41,7 +41,7 @@
 					answer.err = tt.err
 				}
 				if answer.err == nil {
-					answer.placed = hub.peerAsks(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", Ask: &asked.ask}).Placed
+					answer.placed = hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &asked.ask}).PlacementResponse
 				}
 				m = answer
 			}
@@ -52,8 +52,8 @@
 			if got := <-reply; got.err == nil {
 				t.Errorf("placed at %q", got.place.Target)
 			}
-			for _, id := range spoke.tables.fleet.All() {
-				if x := spoke.tables.fleet.Target(id); x.InFlight != 0 || x.Tokens != 0 || x.Unread != 0 {
+			for _, id := range spoke.tables.fleet.IDs() {
+				if x := spoke.tables.fleet.Target(id); x.InFlight != 0 || x.Tokens != 0 || x.PrefillBacklog != 0 {
 					t.Errorf("counted at %q: %+v", id, x)
 				}
 			}
@@ -74,7 +74,7 @@
 	spoke := largeFleet("box-05")
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	ask := askHub{at: netip.MustParseAddrPort(silent.Addr().String()), m: placeAsked{ctx: ctx}}
+	ask := askHub{at: netip.MustParseAddrPort(silent.Addr().String()), m: placementRequest{ctx: ctx}}
 	if got := spoke.askHub(context.Background(), ask); !errors.Is(got.err, context.Canceled) {
 		t.Errorf("err = %v", got.err)
 	}
--- a/entry/list.go
+++ b/entry/list.go
@@ -12,10 +12,10 @@
 
 // targetsRead takes over the list of targets.
 func (d *Daemon) targetsRead(now time.Time, t *tables, m targetsRead) []effect {
-	if t.listNumber == 0 {
+	if t.listVersion == 0 {
 		t.beginList()
 	}
-	d.restored(now, t, m.change.Known)
+	d.noteRestore(now, t, m.change.Known)
 	restored := m.change.Known.Restores > t.listRestores
 	t.listRestores = m.change.Known.Restores
 	t.listRead = m.asked
@@ -25,7 +25,7 @@
 		d.Log.Error("entry can't be used, so it names no target", "target", id, "err", m.change.Unusable[id])
 		d.unlist(now, t, id, false)
 	}
-	if m.change.Whole {
+	if m.change.Snapshot {
 		d.Log.Info("list of targets read", "targets", len(m.change.Listed), "revision", m.change.Known, "known", t.listKnown, "before", t.fleet.Len())
 	}
 	seen := make(map[string]bool, len(m.change.Listed))
@@ -34,31 +34,31 @@
 		if restored && d.holdBack(now, t, e) {
 			continue
 		}
-		delete(t.heldBack, e.ID)
+		delete(t.heldEntries, e.ID)
 		d.listTarget(now, t, e)
 	}
 	gone := m.change.Gone
-	if m.change.Whole {
-		for _, id := range t.fleet.All() {
+	if m.change.Snapshot {
+		for _, id := range t.fleet.IDs() {
 			if !seen[id] {
 				gone = append(gone, id)
 			}
 		}
 	}
 	for _, id := range gone {
-		delete(t.heldBack, id)
+		delete(t.heldEntries, id)
 		d.unlist(now, t, id, m.away || restored)
 	}
-	d.refresh(now, t)
-	return d.follow(now, t)
+	d.refreshInUse(now, t)
+	return d.reconcileSources(now, t)
 }
 
 // noteBehind notes weights older than the newest named with which a target comes
 // into the list.
 func (t *tables) noteBehind(x *fleet.Target) {
 	for model, version := range x.Versions {
-		if version < t.model(model).wanted {
-			x.Behind[model] = version
+		if version < t.rolloutOf(model).newestVersion {
+			x.StaleVersions[model] = version
 		}
 	}
 }
@@ -73,7 +73,7 @@
 	if before != nil {
 		told = entryOf(now, before)
 	}
-	x, fresh := t.fleet.List(now, e)
+	x, fresh := t.fleet.Upsert(now, e)
 	if x != nil {
 		d.applyNotices(now, x)
 	}
@@ -107,14 +107,14 @@
 	if t.fleet.Len() > inLines {
 		log = d.Log.Debug
 	}
-	log("target in", "target", x.ID, "born", x.Born, "pool", x.Pool, "at", x.Address, "domain", x.Domain, "leaving", x.Leaving)
+	log("target in", "target", x.ID, "born", x.StartedAt, "pool", x.Pool, "at", x.Address, "domain", x.Domain, "leaving", x.Leaving)
 }
 
 // reborn drops what is kept of a target's earlier life beside the fleet's table: what
 // it kept, its news and that it was loading.
 func (d *Daemon) reborn(now time.Time, t *tables, before, x *fleet.Target) {
-	d.Log.Warn("target has started again", "target", x.ID, "pool", x.Pool, "born", x.Born, "before", before.Born, "in_flight", before.InFlight)
-	d.targetEnded(now, t, lifeText(before.Life()), "its entry")
+	d.Log.Warn("target has started again", "target", x.ID, "pool", x.Pool, "born", x.StartedAt, "before", before.StartedAt, "in_flight", before.InFlight)
+	d.incarnationEnded(now, t, incarnationKey(before.Incarnation()), "its entry")
 	t.doubtGone(now, before)
 	t.forget(x.ID)
 }
@@ -124,10 +124,10 @@
 func (t *tables) forget(id string) {
 	t.directory.Forget(id)
 	delete(t.loading, id)
-	delete(t.used, id)
-	if stop := t.followed[id]; stop != nil {
+	delete(t.targetsInUse, id)
+	if stop := t.watched[id]; stop != nil {
 		stop()
-		delete(t.followed, id)
+		delete(t.watched, id)
 	}
 }
 
@@ -142,47 +142,47 @@
 		t.doubtGone(now, x)
 	}
 	if away && !x.Leaving {
-		d.Log.Warn("target's entry lapsed while the table service was away, or a restore lost it", "target", id, "kept_for", fleet.LapsedFor)
+		d.Log.Warn("target's entry lapsed while the table service was away, or a restore lost it", "target", id, "kept_for", fleet.LapseGrace)
 		t.fleet.Lapse(now, id)
 		return
 	}
 	d.Log.Info("target gone", "target", id, "pool", x.Pool, "in_flight", x.InFlight)
-	t.departed[id] = departure{x.Life(), x.Leaving, now}
+	t.tombstones[id] = tombstone{x.Incarnation(), x.Leaving, now}
 	if !x.Leaving {
-		d.targetEnded(now, t, lifeText(x.Life()), "the list")
+		d.incarnationEnded(now, t, incarnationKey(x.Incarnation()), "the list")
 	}
-	d.drop(t, id)
+	d.removeTarget(t, id)
 }
 
 // doubtGone notes that a target went from the list without notice: it may live,
 // and be used by boxes that have not read that yet.
 func (t *tables) doubtGone(now time.Time, x *fleet.Target) {
 	for model, version := range x.Versions {
-		if w := t.weights[model]; w != nil && version < w.wanted {
-			w.clearing.Doubt(now)
+		if w := t.weights[model]; w != nil && version < w.newestVersion {
+			w.clearing.MarkIncomplete(now)
 		}
 	}
 }
 
-func (d *Daemon) drop(t *tables, id string) {
+func (d *Daemon) removeTarget(t *tables, id string) {
 	t.untouch(id)
 	t.fleet.Drop(id)
 	t.forget(id)
 }
 
-// replaced forgets a target whose life is over, as another replica has its address or
+// dropReplaced forgets a target whose life is over, as another replica has its address or
 // as it started again. Its next life comes with its entry.
-func (d *Daemon) replaced(now time.Time, t *tables, life fleet.Life, from string) []effect {
-	x := t.fleet.Of(life)
-	if !t.fleet.Replace(now, life) {
+func (d *Daemon) dropReplaced(now time.Time, t *tables, life fleet.Incarnation, from string) []effect {
+	x := t.fleet.Incarnation(life)
+	if !t.fleet.MarkEnded(now, life) {
 		return nil
 	}
 	if x != nil {
 		t.doubtGone(now, x) // It may be back, with its weights.
 	}
-	d.Log.Warn("a target's life is over", "target", life.ID, "born", life.Born, "told_by", from)
-	d.targetEnded(now, t, lifeText(life), from)
+	d.Log.Warn("a target's life is over", "target", life.ID, "born", life.StartedAt, "told_by", from)
+	d.incarnationEnded(now, t, incarnationKey(life), from)
 	t.forget(life.ID)
 	t.untouch(life.ID)
-	return d.follow(now, t)
+	return d.reconcileSources(now, t)
 }
--- a/entry/listen.go
+++ b/entry/listen.go
@@ -46,12 +46,12 @@
 		if !l.at.IsValid() {
 			continue
 		}
-		listener, err := listenTCP(l.at.String(), vanishedFor)
+		listener, err := listenTCP(l.at.String(), tcpUserTimeout)
 		if err != nil {
 			return nil, trace.Wrap(err, "listening on %v", l.at)
 		}
 		listeners = append(listeners, listener)
-		servers = append(servers, &http.Server{Handler: l.handler, ReadHeaderTimeout: headWithin, IdleTimeout: idleFor, MaxHeaderBytes: headBytes, ErrorLog: d.Log.StandardLog(), ConnContext: hangup.Keep})
+		servers = append(servers, &http.Server{Handler: l.handler, ReadHeaderTimeout: headWithin, IdleTimeout: idleFor, MaxHeaderBytes: headBytes, ErrorLog: d.Log.StandardLog(), ConnContext: hangup.ConnContext})
 	}
 	for i, s := range servers {
 		d.effects.Go(func() {
@@ -77,7 +77,7 @@
 
 // ready answers whether this box should get new connections.
 func (d *Daemon) ready(w http.ResponseWriter, _ *http.Request) {
-	if d.stopping.Load() || d.current.Load() == nil || !d.fresh(d.now()) {
+	if d.stopping.Load() || d.current.Load() == nil || !d.keysFresh(d.now()) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/entry/load.go
+++ b/entry/load.go
@@ -11,32 +11,32 @@
 	"github.com/thymewind/thymewind/placement"
 )
 
-// told is what this box tells of: its own requests, and in a large fleet those
+// gossipLoads is what this box tells of: its own requests, and in a large fleet those
 // of the boxes that tell it.
-func (d *Daemon) told(now time.Time, t *tables) []peer.Share {
+func (d *Daemon) gossipLoads(now time.Time, t *tables) []peer.TargetLoad {
 	own := t.ownShares(now)
-	if !t.large() || d.spoke.Load() {
+	if !t.usesHubs() || d.spoke.Load() {
 		return own
 	}
-	sum := t.others.Without(t.hubs())
+	sum := t.othersUsage.Without(t.hubs())
 	for _, s := range own {
-		sum[s.Target] = s.Plus(sum[s.Target])
+		sum[s.Target] = s.Add(sum[s.Target])
 	}
 	return slices.Collect(maps.Values(sum))
 }
 
 // ownShares lists what this box's requests take up, and how long the moves took
 // that they waited for.
-func (t *tables) ownShares(now time.Time) []peer.Share {
-	var list []peer.Share
+func (t *tables) ownShares(now time.Time) []peer.TargetLoad {
+	var list []peer.TargetLoad
 	t.pace.Each(now, func(source uint64, asked, took time.Duration) {
-		list = append(list, peer.Share{Target: source, AskedMS: int(asked.Milliseconds()), TookMS: int(took.Milliseconds())})
+		list = append(list, peer.TargetLoad{Target: source, ExpectedMS: int(asked.Milliseconds()), ActualMS: int(took.Milliseconds())})
 	})
-	for id, x := range t.used {
-		share := peer.Share{Target: placement.Hash(id), Tokens: x.Tokens}
-		share.Unread = t.overdue.Tokens(now, share.Target)
-		if share.Empty() {
-			delete(t.used, id) // The next request there brings it back.
+	for id, x := range t.targetsInUse {
+		share := peer.TargetLoad{Target: placement.Hash(id), Tokens: x.Tokens}
+		share.PrefillBacklog = t.overdue.Tokens(now, share.Target)
+		if share.IsZero() {
+			delete(t.targetsInUse, id) // The next request there brings it back.
 			continue
 		}
 		list = append(list, share)
@@ -44,17 +44,17 @@
 	return list
 }
 
-// heard takes over what another box's requests take up.
-func (t *tables) heard(now time.Time, name string, list []peer.Share) {
+// receiveLoads takes over what another box's requests take up.
+func (t *tables) receiveLoads(now time.Time, name string, list []peer.TargetLoad) {
 	if t.members[name] != nil {
-		t.others.Set(now, name, list)
+		t.othersUsage.Set(now, name, list)
 	}
 }
 
-// heardReads takes over what another box had targets read.
-func (t *tables) heardReads(now time.Time, name string, list []peer.Read) {
+// receivePrefill takes over what another box had targets read.
+func (t *tables) receivePrefill(now time.Time, name string, list []peer.PrefillTotal) {
 	if t.members[name] != nil {
-		t.reads.Hear(now, name, list)
+		t.prefillBacklog.Merge(now, name, list)
 	}
 }
 
@@ -63,43 +63,43 @@
 // use as much as itself, spread over all targets.
 func (d *Daemon) load(now time.Time, t *tables, x *fleet.Target) (tokens, unread int) {
 	target := placement.Hash(x.ID)
-	unread = t.reads.Unread(now, target) + t.overdue.Tokens(now, target)
-	if t.others.Boxes() == 0 {
-		return x.Tokens + t.usual.Tokens, unread + t.usual.Unread
+	unread = t.prefillBacklog.PrefillBacklog(now, target) + t.overdue.Tokens(now, target)
+	if t.othersUsage.Boxes() == 0 {
+		return x.Tokens + t.usual.Tokens, unread + t.usual.PrefillBacklog
 	}
-	others := t.others.Of(target)
-	return others.Tokens + x.Tokens, unread + others.Unread
+	others := t.othersUsage.Of(target)
+	return others.Tokens + x.Tokens, unread + others.PrefillBacklog
 }
 
 // scatter is by how much first events miss the time reckoned for them, as a rule.
 // A prompt counts as overdue beyond that.
 const scatter = 60 * time.Millisecond
 
-// sent counts a request at its target, and notes when the target should have read
+// countSent counts a request at its target, and notes when the target should have read
 // its prompt.
-func (t *tables) sent(now time.Time, p deliver.Place) {
+func (t *tables) countSent(now time.Time, p deliver.Placement) {
 	x := t.fleet.Target(p.Target)
-	x.Sent(now, p.Unread, p.Tokens)
-	t.used[p.Target] = x
-	if p.Unread == 0 {
+	x.Sent(now, p.PrefillTokens, p.Tokens)
+	t.targetsInUse[p.Target] = x
+	if p.PrefillTokens == 0 {
 		return
 	}
-	base, token := t.pace.Reading()
-	due := now.Add(base + time.Duration(p.Ahead+p.Unread)*token + scatter)
-	for _, m := range p.Moves {
-		due = due.Add(m.Takes)
+	base, token := t.pace.Prefill()
+	due := now.Add(base + time.Duration(p.PrefillBacklog+p.PrefillTokens)*token + scatter)
+	for _, m := range p.Transfers {
+		due = due.Add(m.Expected)
 	}
-	t.overdue.Wait(placement.Hash(p.Target), p.At, due, p.Unread)
+	t.overdue.Add(placement.Hash(p.Target), p.PlacedAt, due, p.PrefillTokens)
 }
 
-// spread is what other boxes' requests take up at each of some targets, if each
+// presumedOthers is what other boxes' requests take up at each of some targets, if each
 // box uses as much as this one.
-func (t *tables) spread(now time.Time, targets []*fleet.Target) peer.Share {
-	var own peer.Share
+func (t *tables) presumedOthers(now time.Time, targets []*fleet.Target) peer.TargetLoad {
+	var own peer.TargetLoad
 	for _, x := range targets {
 		own.Tokens += x.Tokens
-		own.Unread += x.Unread
+		own.PrefillBacklog += x.PrefillBacklog
 	}
-	others, n := t.boxes(now)-1, max(len(targets), 1)
-	return peer.Share{Tokens: own.Tokens * others / n, Unread: own.Unread * others / n}
+	others, n := t.boxCount(now)-1, max(len(targets), 1)
+	return peer.TargetLoad{Tokens: own.Tokens * others / n, PrefillBacklog: own.PrefillBacklog * others / n}
 }
--- a/entry/loading.go
+++ b/entry/loading.go
@@ -19,24 +19,24 @@
 // platform's loads take 1.3 s if few enough targets load at once.
 const loadUsual = 1300 * time.Millisecond
 
-// askLoaded asks a target whether it has loaded.
-type askLoaded struct {
+// pollLoaded asks a target whether it has loaded.
+type pollLoaded struct {
 	target string
 	at     netip.AddrPort
 	// life is the target's when it was asked.
-	life fleet.Life
+	life fleet.Incarnation
 }
 
-// loadedAsked is what it said.
-type loadedAsked struct {
+// loadPolled is what it said.
+type loadPolled struct {
 	target string
 	report Report
 	err    error
 }
 
-// askLoading asks the targets that load by another box's order, if this box places
+// pollLoading asks the targets that load by another box's order, if this box places
 // requests by its own knowledge.
-func (d *Daemon) askLoading(now time.Time, t *tables) []effect {
+func (d *Daemon) pollLoading(now time.Time, t *tables) []effect {
 	var effects []effect
 	for id, due := range t.loading {
 		x := t.fleet.Target(id)
@@ -48,14 +48,14 @@
 			continue
 		}
 		t.loading[id] = x.LoadingUntil // Until the answer is there.
-		effects = append(effects, askLoaded{id, x.Address, x.Life()})
+		effects = append(effects, pollLoaded{id, x.Address, x.Incarnation()})
 	}
 	return effects
 }
 
-// loadedAsked takes a target back that does not load. One that says nothing, or
+// loadPolled takes a target back that does not load. One that says nothing, or
 // that it is busy, is asked again.
-func (d *Daemon) loadedAsked(now time.Time, t *tables, m loadedAsked) {
+func (d *Daemon) loadPolled(now time.Time, t *tables, m loadPolled) {
 	x := t.fleet.Target(m.target)
 	if _, asked := t.loading[m.target]; !asked || x == nil {
 		return
@@ -65,7 +65,7 @@
 		return
 	}
 	delete(t.loading, m.target)
-	if !x.Born.IsZero() && !m.report.Born.IsZero() && !m.report.Born.Equal(x.Born) {
+	if !x.StartedAt.IsZero() && !m.report.StartedAt.IsZero() && !m.report.StartedAt.Equal(x.StartedAt) {
 		return // It tells of another life; the list tells which is the later.
 	}
 	for model, version := range m.report.Versions {
--- a/entry/loading_test.go
+++ b/entry/loading_test.go
@@ -28,20 +28,20 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
-			d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 			d.rolloutRead(start, &d.tables, "m", []byte(`{"epoch":1,"version":2,"loading":["a"]}`))
-			if n := len(d.askLoading(look.Add(-time.Millisecond), &d.tables)); n != 0 {
+			if n := len(d.pollLoading(look.Add(-time.Millisecond), &d.tables)); n != 0 {
 				t.Fatalf("asked %d times before a load can be over", n)
 			}
-			if n := len(d.askLoading(look, &d.tables)); n != 1 {
+			if n := len(d.pollLoading(look, &d.tables)); n != 1 {
 				t.Fatalf("asked %d times", n)
 			}
-			d.update(look, loadedAsked{"a", tt.report, tt.err})
+			d.update(look, loadPolled{"a", tt.report, tt.err})
 			x := d.tables.fleet.Target("a")
 			if x.Loading(look) == tt.takes || x.Versions["m"] != tt.version {
 				t.Errorf("loads %v, version %d", x.Loading(look), x.Versions["m"])
 			}
-			if again := len(d.askLoading(look.Add(loadLook), &d.tables)) == 1; again != tt.asked {
+			if again := len(d.pollLoading(look.Add(loadLook), &d.tables)) == 1; again != tt.asked {
 				t.Errorf("asked again %v", again)
 			}
 		})
@@ -53,16 +53,16 @@
 func TestOneQuestionAtATime(t *testing.T) {
 	later := start.Add(2 * loadUsual)
 	d := newDaemon("b1")
-	d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+	d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 	d.rolloutRead(start, &d.tables, "m", []byte(`{"epoch":1,"version":2,"loading":["a"]}`))
-	if first, again := len(d.askLoading(later, &d.tables)), len(d.askLoading(later, &d.tables)); first != 1 || again != 0 {
+	if first, again := len(d.pollLoading(later, &d.tables)), len(d.pollLoading(later, &d.tables)); first != 1 || again != 0 {
 		t.Errorf("asked %d times, then %d", first, again)
 	}
 	spoke := newDaemon("b2")
 	spoke.spoke.Store(true)
-	spoke.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+	spoke.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 	spoke.rolloutRead(start, &spoke.tables, "m", []byte(`{"epoch":1,"version":2,"loading":["a"]}`))
-	if n := len(spoke.askLoading(later, &spoke.tables)); n != 0 {
+	if n := len(spoke.pollLoading(later, &spoke.tables)); n != 0 {
 		t.Errorf("a box behind a hub asked %d times", n)
 	}
 }
--- a/entry/message.go
+++ b/entry/message.go
@@ -12,28 +12,28 @@
 // message is something that happened. The loop takes one at a time.
 type message any
 
-// placeAsked asks for a place; the loop answers on reply, which has room.
-type placeAsked struct {
+// placementRequest asks for a place; the loop answers on reply, which has room.
+type placementRequest struct {
 	// ctx ends when the caller left or its time is up; the request then gets no
 	// place any more and counts nowhere.
 	ctx   context.Context
-	ask   deliver.Ask
+	ask   deliver.PlacementRequest
 	reply chan<- placeAnswer
-	// asked are the hubs that were asked before.
-	asked []string
+	// askedHubs are the hubs that were asked before.
+	askedHubs []string
 	// trial says that it is placed whatever its like did to targets.
 	trial bool
 }
 
 // placeAnswer is a place or the refusal.
 type placeAnswer struct {
-	place deliver.Place
+	place deliver.Placement
 	err   error
 }
 
-// suspectAsked asks whether a target looks dead; the loop answers on reply,
+// suspectQuery asks whether a target looks dead; the loop answers on reply,
 // which has room.
-type suspectAsked struct {
+type suspectQuery struct {
 	target string
 	reply  chan<- bool
 }
@@ -42,10 +42,10 @@
 type silenceSeen struct{ at netip.AddrPort }
 
 // answerBegan tells that an answer's head came from the place.
-type answerBegan struct{ place deliver.Place }
+type answerBegan struct{ place deliver.Placement }
 
-// sendingEnded tells how a sending went.
-type sendingEnded struct{ deliver.Ended }
+// attemptEnded tells how a sending went.
+type attemptEnded struct{ deliver.AttemptResult }
 
 // operatorRead, targetsRead and ownRead are answers of the table service, with
 // when each read was sent.
@@ -64,21 +64,21 @@
 // ownRead is what the system's own rows say. Settled says that they name all
 // boxes that started long enough ago.
 type ownRead struct {
-	change  Own
+	change  OwnRows
 	settled bool
 }
 
-// storeLost and storeBack tell that the table service stopped or began to
+// tableServiceLost and storeBack tell that the table service stopped or began to
 // answer.
 type (
-	storeLost struct{ err error }
-	storeBack struct{}
+	tableServiceLost struct{ err error }
+	tableServiceBack struct{}
 )
 
-// newsRead is what a source told of its kept parts, or why it did not.
-type newsRead struct {
+// cacheEventsRead is what a source told of its kept parts, or why it did not.
+type cacheEventsRead struct {
 	source string
-	news   News
+	events CacheEvents
 	// listed says that the news is all that the source keeps.
 	listed bool
 	// asked is when it was asked for.
@@ -94,8 +94,8 @@
 	rows []table.Row
 }
 
-// freedOld tells that the stores were cleared of a model's older parts.
-type freedOld struct {
+// staleFreed tells that the stores were cleared of a model's older parts.
+type staleFreed struct {
 	model   string
 	version int64
 	err     error
