--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -7,34 +7,34 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// counters are the daemon's metrics; docs/METRICS.md names them.
-type counters struct {
-	requests      *prometheus.CounterVec
-	retries       *prometheus.CounterVec
-	first, took   *prometheus.HistogramVec
-	ending        *prometheus.HistogramVec
-	configuration prometheus.Gauge
-	targets       prometheus.Gauge
-	kept          prometheus.Gauge
-	members       prometheus.Gauge
-	evacuated     prometheus.Gauge
-	cold          prometheus.Gauge
-	peerBytes     *prometheus.CounterVec
-	unlogged      prometheus.Counter
-	refusals      *prometheus.CounterVec
-	replaced      prometheus.Histogram
-	silent        *prometheus.CounterVec
-	cut           *prometheus.CounterVec
-	ended         prometheus.Counter
-	quarantined   prometheus.Gauge
-	suspended     prometheus.Counter
-	said          *prometheus.CounterVec
-	heldBack      *prometheus.CounterVec
-	limited       prometheus.Counter
-	canaries      *prometheus.CounterVec
-	proofs        *prometheus.CounterVec
-	restores      prometheus.Gauge
-	rewritten     prometheus.Counter
+// metricSet are the daemon's metrics; docs/METRICS.md names them.
+type metricSet struct {
+	requests          *prometheus.CounterVec
+	retries           *prometheus.CounterVec
+	firstByte, answer *prometheus.HistogramVec
+	teardown          *prometheus.HistogramVec
+	configuration     prometheus.Gauge
+	targets           prometheus.Gauge
+	cachedParts       prometheus.Gauge
+	boxes             prometheus.Gauge
+	evacuated         prometheus.Gauge
+	cold              prometheus.Gauge
+	peerBytes         *prometheus.CounterVec
+	unlogged          prometheus.Counter
+	refusals          *prometheus.CounterVec
+	replaced          prometheus.Histogram
+	silentConnections *prometheus.CounterVec
+	cutOff            *prometheus.CounterVec
+	endedTargets      prometheus.Counter
+	quarantined       prometheus.Gauge
+	suspended         prometheus.Counter
+	notices           *prometheus.CounterVec
+	withheld          *prometheus.CounterVec
+	rateLimited       prometheus.Counter
+	canaries          *prometheus.CounterVec
+	proofs            *prometheus.CounterVec
+	restores          prometheus.Gauge
+	rewritten         prometheus.Counter
 }
 
 // latencies are the histograms' bounds in seconds, around the goals of 0.15 to
@@ -50,74 +50,74 @@
 // half a second.
 var endings = []float64{0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1}
 
-func newCounters(r *prometheus.Registry) counters {
-	c := counters{
-		requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_requests_total", Help: "Requests by pool, status and cause."}, []string{"pool", "status", "cause"}),
-		retries:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_retries_total", Help: "Further tries by pool."}, []string{"pool"}),
-		first:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_first_byte_seconds", Help: "From the request's head to the answer's first byte.", Buckets: latencies}, []string{"pool"}),
-		took:     prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_answer_seconds", Help: "From the request's head to the answer's end.", Buckets: latencies}, []string{"pool"}),
+func newMetricSet(r *prometheus.Registry) metricSet {
+	c := metricSet{
+		requests:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_requests_total", Help: "Requests by pool, status and cause."}, []string{"pool", "status", "cause"}),
+		retries:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_retries_total", Help: "Further tries by pool."}, []string{"pool"}),
+		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_first_byte_seconds", Help: "From the request's head to the answer's first byte.", Buckets: latencies}, []string{"pool"}),
+		answer:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_answer_seconds", Help: "From the request's head to the answer's end.", Buckets: latencies}, []string{"pool"}),
 
 		configuration: prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_configuration", Help: "The configuration version in force."}),
 		targets:       prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_targets", Help: "Targets known."}),
-		kept:          prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_kept_parts", Help: "Entries of the directory of kept parts."}),
-		members:       prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_boxes", Help: "Boxes thought to share the work."}),
+		cachedParts:   prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_kept_parts", Help: "Entries of the directory of kept parts."}),
+		boxes:         prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_boxes", Help: "Boxes thought to share the work."}),
 	}
 	c.evacuated = prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_evacuated_domains", Help: "Failure domains that get no work, as the operator asks."})
 	c.cold = prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_cold_targets", Help: "Targets that are cold, or may be."})
 	c.peerBytes = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_peer_bytes_total", Help: "Bytes between boxes."}, []string{"direction"})
-	c.ending = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_caller_left_seconds", Help: "From when a caller was seen to leave until all that was under way for it had ended.", Buckets: endings}, []string{"pool"})
+	c.teardown = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_caller_left_seconds", Help: "From when a caller was seen to leave until all that was under way for it had ended.", Buckets: endings}, []string{"pool"})
 	c.unlogged = prometheus.NewCounter(prometheus.CounterOpts{Name: "thymewind_entry_unlogged_total", Help: "Whole answers without a line of their own in the log, as there were many."})
 	c.replaced = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "thymewind_entry_replaced_weights_seconds", Help: "How long the weights of a placed request had been replaced by newer ones; only requests on replaced weights count.", Buckets: weightsAges})
 	c.refusals = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_refusals_total", Help: "Refused requests by the refusal's code."}, []string{"code"})
-	c.silent = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_silent_connections_total", Help: "Connections given up as they said nothing, by what they led to."}, []string{"to"})
-	c.cut = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_cut_total", Help: "Requests that a target may have run and gave no whole answer to, by pool."}, []string{"pool"})
-	c.ended = prometheus.NewCounter(prometheus.CounterOpts{Name: "thymewind_entry_ended_targets_total", Help: "Targets that were found to have ended while requests of this box ran there."})
+	c.silentConnections = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_silent_connections_total", Help: "Connections given up as they said nothing, by what they led to."}, []string{"to"})
+	c.cutOff = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_cut_total", Help: "Requests that a target may have run and gave no whole answer to, by pool."}, []string{"pool"})
+	c.endedTargets = prometheus.NewCounter(prometheus.CounterOpts{Name: "thymewind_entry_ended_targets_total", Help: "Targets that were found to have ended while requests of this box ran there."})
 	c.quarantined = prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_quarantined", Help: "Requests, by what they ask for, that are refused as targets ended under them."})
 	c.suspended = prometheus.NewCounter(prometheus.CounterOpts{Name: "thymewind_entry_suspended_seconds_total", Help: "For how long the machine was suspended while this process ran."})
-	c.said = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_said_total", Help: "How often targets began to say of themselves that they leave, that they want no requests for a while, or how many they take."}, []string{"said"})
-	c.heldBack = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_held_back_total", Help: "Requests kept from targets at the last moment, by what these had said of themselves."}, []string{"said"})
-	c.limited = prometheus.NewCounter(prometheus.CounterOpts{Name: "thymewind_entry_limited_total", Help: "Requests placed on targets that limit the requests of all boxes."})
+	c.notices = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_said_total", Help: "How often targets began to say of themselves that they leave, that they want no requests for a while, or how many they take."}, []string{"said"})
+	c.withheld = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_held_back_total", Help: "Requests kept from targets at the last moment, by what these had said of themselves."}, []string{"said"})
+	c.rateLimited = prometheus.NewCounter(prometheus.CounterOpts{Name: "thymewind_entry_limited_total", Help: "Requests placed on targets that limit the requests of all boxes."})
 	c.canaries = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_canaries_total", Help: "Versions of pools' software that were tried out, by what this box learnt of them."}, []string{"what"})
 	c.proofs = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_proofs_total", Help: "Proofs that the configuration in force is the newest, by who read the table service for it."}, []string{"by"})
 	c.restores = prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_store_restores", Help: "How often the table service was restored from an older copy, as it tells."})
 	c.rewritten = prometheus.NewCounter(prometheus.CounterOpts{Name: "thymewind_entry_rows_rewritten_total", Help: "Rows of this box that a restore lost and that it wrote again."})
 	r.MustRegister(
-		c.requests, c.retries, c.first, c.took, c.configuration, c.targets, c.kept, c.members, c.evacuated, c.cold,
-		c.peerBytes, c.unlogged, c.replaced, c.refusals, c.silent, c.ending, c.cut, c.ended, c.quarantined, c.suspended, c.said, c.heldBack, c.limited, c.canaries, c.proofs, c.restores, c.rewritten,
+		c.requests, c.retries, c.firstByte, c.answer, c.configuration, c.targets, c.cachedParts, c.boxes, c.evacuated, c.cold,
+		c.peerBytes, c.unlogged, c.replaced, c.refusals, c.silentConnections, c.teardown, c.cutOff, c.endedTargets, c.quarantined, c.suspended, c.notices, c.withheld, c.rateLimited, c.canaries, c.proofs, c.restores, c.rewritten,
 	)
 	return c
 }
 
 // countQuarantined does so when a request is refused, or not any more, and now and then.
 func (d *Daemon) countQuarantined(t *tables) {
-	d.counts.quarantined.Set(float64(len(t.quarantine.Refused())))
+	d.metrics.quarantined.Set(float64(len(t.quarantine.Refused())))
 }
 
 // countTables writes the tables' sizes into the metrics.
 func (d *Daemon) countTables(t *tables) {
-	d.counts.targets.Set(float64(t.fleet.Len()))
-	d.counts.cold.Set(float64(t.coldOnes(d.now(), d.current.Load())))
+	d.metrics.targets.Set(float64(t.fleet.Len()))
+	d.metrics.cold.Set(float64(t.coldTargets(d.now(), d.current.Load())))
 	kept := 0
-	for name := range t.followed {
-		kept += t.directory.Known(name)
+	for name := range t.watched {
+		kept += t.directory.Len(name)
 	}
-	d.counts.kept.Set(float64(kept))
-	d.counts.members.Set(float64(t.boxes(d.now())))
+	d.metrics.cachedParts.Set(float64(kept))
+	d.metrics.boxes.Set(float64(t.boxCount(d.now())))
 	d.countQuarantined(t)
 }
 
-// Silence notes that a connection was given up as it said nothing for long: to
+// ReportSilence notes that a connection was given up as it said nothing for long: to
 // what it led, and what was waited for. It may be called once Run has begun.
-func (d *Daemon) Silence(to, call string, waited time.Duration) {
-	d.counts.silent.WithLabelValues(to).Inc()
+func (d *Daemon) ReportSilence(to, call string, waited time.Duration) {
+	d.metrics.silentConnections.WithLabelValues(to).Inc()
 	d.Log.Warn("silent connection given up", "to", to, "call", call, "waited", waited)
 }
 
-// SilentTarget is Silence for a connection to a target. Requests that wait there on
+// ReportSilentTarget is Silence for a connection to a target. Requests that wait there on
 // others may wait in vain as well.
-func (d *Daemon) SilentTarget(at netip.AddrPort, waited time.Duration) {
-	d.Silence(ToTarget, at.String(), waited)
-	d.report(silenceSeen{at})
+func (d *Daemon) ReportSilentTarget(at netip.AddrPort, waited time.Duration) {
+	d.ReportSilence(ToTarget, at.String(), waited)
+	d.post(silenceSeen{at})
 }
 
 // What silent connections led to.
--- a/entry/named.go
+++ b/entry/named.go
@@ -49,22 +49,22 @@
 func (d *Daemon) weightsRead(now time.Time, t *tables, m operatorRead) {
 	unnamed := d.clockRead(now, t, m)
 	for model, version := range m.change.Weights {
-		w := t.model(model)
-		if version <= w.wanted {
+		w := t.rolloutOf(model)
+		if version <= w.newestVersion {
 			continue
 		}
-		before := w.wanted
+		before := w.newestVersion
 		w.name(now, version)
 		at, told, proved := d.unnamedAt(t, unnamed)
 		if proved {
-			w.names.Prove(version, at, told)
+			w.versionLog.Prove(version, at, told)
 		} else {
-			w.names.Assume(version, now.Add(-unrecordedFor))
+			w.versionLog.Assume(version, now.Add(-unrecordedFor))
 		}
 		d.Log.Info("weights named", "model", model, "version", version, "before", before, "at_most_ago", w.age(now, version), "proved", proved)
 	}
 	for _, w := range t.weights {
-		w.names.Date(now, &t.clockOfTable)
+		w.versionLog.Date(now, &t.tableClock)
 	}
 }
 
@@ -74,19 +74,19 @@
 // may find a change that is as old as the answer before. It returns zero if that
 // is not known.
 func (d *Daemon) clockRead(now time.Time, t *tables, m operatorRead) time.Duration {
-	before, told := t.toldClock, m.change.Clock
-	t.toldClock = told
+	before, told := t.lastTableClock, m.change.Clock
+	t.lastTableClock = told
 	if told == 0 {
 		return 0
 	}
-	if !t.clockOfTable.See(m.asked, now, told) {
+	if !t.tableClock.Observe(m.asked, now, told) {
 		d.Log.Warn("the table service's clock jumped", "told", told, "before", before)
 		for _, w := range t.weights {
-			w.names.ForgetClock()
+			w.versionLog.ForgetClock()
 		}
 		return 0
 	}
-	if asked, _ := t.clockOfTable.Most(m.asked); m.change.Held && before > 0 && told-asked >= heldAtLeast {
+	if asked, _ := t.tableClock.Max(m.asked); m.change.Held && before > 0 && told-asked >= heldAtLeast {
 		return max(before, told-feedLag)
 	}
 	return before
@@ -97,28 +97,28 @@
 // such a time, or zero. It returns what that clock showed at the time returned; zero if
 // that is a later proof by another hub.
 func (d *Daemon) unnamedAt(t *tables, told time.Duration) (time.Time, time.Duration, bool) {
-	proved := d.proved.Load()
+	proved := d.provedAt.Load()
 	if proved == nil {
 		return time.Time{}, 0, false
 	}
-	if seen, ok := t.clockOfTable.Earliest(told); ok && told > 0 && seen.After(*proved) {
+	if seen, ok := t.tableClock.Earliest(told); ok && told > 0 && seen.After(*proved) {
 		return seen, told, true
 	}
-	if d.vouches.Load() > 0 {
+	if d.peerProofMaxAge.Load() > 0 {
 		return *proved, 0, true
 	}
 	return *proved, told, true
 }
 
 // name takes a newer version over, which this box heard of at a time.
-func (w *weights) name(at time.Time, version int64) {
-	w.wanted = version
-	w.clearing.Name(at, version)
+func (w *modelRollout) name(at time.Time, version int64) {
+	w.newestVersion = version
+	w.clearing.AddVersion(at, version)
 }
 
 // age returns for how long a version, or a newer one, can have been named at most.
-func (w *weights) age(now time.Time, version int64) time.Duration {
-	at, known := w.names.ReplacedAt(version - 1)
+func (w *modelRollout) age(now time.Time, version int64) time.Duration {
+	at, known := w.versionLog.ReplacedAt(version - 1)
 	if !known {
 		return 0
 	}
@@ -126,8 +126,8 @@
 }
 
 // replacedFor returns for how long a version can have been replaced by a newer one.
-func (w *weights) replacedFor(now time.Time, version int64) time.Duration {
-	at, known := w.names.ReplacedAt(version)
+func (w *modelRollout) replacedFor(now time.Time, version int64) time.Duration {
+	at, known := w.versionLog.ReplacedAt(version)
 	if !known {
 		return 0
 	}
@@ -135,53 +135,53 @@
 }
 
 // least returns the lowest version that a request may be sent to.
-func (w *weights) least(now time.Time, within time.Duration) int64 {
+func (w *modelRollout) least(now time.Time, within time.Duration) int64 {
 	if within == 0 {
 		return 0
 	}
-	return w.names.Required(now, within-overdueMargin)
+	return w.versionLog.Required(now, within-overdueMargin)
 }
 
 // beginBy returns when a request must have begun on a version; zero if no newer one
 // is known.
-func (w *weights) beginBy(version int64, within time.Duration) time.Time {
-	at, replaced := w.names.ReplacedAt(version)
+func (w *modelRollout) beginBy(version int64, within time.Duration) time.Time {
+	at, replaced := w.versionLog.ReplacedAt(version)
 	if within == 0 || !replaced {
 		return time.Time{}
 	}
 	return at.Add(within - beginMargin)
 }
 
-// weightsUnknown says that this box's last proof of what the operator wrote is so
+// weightsStale says that this box's last proof of what the operator wrote is so
 // old that any version that it knows may have been replaced for long. It then sends
 // nothing to engines, as it can't tell.
-func (d *Daemon) weightsUnknown(now time.Time) bool {
+func (d *Daemon) weightsStale(now time.Time) bool {
 	within := d.bounds.Load().WeightsWithin
 	return within > 0 && d.provedAgo(now) >= unknownFor*within
 }
 
-// namingsTold lists a model's namings for a box that takes this one's view.
-func (w *weights) namingsTold(now time.Time, within time.Duration) []peer.Naming {
-	var list []peer.Naming
-	for _, n := range w.names.Since(now.Add(-toldFor * within)) {
-		list = append(list, peer.Naming{Version: n.Version, AgeMS: now.Sub(n.At).Milliseconds(), Assumed: n.Assumed})
+// versionsSnapshot lists a model's namings for a box that takes this one's view.
+func (w *modelRollout) versionsSnapshot(now time.Time, within time.Duration) []peer.WeightVersion {
+	var list []peer.WeightVersion
+	for _, n := range w.versionLog.Since(now.Add(-toldFor * within)) {
+		list = append(list, peer.WeightVersion{Version: n.Version, AgeMS: now.Sub(n.At).Milliseconds(), Assumed: n.Assumed})
 	}
 	return list
 }
 
-// namingsFromHub takes a hub's namings over; the ages count from when they were
+// applyHubVersions takes a hub's namings over; the ages count from when they were
 // asked for, as the answer was made later.
-func (d *Daemon) namingsFromHub(now time.Time, t *tables, hub string, asked time.Time, v *peer.View) {
-	for _, model := range slices.Sorted(maps.Keys(v.Namings)) {
-		w := t.model(model)
-		for _, n := range v.Namings[model] {
+func (d *Daemon) applyHubVersions(now time.Time, t *tables, hub string, asked time.Time, v *peer.View) {
+	for _, model := range slices.Sorted(maps.Keys(v.WeightVersions)) {
+		w := t.rolloutOf(model)
+		for _, n := range v.WeightVersions[model] {
 			at := asked.Add(-time.Duration(n.AgeMS) * time.Millisecond)
 			if n.Assumed {
-				w.names.Assume(n.Version, at)
+				w.versionLog.Assume(n.Version, at)
 			} else {
-				w.names.Prove(n.Version, at, 0)
+				w.versionLog.Prove(n.Version, at, 0)
 			}
-			if n.Version > w.wanted {
+			if n.Version > w.newestVersion {
 				w.name(now, n.Version)
 				d.Log.Info("weights named", "model", model, "version", n.Version, "hub", hub, "at_most_ago", w.age(now, n.Version), "proved", !n.Assumed)
 			}
--- a/entry/named_test.go
+++ b/entry/named_test.go
@@ -27,10 +27,10 @@
 	d.now = func() time.Time { return now }
 	d.lease.Now = d.now
 	d.update(now, operatorRead{now, Operator{Table: configuration(1), Weights: map[string]int64{"m": 1}, Clock: 100 * time.Second}})
-	d.update(now, targetsRead{now, Targets{Whole: true, Listed: engines}, false})
+	d.update(now, targetsRead{now, Targets{Snapshot: true, Listed: engines}, false})
 	now = start.Add(10 * time.Second)
 	d.update(now, operatorRead{now.Add(-heldAtLeast - 10*time.Millisecond), Operator{Weights: map[string]int64{"m": 2}, Clock: 110 * time.Second, Held: true}})
-	if err := d.lease.Step(context.Background()); err != nil {
+	if err := d.lease.AcquireOrRenew(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	d.tables.readEpoch, _, _ = d.lease.Held()
@@ -56,7 +56,7 @@
 	if !written {
 		t.Fatal("the rollout is not told")
 	}
-	own := ownRead{change: Own{Rows: []table.Row{row}}}
+	own := ownRead{change: OwnRows{Rows: []table.Row{row}}}
 	operator := func(at time.Time) message {
 		return operatorRead{at, Operator{Table: configuration(1), Weights: map[string]int64{"m": 2}, Clock: 114 * time.Second}}
 	}
@@ -76,7 +76,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b2")
 			tt.read(d, start.Add(14*time.Second))
-			w := d.tables.model("m")
+			w := d.tables.rolloutOf("m")
 			if got := w.least(start.Add(tt.ends-5*time.Millisecond), bound); got > 1 {
 				t.Errorf("version %d is required too early", got)
 			}
@@ -109,7 +109,7 @@
 			d.update(start, operatorRead{start, Operator{Weights: map[string]int64{"m": 1}, Clock: 100 * time.Second}})
 			now := start.Add(gap)
 			d.update(now, operatorRead{now.Add(-tt.took), Operator{Weights: map[string]int64{"m": 2}, Clock: 100*time.Second + gap, Held: tt.held}})
-			if got := d.tables.model("m").age(now, 2); got < tt.most || got > tt.most+5*time.Millisecond {
+			if got := d.tables.rolloutOf("m").age(now, 2); got < tt.most || got > tt.most+5*time.Millisecond {
 				t.Errorf("%v old, want %v", got, tt.most)
 			}
 		})
@@ -126,11 +126,11 @@
 	d.update(now, announced{"m", nil})
 	now = now.Add(5 * time.Second)
 	d.update(now, operatorRead{now, Operator{Clock: time.Second}})
-	w := d.tables.model("m")
+	w := d.tables.rolloutOf("m")
 	if age := w.age(now, 2); age < 5*time.Second {
 		t.Errorf("the naming is %v old, want over 5 s", age)
 	}
-	if !w.names.Missing(2, &d.tables.clockOfTable) {
+	if !w.versionLog.Missing(2, &d.tables.tableClock) {
 		t.Error("the naming is not recorded again")
 	}
 }
@@ -146,7 +146,7 @@
 		t.Fatal("version 3 is not told")
 	}
 	d.update(now, announced{"m", nil})
-	d.update(now, ownRead{change: Own{Rows: []table.Row{old}}})
+	d.update(now, ownRead{change: OwnRows{Rows: []table.Row{old}}})
 	if _, written := rowWritten(d, now); !written {
 		t.Error("the late row stands")
 	}
@@ -177,14 +177,14 @@
 		d.now = func() time.Time { return start.Add(at) }
 		d.lease.Now = d.now
 		if row != nil {
-			d.update(d.now(), ownRead{change: Own{Rows: []table.Row{*row}}})
+			d.update(d.now(), ownRead{change: OwnRows{Rows: []table.Row{*row}}})
 		}
 		d.update(d.now(), operatorRead{d.now(), Operator{Table: configuration(1), Weights: map[string]int64{"m": 2}, Clock: at + time.Hour}})
-		d.update(d.now(), targetsRead{d.now(), Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+		d.update(d.now(), targetsRead{d.now(), Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 		return d
 	}
 	d := first(nil, 0)
-	if err := d.lease.Step(context.Background()); err != nil {
+	if err := d.lease.AcquireOrRenew(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	d.tables.readEpoch, _, _ = d.lease.Held()
@@ -193,7 +193,7 @@
 		t.Fatal("the rollout is not told")
 	}
 	d = first(&row, 8*time.Second)
-	if got := d.tables.model("m").least(start.Add(bound-overdueMargin-unrecordedFor), bound); got != 2 {
+	if got := d.tables.rolloutOf("m").least(start.Add(bound-overdueMargin-unrecordedFor), bound); got != 2 {
 		t.Errorf("version %d is required, want 2 as the first box assumed", got)
 	}
 }
@@ -232,11 +232,11 @@
 	later := start.Add(5 * time.Second)
 	hub.update(later, operatorRead{later, Operator{}})
 	hub.update(later, operatorRead{later, Operator{Weights: map[string]int64{"m": 3}}})
-	answer := hub.peerAsks(later, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05"})
-	spoke.update(later.Add(200*time.Millisecond), peerCalled{"box-00", later, answer, nil})
-	w := spoke.tables.model("m")
-	if w.wanted != 3 {
-		t.Errorf("newest %d, want 3", w.wanted)
+	answer := hub.peerRequest(later, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05"})
+	spoke.update(later.Add(200*time.Millisecond), peerAnswered{"box-00", later, answer, nil})
+	w := spoke.tables.rolloutOf("m")
+	if w.newestVersion != 3 {
+		t.Errorf("newest %d, want 3", w.newestVersion)
 	}
 	if got := w.least(start.Add(bound-overdueMargin), bound); got != 2 {
 		t.Errorf("version %d is required, want 2", got)
@@ -256,11 +256,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			spoke := listed("box-05")
-			w := spoke.tables.model("m")
+			spoke := boxWithEngines("box-05")
+			w := spoke.tables.rolloutOf("m")
 			w.name(start, 2)
-			w.names.Prove(2, start.Add(-tt.named), 0)
-			answer, ok := spoke.accept(start, &spoke.tables, deliver.Ask{Job: job("long", 10)}, &peer.Placed{Target: "a", Version: 1})
+			w.versionLog.Prove(2, start.Add(-tt.named), 0)
+			answer, ok := spoke.acceptHubPlace(start, &spoke.tables, deliver.PlacementRequest{Job: job("long", 10)}, &peer.PlacementResponse{Target: "a", Version: 1})
 			if ok == tt.refused {
 				t.Fatalf("accepted: %v", ok)
 			}
@@ -286,8 +286,8 @@
 		t.Run(fmt.Sprint("proved ", tt.proved, " ago"), func(t *testing.T) {
 			d := newDaemon("b1")
 			d.update(start, operatorRead{start, Operator{Table: configuration(1), Weights: map[string]int64{"m": 1}}})
-			d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
-			_, err := d.place(start.Add(tt.proved), &d.tables, deliver.Ask{Job: job("short", 10)})
+			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+			_, err := d.place(start.Add(tt.proved), &d.tables, deliver.PlacementRequest{Job: job("short", 10)})
 			if code := refusedFor(err); code != tt.code {
 				t.Errorf("refused for %q, want %q", code, tt.code)
 			}
--- a/entry/news.go
+++ b/entry/news.go
@@ -6,53 +6,53 @@
 	"github.com/thymewind/thymewind/directory"
 )
 
-// newsRead takes over what a source says of its kept parts.
-func (d *Daemon) newsRead(now time.Time, t *tables, m newsRead) []effect {
-	if t.followed[m.source] == nil {
+// cacheEventsRead takes over what a source says of its kept parts.
+func (d *Daemon) cacheEventsRead(now time.Time, t *tables, m cacheEventsRead) []effect {
+	if t.watched[m.source] == nil {
 		return nil // It came while the following was stopped.
 	}
 	x := t.fleet.Target(m.source)
 	if x != nil {
-		d.newsOfLife(now, t, x, m)
+		d.livenessFromEvents(now, t, x, m)
 	}
 	if x != nil && m.err != nil {
-		d.heedNews(now, t, x, m.news.Said)
+		d.signalsFromEvents(now, t, x, m.events.Signals)
 	}
 	if m.err != nil {
-		t.directory.Silence(m.source)
+		t.directory.Disconnected(m.source)
 		if x != nil {
-			if !x.Avoided(now) {
+			if !x.Ejected(now) {
 				d.Log.Warn("target can't be heard", "target", m.source, "err", m.err)
 			}
 			x.Fail(now)
-			x.Unheard = true
+			x.FeedLost = true
 		}
 		return nil
 	}
-	if x != nil && !x.Born.IsZero() && m.news.Born.After(x.Born) {
-		return d.replaced(now, t, x.Life(), "its news, of a life begun later")
+	if x != nil && !x.StartedAt.IsZero() && m.events.StartedAt.After(x.StartedAt) {
+		return d.dropReplaced(now, t, x.Incarnation(), "its news, of a life begun later")
 	}
-	restarted := t.directory.Begin(m.source, m.news.Epoch)
+	restarted := t.directory.Connected(m.source, m.events.Epoch)
 	if restarted && x != nil {
-		return d.replaced(now, t, x.Life(), "its news")
+		return d.dropReplaced(now, t, x.Incarnation(), "its news")
 	}
 	if restarted {
-		d.Log.Warn("store restarted and lost what it kept", "store", m.source, "epoch", m.news.Epoch)
+		d.Log.Warn("store restarted and lost what it kept", "store", m.source, "epoch", m.events.Epoch)
 	}
 	if x != nil {
-		d.heedNews(now, t, x, m.news.Said)
+		d.signalsFromEvents(now, t, x, m.events.Signals)
 		x.Heard(now)
-		x.Unheard = false // It is the life that it was.
+		x.FeedLost = false // It is the life that it was.
 	}
-	if m.news.Clock > 0 {
-		t.clock, t.timed = m.news.Clock-d.uptime(now), true
+	if m.events.Clock > 0 {
+		t.clock, t.clockKnown = m.events.Clock-d.uptime(now), true
 	}
 	if m.listed {
 		t.directory.Clear(m.source)
 	}
-	for _, c := range m.news.Changes {
-		key := directory.Of(c.Scope, c.Part)
-		if c.Kept {
+	for _, c := range m.events.Changes {
+		key := directory.KeyOf(c.Scope, c.Part)
+		if c.Cached {
 			t.directory.Add(m.source, key, c.Tokens)
 			continue
 		}
--- a/entry/notice.go
+++ b/entry/notice.go
@@ -27,33 +27,35 @@
 // codeBackoff is the refusal's code where all targets want no requests for a while.
 const codeBackoff = "backoff"
 
-// targetSaid tells that a target said something of itself; the book of notices has it.
-type targetSaid struct{ life fleet.Life }
+// signalsHeard tells that a target said something of itself; the book of notices has it.
+type signalsHeard struct{ life fleet.Incarnation }
 
 // lifePlaced is the life that a request was placed on.
-func lifePlaced(p deliver.Place) fleet.Life { return fleet.Life{ID: p.Target, Born: p.Born} }
+func lifePlaced(p deliver.Placement) fleet.Incarnation {
+	return fleet.Incarnation{ID: p.Target, StartedAt: p.StartedAt}
+}
 
 // send sends a request to the target placed, unless that said something against it
 // meanwhile, and notes what the answer says of the target.
-func (d *Daemon) send(ctx context.Context, s deliver.Sending) (*deliver.Reply, error) {
+func (d *Daemon) send(ctx context.Context, s deliver.Attempt) (*deliver.Reply, error) {
 	life := lifePlaced(s.Place)
 	s.Allow = func() error { return d.allow(life, s) }
 	asked := d.now()
-	if d.notices.Limit(life).Named {
-		d.counts.limited.Inc()
+	if d.notices.Limit(life).Active {
+		d.metrics.rateLimited.Inc()
 	}
 	reply, err := d.Platform.Send(ctx, s)
 	if err == nil {
-		d.heed(asked, life, reply.Said, "request "+s.Job.ID)
+		d.heed(asked, life, reply.Signals, "request "+s.Job.ID)
 	}
 	return reply, err
 }
 
 // allow returns why a request must not leave for its target any more, or nil.
-func (d *Daemon) allow(life fleet.Life, s deliver.Sending) error {
+func (d *Daemon) allow(life fleet.Incarnation, s deliver.Attempt) error {
 	now := d.now()
 	err := d.notices.Allow(now, life)
-	if err == nil && d.notices.Limit(life).Named && (!s.Place.Granted || now.Sub(s.Place.At) > grantFor) {
+	if err == nil && d.notices.Limit(life).Active && (!s.Place.QuotaGranted || now.Sub(s.Place.PlacedAt) > grantFor) {
 		err = notice.ErrLimited
 	}
 	if err == nil {
@@ -66,68 +68,68 @@
 	case errors.Is(err, notice.ErrLimited):
 		word = saidLimit
 	}
-	d.counts.heldBack.WithLabelValues(word).Inc()
-	d.Log.Info("request is kept from a target at the last moment", "request", s.Job.ID, "target", life.ID, "said", word, "placed_ago", now.Sub(s.Place.At), "rule", s.Place.Rule)
+	d.metrics.withheld.WithLabelValues(word).Inc()
+	d.Log.Info("request is kept from a target at the last moment", "request", s.Job.ID, "target", life.ID, "said", word, "placed_ago", now.Sub(s.Place.PlacedAt), "rule", s.Place.Rule)
 	return err
 }
 
 // heed notes what the answer to a request sent at asked says of its target. It is for callers
 // outside the loop.
-func (d *Daemon) heed(asked time.Time, life fleet.Life, said notice.Said, from string) {
+func (d *Daemon) heed(asked time.Time, life fleet.Incarnation, said notice.Signals, from string) {
 	if d.hearNotice(asked, life, said, from) {
-		d.report(targetSaid{life})
+		d.post(signalsHeard{life})
 	}
 }
 
-// heedReport does so with a report of a target whose life was the one given when it was
+// signalsFromReport does so with a report of a target whose life was the one given when it was
 // asked; the report may be a later one's.
-func (d *Daemon) heedReport(asked time.Time, life fleet.Life, report Report) {
-	if !report.Born.IsZero() {
-		life.Born = report.Born
+func (d *Daemon) signalsFromReport(asked time.Time, life fleet.Incarnation, report Report) {
+	if !report.StartedAt.IsZero() {
+		life.StartedAt = report.StartedAt
 	}
-	d.heed(asked, life, report.Said, "its report")
+	d.heed(asked, life, report.Signals, "its report")
 }
 
 // hearNotice puts what an answer says of its target into the book, and says whether any of
 // it is news.
-func (d *Daemon) hearNotice(asked time.Time, life fleet.Life, said notice.Said, from string) bool {
+func (d *Daemon) hearNotice(asked time.Time, life fleet.Incarnation, said notice.Signals, from string) bool {
 	now := d.now()
-	news := d.notices.Hear(now, life, said)
+	news := d.notices.Observe(now, life, said)
 	if news.Leaving {
-		d.counts.said.WithLabelValues(saidLeaving).Inc()
-		d.Log.Info("target says that it leaves", "target", life.ID, "born", life.Born, "told_by", from)
+		d.metrics.notices.WithLabelValues(saidLeaving).Inc()
+		d.Log.Info("target says that it leaves", "target", life.ID, "born", life.StartedAt, "told_by", from)
 	}
 	if news.Backoff > 0 {
-		d.counts.said.WithLabelValues(saidBackoff).Inc()
-		d.Log.Info("target wants no requests", "target", life.ID, "born", life.Born, "for", news.Backoff, "told_by", from)
+		d.metrics.notices.WithLabelValues(saidBackoff).Inc()
+		d.Log.Info("target wants no requests", "target", life.ID, "born", life.StartedAt, "for", news.Backoff, "told_by", from)
 	}
-	limited := d.notices.HearLimit(now, asked, life, said)
+	limited := d.notices.ObserveLimit(now, asked, life, said)
 	if limited {
-		d.noteLimit(notice.Rated{Life: life, Limit: d.notices.Limit(life)}, from)
+		d.noteLimit(notice.TargetLimit{Incarnation: life, Limit: d.notices.Limit(life)}, from)
 	}
-	return limited || news != (notice.Said{})
+	return limited || news != (notice.Signals{})
 }
 
 // noteLimit logs and counts that a target's limit began, changed or ended.
-func (d *Daemon) noteLimit(x notice.Rated, from string) {
-	if !x.Limit.Named {
-		d.Log.Info("target limits its requests no more", "target", x.Life.ID, "born", x.Life.Born, "told_by", from)
+func (d *Daemon) noteLimit(x notice.TargetLimit, from string) {
+	if !x.Limit.Active {
+		d.Log.Info("target limits its requests no more", "target", x.Incarnation.ID, "born", x.Incarnation.StartedAt, "told_by", from)
 		return
 	}
-	d.counts.said.WithLabelValues(saidLimit).Inc()
-	d.Log.Info("target limits the requests of all boxes", "target", x.Life.ID, "born", x.Life.Born, "per_second", x.Limit.PerSecond, "told_by", from)
+	d.metrics.notices.WithLabelValues(saidLimit).Inc()
+	d.Log.Info("target limits the requests of all boxes", "target", x.Incarnation.ID, "born", x.Incarnation.StartedAt, "per_second", x.Limit.PerSecond, "told_by", from)
 }
 
-// heedNews does so in the loop, with what a target's news say.
-func (d *Daemon) heedNews(now time.Time, t *tables, x *fleet.Target, said notice.Said) {
-	if d.hearNotice(now, x.Life(), said, "its news") {
-		d.targetSaid(now, t, x.Life())
+// signalsFromEvents does so in the loop, with what a target's news say.
+func (d *Daemon) signalsFromEvents(now time.Time, t *tables, x *fleet.Target, said notice.Signals) {
+	if d.hearNotice(now, x.Incarnation(), said, "its news") {
+		d.signalsHeard(now, t, x.Incarnation())
 	}
 }
 
-// targetSaid takes over what a target said of itself, for choosing.
-func (d *Daemon) targetSaid(now time.Time, t *tables, life fleet.Life) {
-	if x := t.fleet.Of(life); x != nil && d.applyNotices(now, x) {
+// signalsHeard takes over what a target said of itself, for choosing.
+func (d *Daemon) signalsHeard(now time.Time, t *tables, life fleet.Incarnation) {
+	if x := t.fleet.Incarnation(life); x != nil && d.applyNotices(now, x) {
 		t.touch(x.ID)
 	}
 }
@@ -137,18 +139,18 @@
 // leaves and did not before.
 func (d *Daemon) applyNotices(now time.Time, x *fleet.Target) bool {
 	before := x.Leaving
-	d.notices.Hear(now, x.Life(), notice.Said{Leaving: x.Leaving})
-	d.notices.Touch(now, x.Life())
-	x.Leaving = x.Leaving || d.notices.Leaves(x.Life())
-	x.BackoffUntil = d.notices.Until(x.Life())
-	limitSet(x, d.notices.Limit(x.Life()))
+	d.notices.Observe(now, x.Incarnation(), notice.Signals{Leaving: x.Leaving})
+	d.notices.Touch(now, x.Incarnation())
+	x.Leaving = x.Leaving || d.notices.Leaving(x.Incarnation())
+	x.BackoffUntil = d.notices.BackoffUntil(x.Incarnation())
+	limitSet(x, d.notices.Limit(x.Incarnation()))
 	return x.Leaving && !before
 }
 
 // refuseBackoff returns the refusal of a request whose pool has targets that would take
 // work, but none from the box that sends it; nil if there are none.
-func refuseBackoff(now time.Time, t *tables, ask deliver.Ask, closed func(*fleet.Target) bool) *refusal.Refusal {
-	waits := func(x *fleet.Target) bool { return x.Open(now) && closed(x) }
+func refuseBackoff(now time.Time, t *tables, ask deliver.PlacementRequest, closed func(*fleet.Target) bool) *refusal.Refusal {
+	waits := func(x *fleet.Target) bool { return x.Available(now) && closed(x) }
 	if !slices.ContainsFunc(t.fleet.Pool(ask.Job.Pool.Name), waits) {
 		return nil
 	}
@@ -160,7 +162,7 @@
 func (t *tables) backoffLeft(now time.Time, pool string) time.Duration {
 	left := time.Duration(0)
 	for _, x := range t.fleet.Pool(pool) {
-		if span := x.BackoffUntil.Sub(now); x.Open(now) && span > 0 && (left == 0 || span < left) {
+		if span := x.BackoffUntil.Sub(now); x.Available(now) && span > 0 && (left == 0 || span < left) {
 			left = span
 		}
 	}
--- a/entry/notice_test.go
+++ b/entry/notice_test.go
@@ -9,17 +9,17 @@
 	"testing"
 	"time"
 
-	"github.com/thymewind/thymewind/comeback"
 	"github.com/thymewind/thymewind/deliver"
 	"github.com/thymewind/thymewind/fleet"
 	"github.com/thymewind/thymewind/notice"
 	"github.com/thymewind/thymewind/peer"
 	"github.com/thymewind/thymewind/refusal"
+	"github.com/thymewind/thymewind/retryafter"
 )
 
 var (
-	leaving = notice.Said{Leaving: true}
-	resting = notice.Said{Backoff: 3 * time.Second}
+	leaving = notice.Signals{Leaving: true}
+	resting = notice.Signals{Backoff: 3 * time.Second}
 )
 
 // knows makes a daemon know engines.
@@ -29,15 +29,15 @@
 	for _, id := range ids {
 		list = append(list, engine(id, 1))
 	}
-	d.update(start, operatorRead{start, Operator{Table: configuration(1), Weights: map[string]int64{"m": 1}, Evacuations: map[string]bool{}, Whole: true}})
-	d.update(start, targetsRead{start, Targets{Whole: true, Listed: list}, false})
+	d.update(start, operatorRead{start, Operator{Table: configuration(1), Weights: map[string]int64{"m": 1}, Evacuations: map[string]bool{}, Snapshot: true}})
+	d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: list}, false})
 	return d
 }
 
-// say has a target say something of itself, as its answers do.
-func say(d *Daemon, now time.Time, life fleet.Life, said notice.Said) {
-	d.notices.Hear(now, life, said)
-	d.update(now, targetSaid{life})
+// sendSignals has a target say something of itself, as its answers do.
+func sendSignals(d *Daemon, now time.Time, life fleet.Incarnation, said notice.Signals) {
+	d.notices.Observe(now, life, said)
+	d.update(now, signalsHeard{life})
 }
 
 // placedOn lists the targets on which a box places requests one after the other, each
@@ -45,7 +45,7 @@
 func placedOn(d *Daemon, now time.Time) ([]string, *refusal.Refusal) {
 	var tried []string
 	for {
-		place, err := d.place(now, &d.tables, deliver.Ask{Job: job("long", 1000), Tried: tried})
+		place, err := d.place(now, &d.tables, deliver.PlacementRequest{Job: job("long", 1000), Attempted: tried})
 		if err != nil {
 			slices.Sort(tried)
 			return tried, refusal.Of(err, "", 0)
@@ -56,7 +56,7 @@
 
 // TestTargetsWordCloses says which targets get requests after one said something.
 func TestTargetsWordCloses(t *testing.T) {
-	later := fleet.Entry{ID: "a", Pool: "models", Versions: map[string]int64{"m": 1}, Born: start.Add(time.Second)}
+	later := fleet.Entry{ID: "a", Pool: "models", Versions: map[string]int64{"m": 1}, StartedAt: start.Add(time.Second)}
 	tests := []struct {
 		name   string
 		happen func(d *Daemon)
@@ -64,19 +64,19 @@
 		want   string
 	}{
 		{"nothing", func(*Daemon) {}, 0, "[a b]"},
-		{"it leaves", func(d *Daemon) { say(d, start, fleet.Life{ID: "a"}, leaving) }, time.Hour / 2, "[b]"},
-		{"it wants no requests", func(d *Daemon) { say(d, start, fleet.Life{ID: "a"}, resting) }, 2 * time.Second, "[b]"},
-		{"that is over", func(d *Daemon) { say(d, start, fleet.Life{ID: "a"}, resting) }, 3 * time.Second, "[a b]"},
+		{"it leaves", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, leaving) }, time.Hour / 2, "[b]"},
+		{"it wants no requests", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, resting) }, 2 * time.Second, "[b]"},
+		{"that is over", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, resting) }, 3 * time.Second, "[a b]"},
 		{"its news say that it leaves", func(d *Daemon) {
-			d.tables.followed["a"] = func() {}
-			d.update(start, newsRead{source: "a", news: News{Said: leaving}, asked: start})
+			d.tables.watched["a"] = func() {}
+			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Signals: leaving}, asked: start})
 		}, 0, "[b]"},
 		{"its news are refused, with a time", func(d *Daemon) {
-			d.tables.followed["a"] = func() {}
-			d.update(start, newsRead{source: "a", news: News{Said: resting}, asked: start, err: errors.New("503")})
+			d.tables.watched["a"] = func() {}
+			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Signals: resting}, asked: start, err: errors.New("503")})
 		}, 2500 * time.Millisecond, "[b]"},
 		{"it leaves, goes from the list, and an old list names it", func(d *Daemon) {
-			say(d, start, fleet.Life{ID: "a"}, leaving)
+			sendSignals(d, start, fleet.Incarnation{ID: "a"}, leaving)
 			d.update(start, targetsRead{start, Targets{Gone: []string{"a"}}, false})
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{engine("a", 1)}}, false})
 		}, 0, "[b]"},
@@ -88,28 +88,28 @@
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{engine("a", 1)}}, false})
 		}, 0, "[b]"},
 		{"it wants no requests, and a list names it anew", func(d *Daemon) {
-			say(d, start, fleet.Life{ID: "a"}, resting)
+			sendSignals(d, start, fleet.Incarnation{ID: "a"}, resting)
 			d.update(start, targetsRead{start, Targets{Gone: []string{"a"}}, false})
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{engine("a", 1)}}, false})
 		}, time.Second, "[b]"},
 		{"it left, and a later life has its ID", func(d *Daemon) {
-			d.notices.Hear(start, fleet.Life{ID: "a", Born: start.Add(-time.Hour)}, notice.Said{Leaving: true, Backoff: time.Minute})
+			d.notices.Observe(start, fleet.Incarnation{ID: "a", StartedAt: start.Add(-time.Hour)}, notice.Signals{Leaving: true, Backoff: time.Minute})
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{later}}, false})
 		}, 0, "[a b]"},
 		{"its report says that it leaves, and a later life has its ID", func(d *Daemon) {
-			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{{ID: "a", Pool: "models", Versions: map[string]int64{"m": 1}, Born: start}}}, false})
-			d.Platform.Report = func(context.Context, netip.AddrPort) (Report, error) { return Report{Said: leaving}, nil }
-			d.do(context.Background(), askLoaded{"a", netip.AddrPort{}, d.tables.fleet.Target("a").Life()})
+			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{{ID: "a", Pool: "models", Versions: map[string]int64{"m": 1}, StartedAt: start}}}, false})
+			d.Platform.Report = func(context.Context, netip.AddrPort) (Report, error) { return Report{Signals: leaving}, nil }
+			d.do(context.Background(), pollLoaded{"a", netip.AddrPort{}, d.tables.fleet.Target("a").Incarnation()})
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{later}}, false})
 		}, 0, "[a b]"},
 		{"its report says that it leaves", func(d *Daemon) {
-			d.Platform.Report = func(context.Context, netip.AddrPort) (Report, error) { return Report{Said: leaving}, nil }
-			d.do(context.Background(), askLoaded{"a", netip.AddrPort{}, d.tables.fleet.Target("a").Life()})
+			d.Platform.Report = func(context.Context, netip.AddrPort) (Report, error) { return Report{Signals: leaving}, nil }
+			d.do(context.Background(), pollLoaded{"a", netip.AddrPort{}, d.tables.fleet.Target("a").Incarnation()})
 			d.update(start, <-d.messages)
 		}, 0, "[b]"},
 		{"both leave", func(d *Daemon) {
-			say(d, start, fleet.Life{ID: "a"}, leaving)
-			say(d, start, fleet.Life{ID: "b"}, leaving)
+			sendSignals(d, start, fleet.Incarnation{ID: "a"}, leaving)
+			sendSignals(d, start, fleet.Incarnation{ID: "b"}, leaving)
 		}, 0, "[]"},
 	}
 	for _, tt := range tests {
@@ -118,7 +118,7 @@
 			tt.happen(d)
 			now := start.Add(tt.after)
 			proved := now
-			d.proved.Store(&proved)
+			d.provedAt.Store(&proved)
 			if got, _ := placedOn(d, now); fmt.Sprint(got) != tt.want {
 				t.Errorf("placed on %v, want %v", got, tt.want)
 			}
@@ -136,16 +136,16 @@
 		within time.Duration
 	}{
 		{"soon", [2]time.Duration{500 * time.Millisecond, time.Minute}, 500 * time.Millisecond, 700 * time.Millisecond},
-		{"for long", [2]time.Duration{time.Hour, time.Hour}, comeback.Longest, comeback.Longest + 200*time.Millisecond},
+		{"for long", [2]time.Duration{time.Hour, time.Hour}, retryafter.MaxOutage, retryafter.MaxOutage + 200*time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := knows(newDaemon("b1"), "a", "b")
 			for i, id := range []string{"a", "b"} {
-				say(d, start, fleet.Life{ID: id}, notice.Said{Backoff: tt.spans[i]})
+				sendSignals(d, start, fleet.Incarnation{ID: id}, notice.Signals{Backoff: tt.spans[i]})
 			}
 			_, refused := placedOn(d, start)
-			if d.returns.Over(start, noTarget+"models") != 0 {
+			if d.retryEstimator.Ended(start, noTarget+"models") != 0 {
 				t.Error("the pool counts as one without targets")
 			}
 			if refused.Code != codeBackoff || refused.Outcome != refusal.DidNotRun || refused.RetryAfter < tt.from || refused.RetryAfter > tt.within {
@@ -158,28 +158,28 @@
 // TestHubPlacesAgainstWord has a hub that heard nothing place for a box that did, and a hub
 // that wants left alone by a target place there for others.
 func TestHubPlacesAgainstWord(t *testing.T) {
-	for _, said := range []notice.Said{leaving, resting} {
+	for _, said := range []notice.Signals{leaving, resting} {
 		t.Run(fmt.Sprintf("%+v", said), func(t *testing.T) {
 			d := knows(largeFleet("box-05"), "a", "b")
-			say(d, start, fleet.Life{ID: "a"}, said)
-			if _, ok := d.accept(start, &d.tables, deliver.Ask{Job: job("long", 1000)}, &peer.Placed{Target: "a", Version: 1}); ok {
+			sendSignals(d, start, fleet.Incarnation{ID: "a"}, said)
+			if _, ok := d.acceptHubPlace(start, &d.tables, deliver.PlacementRequest{Job: job("long", 1000)}, &peer.PlacementResponse{Target: "a", Version: 1}); ok {
 				t.Error("the hub's place is taken")
 			}
 			reply := make(chan placeAnswer, 1)
-			effects := d.update(start, placeAsked{ctx: context.Background(), ask: deliver.Ask{Job: job("long", 1000)}, reply: reply})
+			effects := d.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: job("long", 1000)}, reply: reply})
 			ask := effects[0].(askHub).ask
-			if want := short(d.tables.fleet.Target("a")); len(ask.Closed) != 1 || ask.Closed[0] != want {
-				t.Fatalf("told the hub of %v, want %v", ask.Closed, want)
+			if want := short(d.tables.fleet.Target("a")); len(ask.Excluded) != 1 || ask.Excluded[0] != want {
+				t.Fatalf("told the hub of %v, want %v", ask.Excluded, want)
 			}
 			hub := knows(largeFleet("box-00"), "a", "b")
-			hub.tables.warmed = true
+			hub.tables.hubWarm = true
 			for range 20 {
-				if placed := hub.placeForPeer(start, &hub.tables, peer.Message{From: "box-05", Ask: &ask}); placed.Target != "b" {
+				if placed := hub.placeForPeer(start, &hub.tables, peer.Message{From: "box-05", PlacementRequest: &ask}); placed.Target != "b" {
 					t.Fatalf("the hub places on %q", placed.Target)
 				}
 			}
-			ask.Closed = append(ask.Closed, short(hub.tables.fleet.Target("b")))
-			if placed := hub.placeForPeer(start, &hub.tables, peer.Message{From: "box-05", Ask: &ask}); placed.Refused != codeBackoff {
+			ask.Excluded = append(ask.Excluded, short(hub.tables.fleet.Target("b")))
+			if placed := hub.placeForPeer(start, &hub.tables, peer.Message{From: "box-05", PlacementRequest: &ask}); placed.Refused != codeBackoff {
 				t.Errorf("the hub refuses as %q", placed.Refused)
 			}
 		})
@@ -196,21 +196,21 @@
 		want   string
 	}{
 		{"they want no requests", func(d *Daemon) {
-			say(d, start, fleet.Life{ID: "a"}, resting)
-			say(d, start, fleet.Life{ID: "b"}, resting)
+			sendSignals(d, start, fleet.Incarnation{ID: "a"}, resting)
+			sendSignals(d, start, fleet.Incarnation{ID: "b"}, resting)
 		}, nil, codeBackoff},
 		{"they leave", func(d *Daemon) {
-			say(d, start, fleet.Life{ID: "a"}, leaving)
-			say(d, start, fleet.Life{ID: "b"}, leaving)
+			sendSignals(d, start, fleet.Incarnation{ID: "a"}, leaving)
+			sendSignals(d, start, fleet.Incarnation{ID: "b"}, leaving)
 		}, nil, "no_target"},
-		{"one is open", func(d *Daemon) { say(d, start, fleet.Life{ID: "a"}, resting) }, nil, ""},
-		{"one is open and was tried", func(d *Daemon) { say(d, start, fleet.Life{ID: "a"}, resting) }, []string{"b"}, codeBackoff},
+		{"one is open", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, resting) }, nil, ""},
+		{"one is open and was tried", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, resting) }, []string{"b"}, codeBackoff},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := knows(largeFleet("box-05"), "a", "b")
 			tt.happen(d)
-			answer, done := d.accept(start, &d.tables, deliver.Ask{Job: job("long", 1000), Tried: tt.tried}, &peer.Placed{Refused: codeBackoff})
+			answer, done := d.acceptHubPlace(start, &d.tables, deliver.PlacementRequest{Job: job("long", 1000), Attempted: tt.tried}, &peer.PlacementResponse{Refused: codeBackoff})
 			if done != (tt.want != "") {
 				t.Fatalf("refused: %v", done)
 			}
@@ -225,10 +225,10 @@
 // placed there all the same.
 func TestHubsOwnBackoff(t *testing.T) {
 	hub := knows(largeFleet("box-00"), "a")
-	hub.tables.warmed = true
-	say(hub, start, fleet.Life{ID: "a"}, resting)
-	ask := peer.PlaceAsk{Request: "r", Pool: "models", Model: "m", Tokens: 1000, Fill: 1, Usual: 1000}
-	if placed := hub.placeForPeer(start, &hub.tables, peer.Message{From: "box-05", Ask: &ask}); placed.Target != "a" {
+	hub.tables.hubWarm = true
+	sendSignals(hub, start, fleet.Incarnation{ID: "a"}, resting)
+	ask := peer.PlacementRequest{Request: "r", Pool: "models", Model: "m", Tokens: 1000, MaxMemoryShare: 1, TypicalTokens: 1000}
+	if placed := hub.placeForPeer(start, &hub.tables, peer.Message{From: "box-05", PlacementRequest: &ask}); placed.Target != "a" {
 		t.Errorf("placed on %q, refused as %q", placed.Target, placed.Refused)
 	}
 	if got, _ := placedOn(hub, start); len(got) > 0 {
@@ -240,25 +240,25 @@
 func TestAllowedAtLast(t *testing.T) {
 	tests := []struct {
 		name string
-		life fleet.Life
-		said notice.Said
+		life fleet.Incarnation
+		said notice.Signals
 		want error
 	}{
-		{"nothing", fleet.Life{ID: "a"}, notice.Said{}, nil},
-		{"it leaves", fleet.Life{ID: "a"}, leaving, notice.ErrLeaving},
-		{"it wants no requests", fleet.Life{ID: "a"}, resting, notice.ErrBackoff},
-		{"another leaves", fleet.Life{ID: "b"}, leaving, nil},
+		{"nothing", fleet.Incarnation{ID: "a"}, notice.Signals{}, nil},
+		{"it leaves", fleet.Incarnation{ID: "a"}, leaving, notice.ErrLeaving},
+		{"it wants no requests", fleet.Incarnation{ID: "a"}, resting, notice.ErrBackoff},
+		{"another leaves", fleet.Incarnation{ID: "b"}, leaving, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := knows(newDaemon("b1"), "a", "b")
 			asked := errors.New("not asked")
-			d.Platform.Send = func(_ context.Context, s deliver.Sending) (*deliver.Reply, error) {
-				d.notices.Hear(start, tt.life, tt.said) // While the request waits for its connection.
+			d.Platform.Send = func(_ context.Context, s deliver.Attempt) (*deliver.Reply, error) {
+				d.notices.Observe(start, tt.life, tt.said) // While the request waits for its connection.
 				asked = s.Allow()
 				return &deliver.Reply{}, nil
 			}
-			if _, err := d.send(context.Background(), deliver.Sending{Job: job("long", 1000), Place: deliver.Place{Target: "a"}}); err != nil {
+			if _, err := d.send(context.Background(), deliver.Attempt{Job: job("long", 1000), Place: deliver.Placement{Target: "a"}}); err != nil {
 				t.Fatal(err)
 			}
 			if !errors.Is(asked, tt.want) || (asked == nil) != (tt.want == nil) {
@@ -271,13 +271,13 @@
 // TestAnswersReachTheLoop has a request's answer say something of its target: the next
 // request is not even placed there, so that none is tried there in vain.
 func TestAnswersReachTheLoop(t *testing.T) {
-	for _, said := range []notice.Said{leaving, resting} {
+	for _, said := range []notice.Signals{leaving, resting} {
 		t.Run(fmt.Sprintf("%+v", said), func(t *testing.T) {
 			d := knows(newDaemon("b1"), "a", "b")
-			d.Platform.Send = func(context.Context, deliver.Sending) (*deliver.Reply, error) {
-				return &deliver.Reply{Status: 200, Said: said}, nil
+			d.Platform.Send = func(context.Context, deliver.Attempt) (*deliver.Reply, error) {
+				return &deliver.Reply{Status: 200, Signals: said}, nil
 			}
-			if _, err := d.send(context.Background(), deliver.Sending{Job: job("long", 1000), Place: deliver.Place{Target: "a"}}); err != nil {
+			if _, err := d.send(context.Background(), deliver.Attempt{Job: job("long", 1000), Place: deliver.Placement{Target: "a"}}); err != nil {
 				t.Fatal(err)
 			}
 			select {
--- a/entry/order.go
+++ b/entry/order.go
@@ -28,21 +28,21 @@
 // errUnreachable says that a target that was to load could not be reached.
 var errUnreachable = errors.New("the target can't be reached")
 
-// bring has one target load weights and waits until it has them.
-func (d *Daemon) bring(ctx context.Context, e sendOrder) error {
-	ctx, cancel := context.WithTimeout(ctx, loadLongest)
+// loadWeights has one target load weights and waits until it has them.
+func (d *Daemon) loadWeights(ctx context.Context, e sendOrder) error {
+	ctx, cancel := context.WithTimeout(ctx, maxLoadTime)
 	defer cancel()
 	ordered := false
 	unreachable := 0
 	for {
 		asked := d.now()
 		report, err := d.Platform.Report(ctx, e.at)
-		d.heedReport(asked, e.life, report)
+		d.signalsFromReport(asked, e.life, report)
 		if err == nil && report.Versions[e.order.Model] >= e.order.Version {
 			return nil
 		}
-		if err == nil && !report.Busy && (!ordered || report.Orders == e.order.After) {
-			e.order.After = report.Orders
+		if err == nil && !report.Busy && (!ordered || report.OrdersTaken == e.order.After) {
+			e.order.After = report.OrdersTaken
 			if err = d.order(ctx, e); err == nil {
 				ordered = true
 			}
@@ -58,9 +58,9 @@
 		} else if unreachable++; unreachable == unreachableTries {
 			return errUnreachable
 		}
-		d.pause(ctx, loadLook)
+		d.sleep(ctx, loadLook)
 		if ctx.Err() != nil {
-			return trace.LimitExceeded("the target does not have the version after %v", loadLongest)
+			return trace.LimitExceeded("the target does not have the version after %v", maxLoadTime)
 		}
 	}
 }
@@ -84,20 +84,20 @@
 // replaced must not hold it until loadLongest is over: with two places a rollout
 // would stand still for half of that.
 func (d *Daemon) orderEnded(now time.Time, t *tables, m orderEnded) []effect {
-	w := t.model(m.model)
+	w := t.rolloutOf(m.model)
 	delete(w.ordered, m.target)
-	w.recent[m.target] = now
+	w.orderedAt[m.target] = now
 	x := t.fleet.Target(m.target)
 	if x == nil {
 		return nil
 	}
 	if errors.Is(m.err, ErrReplaced) {
-		return d.replaced(now, t, x.Life(), "its answer to an order")
+		return d.dropReplaced(now, t, x.Incarnation(), "its answer to an order")
 	}
 	x.LoadingUntil = time.Time{}
 	t.touch(m.target)
 	if m.err != nil {
-		w.barred[m.target] = now.Add(orderAgain)
+		w.barredUntil[m.target] = now.Add(orderAgain)
 		d.Log.Warn("target did not load weights", "target", m.target, "version", m.version, "err", m.err)
 		return nil
 	}
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// learn takes from a target's refusal what it says of its weights.
-func (d *Daemon) learn(now time.Time, t *tables, x *fleet.Target, m sendingEnded) {
+// learnVersion takes from a target's refusal what it says of its weights.
+func (d *Daemon) learnVersion(now time.Time, t *tables, x *fleet.Target, m attemptEnded) {
 	model := m.Job.Model
 	switch m.Verdict {
 	case deliver.OtherVersion:
@@ -117,10 +117,10 @@
 			shun(x, now.Add(loadShy))
 		}
 		d.Log.Info("target has other weights", "target", x.ID, "request", m.Job.ID, "thought", before, "told", m.Version)
-	case deliver.Elsewhere:
-		d.replaced(now, t, x.Life(), "request "+m.Job.ID)
+	case deliver.OtherReplica:
+		d.dropReplaced(now, t, x.Incarnation(), "request "+m.Job.ID)
 	case deliver.DidNotRun:
-		if w := t.model(model); w.wanted > x.Versions[model] {
+		if w := t.rolloutOf(model); w.newestVersion > x.Versions[model] {
 			shun(x, now.Add(loadShy))
 		}
 	}
--- a/entry/overdue_test.go
+++ b/entry/overdue_test.go
@@ -54,8 +54,8 @@
 				listed = append(listed, engine(fmt.Sprint("i-", i), version))
 			}
 			d.update(now, operatorRead{now, Operator{}})
-			d.update(now, targetsRead{now, Targets{Whole: true, Listed: listed}, false})
-			place, err := d.place(now, &d.tables, deliver.Ask{Job: job("short", 10)})
+			d.update(now, targetsRead{now, Targets{Snapshot: true, Listed: listed}, false})
+			place, err := d.place(now, &d.tables, deliver.PlacementRequest{Job: job("short", 10)})
 			if place.Version != tt.want || (err != nil) != (tt.want == 0) {
 				t.Errorf("placed on version %d, %v, want version %d", place.Version, err, tt.want)
 			}
--- a/entry/overtaken.go
+++ b/entry/overtaken.go
@@ -20,7 +20,7 @@
 const (
 	// overtakenRead is how long after another hub's word this one reads at once: a sound
 	// hub has the change by its own read within targetsEvery.
-	overtakenRead = targetsEvery + 50*time.Millisecond
+	overtakenRead = targetsReadInterval + 50*time.Millisecond
 	// overtakenFor is how long after it its list is behind: overtakenRead and an answer of a
 	// slow table service, a quarter of a second.
 	overtakenFor = overtakenRead + 250*time.Millisecond
@@ -28,17 +28,17 @@
 
 // hearListed takes over how far another hub knows the list to have changed.
 func (d *Daemon) hearListed(now time.Time, t *tables, m peer.Message) {
-	if t.listNumber == 0 || !m.Listed.After(t.listKnown) {
+	if t.listVersion == 0 || !m.ListRevision.After(t.listKnown) {
 		return
 	}
-	if t.overtakenAt.IsZero() {
-		t.overtakenAt = now
+	if t.listBehindSince.IsZero() {
+		t.listBehindSince = now
 	}
 }
 
 // listBehind says that this box's list lacks a change that another hub told of for too long.
 func (t *tables) listBehind(now time.Time) bool {
-	return !t.overtakenAt.IsZero() && now.Sub(t.overtakenAt) >= overtakenFor
+	return !t.listBehindSince.IsZero() && now.Sub(t.listBehindSince) >= overtakenFor
 }
 
 // noteListRead notes how far the list was read.
@@ -46,21 +46,21 @@
 	t.listKnown = revision.Max(t.listKnown, m.change.Known)
 	t.listChanged = revision.Max(t.listChanged, m.change.Changed)
 	if t.listBehind(now) {
-		d.Log.Info("list of targets is not behind any more", "known", t.listKnown, "behind_for", now.Sub(t.overtakenAt))
+		d.Log.Info("list of targets is not behind any more", "known", t.listKnown, "behind_for", now.Sub(t.listBehindSince))
 	}
-	t.overtakenAt, t.overtakenNoted = time.Time{}, false
+	t.listBehindSince, t.listBehindLogged = time.Time{}, false
 	d.listReads.done()
 }
 
-// readOvertaken has the list read at once if it was overtaken.
-func (d *Daemon) readOvertaken(now time.Time, t *tables) []effect {
-	if t.overtakenAt.IsZero() || now.Sub(t.overtakenAt) < overtakenRead {
+// rereadIfStale has the list read at once if it was overtaken.
+func (d *Daemon) rereadIfStale(now time.Time, t *tables) []effect {
+	if t.listBehindSince.IsZero() || now.Sub(t.listBehindSince) < overtakenRead {
 		return nil
 	}
 	d.listReads.hurry()
-	if t.listBehind(now) && !t.overtakenNoted {
-		t.overtakenNoted = true
-		d.Log.Warn("list of targets is behind", "known", t.listKnown, "for", now.Sub(t.overtakenAt), "hub", !d.spoke.Load())
+	if t.listBehind(now) && !t.listBehindLogged {
+		t.listBehindLogged = true
+		d.Log.Warn("list of targets is behind", "known", t.listKnown, "for", now.Sub(t.listBehindSince), "hub", !d.spoke.Load())
 	}
 	return nil
 }
--- a/entry/overtaken_test.go
+++ b/entry/overtaken_test.go
@@ -27,7 +27,7 @@
 	x := &cutReaders{sound: hubOf("box-11"), cut: hubOf("box-00"), second: hubOf("box-01"), spoke: largeFleet("box-05"), version: 20}
 	for _, d := range []*Daemon{x.sound, x.cut, x.second} {
 		d.update(start, operatorRead{start, Operator{Table: configuration(1), Changed: rev(3), Known: rev(9)}})
-		d.update(start, targetsRead{start, Targets{Whole: true, Changed: rev(x.version), Known: rev(x.version), Listed: []fleet.Entry{entryAt("a", "10.1.0.1:1"), entryAt("b", "10.1.0.2:1")}}, false})
+		d.update(start, targetsRead{start, Targets{Snapshot: true, Changed: rev(x.version), Known: rev(x.version), Listed: []fleet.Entry{entryAt("a", "10.1.0.1:1"), entryAt("b", "10.1.0.2:1")}}, false})
 	}
 	x.spoke.update(start, operatorRead{start, Operator{Table: configuration(1)}})
 	return x
@@ -35,12 +35,12 @@
 
 // gossip has a box call another one.
 func gossip(now time.Time, from, to *Daemon) {
-	m := peer.Message{Kind: peer.KindGossip, From: from.Settings.Name, List: from.tables.hubList.Number, ListFrom: from.tables.hubList.From, Listed: from.tables.listChanged}
+	m := peer.Message{Kind: peer.KindGossip, From: from.Settings.Name, ListVersion: from.tables.hubList.Number, ListStartVersion: from.tables.hubList.SnapshotAt, ListRevision: from.tables.listChanged}
 	if from.tables.hub != to.Settings.Name {
-		m.List, m.ListFrom = 0, 0
+		m.ListVersion, m.ListStartVersion = 0, 0
 	}
-	answer := to.peerAsks(now, &to.tables, m)
-	from.update(now, peerCalled{name: to.Settings.Name, asked: now, m: answer})
+	answer := to.peerRequest(now, &to.tables, m)
+	from.update(now, peerAnswered{name: to.Settings.Name, asked: now, m: answer})
 }
 
 // play passes a time on, in which the operator's rows are read by box-11 for all and the
@@ -52,14 +52,14 @@
 			x.sound.update(now, operatorRead{now, Operator{Known: rev(9)}})
 		}
 		for _, d := range []*Daemon{x.sound, x.second} {
-			if ms%targetsEvery == 0 {
+			if ms%targetsReadInterval == 0 {
 				read(now, d)
 			}
 		}
 		gossip(now, x.cut, x.sound)
 		gossip(now, x.second, x.sound)
 		gossip(now, x.cut, x.second)
-		if ms%spokeEvery == 0 {
+		if ms%spokeGossipInterval == 0 {
 			if hub := x.spoke.myHub(now, &x.spoke.tables); hub == "box-00" {
 				gossip(now, x.spoke, x.cut)
 			} else if hub == "box-01" {
@@ -89,7 +89,7 @@
 		}
 	}
 	x.play(time.Second, time.Second+bound, leaving("a", "10.1.0.1:1"))
-	if a := x.spoke.tables.fleet.Target("a"); a != nil && a.Open(start.Add(time.Second+bound)) {
+	if a := x.spoke.tables.fleet.Target("a"); a != nil && a.Available(start.Add(time.Second+bound)) {
 		t.Errorf("%v after the table service took that it leaves, a target gets work by the list of %q", bound, x.spoke.tables.hub)
 	}
 	x.cut.update(start.Add(3*time.Second), targetsRead{start.Add(3 * time.Second), Targets{Changed: rev(x.version), Known: rev(x.version)}, false})
@@ -98,7 +98,7 @@
 		t.Errorf("the box lives on %q, though the first hub reads again", x.spoke.tables.hub)
 	}
 	x.play(5*time.Second, 5*time.Second+bound, leaving("b", "10.1.0.2:1"))
-	if b := x.spoke.tables.fleet.Target("b"); b != nil && b.Open(start.Add(5*time.Second+bound)) {
+	if b := x.spoke.tables.fleet.Target("b"); b != nil && b.Available(start.Add(5*time.Second+bound)) {
 		t.Error("a second target, in the second cut, gets work")
 	}
 }
@@ -115,7 +115,7 @@
 	}{
 		{"nothing newer", 20, 20, time.Minute, false, false},
 		{"read further than the other", 20, 30, time.Minute, false, false},
-		{"newer, a moment ago", 21, 20, targetsEvery / 2, false, false},
+		{"newer, a moment ago", 21, 20, targetsReadInterval / 2, false, false},
 		{"newer, for longer than a sound read takes", 21, 20, overtakenRead, true, false},
 		{"newer, for too long", 21, 20, overtakenFor, true, true},
 		{"another hub tells no list", 0, 20, time.Minute, false, false},
@@ -123,10 +123,10 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := hubOf("box-00")
-			d.update(start, targetsRead{start, Targets{Whole: true, Changed: rev(tt.known), Known: rev(tt.known), Listed: []fleet.Entry{entryAt("a", "10.1.0.1:1")}}, false})
-			d.update(start, peerCalled{name: "box-11", asked: start, m: peer.Message{Listed: rev(tt.listed)}})
+			d.update(start, targetsRead{start, Targets{Snapshot: true, Changed: rev(tt.known), Known: rev(tt.known), Listed: []fleet.Entry{entryAt("a", "10.1.0.1:1")}}, false})
+			d.update(start, peerAnswered{name: "box-11", asked: start, m: peer.Message{ListRevision: rev(tt.listed)}})
 			now := start.Add(tt.after)
-			d.readOvertaken(now, &d.tables)
+			d.rereadIfStale(now, &d.tables)
 			if got := d.listReads.hurried(); got != tt.again {
 				t.Errorf("the list is read anew at once: %v", got)
 			}
@@ -168,9 +168,9 @@
 		began := time.Now()
 		go d.watchTargets(ctx)
 		synctest.Wait()
-		d.update(time.Now(), targetsRead{time.Now(), Targets{Whole: true, Known: rev(20), Changed: rev(20)}, false})
-		d.update(time.Now(), peerCalled{name: "box-11", asked: time.Now(), m: peer.Message{Listed: rev(21)}})
-		d.readOvertaken(began.Add(overtakenRead), &d.tables)
+		d.update(time.Now(), targetsRead{time.Now(), Targets{Snapshot: true, Known: rev(20), Changed: rev(20)}, false})
+		d.update(time.Now(), peerAnswered{name: "box-11", asked: time.Now(), m: peer.Message{ListRevision: rev(21)}})
+		d.rereadIfStale(began.Add(overtakenRead), &d.tables)
 		read := (<-d.messages).(targetsRead)
 		if took := time.Since(began); took > time.Second {
 			t.Errorf("read anew after %v", took)
--- a/entry/pace.go
+++ b/entry/pace.go
@@ -5,25 +5,25 @@
 
 	"github.com/thymewind/thymewind/deliver"
 	"github.com/thymewind/thymewind/fleet"
-	"github.com/thymewind/thymewind/pace"
 	"github.com/thymewind/thymewind/placement"
+	"github.com/thymewind/thymewind/throughput"
 )
 
 // answerBegan learns from how soon an answer began.
-func (d *Daemon) answerBegan(now time.Time, t *tables, p deliver.Place) {
-	if x := t.fleet.Of(fleet.Life{ID: p.Target, Born: p.Born}); x != nil {
-		x.Began(now, p.Unread)
+func (d *Daemon) answerBegan(now time.Time, t *tables, p deliver.Placement) {
+	if x := t.fleet.Incarnation(fleet.Incarnation{ID: p.Target, StartedAt: p.StartedAt}); x != nil {
+		x.Began(now, p.PrefillTokens)
 	}
-	t.crashes.Alive(lifeOf(p), p.At)
-	t.overdue.Done(placement.Hash(p.Target), p.At)
+	t.crashes.Alive(lifeOf(p), p.PlacedAt)
+	t.overdue.Done(placement.Hash(p.Target), p.PlacedAt)
 	if p.Scope != "" {
-		t.pace.See(now, pace.Sample{Took: now.Sub(p.At), Tokens: p.Ahead + p.Unread, Moves: p.Moves})
+		t.pace.Observe(now, throughput.Sample{Took: now.Sub(p.PlacedAt), Tokens: p.PrefillBacklog + p.PrefillTokens, Transfers: p.Transfers})
 	}
 }
 
 // readingToken is how long an engine takes to read one token, as learnt.
 func (d *Daemon) readingToken() time.Duration {
-	_, token := d.tables.pace.Reading()
+	_, token := d.tables.pace.Prefill()
 	return token
 }
 
@@ -31,9 +31,9 @@
 // what all boxes' requests saw.
 func (t *tables) stretch(now time.Time, source string) float64 {
 	name := placement.Hash(source)
-	asked, took := t.pace.Moved(now, name)
-	others := t.others.Of(name)
-	return pace.Stretch(asked+milliseconds(others.AskedMS), took+milliseconds(others.TookMS))
+	asked, took := t.pace.Transferred(now, name)
+	others := t.othersUsage.Of(name)
+	return throughput.Slowdown(asked+milliseconds(others.ExpectedMS), took+milliseconds(others.ActualMS))
 }
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
@@ -42,15 +42,15 @@
 // depends on it.
 const slowStretch = 3
 
-// noteSlow logs the stores that have turned slow, and those that are well again.
-func (d *Daemon) noteSlow(now time.Time, t *tables) {
+// logSlowStores logs the stores that have turned slow, and those that are well again.
+func (d *Daemon) logSlowStores(now time.Time, t *tables) {
 	for _, s := range t.stores {
 		stretch := t.stretch(now, s.Name)
 		slow := stretch >= slowStretch
-		if slow == t.slow[s.Name] {
+		if slow == t.slowLogged[s.Name] {
 			continue
 		}
-		t.slow[s.Name] = slow
-		d.Log.Info("store's moves", "store", s.Name, "slow", slow, "stretch", stretch, "boxes", t.others.Boxes()+1)
+		t.slowLogged[s.Name] = slow
+		d.Log.Info("store's moves", "store", s.Name, "slow", slow, "stretch", stretch, "boxes", t.othersUsage.Boxes()+1)
 	}
 }
--- a/entry/pace_test.go
+++ b/entry/pace_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/thymewind/thymewind/deliver"
 	"github.com/thymewind/thymewind/fleet"
-	"github.com/thymewind/thymewind/pace"
 	"github.com/thymewind/thymewind/peer"
 	"github.com/thymewind/thymewind/placement"
+	"github.com/thymewind/thymewind/throughput"
 )
 
 // TestSlowSource shows that a box learns from its own requests and from other
@@ -17,9 +17,9 @@
 	const move, took = 80 * time.Millisecond, 800 * time.Millisecond
 	source := placement.Hash("large")
 	own := func(d *Daemon) {
-		d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+		d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 		for range 5 {
-			d.update(start.Add(took), answerBegan{deliver.Place{Target: "a", Scope: "m@1", At: start, Moves: []pace.Move{{Source: source, Takes: move}}}})
+			d.update(start.Add(took), answerBegan{deliver.Placement{Target: "a", Scope: "m@1", PlacedAt: start, Transfers: []throughput.Transfer{{Source: source, Expected: move}}}})
 		}
 	}
 	tests := []struct {
@@ -32,15 +32,15 @@
 		{"own requests waited", own, 5, 20, true},
 		{"another box's did", func(d *Daemon) {
 			d.tables.members["b2"] = &member{}
-			d.tables.heard(start, "b2", []peer.Share{{Target: source, AskedMS: 400, TookMS: 4000}})
+			d.tables.receiveLoads(start, "b2", []peer.TargetLoad{{Target: source, ExpectedMS: 400, ActualMS: 4000}})
 		}, 5, 20, false},
 		{"own ones waited, many of another box's did not", func(d *Daemon) {
 			own(d)
 			d.tables.members["b2"] = &member{}
-			d.tables.heard(start, "b2", []peer.Share{{Target: source, AskedMS: 8000, TookMS: 8000}})
+			d.tables.receiveLoads(start, "b2", []peer.TargetLoad{{Target: source, ExpectedMS: 8000, ActualMS: 8000}})
 		}, 1, 2, true},
 		{"a request of a plain service", func(d *Daemon) {
-			d.update(start.Add(took), answerBegan{deliver.Place{Target: "a", At: start, Moves: []pace.Move{{Source: source, Takes: move}}}})
+			d.update(start.Add(took), answerBegan{deliver.Placement{Target: "a", PlacedAt: start, Transfers: []throughput.Transfer{{Source: source, Expected: move}}}})
 		}, 1, 1, false},
 	}
 	for _, tt := range tests {
--- a/entry/place.go
+++ b/entry/place.go
@@ -10,12 +10,12 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/thymewind/thymewind/affinity"
-	"github.com/thymewind/thymewind/clearing"
 	"github.com/thymewind/thymewind/deliver"
 	"github.com/thymewind/thymewind/directory"
 	"github.com/thymewind/thymewind/fleet"
-	"github.com/thymewind/thymewind/nearest"
+	"github.com/thymewind/thymewind/leastrequest"
 	"github.com/thymewind/thymewind/placement"
+	"github.com/thymewind/thymewind/reclaim"
 	"github.com/thymewind/thymewind/refusal"
 )
 
@@ -26,25 +26,25 @@
 )
 
 // askPlace asks the loop for a place. In a large fleet the loop asks hubs first.
-func (d *Daemon) askPlace(ctx context.Context, ask deliver.Ask) (deliver.Place, error) {
+func (d *Daemon) askPlace(ctx context.Context, ask deliver.PlacementRequest) (deliver.Placement, error) {
 	reply := make(chan placeAnswer, 1)
 	select {
-	case d.messages <- placeAsked{ctx: ctx, ask: ask, reply: reply}:
+	case d.messages <- placementRequest{ctx: ctx, ask: ask, reply: reply}:
 	case <-ctx.Done():
-		return deliver.Place{}, d.timeUp(ask.Job)
+		return deliver.Placement{}, d.timeUp(ask.Job)
 	}
 	select {
 	case answer := <-reply: // At once, or after two calls to hubs at most, which end with ctx.
 		return answer.place, answer.err
 	case <-d.ended:
-		return deliver.Place{}, d.timeUp(ask.Job)
+		return deliver.Placement{}, d.timeUp(ask.Job)
 	}
 }
 
-// suspect asks the loop whether a target looks dead.
-func (d *Daemon) suspect(ctx context.Context, target string) bool {
+// isSuspect asks the loop whether a target looks dead.
+func (d *Daemon) isSuspect(ctx context.Context, target string) bool {
 	reply := make(chan bool, 1)
-	d.tell(ctx, suspectAsked{target, reply})
+	d.postContext(ctx, suspectQuery{target, reply})
 	select {
 	case dead := <-reply:
 		return dead
@@ -63,7 +63,7 @@
 // connections to it went silent lately.
 func (d *Daemon) looksDead(now time.Time, t *tables, id string) bool {
 	x := t.fleet.Target(id)
-	if x == nil || x.Avoided(now) || d.saysNothing(now, t, x) {
+	if x == nil || x.Ejected(now) || d.saysNothing(now, t, x) {
 		return true
 	}
 	at, silent := t.silences[x.Address]
@@ -75,19 +75,19 @@
 // lives, which only a box that follows them hears.
 func (d *Daemon) saysNothing(now time.Time, t *tables, x *fleet.Target) bool {
 	if table := d.current.Load(); table == nil || table.Pools[x.Pool] == nil || table.Pools[x.Pool].Engine == nil {
-		return x.Silent(now, nearest.SilentAfter)
+		return x.Silent(now, leastrequest.SilenceTimeout)
 	}
-	return t.followed[x.ID] != nil && x.Silent(now, affinity.SilentAfter)
+	return t.watched[x.ID] != nil && x.Silent(now, affinity.SilenceTimeout)
 }
 
 func (d *Daemon) timeUp(job *deliver.Job) error {
-	return refusal.New(refusal.DidNotRun, 503, "timeout", "the time was up, or the caller left, before the request was placed").After(d.comeBack("timeout", job))
+	return refusal.New(refusal.DidNotRun, 503, "timeout", "the time was up, or the caller left, before the request was placed").After(d.retryAfter("timeout", job))
 }
 
 // place chooses a target and counts the request there.
-func (d *Daemon) place(now time.Time, t *tables, ask deliver.Ask) (deliver.Place, error) {
+func (d *Daemon) place(now time.Time, t *tables, ask deliver.PlacementRequest) (deliver.Placement, error) {
 	if d.evacuationsUnknown(now) {
-		return deliver.Place{}, refusal.New(refusal.DidNotRun, 503, "stale", "which domains are evacuated was last known %v ago", d.provedAgo(now)).After(d.comeBack("stale", ask.Job))
+		return deliver.Placement{}, refusal.New(refusal.DidNotRun, 503, "stale", "which domains are evacuated was last known %v ago", d.provedAgo(now)).After(d.retryAfter("stale", ask.Job))
 	}
 	choose := d.placePlain
 	if ask.Job.Pool.Engine != nil {
@@ -98,20 +98,20 @@
 	if refused != nil {
 		return place, refused.After(d.returnAfter(now, t, refused.Code, ask.Job))
 	}
-	t.sent(now, place)
-	t.reads.Place(now, placement.Hash(place.Target), place.Unread)
+	t.countSent(now, place)
+	t.prefillBacklog.Place(now, placement.Hash(place.Target), place.PrefillTokens)
 	return place, nil
 }
 
-func (d *Daemon) placePlain(now time.Time, t *tables, ask deliver.Ask) (deliver.Place, *refusal.Refusal) {
+func (d *Daemon) placePlain(now time.Time, t *tables, ask deliver.PlacementRequest) (deliver.Placement, *refusal.Refusal) {
 	return d.choosePlain(now, t, ask, backsOff(now))
 }
 
 // choosePlain chooses a target of a plain service, but none that is closed to the box that
 // sends the request.
-func (d *Daemon) choosePlain(now time.Time, t *tables, ask deliver.Ask, closed func(*fleet.Target) bool) (deliver.Place, *refusal.Refusal) {
+func (d *Daemon) choosePlain(now time.Time, t *tables, ask deliver.PlacementRequest, closed func(*fleet.Target) bool) (deliver.Placement, *refusal.Refusal) {
 	if refused := d.refuseCongested(t, ask); refused != nil {
-		return deliver.Place{}, refused
+		return deliver.Placement{}, refused
 	}
 	var x *fleet.Target
 	for _, passed := range d.turns(now, t, ask) {
@@ -121,14 +121,14 @@
 		}
 	}
 	if x == nil {
-		return deliver.Place{}, d.refuseNone(now, t, ask, closed)
+		return deliver.Placement{}, d.refuseNone(now, t, ask, closed)
 	}
 	t.takeTurn(ask, x)
 	d.takeCold(now, t, ask.Job.Pool, x)
-	return deliver.Place{Target: x.ID, Born: x.Born, Address: x.Address, At: now, Rule: "nearest", Granted: d.takeQuota(now, t, x)}, nil
+	return deliver.Placement{Target: x.ID, StartedAt: x.StartedAt, Address: x.Address, PlacedAt: now, Rule: "nearest", QuotaGranted: d.takeQuota(now, t, x)}, nil
 }
 
-func (d *Daemon) refuseNone(now time.Time, t *tables, ask deliver.Ask, closed func(*fleet.Target) bool) *refusal.Refusal {
+func (d *Daemon) refuseNone(now time.Time, t *tables, ask deliver.PlacementRequest, closed func(*fleet.Target) bool) *refusal.Refusal {
 	pool := ask.Job.Pool
 	if cold := d.heldBack(now, t, ask); cold > 0 {
 		return refusal.New(refusal.DidNotRun, 503, "warming", "no target of %s takes work now but %d that are cold and have got what they bear", pool.Name, cold)
@@ -144,10 +144,10 @@
 
 // refuseEngine refuses a request that no engine takes, and says whether that is
 // for the weights' sake.
-func (d *Daemon) refuseEngine(now time.Time, t *tables, request deliver.Ask, ask affinity.Ask, targets []*fleet.Target, from sender) *refusal.Refusal {
+func (d *Daemon) refuseEngine(now time.Time, t *tables, request deliver.PlacementRequest, ask affinity.Request, targets []*fleet.Target, from sender) *refusal.Refusal {
 	for _, x := range targets {
-		if x.Open(now) && x.Versions[ask.Model] < ask.Least {
-			return refusal.New(refusal.DidNotRun, 503, "old_weights", "the engines of %s that take work have weights older than version %d", request.Job.Pool.Name, ask.Least)
+		if x.Available(now) && x.Versions[ask.Model] < ask.MinVersion {
+			return refusal.New(refusal.DidNotRun, 503, "old_weights", "the engines of %s that take work have weights older than version %d", request.Job.Pool.Name, ask.MinVersion)
 		}
 	}
 	return d.refuseNone(now, t, request, from.closed)
@@ -156,11 +156,11 @@
 // skip passes over targets that were tried before, over those closed to the box that
 // sends the request, and over such that are cold or limit requests and have got what this box
 // may send them.
-func (d *Daemon) skip(now time.Time, t *tables, ask deliver.Ask, closed func(*fleet.Target) bool) func(id string) bool {
-	regions := regionsOf(ask.Job)
+func (d *Daemon) skip(now time.Time, t *tables, ask deliver.PlacementRequest, closed func(*fleet.Target) bool) func(id string) bool {
+	regions := allowedRegions(ask.Job)
 	return func(id string) bool {
 		x := t.fleet.Target(id)
-		return !t.inRegions(regions, x.Domain) || slices.Contains(ask.Tried, id) || closed(x) || d.overCold(now, t, ask.Job.Pool, x) || !d.withinQuota(now, t, x)
+		return !t.inRegions(regions, x.Domain) || slices.Contains(ask.Attempted, id) || closed(x) || d.overCold(now, t, ask.Job.Pool, x) || !d.withinQuota(now, t, x)
 	}
 }
 
@@ -171,25 +171,25 @@
 
 // backsOff says which targets want no requests from this box.
 func backsOff(now time.Time) func(*fleet.Target) bool {
-	return func(x *fleet.Target) bool { return x.BacksOff(now) }
+	return func(x *fleet.Target) bool { return x.InBackoff(now) }
 }
 
 // sender is the box that sends a request, as far as its place depends on that.
 type sender struct {
 	domain string
-	room   room
+	room   admissionLimit
 	// linked says to which targets it has a connection that rests, closed which of them
 	// must get no request from it.
 	linked, closed func(*fleet.Target) bool
 }
 
-func (d *Daemon) placeModel(now time.Time, t *tables, ask deliver.Ask) (deliver.Place, *refusal.Refusal) {
-	return d.chooseEngine(now, t, ask, sender{d.Settings.Domain, d.room(t, ask.Job), d.linked, backsOff(now)})
+func (d *Daemon) placeModel(now time.Time, t *tables, ask deliver.PlacementRequest) (deliver.Placement, *refusal.Refusal) {
+	return d.chooseEngine(now, t, ask, sender{d.Settings.Domain, d.admissionLimit(t, ask.Job), d.hasIdleConnection, backsOff(now)})
 }
 
 // chooseEngine chooses an engine, on the software whose turn it is.
-func (d *Daemon) chooseEngine(now time.Time, t *tables, ask deliver.Ask, from sender) (deliver.Place, *refusal.Refusal) {
-	var place deliver.Place
+func (d *Daemon) chooseEngine(now time.Time, t *tables, ask deliver.PlacementRequest, from sender) (deliver.Placement, *refusal.Refusal) {
+	var place deliver.Placement
 	var refused *refusal.Refusal
 	for _, passed := range d.turns(now, t, ask) {
 		among := from
@@ -204,20 +204,20 @@
 }
 
 // planEngine chooses an engine and plans the moves of kept parts.
-func (d *Daemon) planEngine(now time.Time, t *tables, ask deliver.Ask, from sender) (deliver.Place, *refusal.Refusal) {
+func (d *Daemon) planEngine(now time.Time, t *tables, ask deliver.PlacementRequest, from sender) (deliver.Placement, *refusal.Refusal) {
 	job := ask.Job
-	if d.weightsUnknown(now) {
-		return deliver.Place{}, refusal.New(refusal.DidNotRun, 503, "stale", "what the newest weights are was last known %v ago", d.provedAgo(now))
+	if d.weightsStale(now) {
+		return deliver.Placement{}, refusal.New(refusal.DidNotRun, 503, "stale", "what the newest weights are was last known %v ago", d.provedAgo(now))
 	}
 	keys := make(map[int64][]directory.Key)
-	w := t.model(job.Model)
-	regions := regionsOf(job)
-	question := affinity.Ask{
-		Within: func(domain string) bool { return t.inRegions(regions, domain) },
-		Domain: d.near(from.domain), Home: home(job), Tokens: job.Input + job.Output, Capacity: job.Pool.Engine.Capacity, Parts: partsOf(job), Model: job.Model, Wanted: w.wanted, Skip: d.skip(now, t, ask, from.closed),
-		Least: w.least(now, d.bounds.Load().WeightsWithin), Goal: job.Route.Goal, Linked: from.linked,
+	w := t.rolloutOf(job.Model)
+	regions := allowedRegions(job)
+	question := affinity.Request{
+		DomainAllowed: func(domain string) bool { return t.inRegions(regions, domain) },
+		Domain:        d.preferredDomain(from.domain), Home: home(job), Tokens: job.PromptTokens + job.MaxOutputTokens, Capacity: job.Pool.Engine.Capacity, Parts: partsOf(job), Model: job.Model, NewestVersion: w.newestVersion, Skip: d.skip(now, t, ask, from.closed),
+		MinVersion: w.least(now, d.bounds.Load().WeightsWithin), Goal: job.Route.Goal, HasIdleConnection: from.linked,
 		Full: func(taken int) bool {
-			return !from.room.admits(taken, job.Input+job.Output, job.Pool.Engine.Capacity)
+			return !from.room.admits(taken, job.PromptTokens+job.MaxOutputTokens, job.Pool.Engine.Capacity)
 		},
 		Keys: func(version int64) []directory.Key {
 			if keys[version] == nil {
@@ -227,29 +227,29 @@
 		},
 	}
 	targets := t.engines(job.Pool.Name)
-	t.usual = t.spread(now, targets)
+	t.usual = t.presumedOthers(now, targets)
 	choice, ok := d.engines.Choose(now, question, targets)
 	if !ok {
-		return deliver.Place{}, d.refuseEngine(now, t, ask, question, targets, from)
+		return deliver.Placement{}, d.refuseEngine(now, t, ask, question, targets, from)
 	}
 	if refused := d.refuseCrowded(now, t, choice.Target, question, from.room); refused != nil {
-		return deliver.Place{}, refused
+		return deliver.Placement{}, refused
 	}
 	d.takeCold(now, t, job.Pool, choice.Target)
-	place := deliver.Place{
-		Target: choice.Target.ID, Born: choice.Target.Born, Address: choice.Target.Address, Version: choice.Version,
-		Scope: scope(choice.Version, job), Unread: choice.Unread, Tokens: job.Input + job.Output, Rule: choice.Rule,
-		Save: addresses(choice.Save), At: now, Ahead: choice.Ahead, Moves: choice.Moves,
-		Newest: w.wanted, Replaced: w.replacedFor(now, choice.Version), BeginBy: w.beginBy(choice.Version, d.bounds.Load().WeightsWithin),
-		Granted: d.takeQuota(now, t, choice.Target),
+	place := deliver.Placement{
+		Target: choice.Target.ID, StartedAt: choice.Target.StartedAt, Address: choice.Target.Address, Version: choice.Version,
+		Scope: scope(choice.Version, job), PrefillTokens: choice.PrefillTokens, Tokens: job.PromptTokens + job.MaxOutputTokens, Rule: choice.Rule,
+		Save: addresses(choice.Save), PlacedAt: now, PrefillBacklog: choice.PrefillBacklog, Transfers: choice.Transfers,
+		NewestVersion: w.newestVersion, ReplacedFor: w.replacedFor(now, choice.Version), BeginBy: w.beginBy(choice.Version, d.bounds.Load().WeightsWithin),
+		QuotaGranted: d.takeQuota(now, t, choice.Target),
 	}
-	if t.timed {
+	if t.clockKnown {
 		place.Fetch = addresses(choice.Fetch)
-		place.FetchUntil = d.uptime(now) + t.clock + clearing.FetchFor(choice.Version >= w.wanted, d.provedAgo(now))
+		place.FetchUntil = d.uptime(now) + t.clock + reclaim.FetchTimeout(choice.Version >= w.newestVersion, d.provedAgo(now))
 	}
 	for i, p := range job.Parts {
 		switch {
-		case i < choice.Kept:
+		case i < choice.CachedParts:
 			place.Kept += p.Tokens
 		case choice.Fetch != nil && choice.Fetch[i] != nil:
 			place.Fetched += p.Tokens
@@ -310,13 +310,13 @@
 	if job.Account != nil && job.Account.Isolated {
 		text += "/" + job.Account.Name
 	}
-	return text + limitScope(regionsOf(job))
+	return text + regionScope(allowedRegions(job))
 }
 
 func keysOf(job *deliver.Job, scope string) []directory.Key {
 	keys := make([]directory.Key, len(job.Parts))
 	for i, p := range job.Parts {
-		keys[i] = directory.Of(scope, p.ID)
+		keys[i] = directory.KeyOf(scope, p.ID)
 	}
 	return keys
 }
--- a/entry/placehub.go
+++ b/entry/placehub.go
@@ -9,10 +9,10 @@
 
 	"github.com/thymewind/thymewind/deliver"
 	"github.com/thymewind/thymewind/fleet"
-	"github.com/thymewind/thymewind/pace"
 	"github.com/thymewind/thymewind/peer"
 	"github.com/thymewind/thymewind/placement"
 	"github.com/thymewind/thymewind/refusal"
+	"github.com/thymewind/thymewind/throughput"
 )
 
 const (
@@ -29,21 +29,21 @@
 type askHub struct {
 	hub string
 	at  netip.AddrPort
-	m   placeAsked
-	ask peer.PlaceAsk
+	m   placementRequest
+	ask peer.PlacementRequest
 }
 
 // hubPlaced is the hub's answer.
 type hubPlaced struct {
 	hub    string
-	m      placeAsked
-	placed *peer.Placed
+	m      placementRequest
+	placed *peer.PlacementResponse
 	err    error
 }
 
-// placeAsked has a hub place the request, or places it here. One whose caller
+// placementRequested has a hub place the request, or places it here. One whose caller
 // left, or whose time is up, is not counted at any target and costs no hub's work.
-func (d *Daemon) placeAsked(now time.Time, t *tables, m placeAsked) []effect {
+func (d *Daemon) placementRequested(now time.Time, t *tables, m placementRequest) []effect {
 	if m.ctx.Err() != nil {
 		m.reply <- placeAnswer{err: d.timeUp(m.ask.Job)}
 		return nil
@@ -65,40 +65,40 @@
 
 // placeRemotely hands a model request to the hub, if this box has one, and any request for
 // which only targets are left that limit requests.
-func (d *Daemon) placeRemotely(now time.Time, t *tables, m placeAsked) ([]effect, bool) {
-	if !d.spoke.Load() || m.ask.Job.Pool.Engine == nil && !t.onlyLimited(now, m.ask) || len(m.asked) >= hubAsks || d.weightsUnknown(now) {
+func (d *Daemon) placeRemotely(now time.Time, t *tables, m placementRequest) ([]effect, bool) {
+	if !d.spoke.Load() || m.ask.Job.Pool.Engine == nil && !t.onlyLimited(now, m.ask) || len(m.askedHubs) >= hubAsks || d.weightsStale(now) {
 		return nil, false
 	}
-	hub := d.placer(now, t, m.asked)
+	hub := d.placementHub(now, t, m.askedHubs)
 	if hub == "" {
 		return nil, false
 	}
 	job := m.ask.Job
-	r := d.room(t, job)
-	ask := peer.PlaceAsk{
-		Request: job.ID, Pool: job.Pool.Name, Model: job.Model, Tokens: job.Input + job.Output, Fill: r.fill, Usual: r.usual, Tried: m.ask.Tried, GoalMS: job.Route.Goal.Milliseconds(),
+	r := d.admissionLimit(t, job)
+	ask := peer.PlacementRequest{
+		Request: job.ID, Pool: job.Pool.Name, Model: job.Model, Tokens: job.PromptTokens + job.MaxOutputTokens, MaxMemoryShare: r.maxMemoryShare, TypicalTokens: r.typicalTokens, Tried: m.ask.Attempted, GoalMS: job.Route.Goal.Milliseconds(),
 	}
-	ask.Linked, ask.Closed = d.nameTargets(now, t.engines(job.Pool.Name))
-	if regions := regionsOf(job); regions.Limited() {
+	ask.IdleConnections, ask.Excluded = d.targetHints(now, t.engines(job.Pool.Name))
+	if regions := allowedRegions(job); regions.Limited() {
 		ask.Limited, ask.Regions = true, regions
 	}
 	if job.Account != nil && job.Account.Isolated {
-		ask.Walled = job.Account.Name
+		ask.IsolatedAccount = job.Account.Name
 	}
 	for _, p := range job.Parts {
 		ask.Parts = append(ask.Parts, peer.Part{ID: p.ID, Tokens: p.Tokens})
 	}
-	return []effect{askHub{hub, t.members[hub].at, m, ask}}, true
+	return []effect{askHub{hub, t.members[hub].address, m, ask}}, true
 }
 
-// nameTargets lists the targets to which this box has a connection that rests, and those
+// targetHints lists the targets to which this box has a connection that rests, and those
 // to which it must send nothing, of which the hub may not know, or that it may itself use.
-func (d *Daemon) nameTargets(now time.Time, targets []*fleet.Target) (linked, closed []uint32) {
+func (d *Daemon) targetHints(now time.Time, targets []*fleet.Target) (linked, closed []uint32) {
 	for _, x := range targets {
-		if d.linked(x) {
+		if d.hasIdleConnection(x) {
 			linked = append(linked, short(x))
 		}
-		if x.BacksOff(now) || x.Leaving {
+		if x.InBackoff(now) || x.Leaving {
 			closed = append(closed, short(x))
 		}
 	}
@@ -109,8 +109,8 @@
 	ctx, cancel := context.WithTimeout(ctx, placeFor)
 	defer cancel()
 	defer context.AfterFunc(e.m.ctx, cancel)()
-	answer, err := d.peers.Call(ctx, e.at, peer.Message{Kind: peer.KindPlace, From: d.Settings.Name, Ask: &e.ask})
-	return hubPlaced{e.hub, e.m, answer.Placed, err}
+	answer, err := d.peers.Call(ctx, e.at, peer.Message{Kind: peer.KindPlace, From: d.Settings.Name, PlacementRequest: &e.ask})
+	return hubPlaced{e.hub, e.m, answer.PlacementResponse, err}
 }
 
 // hubPlaced passes the hub's place on, if this box knows nothing against it.
@@ -118,47 +118,47 @@
 // that ended with its request says nothing against the hub.
 func (d *Daemon) hubPlaced(now time.Time, t *tables, m hubPlaced) []effect {
 	if m.m.ctx.Err() != nil {
-		return d.placeAsked(now, t, m.m)
+		return d.placementRequested(now, t, m.m)
 	}
 	if m.err != nil || m.placed == nil {
 		d.hubFailed(now, t, m.hub, m.err)
 	} else {
 		t.members[m.hub].misses = 0
-		t.hubHeard = now
-		if answer, ok := d.accept(now, t, m.m.ask, m.placed); ok && !moreParts(m) {
+		t.hubHeardAt = now
+		if answer, ok := d.acceptHubPlace(now, t, m.m.ask, m.placed); ok && !moreParts(m) {
 			m.m.reply <- answer
 			return nil
 		}
 		if m.placed.Target != "" {
-			m.m.ask.Tried = append(slices.Clone(m.m.ask.Tried), m.placed.Target)
+			m.m.ask.Attempted = append(slices.Clone(m.m.ask.Attempted), m.placed.Target)
 		}
 	}
-	m.m.asked = append(m.m.asked, m.hub)
-	return d.placeAsked(now, t, m.m)
+	m.m.askedHubs = append(m.m.askedHubs, m.hub)
+	return d.placementRequested(now, t, m.m)
 }
 
 // moreParts says that a hub has nothing left of limited targets' rates, and that another one,
 // which has a part of its own, can be asked.
 func moreParts(m hubPlaced) bool {
-	return m.placed.Refused == codeLimited && len(m.m.asked)+1 < hubAsks
+	return m.placed.Refused == codeLimited && len(m.m.askedHubs)+1 < hubAsks
 }
 
 func (d *Daemon) hubFailed(now time.Time, t *tables, hub string, err error) {
 	m := t.members[hub]
-	if m == nil || now.Before(m.retry) {
+	if m == nil || now.Before(m.retryAt) {
 		return
 	}
-	if m.misses++; m.misses < hubMisses {
+	if m.misses++; m.misses < maxHubMisses {
 		return
 	}
 	m.misses, m.failed = 0, true
-	m.retry = now.Add(gossipAgain)
+	m.retryAt = now.Add(gossipRetryDelay)
 	d.Log.Warn("hub does not answer", "hub", hub, "err", err)
 }
 
-// accept turns a hub's answer into this box's, unless this box knows something
+// acceptHubPlace turns a hub's answer into this box's, unless this box knows something
 // against the target.
-func (d *Daemon) accept(now time.Time, t *tables, request deliver.Ask, p *peer.Placed) (placeAnswer, bool) {
+func (d *Daemon) acceptHubPlace(now time.Time, t *tables, request deliver.PlacementRequest, p *peer.PlacementResponse) (placeAnswer, bool) {
 	job := request.Job
 	if p.Refused == codeBackoff {
 		return d.closedAtHub(now, t, request)
@@ -169,13 +169,13 @@
 		return placeAnswer{err: refused.After(d.returnAfter(now, t, p.Refused, job))}, true
 	}
 	if p.Entry != nil && t.fleet.Target(p.Target) == nil {
-		d.entryRead(now, t, *p.Entry)
+		d.applyHubEntry(now, t, *p.Entry)
 	}
 	x := t.fleet.Target(p.Target)
-	if x == nil || !x.Open(now) || x.Avoided(now) || x.BacksOff(now) || x.Limited && !p.Granted || d.closedTo(now, t, x) || !t.inRegions(regionsOf(job), x.Domain) {
+	if x == nil || !x.Available(now) || x.Ejected(now) || x.InBackoff(now) || x.Limited && !p.QuotaGranted || d.closedTo(now, t, x) || !t.inRegions(allowedRegions(job), x.Domain) {
 		return placeAnswer{}, false
 	}
-	w := t.model(job.Model)
+	w := t.rolloutOf(job.Model)
 	within := d.bounds.Load().WeightsWithin
 	if job.Pool.Engine != nil && p.Version < w.least(now, within) {
 		return placeAnswer{}, false
@@ -185,26 +185,26 @@
 		d.Log.Error("a hub's place can't be used", "request", job.ID, "target", p.Target, "err", err)
 		return placeAnswer{}, false
 	}
-	place := deliver.Place{
-		Target: x.ID, Born: x.Born, Address: x.Address, Version: p.Version, Scope: scope(p.Version, job), Unread: p.Unread,
-		Tokens: job.Input + job.Output, Fetch: fetch, Save: save, FetchUntil: time.Duration(p.UntilMS) * time.Millisecond,
-		Kept: p.Kept, Fetched: p.Fetched, Saved: p.Saved, Rule: "hub, " + p.Rule,
-		At: now, Ahead: p.Ahead, Granted: p.Granted,
-		Newest: w.wanted, Replaced: w.replacedFor(now, p.Version), BeginBy: w.beginBy(p.Version, within),
+	place := deliver.Placement{
+		Target: x.ID, StartedAt: x.StartedAt, Address: x.Address, Version: p.Version, Scope: scope(p.Version, job), PrefillTokens: p.PrefillTokens,
+		Tokens: job.PromptTokens + job.MaxOutputTokens, Fetch: fetch, Save: save, FetchUntil: time.Duration(p.UntilMS) * time.Millisecond,
+		Kept: p.CachedTokens, Fetched: p.FetchedTokens, Saved: p.SavedTokens, Rule: "hub, " + p.Rule,
+		PlacedAt: now, PrefillBacklog: p.PrefillBacklog, QuotaGranted: p.QuotaGranted,
+		NewestVersion: w.newestVersion, ReplacedFor: w.replacedFor(now, p.Version), BeginBy: w.beginBy(p.Version, within),
 	}
-	for _, m := range p.Moves {
-		place.Moves = append(place.Moves, pace.Move{Source: m.Source, Takes: time.Duration(m.TakesUS) * time.Microsecond})
+	for _, m := range p.Transfers {
+		place.Transfers = append(place.Transfers, throughput.Transfer{Source: m.Source, Expected: time.Duration(m.ExpectedUS) * time.Microsecond})
 	}
-	t.sent(now, place)
+	t.countSent(now, place)
 	d.notePlace(now, request, nil)
 	return placeAnswer{place: place}, true
 }
 
 // closedAtHub refuses a request for which a hub knows no targets but those that this box
 // told it are closed. If this box knows others, the hub's list is old: another is asked.
-func (d *Daemon) closedAtHub(now time.Time, t *tables, request deliver.Ask) (placeAnswer, bool) {
+func (d *Daemon) closedAtHub(now time.Time, t *tables, request deliver.PlacementRequest) (placeAnswer, bool) {
 	fits := func(x *fleet.Target) bool {
-		return x.Open(now) && !x.BacksOff(now) && !slices.Contains(request.Tried, x.ID)
+		return x.Available(now) && !x.InBackoff(now) && !slices.Contains(request.Attempted, x.ID)
 	}
 	if slices.ContainsFunc(t.fleet.Pool(request.Job.Pool.Name), fits) {
 		return placeAnswer{}, false
@@ -215,7 +215,7 @@
 }
 
 // moves returns from where and to where a hub has parts moved.
-func moves(p *peer.Placed) (fetch, save []netip.AddrPort, err error) {
+func moves(p *peer.PlacementResponse) (fetch, save []netip.AddrPort, err error) {
 	if fetch, err = parse(p.Fetch); err != nil {
 		return nil, nil, err
 	}
@@ -242,9 +242,9 @@
 	return out, nil
 }
 
-// linked says that this box has a connection to a target that rests.
-func (d *Daemon) linked(x *fleet.Target) bool {
-	return d.Platform.Linked == nil || d.Platform.Linked(x.Address)
+// hasIdleConnection says that this box has a connection to a target that rests.
+func (d *Daemon) hasIdleConnection(x *fleet.Target) bool {
+	return d.Platform.HasIdleConnection == nil || d.Platform.HasIdleConnection(x.Address)
 }
 
 // short names a target among those of its pool, in four bytes.
--- a/entry/placepeer.go
+++ b/entry/placepeer.go
@@ -21,51 +21,51 @@
 
 // placeForPeer places another box's request, by all that this box knows. It
 // returns nil if that is too little.
-func (d *Daemon) placeForPeer(now time.Time, t *tables, m peer.Message) *peer.Placed {
-	t.askedAsHub = now
+func (d *Daemon) placeForPeer(now time.Time, t *tables, m peer.Message) *peer.PlacementResponse {
+	t.lastHubRequest = now
 	table := d.current.Load()
-	if table == nil || table.Pools[m.Ask.Pool] == nil || d.evacuationsUnknown(now) {
+	if table == nil || table.Pools[m.PlacementRequest.Pool] == nil || d.evacuationsUnknown(now) {
 		return nil
 	}
-	pool := table.Pools[m.Ask.Pool]
-	if pool.Engine != nil && (!d.warm(t) || d.weightsUnknown(now)) {
+	pool := table.Pools[m.PlacementRequest.Pool]
+	if pool.Engine != nil && (!d.knowsCache(t) || d.weightsStale(now)) {
 		return nil
 	}
 	job := &deliver.Job{
-		Call: &deliver.Call{ID: m.Ask.Request, Model: m.Ask.Model, Input: m.Ask.Tokens},
-		Pool: pool, Route: &routing.Route{Goal: time.Duration(m.Ask.GoalMS) * time.Millisecond},
+		Call: &deliver.Call{ID: m.PlacementRequest.Request, Model: m.PlacementRequest.Model, PromptTokens: m.PlacementRequest.Tokens},
+		Pool: pool, Route: &routing.Route{Goal: time.Duration(m.PlacementRequest.GoalMS) * time.Millisecond},
 	}
-	if m.Ask.Limited {
-		job.Route.Regions = append(routing.Regions{}, m.Ask.Regions...)
+	if m.PlacementRequest.Limited {
+		job.Route.Regions = append(routing.Regions{}, m.PlacementRequest.Regions...)
 	}
-	if m.Ask.Walled != "" {
-		job.Account = &routing.Account{Name: m.Ask.Walled, Isolated: true}
+	if m.PlacementRequest.IsolatedAccount != "" {
+		job.Account = &routing.Account{Name: m.PlacementRequest.IsolatedAccount, Isolated: true}
 	}
-	for _, p := range m.Ask.Parts {
+	for _, p := range m.PlacementRequest.Parts {
 		job.Parts = append(job.Parts, deliver.Part{ID: p.ID, Tokens: p.Tokens})
 	}
-	ask, closed := deliver.Ask{Job: job, Tried: m.Ask.Tried}, among(m.Ask.Closed)
-	var place deliver.Place
+	ask, closed := deliver.PlacementRequest{Job: job, Attempted: m.PlacementRequest.Tried}, among(m.PlacementRequest.Excluded)
+	var place deliver.Placement
 	var refused *refusal.Refusal
 	if job.Pool.Engine == nil {
 		place, refused = d.choosePlain(now, t, ask, closed)
 	} else {
-		place, refused = d.chooseEngine(now, t, ask, sender{t.domainOf(m.From), roomOf(m.Ask), among(m.Ask.Linked), closed})
+		place, refused = d.chooseEngine(now, t, ask, sender{t.domainOf(m.From), roomOf(m.PlacementRequest), among(m.PlacementRequest.IdleConnections), closed})
 	}
 	if refused != nil {
-		return &peer.Placed{Refused: refused.Code, Reason: refused.Reason}
+		return &peer.PlacementResponse{Refused: refused.Code, Reason: refused.Reason}
 	}
 	t.charge(m.From, place)
-	t.reads.Place(now, placement.Hash(place.Target), place.Unread)
-	var moves []peer.Move
-	for _, m := range place.Moves {
-		moves = append(moves, peer.Move{Source: m.Source, TakesUS: m.Takes.Microseconds()})
+	t.prefillBacklog.Place(now, placement.Hash(place.Target), place.PrefillTokens)
+	var moves []peer.Transfer
+	for _, m := range place.Transfers {
+		moves = append(moves, peer.Transfer{Source: m.Source, ExpectedUS: m.Expected.Microseconds()})
 	}
-	return &peer.Placed{
+	return &peer.PlacementResponse{
 		Entry:  t.comes(now, place.Target),
 		Target: place.Target, Version: place.Version, Fetch: format(place.Fetch), Save: format(place.Save),
-		UntilMS: place.FetchUntil.Milliseconds(), Kept: place.Kept, Fetched: place.Fetched, Saved: place.Saved,
-		Unread: place.Unread, Rule: place.Rule, Ahead: place.Ahead, Moves: moves, Granted: place.Granted,
+		UntilMS: place.FetchUntil.Milliseconds(), CachedTokens: place.Kept, FetchedTokens: place.Fetched, SavedTokens: place.Saved,
+		PrefillTokens: place.PrefillTokens, Rule: place.Rule, PrefillBacklog: place.PrefillBacklog, Transfers: moves, QuotaGranted: place.QuotaGranted,
 	}
 }
 
@@ -90,32 +90,32 @@
 	return ""
 }
 
-// warm says that most sources of kept parts were heard of since this box follows
+// knowsCache says that most sources of kept parts were heard of since this box follows
 // them. Sources that end later make no odds.
-func (d *Daemon) warm(t *tables) bool {
-	if t.warmed {
+func (d *Daemon) knowsCache(t *tables) bool {
+	if t.hubWarm {
 		return true
 	}
 	if t.unsteady(d.now()) {
 		return false
 	}
 	heard := 0
-	for name := range t.followed {
-		if t.directory.Heard(name) {
+	for name := range t.watched {
+		if t.directory.IsConnected(name) {
 			heard++
 		}
 	}
-	t.warmed = heard > 0 && float64(heard) >= warmShare*float64(len(t.followed))
-	if t.warmed {
-		d.Log.Info("hub knows what is kept", "heard", heard, "followed", len(t.followed))
+	t.hubWarm = heard > 0 && float64(heard) >= warmShare*float64(len(t.watched))
+	if t.hubWarm {
+		d.Log.Info("hub knows what is kept", "heard", heard, "followed", len(t.watched))
 	}
-	return t.warmed
+	return t.hubWarm
 }
 
 // charge counts a request that was just placed for another box, until that box
 // tells of it itself.
-func (t *tables) charge(box string, place deliver.Place) {
-	t.others.Add(box, peer.Share{Target: placement.Hash(place.Target), Tokens: place.Tokens})
+func (t *tables) charge(box string, place deliver.Placement) {
+	t.othersUsage.Add(box, peer.TargetLoad{Target: placement.Hash(place.Target), Tokens: place.Tokens})
 }
 
 // among says which targets another box named.
--- a/entry/platform.go
+++ b/entry/platform.go
@@ -24,35 +24,35 @@
 	// the table service was restored reads everything, and the answer is marked whole.
 	Operator func(ctx context.Context, after revision.Revision, hold time.Duration) (Operator, error)
 	Targets  func(ctx context.Context, after revision.Revision, hold time.Duration) (Targets, error)
-	Own      func(ctx context.Context, after revision.Revision, hold time.Duration) (Own, error)
+	OwnRows  func(ctx context.Context, after revision.Revision, hold time.Duration) (OwnRows, error)
 	// Decode reads a configuration that another box read.
 	Decode func(raw []byte) (*routing.Table, error)
 	// Commit and Read change and read this system's own rows.
 	Commit func(ctx context.Context, tx table.Transaction) error
 	Read   func(ctx context.Context, key string) (table.Row, error)
-	// TellCanary tells the operator how far the version that a pool's software is to move to
+	// ReportCanary tells the operator how far the version that a pool's software is to move to
 	// has come. What was told of the same version before is never taken back.
-	TellCanary func(ctx context.Context, ask canary.Ask, state canary.State) error
+	ReportCanary func(ctx context.Context, ask canary.Rollout, state canary.State) error
 	// Send sends a caller's request to the target placed.
-	Send func(ctx context.Context, s deliver.Sending) (*deliver.Reply, error)
-	// Linked says that a connection to a target rests and can be used.
-	Linked func(at netip.AddrPort) bool
-	// News waits until a source's kept parts changed; List reads all.
-	News func(ctx context.Context, at netip.AddrPort, since uint64, hold time.Duration) (News, error)
-	List func(ctx context.Context, at netip.AddrPort) (News, error)
-	// Free drops parts from a store of the epoch given, until a time on the
+	Send func(ctx context.Context, s deliver.Attempt) (*deliver.Reply, error)
+	// HasIdleConnection says that a connection to a target rests and can be used.
+	HasIdleConnection func(at netip.AddrPort) bool
+	// CacheEvents waits until a source's kept parts changed; List reads all.
+	CacheEvents func(ctx context.Context, at netip.AddrPort, since uint64, hold time.Duration) (CacheEvents, error)
+	ListCache   func(ctx context.Context, at netip.AddrPort) (CacheEvents, error)
+	// FreeCache drops parts from a store of the epoch given, until a time on the
 	// targets' clock.
-	Free func(ctx context.Context, at netip.AddrPort, epoch uint64, until time.Duration, parts []Part) error
+	FreeCache func(ctx context.Context, at netip.AddrPort, epoch uint64, until time.Duration, parts []Part) error
 	// Report asks an engine for its own state, Order tells it to load weights.
 	Report func(ctx context.Context, at netip.AddrPort) (Report, error)
-	Order  func(ctx context.Context, at netip.AddrPort, o rollout.Order) (notice.Said, error)
+	Order  func(ctx context.Context, at netip.AddrPort, o rollout.Order) (notice.Signals, error)
 	// Healthy asks whether this very replica says that it is well. It fails with
 	// ErrReplaced if another one answers, and with ErrUnwell if it says that it is not.
-	Healthy func(ctx context.Context, at netip.AddrPort, path, id string) (notice.Said, error)
+	Healthy func(ctx context.Context, at netip.AddrPort, path, id string) (notice.Signals, error)
 }
 
-// ErrUnwell says that the very replica meant answers, and that it is not well.
-var ErrUnwell = errors.New("the replica says that it is not well")
+// ErrUnhealthy says that the very replica meant answers, and that it is not well.
+var ErrUnhealthy = errors.New("the replica says that it is not well")
 
 // ErrReplaced says that the address called belongs to another replica than the
 // one meant, which is gone for good.
@@ -75,8 +75,8 @@
 	// Canaries are the versions of pools' software that are to be tried out, by pool, or
 	// taken back where it is nil; all that are asked for if Whole is set, otherwise as far
 	// as they changed.
-	Canaries map[string]*canary.Ask
-	Whole    bool
+	Canaries map[string]*canary.Rollout
+	Snapshot bool
 	// Changed is the revision of the newest change among those read, zero if there was
 	// none; Known is that up to which all changes are known.
 	Changed, Known revision.Revision
@@ -92,10 +92,10 @@
 
 // Targets is what the list of targets says.
 type Targets struct {
-	// Whole says that Listed holds all targets; otherwise only changes.
-	Whole  bool
-	Listed []fleet.Entry
-	Gone   []string
+	// Snapshot says that Listed holds all targets; otherwise only changes.
+	Snapshot bool
+	Listed   []fleet.Entry
+	Gone     []string
 	// Changed and Known are as in Operator.
 	Changed, Known revision.Revision
 	// Unusable says of entries that no target wrote why each can't be used, by its key.
@@ -103,16 +103,16 @@
 	Unusable map[string]error
 }
 
-// Own are this system's own rows that changed, or all if Whole is set.
-type Own struct {
-	Whole bool
-	Rows  []table.Row
+// OwnRows are this system's own rows that changed, or all if Whole is set.
+type OwnRows struct {
+	Snapshot bool
+	Rows     []table.Row
 	// Known is as in Operator.
 	Known revision.Revision
 }
 
-// News is what a source says of the prompt parts that it keeps.
-type News struct {
+// CacheEvents is what a source says of the prompt parts that it keeps.
+type CacheEvents struct {
 	// Epoch changes when the source restarts and so loses everything. An engine
 	// that restarts has another ID.
 	Epoch uint64
@@ -120,33 +120,33 @@
 	Next uint64
 	// Gap says that changes are missing and the list has to be read.
 	Gap     bool
-	Changes []Change
+	Changes []CacheEvent
 	// Partial are parts that a list shows as not whole.
-	Partial []Change
-	// Born is when the source's life began; zero if it does not tell.
-	Born time.Time
+	Partial []CacheEvent
+	// StartedAt is when the source's life began; zero if it does not tell.
+	StartedAt time.Time
 	// Clock is the time on the targets' common clock, or zero.
 	Clock time.Duration
-	// Said is what the source says of itself, also beside an error.
-	Said notice.Said
+	// Signals is what the source says of itself, also beside an error.
+	Signals notice.Signals
 }
 
-// Change is a part that a source keeps whole, or no longer keeps.
-type Change struct {
-	Kept        bool
+// CacheEvent is a part that a source keeps whole, or no longer keeps.
+type CacheEvent struct {
+	Cached      bool
 	Scope, Part string
 	Tokens      int
 }
 
 // Report is what an engine says of itself.
 type Report struct {
-	// Said stands beside an error, too.
-	Said notice.Said
+	// Signals stands beside an error, too.
+	Signals notice.Signals
 	// Busy says that an order is under way.
 	Busy bool
-	// Born is when its life began; zero if it does not tell.
-	Born time.Time
-	// Orders counts the orders taken since the engine started.
-	Orders   uint64
-	Versions map[string]int64
+	// StartedAt is when its life began; zero if it does not tell.
+	StartedAt time.Time
+	// OrdersTaken counts the orders taken since the engine started.
+	OrdersTaken uint64
+	Versions    map[string]int64
 }
--- a/entry/powers_test.go
+++ b/entry/powers_test.go
@@ -25,9 +25,9 @@
 	const length = 5
 	w := manyEngines(boxes, 10*boxes)
 	for _, d := range w.boxes {
-		d.Platform.Linked = func(at netip.AddrPort) bool { return at.Addr().As4()[3] == byte(len(d.Settings.Name)) } // Few rest.
+		d.Platform.HasIdleConnection = func(at netip.AddrPort) bool { return at.Addr().As4()[3] == byte(len(d.Settings.Name)) } // Few rest.
 	}
-	w.play(3*time.Second, nil)
+	w.advance(3*time.Second, nil)
 	for _, c := range w.cost {
 		*c = emulatedCost{followed: c.followed}
 	}
@@ -35,15 +35,15 @@
 	for i := range length {
 		for j := range max(boxes/50, 1) {
 			k := i*boxes + j
-			w.enter(engineAt(10*boxes + k))
-			w.leave(engineAt(k).ID)
+			w.addTargets(engineAt(10*boxes + k))
+			w.removeTargets(engineAt(k).ID)
 		}
-		w.play(time.Second, func() {
+		w.advance(time.Second, func() {
 			steps++
 			for n, d := range w.boxes {
 				if (n+steps)%int(time.Second/emulatedStep) == 0 {
-					ask := deliver.Ask{Job: job("short", 100)}
-					w.carry(d, d.update(w.now, placeAsked{ctx: context.Background(), ask: ask, reply: make(chan placeAnswer, 1)}))
+					ask := deliver.PlacementRequest{Job: job("short", 100)}
+					w.perform(d, d.update(w.now, placementRequest{ctx: context.Background(), ask: ask, reply: make(chan placeAnswer, 1)}))
 				}
 			}
 		})
--- a/entry/purse.go
+++ b/entry/purse.go
@@ -21,83 +21,83 @@
 	retryWithin = 50 * time.Millisecond
 )
 
-// lender is who keeps this box's retries.
-type lender struct {
-	// own says that this box is a hub and keeps them itself; at is where another is asked.
-	own bool
-	at  netip.AddrPort
+// retryBudgetSource is who keeps this box's retries.
+type retryBudgetSource struct {
+	// local says that this box is a hub and keeps them itself; at is where another is asked.
+	local bool
+	hub   netip.AddrPort
 }
 
-// chooseLender notes who keeps this box's retries: nobody, unless there are too many boxes for
+// chooseRetryBudget notes who keeps this box's retries: nobody, unless there are too many boxes for
 // each to save up one, and a hub.
-func (d *Daemon) chooseLender(now time.Time, t *tables) {
+func (d *Daemon) chooseRetryBudget(now time.Time, t *tables) {
 	all := d.bounds.Load().RetryExtra * retryUse
 	hub := t.members[t.hub]
 	switch {
-	case !t.partly(now) || float64(t.boxes(now)) <= all:
-		d.lender.Store(nil)
+	case !t.hasUnregistered(now) || float64(t.boxCount(now)) <= all:
+		d.retryBudget.Store(nil)
 	case !d.spoke.Load():
-		d.purse.Bound(purseShare * all / float64(max(len(t.hubs()), 1)))
-		d.lender.Store(&lender{own: true})
-	case hub != nil && !d.lone(now, t):
-		d.purse.Bound(1) // Until the next gossip.
-		d.lender.Store(&lender{at: hub.at})
+		d.sharedRetryBudget.SetBurst(purseShare * all / float64(max(len(t.hubs()), 1)))
+		d.retryBudget.Store(&retryBudgetSource{local: true})
+	case hub != nil && !d.hubless(now, t):
+		d.sharedRetryBudget.SetBurst(1) // Until the next gossip.
+		d.retryBudget.Store(&retryBudgetSource{hub: hub.address})
 	default:
-		d.lender.Store(nil)
+		d.retryBudget.Store(nil)
 	}
 }
 
 // earn notes a request, which earns a part of a retry.
 func (d *Daemon) earn(pool string) {
-	if d.lender.Load() == nil {
-		d.budget.Request(pool)
+	if d.retryBudget.Load() == nil {
+		d.budget.Deposit(pool)
 		return
 	}
-	d.purse.Pay(pool, d.budget.Share)
+	d.sharedRetryBudget.Deposit(pool, d.budget.Share)
 }
 
 // spend takes a retry, or returns false if there is none.
 func (d *Daemon) spend(pool string) bool {
-	l := d.lender.Load()
+	l := d.retryBudget.Load()
 	switch {
 	case l == nil:
 		return d.budget.Spend(pool)
-	case l.own:
-		return d.purse.Spend(pool)
+	case l.local:
+		return d.sharedRetryBudget.Spend(pool)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), retryWithin)
 	defer cancel()
-	answer, err := d.peers.Call(ctx, l.at, peer.Message{Kind: peer.KindRetry, From: d.Settings.Name, Pool: pool})
+	answer, err := d.peers.Call(ctx, l.hub, peer.Message{Kind: peer.KindRetry, From: d.Settings.Name, RetryPool: pool})
 	if err != nil {
-		d.Log.Warn("the hub was not asked for a retry", "hub", l.at, "pool", pool, "err", err)
+		d.Log.Warn("the hub was not asked for a retry", "hub", l.hub, "pool", pool, "err", err)
 		return false
 	}
-	return answer.Granted
+	return answer.RetryGranted
 }
 
 // refund gives back a retry that was taken and never made.
 func (d *Daemon) refund(pool string) {
-	if d.lender.Load() == nil {
+	if d.retryBudget.Load() == nil {
 		d.budget.Refund(pool)
 		return
 	}
-	d.purse.Pay(pool, 1)
+	d.sharedRetryBudget.Deposit(pool, 1)
 }
 
-// paid is what this box's requests earned since it last told a hub; nil unless a hub keeps it.
-func (d *Daemon) paid() map[string]float64 {
-	if l := d.lender.Load(); l == nil || l.own {
+// takeCredits is what this box's requests earned since it last told a hub; nil unless a hub keeps it.
+func (d *Daemon) takeCredits() map[string]float64 {
+	if l := d.retryBudget.Load(); l == nil || l.local {
 		return nil
 	}
-	return d.purse.Empty()
+	return d.sharedRetryBudget.Drain()
 }
 
-// takePaid puts in what another box's requests earned.
-func (d *Daemon) takePaid(m peer.Message) {
-	if l := d.lender.Load(); l == nil || !l.own {
+// receiveCredits puts in what another box's requests earned.
+func (d *Daemon) receiveCredits(m peer.Message) {
+	if l := d.retryBudget.Load(); l == nil || !l.local {
 		return
 	}
-	for pool, amount := range m.Earned {
-		d.purse.Pay(pool, amount)
+	for pool, amount := range m.RetryCredits {
+		d.sharedRetryBudget.Deposit(pool, amount)
 	}
 }
--- a/entry/purse_test.go
+++ b/entry/purse_test.go
@@ -26,9 +26,9 @@
 			}
 			d.unlisted.Store(d.Settings.Box.Share < emulatedShare)
 		}
-		w.play(3*time.Second, nil)
+		w.advance(3*time.Second, nil)
 		granted, asked, n := 0, 0, 0
-		w.play(10*time.Second, func() {
+		w.advance(10*time.Second, func() {
 			for _, d := range w.boxes[n%20:] {
 				if n++; n%20 != 0 {
 					continue
@@ -51,17 +51,17 @@
 
 // spend asks for a retry as Daemon.spend does, without a network.
 func (w *emulator) spend(d *Daemon) bool {
-	l := d.lender.Load()
+	l := d.retryBudget.Load()
 	switch {
 	case l == nil:
 		return d.budget.Spend("orders")
-	case l.own:
-		return d.purse.Spend("orders")
+	case l.local:
+		return d.sharedRetryBudget.Spend("orders")
 	}
 	for name, m := range d.tables.members {
-		if m.at == l.at && w.byName[name] != nil {
+		if m.address == l.hub && w.byName[name] != nil {
 			to := w.byName[name]
-			return to.peerAsks(w.now, &to.tables, peer.Message{Kind: peer.KindRetry, From: d.Settings.Name, Pool: "orders"}).Granted
+			return to.peerRequest(w.now, &to.tables, peer.Message{Kind: peer.KindRetry, From: d.Settings.Name, RetryPool: "orders"}).RetryGranted
 		}
 	}
 	return false
@@ -76,22 +76,22 @@
 		// told is how many boxes there are, rowless how many of them have no row, as a hub told.
 		told, rowless int
 		hub           string
-		lender        *lender
+		lender        *retryBudgetSource
 	}{
 		{"boxes that know each other", "box-05", 10, 0, 0, "box-00", nil},
 		{"a box has joined, of which only the hub knows", "box-05", 10, 21, 0, "box-00", nil},
 		{"few enough for one each", "box-05", 100, 30, 10, "box-00", nil},
-		{"more than that", "box-05", 10, 30, 10, "box-00", &lender{at: netip.MustParseAddrPort("10.0.0.1:1")}},
-		{"a hub", "box-00", 10, 30, 10, "", &lender{own: true}},
+		{"more than that", "box-05", 10, 30, 10, "box-00", &retryBudgetSource{hub: netip.MustParseAddrPort("10.0.0.1:1")}},
+		{"a hub", "box-00", 10, 30, 10, "", &retryBudgetSource{local: true}},
 		{"no hub was heard", "box-05", 10, 30, 10, "", nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := largeFleet(tt.box)
 			d.bounds.Load().RetryExtra = tt.extra
-			d.tables.toldBoxes, d.tables.toldRowless, d.tables.hub = tt.told, tt.rowless, tt.hub
-			d.chooseLender(start, &d.tables)
-			got := d.lender.Load()
+			d.tables.hubBoxes, d.tables.hubUnlisted, d.tables.hub = tt.told, tt.rowless, tt.hub
+			d.chooseRetryBudget(start, &d.tables)
+			got := d.retryBudget.Load()
 			if (got == nil) != (tt.lender == nil) || got != nil && *got != *tt.lender {
 				t.Errorf("got %+v, want %+v", got, tt.lender)
 			}
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -24,7 +24,7 @@
 	if !d.quarantined(now, t, sum) {
 		return nil
 	}
-	return d.never(job, codeQuarantined, "%d targets ended while requests for the same ran there, and %d more may have", t.quarantine.Lives(sum), t.crashes.Lives(sum))
+	return d.refusePermanently(job, codeQuarantined, "%d targets ended while requests for the same ran there, and %d more may have", t.quarantine.Crashes(sum), t.crashes.Suspects(sum))
 }
 
 // codeQuarantined is the refusal's code.
@@ -32,7 +32,7 @@
 
 // quarantined says whether a request must reach no target.
 func (t *tables) quarantined(now time.Time, sum fingerprint.Sum) bool {
-	return t.quarantine.Refuses(now, sum, t.crashes.Lives(sum))
+	return t.quarantine.Refuses(now, sum, t.crashes.Suspects(sum))
 }
 
 // answered notes that a request was answered whole, so that nothing speaks against it.
@@ -45,14 +45,14 @@
 
 // lift drops what speaks against a request and has other boxes told.
 func (d *Daemon) lift(now time.Time, t *tables, sum fingerprint.Sum, from string) {
-	refused := t.quarantine.Lives(sum) >= quarantine.Threshold
+	refused := t.quarantine.Crashes(sum) >= quarantine.Threshold
 	if !t.quarantine.Answered(now, sum) {
 		return
 	}
 	t.lifted[sum] = now
-	if _, tried := t.trials[sum]; tried {
-		delete(t.trials, sum)
-		t.reports.drop = append(t.reports.drop, trialPrefix+sum.String())
+	if _, tried := t.nextTrial[sum]; tried {
+		delete(t.nextTrial, sum)
+		t.reports.deleteKeys = append(t.reports.deleteKeys, trialPrefix+sum.String())
 	}
 	if refused {
 		d.countQuarantined(t)
@@ -60,10 +60,10 @@
 	}
 }
 
-// liftedLately lists the requests that were answered so lately that other boxes may not
+// recentlyLifted lists the requests that were answered so lately that other boxes may not
 // know.
-func (t *tables) liftedLately(now time.Time) []fingerprint.Sum {
-	maps.DeleteFunc(t.lifted, func(_ fingerprint.Sum, at time.Time) bool { return now.Sub(at) > tellFor })
+func (t *tables) recentlyLifted(now time.Time) []fingerprint.Sum {
+	maps.DeleteFunc(t.lifted, func(_ fingerprint.Sum, at time.Time) bool { return now.Sub(at) > announceFor })
 	var list []fingerprint.Sum
 	for sum := range t.lifted {
 		list = append(list, sum)
@@ -71,25 +71,25 @@
 	return list
 }
 
-// refusedFromHub takes over which requests a hub refuses. What it does not refuse says
+// applyHubQuarantine takes over which requests a hub refuses. What it does not refuse says
 // nothing: this box may know of more.
-func (d *Daemon) refusedFromHub(now time.Time, t *tables, hub string, v *peer.View) {
-	for _, sum := range v.Refused {
-		if t.quarantine.Tell(now, sum) {
+func (d *Daemon) applyHubQuarantine(now time.Time, t *tables, hub string, v *peer.View) {
+	for _, sum := range v.Quarantined {
+		if t.quarantine.AddRemote(now, sum) {
 			d.countQuarantined(t)
 			d.Log.Warn("request is refused from now on", "fingerprint", sum, "told_by", hub)
 		}
 	}
-	t.hubRefuses = v.Refuses
+	t.hubQuarantineVersion = v.QuarantineVersion
 }
 
-// tellRefused puts into a hub's view which requests it refuses, if the asking box does not
+// addQuarantine puts into a hub's view which requests it refuses, if the asking box does not
 // have that set.
-func (t *tables) tellRefused(v *peer.View, have uint64) {
+func (t *tables) addQuarantine(v *peer.View, have uint64) {
 	refused := t.quarantine.Refused()
-	v.Refuses = setOf(refused)
-	if v.Refuses != have {
-		v.Refused = refused
+	v.QuarantineVersion = setOf(refused)
+	if v.QuarantineVersion != have {
+		v.Quarantined = refused
 	}
 }
 
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -51,8 +51,8 @@
 	return true
 }
 
-// limitedTarget is what this box may send to a target that limits requests.
-type limitedTarget struct {
+// targetQuota is what this box may send to a target that limits requests.
+type targetQuota struct {
 	bucket quota.Bucket
 	// part is this box's of rate, as divided at a time.
 	part, rate float64
@@ -61,10 +61,10 @@
 
 // bucket holds what this box may send to a target that limits requests, as of now.
 func (d *Daemon) bucket(now time.Time, t *tables, x *fleet.Target) *quota.Bucket {
-	l := t.quotas[x.Life()]
+	l := t.quotas[x.Incarnation()]
 	if l == nil {
-		l = &limitedTarget{}
-		t.quotas[x.Life()] = l
+		l = &targetQuota{}
+		t.quotas[x.Incarnation()] = l
 	}
 	if l.rate != x.Rate || now.Sub(l.divided) >= tick {
 		l.part, l.rate, l.divided = d.part(now, t, x), x.Rate, now
@@ -76,10 +76,10 @@
 // part is this box's of a target's rate, in requests a second. A box that does not know the
 // others, or lives on a hub, has none.
 func (d *Daemon) part(now time.Time, t *tables, x *fleet.Target) float64 {
-	if !t.settled || d.spoke.Load() {
+	if !t.membersKnown || d.spoke.Load() {
 		return 0
 	}
-	return quota.Part(x.Rate, placement.Hash(x.ID), d.Settings.Name, t.holders(now, d.Settings.Name))
+	return quota.Share(x.Rate, placement.Hash(x.ID), d.Settings.Name, t.holders(now, d.Settings.Name))
 }
 
 // holders lists the boxes that share the rates: those that exchange soft state with each other
@@ -87,7 +87,7 @@
 func (t *tables) holders(now time.Time, self string) []string {
 	var list []string
 	for _, name := range t.hubs() {
-		if m := t.members[name]; name == self || !m.at.IsValid() || now.Sub(m.heard) < silentHolder {
+		if m := t.members[name]; name == self || !m.address.IsValid() || now.Sub(m.heardAt) < silentHolder {
 			list = append(list, name)
 		}
 	}
@@ -96,16 +96,16 @@
 
 // limitSet takes over a target's limit, for choosing.
 func limitSet(x *fleet.Target, limit notice.Limit) {
-	x.Limited, x.Rate = limit.Named, limit.PerSecond
+	x.Limited, x.Rate = limit.Active, limit.PerSecond
 }
 
 // limitsFor lists the limits that another box is told now; nil is a box not known.
-func (d *Daemon) limitsFor(now time.Time, m *member) []peer.Limit {
+func (d *Daemon) limitsFor(now time.Time, m *member) []peer.RateLimit {
 	all := m == nil || !now.Before(m.limitsDue)
 	if all && m != nil {
 		m.limitsDue = now.Add(limitsEvery)
 	}
-	var list []peer.Limit
+	var list []peer.RateLimit
 	for _, x := range d.notices.Limits() {
 		if len(list) == toldLimits {
 			break
@@ -113,33 +113,33 @@
 		if !all && now.Sub(x.Since) > limitNewsFor {
 			continue
 		}
-		list = append(list, peer.LimitOf(now, x))
+		list = append(list, peer.NewRateLimit(now, x))
 	}
 	return list
 }
 
-// hearLimits takes over the limits that another box knows, as of a time.
-func (d *Daemon) hearLimits(now, asOf time.Time, t *tables, m peer.Message) {
-	for _, l := range m.Limits {
-		x, err := l.Rated(asOf)
+// receiveLimits takes over the limits that another box knows, as of a time.
+func (d *Daemon) receiveLimits(now, asOf time.Time, t *tables, m peer.Message) {
+	for _, l := range m.RateLimits {
+		x, err := l.Decode(asOf)
 		if err != nil {
 			d.Log.Warn("a box's word of a limit can't be used", "from", m.From, "err", err)
 			continue
 		}
-		if t.fleet.Of(x.Life) == nil {
+		if t.fleet.Incarnation(x.Incarnation) == nil {
 			continue // What this box hears itself is of the life that its list names.
 		}
 		if d.notices.SetLimit(now, x) {
 			d.noteLimit(x, m.From)
 		}
-		d.targetSaid(now, t, x.Life)
+		d.signalsHeard(now, t, x.Incarnation)
 	}
 }
 
 // expireQuotas forgets what was sent to targets that limit requests no more.
 func (d *Daemon) expireQuotas(t *tables) {
 	for life := range t.quotas {
-		if x := t.fleet.Of(life); x == nil || !x.Limited {
+		if x := t.fleet.Incarnation(life); x == nil || !x.Limited {
 			delete(t.quotas, life)
 		}
 	}
@@ -147,9 +147,9 @@
 
 // refuseLimited returns the refusal of a request for which some targets would have room if they
 // did not limit requests; nil if there are none.
-func (d *Daemon) refuseLimited(now time.Time, t *tables, ask deliver.Ask, closed func(*fleet.Target) bool) *refusal.Refusal {
+func (d *Daemon) refuseLimited(now time.Time, t *tables, ask deliver.PlacementRequest, closed func(*fleet.Target) bool) *refusal.Refusal {
 	spent := func(x *fleet.Target) bool {
-		return x.Open(now) && !closed(x) && !slices.Contains(ask.Tried, x.ID) && !d.withinQuota(now, t, x)
+		return x.Available(now) && !closed(x) && !slices.Contains(ask.Attempted, x.ID) && !d.withinQuota(now, t, x)
 	}
 	if !slices.ContainsFunc(t.fleet.Pool(ask.Job.Pool.Name), spent) {
 		return nil
@@ -159,10 +159,10 @@
 
 // onlyLimited says that all targets left for a request limit requests, so that a hub, which
 // has a part of their rates, has to place it.
-func (t *tables) onlyLimited(now time.Time, ask deliver.Ask) bool {
+func (t *tables) onlyLimited(now time.Time, ask deliver.PlacementRequest) bool {
 	limited := false
 	for _, x := range t.fleet.Pool(ask.Job.Pool.Name) {
-		if !x.Open(now) || x.BacksOff(now) || slices.Contains(ask.Tried, x.ID) {
+		if !x.Available(now) || x.InBackoff(now) || slices.Contains(ask.Attempted, x.ID) {
 			continue
 		}
 		if !x.Limited {
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -70,7 +70,7 @@
 		j.Pool = configuration(1).Pools[w.pool]
 		reply := make(chan placeAnswer, 1)
 		w.waits = append(w.waits, waiting{d, reply, w.now})
-		w.carry(d, d.update(w.now, placeAsked{ctx: context.Background(), ask: deliver.Ask{Job: j}, reply: reply}))
+		w.perform(d, d.update(w.now, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: j}, reply: reply}))
 	}
 	w.waits = slices.DeleteFunc(w.waits, func(x waiting) bool {
 		select {
@@ -90,7 +90,7 @@
 		return
 	}
 	life := lifePlaced(answer.place)
-	if err := x.box.allow(life, deliver.Sending{Job: job("short", 100), Place: answer.place}); err != nil {
+	if err := x.box.allow(life, deliver.Attempt{Job: job("short", 100), Place: answer.place}); err != nil {
 		w.codes[err.Error()]++
 		return
 	}
@@ -98,16 +98,16 @@
 	if w.now.After(w.from) {
 		w.came[life.ID] = append(w.came[life.ID], w.now)
 	}
-	said := notice.Said{Unlimited: true}
+	said := notice.Signals{Unlimited: true}
 	if w.limited[life.ID] {
-		said = notice.Said{Limited: true, Rate: w.rate}
+		said = notice.Signals{Limited: true, Rate: w.rate}
 	}
 	asked := w.now
-	w.later(100*time.Millisecond, func() {
+	w.after(100*time.Millisecond, func() {
 		x.box.update(w.now, answerBegan{answer.place})
-		x.box.sendingEnded(w.now, &x.box.tables, sendingEnded{deliver.Ended{Place: answer.place, Job: job("short", 100), Began: true, Answered: true}})
+		x.box.attemptEnded(w.now, &x.box.tables, attemptEnded{deliver.AttemptResult{Place: answer.place, Job: job("short", 100), Began: true, Answered: true}})
 		if x.box.hearNotice(asked, life, said, "an answer") {
-			x.box.update(w.now, targetSaid{life})
+			x.box.update(w.now, signalsHeard{life})
 		}
 	})
 }
@@ -143,17 +143,17 @@
 			for i := range 8 {
 				e := engineAt(i)
 				e.Pool = tt.pool
-				w.enter(e)
+				w.addTargets(e)
 				w.limited[e.ID] = i < tt.limited
 			}
 			for _, d := range w.boxes {
-				d.tables.warmed = true
+				d.tables.hubWarm = true
 			}
-			w.play(2*time.Second, nil)
+			w.advance(2*time.Second, nil)
 			w.from = w.now.Add(3 * time.Second)
 			const span = 15
 			pressed := 0
-			w.play(span*time.Second, func() {
+			w.advance(span*time.Second, func() {
 				pressed += 10
 				w.press(10) // 200 a second.
 			})
@@ -179,14 +179,14 @@
 
 // limits has a box hear that a target names a rate.
 func limits(d *Daemon, now time.Time, id string, rate float64) {
-	d.notices.HearLimit(now, now, fleet.Life{ID: id}, notice.Said{Limited: true, Rate: rate})
-	d.update(now, targetSaid{fleet.Life{ID: id}})
+	d.notices.ObserveLimit(now, now, fleet.Incarnation{ID: id}, notice.Signals{Limited: true, Rate: rate})
+	d.update(now, signalsHeard{fleet.Incarnation{ID: id}})
 }
 
 // alone is a box that is the only one, with two engines.
 func alone() *Daemon {
 	d := knows(newDaemon("b1"), "a", "b")
-	d.tables.settled = true
+	d.tables.membersKnown = true
 	d.tables.members["b1"] = &member{domain: "a", share: 1}
 	return d
 }
@@ -214,8 +214,8 @@
 			if tt.limited {
 				limits(d, start, "a", 3)
 			}
-			s := deliver.Sending{Job: job("long", 1000), Place: deliver.Place{Target: "a", At: start, Granted: tt.granted}}
-			if err := d.allow(fleet.Life{ID: "a"}, s); !errors.Is(err, tt.want) || (err == nil) != (tt.want == nil) {
+			s := deliver.Attempt{Job: job("long", 1000), Place: deliver.Placement{Target: "a", PlacedAt: start, QuotaGranted: tt.granted}}
+			if err := d.allow(fleet.Incarnation{ID: "a"}, s); !errors.Is(err, tt.want) || (err == nil) != (tt.want == nil) {
 				t.Errorf("allowed: %v, want %v", err, tt.want)
 			}
 		})
@@ -236,12 +236,12 @@
 		t.Errorf("refused as %q, %v, come back after %v", refused.Code, refused.Outcome, refused.RetryAfter)
 	}
 	later := start.Add(time.Second)
-	d.proved.Store(&later)
+	d.provedAt.Store(&later)
 	if got, _ := placedOn(d, later); fmt.Sprint(got) != "[a b]" {
 		t.Errorf("placed a second later on %v", got)
 	}
-	d.notices.HearLimit(later, later, fleet.Life{ID: "a"}, notice.Said{Unlimited: true})
-	d.update(later, targetSaid{fleet.Life{ID: "a"}})
+	d.notices.ObserveLimit(later, later, fleet.Incarnation{ID: "a"}, notice.Signals{Unlimited: true})
+	d.update(later, signalsHeard{fleet.Incarnation{ID: "a"}})
 	if got, _ := placedOn(d, later); fmt.Sprint(got) != "[a]" {
 		t.Errorf("placed after the end of a limit on %v", got)
 	}
@@ -276,21 +276,21 @@
 func TestLimitTravels(t *testing.T) {
 	tests := []struct {
 		name    string
-		told    []peer.Limit
+		told    []peer.RateLimit
 		limited bool
 		rate    float64
 	}{
-		{"a limit", []peer.Limit{{Target: "a", Named: true, PerSecond: 3}}, true, 3},
-		{"its end", []peer.Limit{{Target: "a", Named: true, PerSecond: 3, AgeMS: 50}, {Target: "a", AgeMS: 20}}, false, 0},
-		{"an end from before", []peer.Limit{{Target: "a", Named: true, PerSecond: 3, AgeMS: 20}, {Target: "a", AgeMS: 50}}, true, 3},
-		{"of another life", []peer.Limit{{Target: "c", Named: true, PerSecond: 3}}, false, 0},
-		{"an odd rate", []peer.Limit{{Target: "a", Named: true, PerSecond: -3}}, false, 0},
-		{"of a time to come", []peer.Limit{{Target: "a", Named: true, PerSecond: 3, AgeMS: -5}}, false, 0},
+		{"a limit", []peer.RateLimit{{Target: "a", Active: true, PerSecond: 3}}, true, 3},
+		{"its end", []peer.RateLimit{{Target: "a", Active: true, PerSecond: 3, AgeMS: 50}, {Target: "a", AgeMS: 20}}, false, 0},
+		{"an end from before", []peer.RateLimit{{Target: "a", Active: true, PerSecond: 3, AgeMS: 20}, {Target: "a", AgeMS: 50}}, true, 3},
+		{"of another life", []peer.RateLimit{{Target: "c", Active: true, PerSecond: 3}}, false, 0},
+		{"an odd rate", []peer.RateLimit{{Target: "a", Active: true, PerSecond: -3}}, false, 0},
+		{"of a time to come", []peer.RateLimit{{Target: "a", Active: true, PerSecond: 3, AgeMS: -5}}, false, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := alone()
-			d.peerAsks(start.Add(time.Second), &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", Limits: tt.told})
+			d.peerRequest(start.Add(time.Second), &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", RateLimits: tt.told})
 			if x := d.tables.fleet.Target("a"); x.Limited != tt.limited || x.Rate != tt.rate {
 				t.Errorf("limited %v to %v", x.Limited, x.Rate)
 			}
@@ -304,16 +304,16 @@
 func TestLimitOfUnlistedLife(t *testing.T) {
 	d := alone()
 	listed := engine("a", 1)
-	listed.Born = start.Add(-time.Minute)
+	listed.StartedAt = start.Add(-time.Minute)
 	d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{listed}}, false})
-	told := peer.Limit{Target: "a", BornMS: start.UnixMilli(), Named: true, PerSecond: 3}
-	d.peerAsks(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", Limits: []peer.Limit{told}})
-	say(d, start, fleet.Life{ID: "a", Born: listed.Born}, resting)
+	told := peer.RateLimit{Target: "a", StartedMS: start.UnixMilli(), Active: true, PerSecond: 3}
+	d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", RateLimits: []peer.RateLimit{told}})
+	sendSignals(d, start, fleet.Incarnation{ID: "a", StartedAt: listed.StartedAt}, resting)
 	if got, _ := placedOn(d, start.Add(time.Second)); fmt.Sprint(got) != "[b]" {
 		t.Errorf("placed on %v in the time for which a wants none", got)
 	}
-	d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{{ID: "a", Pool: "models", Versions: map[string]int64{"m": 1}, Born: start}}}, false})
-	d.peerAsks(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", Limits: []peer.Limit{told}})
+	d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{{ID: "a", Pool: "models", Versions: map[string]int64{"m": 1}, StartedAt: start}}}, false})
+	d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", RateLimits: []peer.RateLimit{told}})
 	if x := d.tables.fleet.Target("a"); !x.Limited {
 		t.Error("the limit is not known once the list names that life")
 	}
--- a/entry/reads_test.go
+++ b/entry/reads_test.go
@@ -15,8 +15,8 @@
 func TestReads(t *testing.T) {
 	const tokens = 5000
 	target := placement.Hash("a")
-	ask := func() *peer.PlaceAsk {
-		return &peer.PlaceAsk{Request: "r", Pool: "models", Model: "m", Tokens: tokens, Fill: 1, Parts: []peer.Part{{ID: "p", Tokens: tokens}}}
+	ask := func() *peer.PlacementRequest {
+		return &peer.PlacementRequest{Request: "r", Pool: "models", Model: "m", Tokens: tokens, MaxMemoryShare: 1, Parts: []peer.Part{{ID: "p", Tokens: tokens}}}
 	}
 	tests := []struct {
 		name   string
@@ -26,42 +26,42 @@
 	}{
 		{"nothing", func(*Daemon) {}, 0, 0},
 		{"placed for another box", func(hub *Daemon) {
-			hub.peerAsks(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", Ask: ask()})
+			hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: ask()})
 		}, 0, tokens},
 		{"read by now, though nobody told", func(hub *Daemon) {
-			hub.peerAsks(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", Ask: ask()})
+			hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: ask()})
 		}, time.Second, 0},
 		{"placed by another hub", func(hub *Daemon) {
-			hub.tables.heardReads(start, "box-01", nil)
-			hub.tables.heardReads(start, "box-01", []peer.Read{{Target: target, Total: tokens}})
+			hub.tables.receivePrefill(start, "box-01", nil)
+			hub.tables.receivePrefill(start, "box-01", []peer.PrefillTotal{{Target: target, Total: tokens}})
 		}, 0, tokens},
 		{"told by a box that is not known", func(hub *Daemon) {
-			hub.tables.heardReads(start, "stranger", nil)
-			hub.tables.heardReads(start, "stranger", []peer.Read{{Target: target, Total: tokens}})
+			hub.tables.receivePrefill(start, "stranger", nil)
+			hub.tables.receivePrefill(start, "stranger", []peer.PrefillTotal{{Target: target, Total: tokens}})
 		}, 0, 0},
 		{"overdue at another box", func(hub *Daemon) {
-			hub.tables.heard(start, "box-05", []peer.Share{{Target: target, Unread: tokens}})
+			hub.tables.receiveLoads(start, "box-05", []peer.TargetLoad{{Target: target, PrefillBacklog: tokens}})
 		}, time.Second, tokens},
 		{"overdue here", func(hub *Daemon) {
-			hub.tables.sent(start, deliver.Place{Target: "a", At: start, Unread: tokens})
+			hub.tables.countSent(start, deliver.Placement{Target: "a", PlacedAt: start, PrefillTokens: tokens})
 		}, time.Second, tokens},
 		{"overdue here, then begun", func(hub *Daemon) {
-			p := deliver.Place{Target: "a", At: start, Unread: tokens}
-			hub.tables.sent(start, p)
+			p := deliver.Placement{Target: "a", PlacedAt: start, PrefillTokens: tokens}
+			hub.tables.countSent(start, p)
 			hub.answerBegan(start.Add(time.Second), &hub.tables, p)
 		}, time.Second, 0},
 		{"overdue here, then failed", func(hub *Daemon) {
-			p := deliver.Place{Target: "a", At: start, Unread: tokens}
-			hub.tables.sent(start, p)
-			hub.sendingEnded(start, &hub.tables, sendingEnded{deliver.Ended{Place: p, Job: job("long", 10)}})
+			p := deliver.Placement{Target: "a", PlacedAt: start, PrefillTokens: tokens}
+			hub.tables.countSent(start, p)
+			hub.attemptEnded(start, &hub.tables, attemptEnded{deliver.AttemptResult{Place: p, Job: job("long", 10)}})
 		}, time.Second, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			hub := listed("box-00")
-			hub.tables.warmed = true
+			hub := boxWithEngines("box-00")
+			hub.tables.hubWarm = true
 			hub.update(start, targetsRead{start, Targets{Gone: []string{"b"}}, false})
-			hub.tables.heard(start, "box-05", nil)
+			hub.tables.receiveLoads(start, "box-05", nil)
 			hub.tables.fleet.Target("a").Domain = hub.Settings.Domain
 			tt.happen(hub)
 			_, got := hub.load(start.Add(tt.after), &hub.tables, hub.tables.fleet.Target("a"))
@@ -74,29 +74,29 @@
 
 // TestReadsAreTold shows that hubs tell each other what they had targets read.
 func TestReadsAreTold(t *testing.T) {
-	hub := listed("box-00")
-	hub.tables.reads.Place(start, placement.Hash("a"), 700)
-	answer := hub.peerAsks(start, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-01"})
-	if len(answer.Reads) != 1 || answer.Reads[0].Total != 700 {
-		t.Errorf("the answer to another hub tells %v", answer.Reads)
+	hub := boxWithEngines("box-00")
+	hub.tables.prefillBacklog.Place(start, placement.Hash("a"), 700)
+	answer := hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-01"})
+	if len(answer.PrefillTotals) != 1 || answer.PrefillTotals[0].Total != 700 {
+		t.Errorf("the answer to another hub tells %v", answer.PrefillTotals)
 	}
 }
 
 // TestHubsTellOften shows that hubs tell each other as soon as it is time, and that
 // other boxes wait for their next tick.
 func TestHubsTellOften(t *testing.T) {
-	hub, spoke := listed("box-00"), listed("box-05")
+	hub, spoke := boxWithEngines("box-00"), boxWithEngines("box-05")
 	credential := "x"
 	for _, d := range []*Daemon{hub, spoke} {
 		d.credential.Store(&credential)
 	}
-	if n := len(hub.hurryGossip(start, &hub.tables)); n != 3 {
+	if n := len(hub.gossipBetweenTicks(start, &hub.tables)); n != 3 {
 		t.Errorf("the hub calls %d others", n)
 	}
-	if n := len(hub.hurryGossip(start.Add(hubsEvery-time.Millisecond), &hub.tables)); n != 0 {
+	if n := len(hub.gossipBetweenTicks(start.Add(hubsEvery-time.Millisecond), &hub.tables)); n != 0 {
 		t.Errorf("the hub calls %d others before it is time", n)
 	}
-	if n := len(spoke.hurryGossip(start, &spoke.tables)); n != 0 {
+	if n := len(spoke.gossipBetweenTicks(start, &spoke.tables)); n != 0 {
 		t.Errorf("a box behind a hub calls %d others between ticks", n)
 	}
 }
--- a/entry/refuse.go
+++ b/entry/refuse.go
@@ -21,19 +21,19 @@
 	if engine == nil {
 		return nil
 	}
-	tokens := job.Input + job.Output
-	if engine.Capacity > 0 && (job.Input > engine.Capacity || float64(tokens)/float64(engine.Capacity) > fillMost) {
-		return d.never(job, "over_memory", "the request takes up %d tokens, and an engine of %s has %d", tokens, job.Pool.Name, engine.Capacity)
+	tokens := job.PromptTokens + job.MaxOutputTokens
+	if engine.Capacity > 0 && (job.PromptTokens > engine.Capacity || float64(tokens)/float64(engine.Capacity) > maxShare) {
+		return d.refusePermanently(job, "over_memory", "the request takes up %d tokens, and an engine of %s has %d", tokens, job.Pool.Name, engine.Capacity)
 	}
 	unknown := job.Model != "" && len(engine.Models) > 0 && !slices.Contains(engine.Models, job.Model)
 	if unknown && !slices.ContainsFunc(t.fleet.Pool(job.Pool.Name), func(x *fleet.Target) bool { return has(x, job.Model) }) {
-		return d.never(job, "no_model", "no engine of %s serves the model %q", job.Pool.Name, job.Model)
+		return d.refusePermanently(job, "no_model", "no engine of %s serves the model %q", job.Pool.Name, job.Model)
 	}
 	return nil
 }
 
-func (d *Daemon) never(job *deliver.Job, code, format string, args ...any) *refusal.Refusal {
-	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, code, format, args...).After(d.comeBack(code, job))
+func (d *Daemon) refusePermanently(job *deliver.Job, code, format string, args ...any) *refusal.Refusal {
+	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, code, format, args...).After(d.retryAfter(code, job))
 }
 
 // has says that a target lists a model, in whatever version.
@@ -42,16 +42,16 @@
 	return listed
 }
 
-// least is the time in which no request like a job's was answered lately.
-func (d *Daemon) least(now time.Time, job *deliver.Job) (time.Duration, bool) {
-	return d.quickest.Least(now, alike(job))
+// minAnswerTime is the time in which no request like a job's was answered lately.
+func (d *Daemon) minAnswerTime(now time.Time, job *deliver.Job) (time.Duration, bool) {
+	return d.minAnswerTimes.Min(now, alike(job))
 }
 
 // learnLeast learns from a whole answer, except of streams that were taken up, as
 // they need less time.
 func (d *Daemon) learnLeast(o deliver.Outcome) {
-	if o.Job != nil && o.Status == http.StatusOK && kind(o) == answered && o.Call.After == "" {
-		d.quickest.See(d.now(), alike(o.Job), o.Took)
+	if o.Job != nil && o.Status == http.StatusOK && kind(o) == answered && o.Call.LastEventID == "" {
+		d.minAnswerTimes.Observe(d.now(), alike(o.Job), o.Took)
 	}
 }
 
--- a/entry/refuse_test.go
+++ b/entry/refuse_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
-	"github.com/thymewind/thymewind/comeback"
 	"github.com/thymewind/thymewind/deliver"
 	"github.com/thymewind/thymewind/fleet"
-	"github.com/thymewind/thymewind/quickest"
+	"github.com/thymewind/thymewind/minlatency"
 	"github.com/thymewind/thymewind/refusal"
+	"github.com/thymewind/thymewind/retryafter"
 )
 
 // TestRefusedForGood shows that a request that no target can ever run is refused as
@@ -34,11 +34,11 @@
 		t.Run(tt.name, func(t *testing.T) {
 			now := start
 			d := refusing(&now)
-			d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{{ID: "a", Pool: "models", Versions: tt.versions}}}, false})
+			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{{ID: "a", Pool: "models", Versions: tt.versions}}}, false})
 			j := job("short", 0)
-			j.Model, j.Input, j.Output = tt.model, tt.input, tt.output
+			j.Model, j.PromptTokens, j.MaxOutputTokens = tt.model, tt.input, tt.output
 			reply := make(chan placeAnswer, 1)
-			d.update(start, placeAsked{ctx: t.Context(), ask: deliver.Ask{Job: j}, reply: reply})
+			d.update(start, placementRequest{ctx: t.Context(), ask: deliver.PlacementRequest{Job: j}, reply: reply})
 			got := <-reply
 			if tt.code == "" {
 				if got.err != nil {
@@ -47,7 +47,7 @@
 				return
 			}
 			refused := refusal.Of(got.err, "", 0)
-			if refused.Code != tt.code || refused.Outcome != refusal.DidNotRun || refused.Status != http.StatusServiceUnavailable || refused.RetryAfter != comeback.Longest {
+			if refused.Code != tt.code || refused.Outcome != refusal.DidNotRun || refused.Status != http.StatusServiceUnavailable || refused.RetryAfter != retryafter.MaxOutage {
 				t.Errorf("refused %+v", refused)
 			}
 		})
@@ -60,7 +60,7 @@
 	d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
 	for _, tokens := range []int{200000, 10} {
 		reply := make(chan placeAnswer, 1)
-		effects := d.update(start, placeAsked{ctx: t.Context(), ask: deliver.Ask{Job: job("short", tokens)}, reply: reply})
+		effects := d.update(start, placementRequest{ctx: t.Context(), ask: deliver.PlacementRequest{Job: job("short", tokens)}, reply: reply})
 		if refused := len(reply) > 0; refused == (len(effects) > 0) || refused != (tokens == 200000) {
 			t.Errorf("%d tokens: refused %v, effects %v", tokens, refused, effects)
 		}
@@ -77,13 +77,13 @@
 		outcome deliver.Outcome
 		known   bool
 	}{
-		{"whole answers", quickest.Enough, deliver.Outcome{Status: 200, Took: took}, true},
-		{"few whole answers", quickest.Enough - 1, deliver.Outcome{Status: 200, Took: took}, false},
-		{"a target's failures", quickest.Enough, deliver.Outcome{Status: 500, Took: took}, false},
-		{"broken off", quickest.Enough, deliver.Outcome{Status: 200, Broken: true, Took: took}, false},
-		{"callers that left", quickest.Enough, deliver.Outcome{Status: 200, Left: true, Took: took}, false},
-		{"refused", quickest.Enough, deliver.Outcome{Status: 503, Cause: "crowded", Refused: "crowded", Took: took}, false},
-		{"streams taken up", quickest.Enough, deliver.Outcome{Call: &deliver.Call{After: "7"}, Status: 200, Took: took}, false},
+		{"whole answers", minlatency.MinSamples, deliver.Outcome{Status: 200, Took: took}, true},
+		{"few whole answers", minlatency.MinSamples - 1, deliver.Outcome{Status: 200, Took: took}, false},
+		{"a target's failures", minlatency.MinSamples, deliver.Outcome{Status: 500, Took: took}, false},
+		{"broken off", minlatency.MinSamples, deliver.Outcome{Status: 200, Aborted: true, Took: took}, false},
+		{"callers that left", minlatency.MinSamples, deliver.Outcome{Status: 200, CallerLeft: true, Took: took}, false},
+		{"refused", minlatency.MinSamples, deliver.Outcome{Status: 503, Cause: "crowded", RefusalCode: "crowded", Took: took}, false},
+		{"streams taken up", minlatency.MinSamples, deliver.Outcome{Call: &deliver.Call{LastEventID: "7"}, Status: 200, Took: took}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -95,19 +95,19 @@
 				o.Call = o.Job.Call
 			}
 			for range tt.n {
-				d.note(o)
+				d.recordOutcome(o)
 			}
-			if least, known := d.server.Least(now, o.Job); known != tt.known || known && least >= took {
+			if least, known := d.server.MinAnswerTime(now, o.Job); known != tt.known || known && least >= took {
 				t.Errorf("least %v, %v", least, known)
 			}
-			if _, known := d.server.Least(now, job("long", 10)); known {
+			if _, known := d.server.MinAnswerTime(now, job("long", 10)); known {
 				t.Error("another route's is known")
 			}
 			want := 0.0
-			if o.Refused != "" {
+			if o.RefusalCode != "" {
 				want = float64(tt.n)
 			}
-			if got := counted(t, d, o.Refused); got != want {
+			if got := counted(t, d, o.RefusalCode); got != want {
 				t.Errorf("counted %v refusals, want %v", got, want)
 			}
 		})
--- a/entry/region.go
+++ b/entry/region.go
@@ -18,8 +18,10 @@
 // codeRegion is the refusal's code where no target lies in a region that is allowed.
 const codeRegion = "region"
 
-// regionsOf is where a request may be run, kept and stored.
-func regionsOf(job *deliver.Job) routing.Regions { return routing.Within(job.Route, job.Account) }
+// allowedRegions is where a request may be run, kept and stored.
+func allowedRegions(job *deliver.Job) routing.Regions {
+	return routing.AllowedRegions(job.Route, job.Account)
+}
 
 // inRegions says whether a failure domain lies in one of some regions.
 func (t *tables) inRegions(regions routing.Regions, domain string) bool {
@@ -29,7 +31,7 @@
 // refuseRegion refuses a request that may be run nowhere, as far as this box knows; nil if it
 // may somewhere.
 func (d *Daemon) refuseRegion(t *tables, job *deliver.Job) *refusal.Refusal {
-	regions := regionsOf(job)
+	regions := allowedRegions(job)
 	if !regions.Limited() {
 		return nil
 	}
@@ -38,11 +40,11 @@
 			return nil
 		}
 	}
-	return d.never(job, codeRegion, "requests on route %q may be run in %q only, and nothing is there", job.Route.Name, regions)
+	return d.refusePermanently(job, codeRegion, "requests on route %q may be run in %q only, and nothing is there", job.Route.Name, regions)
 }
 
-// limitScope separates what is kept of requests that are limited to regions.
-func limitScope(regions routing.Regions) string {
+// regionScope separates what is kept of requests that are limited to regions.
+func regionScope(regions routing.Regions) string {
 	if !regions.Limited() {
 		return ""
 	}
--- a/entry/region_test.go
+++ b/entry/region_test.go
@@ -7,11 +7,11 @@
 	"testing"
 
 	"github.com/thymewind/thymewind/affinity"
-	"github.com/thymewind/thymewind/comeback"
 	"github.com/thymewind/thymewind/deliver"
 	"github.com/thymewind/thymewind/fleet"
 	"github.com/thymewind/thymewind/peer"
 	"github.com/thymewind/thymewind/refusal"
+	"github.com/thymewind/thymewind/retryafter"
 	"github.com/thymewind/thymewind/routing"
 )
 
@@ -19,10 +19,10 @@
 // domain y of which no box tells a region. Each has an engine, a target of the service and a
 // store; what the prompt shares with others is kept at the engine and the store in the south.
 func twoRegions(name string) *Daemon {
-	d := listed(name)
+	d := boxWithEngines(name)
 	d.tables.regions["a"], d.tables.regions["z"] = "north", "south"
-	d.tables.timed = true
-	d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{
+	d.tables.clockKnown = true
+	d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{
 		regionEntry("e-a", "models", "a"), regionEntry("e-z", "models", "z"), regionEntry("e-y", "models", "y"),
 		regionEntry("s-a", "orders", "a"), regionEntry("s-z", "orders", "z"), regionEntry("s-y", "orders", "y"),
 	}}, false})
@@ -32,10 +32,10 @@
 		})
 	}
 	for _, source := range []string{"k-a", "k-z", "k-y", "e-a", "e-z", "e-y"} {
-		d.tables.followed[source] = func() {}
-		d.update(start, newsRead{source: source, news: News{Epoch: 1}})
+		d.tables.watched[source] = func() {}
+		d.update(start, cacheEventsRead{source: source, events: CacheEvents{Epoch: 1}})
 	}
-	d.tables.warmed = true
+	d.tables.hubWarm = true
 	return d
 }
 
@@ -49,7 +49,7 @@
 // keep has sources keep the part that prompts share, under a scope.
 func keep(d *Daemon, scope string, sources ...string) {
 	for _, source := range sources {
-		d.update(start, newsRead{source: source, news: News{Epoch: 1, Changes: []Change{{Kept: true, Scope: scope, Part: "p", Tokens: 4000}}}})
+		d.update(start, cacheEventsRead{source: source, events: CacheEvents{Epoch: 1, Changes: []CacheEvent{{Cached: true, Scope: scope, Part: "p", Tokens: 4000}}}})
 	}
 }
 
@@ -80,7 +80,7 @@
 					if by == "account" {
 						j = limitedJob(pool, nil, north)
 					}
-					place, err := d.place(start, &d.tables, deliver.Ask{Job: j})
+					place, err := d.place(start, &d.tables, deliver.PlacementRequest{Job: j})
 					if err != nil || d.tables.fleet.Target(place.Target).Domain != "a" {
 						t.Fatalf("placed on %q: %v", place.Target, err)
 					}
@@ -92,7 +92,7 @@
 					if pool == "models" && place.Scope != "m@1/in/north" {
 						t.Errorf("kept under %q, as what is not limited", place.Scope)
 					}
-					if _, err := d.place(start, &d.tables, deliver.Ask{Job: j, Tried: []string{place.Target}}); err == nil {
+					if _, err := d.place(start, &d.tables, deliver.PlacementRequest{Job: j, Attempted: []string{place.Target}}); err == nil {
 						t.Error("a further try is placed elsewhere")
 					}
 				})
@@ -106,13 +106,13 @@
 func TestRegionsByHub(t *testing.T) {
 	hub, spoke := twoRegions("box-00"), twoRegions("box-05")
 	j := limitedJob("models", routing.Regions{"south"}, nil)
-	effects := spoke.update(start, placeAsked{ctx: context.Background(), ask: deliver.Ask{Job: j}, reply: make(chan placeAnswer, 1)})
+	effects := spoke.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: j}, reply: make(chan placeAnswer, 1)})
 	ask := effects[0].(askHub).ask
-	got := hub.peerAsks(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", Ask: &ask}).Placed
+	got := hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &ask}).PlacementResponse
 	if got == nil || got.Target != "e-z" {
 		t.Errorf("the hub places on %+v", got)
 	}
-	if _, ok := spoke.accept(start, &spoke.tables, deliver.Ask{Job: j}, &peer.Placed{Target: "e-a", Version: 1}); ok {
+	if _, ok := spoke.acceptHubPlace(start, &spoke.tables, deliver.PlacementRequest{Job: j}, &peer.PlacementResponse{Target: "e-a", Version: 1}); ok {
 		t.Error("a place in another region is taken")
 	}
 }
@@ -136,13 +136,13 @@
 			t.Run(tt.name+"/"+pool, func(t *testing.T) {
 				d := twoRegions("box-00")
 				reply := make(chan placeAnswer, 1)
-				d.update(start, placeAsked{ctx: context.Background(), ask: deliver.Ask{Job: limitedJob(pool, tt.route, tt.account)}, reply: reply})
+				d.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: limitedJob(pool, tt.route, tt.account)}, reply: reply})
 				answer := <-reply
 				var refused *refusal.Refusal
 				if errors.As(answer.err, &refused) != tt.refused {
 					t.Fatalf("got %+v", answer)
 				}
-				if tt.refused && (refused.Code != codeRegion || refused.Outcome != refusal.DidNotRun || refused.RetryAfter != comeback.Longest) {
+				if tt.refused && (refused.Code != codeRegion || refused.Outcome != refusal.DidNotRun || refused.RetryAfter != retryafter.MaxOutage) {
 					t.Errorf("refused %+v", refused)
 				}
 			})
--- a/entry/restored.go
+++ b/entry/restored.go
@@ -13,9 +13,9 @@
 // part of the daemon makes of that.
 
 const (
-	// askAgainWithin is how long the operator may take to write again what a restore lost. The
+	// operatorRewriteGrace is how long the operator may take to write again what a restore lost. The
 	// platform's own parts take some 2 s.
-	askAgainWithin = 5 * time.Second
+	operatorRewriteGrace = 5 * time.Second
 	// settledWithin is how long after its first read a box that starts takes the operator's
 	// rows for such as may not be written again yet.
 	settledWithin = 2 * time.Second
@@ -23,8 +23,8 @@
 	settledProof = time.Second
 )
 
-// proves says whether a read proves that the configuration in force is the newest.
-func (d *Daemon) proves(now time.Time, t *tables, m operatorRead) bool {
+// provesNewest says whether a read proves that the configuration in force is the newest.
+func (d *Daemon) provesNewest(now time.Time, t *tables, m operatorRead) bool {
 	older, unsettled := d.rowsOlder(now, t, m), t.unsettled(now, m)
 	d.outage.setOlder(older || unsettled)
 	return !older && !unsettled
@@ -38,28 +38,28 @@
 	case m.change.Known.Restores == 0:
 		return false
 	case t.operatorKnown.IsZero():
-		t.settledAt = now.Add(settledWithin)
-	case m.change.Table != nil && !m.change.Whole:
-		t.settledAt = time.Time{}
+		t.operatorRewrittenBy = now.Add(settledWithin)
+	case m.change.Table != nil && !m.change.Snapshot:
+		t.operatorRewrittenBy = time.Time{}
 	}
-	if m.asked.Before(t.settledAt) {
+	if m.asked.Before(t.operatorRewrittenBy) {
 		return true
 	}
-	t.settledAt = time.Time{}
+	t.operatorRewrittenBy = time.Time{}
 	return false
 }
 
 // hearSettled takes over that the operator's rows are settled, from a box that has a young proof
 // of them and no newer configuration.
 func (d *Daemon) hearSettled(t *tables, m peer.Message) {
-	if t.settledAt.IsZero() || m.Operator.Restores != t.operatorKnown.Restores || m.ProofMS >= settledProof.Milliseconds() {
+	if t.operatorRewrittenBy.IsZero() || m.OperatorRevision.Restores != t.operatorKnown.Restores || m.ProofAgeMS >= settledProof.Milliseconds() {
 		return
 	}
-	if m.Configuration == 0 || m.Configuration > d.version() {
+	if m.ConfigurationVersion == 0 || m.ConfigurationVersion > d.version() {
 		return
 	}
-	t.settledAt = time.Time{}
-	d.Log.Info("the operator's rows are settled, another box says", "box", m.From, "proved_there", time.Duration(m.ProofMS)*time.Millisecond, "configuration", d.version())
+	t.operatorRewrittenBy = time.Time{}
+	d.Log.Info("the operator's rows are settled, another box says", "box", m.From, "proved_there", time.Duration(m.ProofAgeMS)*time.Millisecond, "configuration", d.version())
 }
 
 // rowsOlder says whether the operator's rows are older than what this box has in force, since
@@ -70,24 +70,24 @@
 	switch {
 	case next != nil && next.Version >= inForce || m.change.Unusable != nil:
 		t.olderSince = time.Time{}
-	case m.change.Whole && m.change.Known.Restores > t.operatorKnown.Restores && inForce > 0:
+	case m.change.Snapshot && m.change.Known.Restores > t.operatorKnown.Restores && inForce > 0:
 		t.olderSince = now
 		d.Log.Warn("the operator's rows are older than the configuration in force", "revision", m.change.Known, "configuration", inForce)
-	case !t.olderSince.IsZero() && now.Sub(t.olderSince) >= askAgainWithin:
+	case !t.olderSince.IsZero() && now.Sub(t.olderSince) >= operatorRewriteGrace:
 		t.olderSince = time.Time{}
 		d.Log.Error("the operator did not write the configuration in force again; it stays, and what is read counts as the newest", "configuration", inForce)
 	}
 	return !t.olderSince.IsZero()
 }
 
-// restored notes that a read was answered by a table service that had been restored since the
+// noteRestore notes that a read was answered by a table service that had been restored since the
 // last one.
-func (d *Daemon) restored(now time.Time, t *tables, known revision.Revision) {
+func (d *Daemon) noteRestore(now time.Time, t *tables, known revision.Revision) {
 	if !d.lease.Restored(known.Restores, now) {
 		return
 	}
-	d.counts.restores.Set(float64(known.Restores))
-	if first := t.operatorKnown.IsZero() && t.listKnown.IsZero() && t.ownKnownAt.IsZero(); !first {
+	d.metrics.restores.Set(float64(known.Restores))
+	if first := t.operatorKnown.IsZero() && t.listKnown.IsZero() && t.ownRowsRevision.IsZero(); !first {
 		d.Log.Warn("the table service was restored from an older copy", "revision", known, "configuration", d.version(), "proved_ago", d.provedAgo(now))
 	}
 }
--- a/entry/restored_canary_test.go
+++ b/entry/restored_canary_test.go
@@ -36,13 +36,13 @@
 			w := newCanaryWorld(3, 70)
 			w.answer = w.badIn(tt.percent, false, 0, "")
 			w.ask("v2")
-			w.play(tt.copied, w.serve)
+			w.advance(tt.copied, w.serve)
 			copied, lost := w.rows.Copy(), w.version
-			w.play(tt.restored-tt.copied, w.serve)
+			w.advance(tt.restored-tt.copied, w.serve)
 			w.restore(min(w.version-lost+5, w.version-1), copied)
-			w.play(tryFor-tt.restored+6*time.Second, w.serve)
+			w.advance(tryFor-tt.restored+6*time.Second, w.serve)
 			if w.last() != tt.want {
-				t.Errorf("told %v, want %v at the end", w.told["orders"], tt.want)
+				t.Errorf("told %v, want %v at the end", w.canaryReports["orders"], tt.want)
 			}
 			if tt.percent > 0 && float64(w.tried) > 0.1*float64(w.sent)+50 {
 				t.Errorf("a bad version got %d of %d requests", w.tried, w.sent)
@@ -65,25 +65,25 @@
 // TestCanaryAskedAgain guards against a version that is stopped, as a restored table service
 // lacks the ask for it until the operator has written that again.
 func TestCanaryAskedAgain(t *testing.T) {
-	ask := canary.Ask{Pool: "orders", Version: "v2", Order: 50, Lasts: tryFor}
+	ask := canary.Rollout{Pool: "orders", Version: "v2", Order: 50, Timeout: tryFor}
 	again := ask
 	again.Order = canary.OrderAt(revision.Revision{Restores: 1, Number: 41})
 	tests := []struct {
 		name    string
-		then    map[string]*canary.Ask
+		then    map[string]*canary.Rollout
 		after   time.Duration
 		stopped bool
 	}{
-		{"not yet", nil, askAgainWithin - time.Millisecond, false},
-		{"asked again", map[string]*canary.Ask{"orders": &again}, time.Minute, false},
-		{"not asked again", nil, askAgainWithin, true},
-		{"taken back", map[string]*canary.Ask{"orders": nil}, 0, true},
+		{"not yet", nil, operatorRewriteGrace - time.Millisecond, false},
+		{"asked again", map[string]*canary.Rollout{"orders": &again}, time.Minute, false},
+		{"not asked again", nil, operatorRewriteGrace, true},
+		{"taken back", map[string]*canary.Rollout{"orders": nil}, 0, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
-			d.update(start, operatorRead{start, Operator{Whole: true, Canaries: map[string]*canary.Ask{"orders": &ask}, Known: rev(50)}})
-			d.update(start, operatorRead{start, Operator{Whole: true, Canaries: map[string]*canary.Ask{}, Known: revision.Revision{Restores: 1, Number: 40}}})
+			d.update(start, operatorRead{start, Operator{Snapshot: true, Canaries: map[string]*canary.Rollout{"orders": &ask}, Known: rev(50)}})
+			d.update(start, operatorRead{start, Operator{Snapshot: true, Canaries: map[string]*canary.Rollout{}, Known: revision.Revision{Restores: 1, Number: 40}}})
 			d.update(start, operatorRead{start, Operator{Canaries: tt.then, Known: revision.Revision{Restores: 1, Number: 41}}})
 			d.sweep(start.Add(tt.after), &d.tables)
 			if c := d.tables.canaryOf("orders"); c.stopped != tt.stopped || c.ask.Version != "v2" {
--- a/entry/restored_drawn_test.go
+++ b/entry/restored_drawn_test.go
@@ -23,7 +23,7 @@
 }{
 	{"none", func(*emulator, string) func() { return func() {} }},
 	{"a box is cut off from the table service", func(w *emulator, name string) func() {
-		w.noRows[name] = true
+		w.tableServiceDown[name] = true
 		return func() { w.readAnew(name) }
 	}},
 	{"a box is dead", func(w *emulator, name string) func() {
@@ -39,42 +39,42 @@
 }
 
 // wrote is what they have written.
-func (w *emulator) wrote() older { return older{w.operator, maps.Clone(w.listed)} }
+func (w *emulator) wrote() older { return older{w.operator, maps.Clone(w.targets)} }
 
 // restoreOlder has the table service come back from a copy with what they had written then, and
 // after a time they write again what they had written since.
 func (w *emulator) restoreOlder(lost uint64, own fake.Copy, c older, again time.Duration) {
 	before := w.wrote()
-	w.operator, w.listed = c.operator, maps.Clone(c.listed)
+	w.operator, w.targets = c.operator, maps.Clone(c.listed)
 	w.restore(lost, own)
-	w.play(again, nil)
-	w.write(func(o *Operator) {
+	w.advance(again, nil)
+	w.writeOperator(func(o *Operator) {
 		known, changed := o.Known, o.Changed
 		*o = before.operator
 		o.Known, o.Changed = known, changed
 	})
 	for id, e := range before.listed {
-		if _, stands := w.listed[id]; !stands {
-			w.enter(e)
+		if _, stands := w.targets[id]; !stands {
+			w.addTargets(e)
 		}
 	}
-	for id := range w.listed {
+	for id := range w.targets {
 		if _, stands := before.listed[id]; !stands {
-			w.leave(id)
+			w.removeTargets(id)
 		}
 	}
 }
 
 // readAnew has a box that was cut off from the table service read on.
 func (w *emulator) readAnew(name string) {
-	delete(w.noRows, name)
+	delete(w.tableServiceDown, name)
 	d := w.byName[name]
 	rows, err := w.rows.ListAll(context.Background(), "")
 	if err != nil || d.spoke.Load() {
 		return
 	}
-	w.carry(d, d.update(w.now, targetsRead{w.now, w.list(), true}))
-	w.carry(d, d.update(w.now, ownRead{Own{Whole: true, Rows: rows, Known: w.revision()}, true}))
+	w.perform(d, d.update(w.now, targetsRead{w.now, w.list(), true}))
+	w.perform(d, d.update(w.now, ownRead{OwnRows{Snapshot: true, Rows: rows, Known: w.revision()}, true}))
 }
 
 // startAnew has a box that was dead start again.
@@ -93,15 +93,15 @@
 func (w *emulator) wentBack() string {
 	for _, d := range w.boxes {
 		name, f := d.Settings.Name, d.tables.fleet
-		if w.dead[name] || w.noRows[name] {
+		if w.dead[name] || w.tableServiceDown[name] {
 			continue
 		}
 		for _, id := range []string{"stays", "comes"} {
-			if x := f.Target(id); x == nil || !x.Stays(w.now) {
+			if x := f.Target(id); x == nil || !x.Active(w.now) {
 				return name + " lost a target that serves: " + id
 			}
 		}
-		if x := f.Target("goes"); x != nil && x.Stays(w.now) {
+		if x := f.Target("goes"); x != nil && x.Active(w.now) {
 			return name + " uses a target that went"
 		}
 		if len(f.Evacuated()) != 1 {
@@ -131,21 +131,21 @@
 				return err.Error()
 			}
 		}
-		w.enter(serviceAt("stays", "v1", 1), serviceAt("goes", "v1", 2))
-		w.write(func(o *Operator) { o.Evacuations = map[string]bool{} })
-		w.play(2*time.Second, nil)
+		w.addTargets(serviceAt("stays", "v1", 1), serviceAt("goes", "v1", 2))
+		w.writeOperator(func(o *Operator) { o.Evacuations = map[string]bool{} })
+		w.advance(2*time.Second, nil)
 		copied, had := w.rows.Copy(), w.wrote()
 		if lost%2 == 0 {
 			copied = empty
 		}
 		w.version += 100
-		w.enter(serviceAt("comes", "v1", 3))
-		w.leave("goes")
-		w.write(func(o *Operator) { o.Evacuations = map[string]bool{"d2": true} })
-		w.play(time.Second+time.Duration(pauseMS)*time.Millisecond, nil) // All boxes know.
+		w.addTargets(serviceAt("comes", "v1", 3))
+		w.removeTargets("goes")
+		w.writeOperator(func(o *Operator) { o.Evacuations = map[string]bool{"d2": true} })
+		w.advance(time.Second+time.Duration(pauseMS)*time.Millisecond, nil) // All boxes know.
 		name := w.boxes[victim%boxes].Settings.Name
 		end := restoreTroubles[trouble].do(w, name)
-		w.play(time.Duration(pauseMS%700)*time.Millisecond, nil)
+		w.advance(time.Duration(pauseMS%700)*time.Millisecond, nil)
 		w.restoreOlder(lost, copied, had, time.Duration(again)*time.Millisecond)
 		if again%3 == 0 {
 			w.restoreOlder(min(lost, 3), copied, had, time.Duration(again)*time.Millisecond)
@@ -154,10 +154,10 @@
 			return wrong
 		}
 		for version := int64(2); version <= 4; version++ {
-			w.write(func(o *Operator) { o.Table = configuration(version) })
-			w.play(within, nil)
+			w.writeOperator(func(o *Operator) { o.Table = configuration(version) })
+			w.advance(within, nil)
 			for _, d := range w.boxes {
-				if w.dead[d.Settings.Name] || w.noRows[d.Settings.Name] || d.version() >= version {
+				if w.dead[d.Settings.Name] || w.tableServiceDown[d.Settings.Name] || d.version() >= version {
 					continue
 				}
 				return fmt.Sprintf("%s has version %d, not %d, %v after it was written; hub %v", d.Settings.Name, d.version(), version, within, !d.spoke.Load())
@@ -166,7 +166,7 @@
 				end()
 			}
 		}
-		w.play(rewriteSpread+2*time.Second, nil)
+		w.advance(rewriteSpread+2*time.Second, nil)
 		if wrong := w.wentBack(); wrong != "" {
 			return wrong
 		}
--- a/entry/restored_rows_test.go
+++ b/entry/restored_rows_test.go
@@ -30,19 +30,19 @@
 					t.Fatal(err)
 				}
 			}
-			credential := table.Row{Key: keyCredential, Value: []byte(`"c"`)}
+			credential := table.Row{Key: credentialKey, Value: []byte(`"c"`)}
 			if err := w.boxes[0].write(context.Background(), credential); err != nil {
 				t.Fatal(err)
 			}
 			reporter := w.boxes[boxes-1]
 			sum := job("long", 10).Fingerprint()
-			w.play(time.Second, nil)
+			w.advance(time.Second, nil)
 			reporter.tables.reports.add(w.now, "i-1", []fingerprint.Sum{sum})
-			w.play(time.Second, nil)
+			w.advance(time.Second, nil)
 			w.restore(20, empty)
 			before := w.version
 			written := 0.0
-			w.play(rewriteSpread+2*time.Second, func() {
+			w.advance(rewriteSpread+2*time.Second, func() {
 				if w.now.Sub(start)%time.Second == 0 {
 					written = max(written, float64(w.version-before))
 					before = w.version
@@ -53,7 +53,7 @@
 					t.Errorf("%s has no row: %s, %v", d.Settings.Name, got.Value, err)
 				}
 			}
-			if got, err := w.rows.Read(context.Background(), keyCredential); err != nil || !bytes.Equal(got.Value, credential.Value) {
+			if got, err := w.rows.Read(context.Background(), credentialKey); err != nil || !bytes.Equal(got.Value, credential.Value) {
 				t.Errorf("what boxes show each other is %s, %v", got.Value, err)
 			}
 			if _, err := w.rows.Read(context.Background(), reporter.crashKey("i-1")); err != nil {
@@ -101,9 +101,9 @@
 			d.lease.Now, d.lease.Commit, d.lease.Read = d.now, stored.Commit, stored.Read
 			known := revision.Revision{Restores: tt.restores, Number: 9}
 			d.update(now, operatorRead{now, Operator{Table: configuration(1), Weights: map[string]int64{"m": 2}, Known: known}})
-			d.update(now, targetsRead{now, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}, Known: known}, false})
+			d.update(now, targetsRead{now, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}, Known: known}, false})
 			now = start.Add(leaseLength + leaseMargin)
-			if err := d.lease.Step(context.Background()); err != nil {
+			if err := d.lease.AcquireOrRenew(context.Background()); err != nil {
 				t.Fatal(err)
 			}
 			if _, _, held := d.lease.Held(); !held {
@@ -114,9 +114,9 @@
 				rows = append(rows, *tt.row)
 			}
 			d.update(now, leaseStepped{read: true, rows: rows})
-			may := start.Add(leaseLength + d.bounds.Load().Takeover + holdSlack)
-			early := d.replicas(now, &d.tables, "m", d.tables.model("m"))[0].Barred
-			late := d.replicas(may, &d.tables, "m", d.tables.model("m"))[0].Barred
+			may := start.Add(leaseLength + d.bounds.Load().Takeover + handoverMargin)
+			early := d.replicas(now, &d.tables, "m", d.tables.rolloutOf("m"))[0].Barred
+			late := d.replicas(may, &d.tables, "m", d.tables.rolloutOf("m"))[0].Barred
 			if early != tt.waits || late {
 				t.Errorf("barred as the lease is taken %v, want %v; and %v later: %v", early, tt.waits, may.Sub(now), late)
 			}
--- a/entry/restored_start_test.go
+++ b/entry/restored_start_test.go
@@ -13,7 +13,7 @@
 // them again.
 func TestStartsAfterRestore(t *testing.T) {
 	known := revision.Revision{Restores: 2, Number: 40}
-	told := peer.Message{From: "b2", Operator: known, ProofMS: 300, Configuration: 7}
+	told := peer.Message{From: "b2", OperatorRevision: known, ProofAgeMS: 300, ConfigurationVersion: 7}
 	with := func(change func(m *peer.Message)) *peer.Message {
 		m := told
 		change(&m)
@@ -34,22 +34,22 @@
 		{"nothing is heard for long", 2, nil, false, settledWithin, true},
 		{"the operator writes", 2, nil, true, time.Millisecond, true},
 		{"another box is proved", 2, &told, false, time.Millisecond, true},
-		{"another box has a newer configuration", 2, with(func(m *peer.Message) { m.Configuration = 8 }), false, time.Millisecond, false},
-		{"another box tells no configuration", 2, with(func(m *peer.Message) { m.Configuration = 0 }), false, time.Millisecond, false},
-		{"another box has an old proof", 2, with(func(m *peer.Message) { m.ProofMS = 1500 }), false, time.Millisecond, false},
-		{"another box has not read since", 2, with(func(m *peer.Message) { m.Operator.Restores = 1 }), false, time.Millisecond, false},
+		{"another box has a newer configuration", 2, with(func(m *peer.Message) { m.ConfigurationVersion = 8 }), false, time.Millisecond, false},
+		{"another box tells no configuration", 2, with(func(m *peer.Message) { m.ConfigurationVersion = 0 }), false, time.Millisecond, false},
+		{"another box has an old proof", 2, with(func(m *peer.Message) { m.ProofAgeMS = 1500 }), false, time.Millisecond, false},
+		{"another box has not read since", 2, with(func(m *peer.Message) { m.OperatorRevision.Restores = 1 }), false, time.Millisecond, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
 			d.tables.members["b2"] = &member{}
 			at := revision.Revision{Restores: tt.restores, Number: 40}
-			d.update(start, operatorRead{start, Operator{Whole: true, Table: configuration(7), Known: at, Changed: at}})
-			if first := d.fresh(start); first != (tt.restores == 0) {
+			d.update(start, operatorRead{start, Operator{Snapshot: true, Table: configuration(7), Known: at, Changed: at}})
+			if first := d.keysFresh(start); first != (tt.restores == 0) {
 				t.Errorf("proved by its first read: %v", first)
 			}
 			if tt.heard != nil {
-				d.update(start, peerCalled{name: "b2", asked: start, m: *tt.heard})
+				d.update(start, peerAnswered{name: "b2", asked: start, m: *tt.heard})
 			}
 			next := Operator{Known: at}
 			if tt.written {
@@ -57,7 +57,7 @@
 			}
 			now := start.Add(tt.after)
 			d.update(now, operatorRead{now, next})
-			if got := d.fresh(now); got != tt.proved {
+			if got := d.keysFresh(now); got != tt.proved {
 				t.Errorf("proved %v", got)
 			}
 			if !tt.proved && d.operatorHold() == 0 {
--- a/entry/restored_targets_test.go
+++ b/entry/restored_targets_test.go
@@ -27,8 +27,8 @@
 		open  bool
 	}{
 		{"nothing happened", Targets{}, listed, nil, 0, true},
-		{"its entry is lost", Targets{}, Targets{}, nil, fleet.LapsedFor - time.Millisecond, true},
-		{"its entry is lost and not written again", Targets{}, Targets{}, nil, fleet.LapsedFor, false},
+		{"its entry is lost", Targets{}, Targets{}, nil, fleet.LapseGrace - time.Millisecond, true},
+		{"its entry is lost and not written again", Targets{}, Targets{}, nil, fleet.LapseGrace, false},
 		{"its entry is lost and written again", Targets{}, Targets{}, &listed, time.Hour, true},
 		{"it leaves, and is listed as before", Targets{Listed: []fleet.Entry{leaving}}, listed, nil, time.Hour, false},
 		{"it was gone, and is listed again", Targets{Gone: []string{"a"}}, listed, nil, 0, false},
@@ -40,7 +40,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
 			read := func(now time.Time, change Targets, whole bool, known revision.Revision) {
-				change.Whole, change.Known, change.Changed = whole, known, known
+				change.Snapshot, change.Known, change.Changed = whole, known, known
 				d.update(now, targetsRead{now, change, false})
 			}
 			read(start, listed, true, revision.Revision{Number: 50})
@@ -52,7 +52,7 @@
 			now := start.Add(tt.after)
 			d.sweep(now, &d.tables)
 			x := d.tables.fleet.Target("a")
-			if got := x != nil && x.Open(now); got != tt.open {
+			if got := x != nil && x.Available(now); got != tt.open {
 				t.Errorf("gets work: %v, want %v", got, tt.open)
 			}
 		})
@@ -66,9 +66,9 @@
 	leaving := engine("a", 1)
 	leaving.Leaving = true
 	reads := []Targets{
-		{Whole: true, Listed: []fleet.Entry{leaving}, Known: rev(50)},
+		{Snapshot: true, Listed: []fleet.Entry{leaving}, Known: rev(50)},
 		{Gone: []string{"a"}, Known: rev(60)},
-		{Whole: true, Listed: []fleet.Entry{engine("a", 1)}, Known: revision.Revision{Restores: 1, Number: 40}},
+		{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}, Known: revision.Revision{Restores: 1, Number: 40}},
 	}
 	for _, read := range reads {
 		d.update(start, targetsRead{start, read, false})
@@ -99,14 +99,14 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			hub, spoke := newDaemon("box-00"), hubOf("box-05")
-			hub.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{entryAt("a", "10.1.0.1:1")}, Known: revision.Revision{Restores: tt.hub, Number: 9}}, false})
+			hub.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{entryAt("a", "10.1.0.1:1")}, Known: revision.Revision{Restores: tt.hub, Number: 9}}, false})
 			view := hub.view(start, &hub.tables, changelog.Cursor{})
 			view.Restores = tt.hub
 			spoke.listFromHub(start, &spoke.tables, "box-00", view)
 			if spoke.tables.fleet.Target("a") == nil {
 				t.Fatal("the hub's list was not taken over")
 			}
-			spoke.update(start, targetsRead{start, Targets{Whole: true, Known: revision.Revision{Restores: tt.own, Number: 9}}, false})
+			spoke.update(start, targetsRead{start, Targets{Snapshot: true, Known: revision.Revision{Restores: tt.own, Number: 9}}, false})
 			if got := spoke.tables.fleet.Target("a") != nil; got != tt.kept {
 				t.Errorf("kept %v", got)
 			}
--- a/entry/restored_test.go
+++ b/entry/restored_test.go
@@ -49,16 +49,16 @@
 	for _, tt := range tests {
 		t.Run(fmt.Sprintf("%d_boxes_%d_of_%d_written", tt.boxes, tt.written, tt.lost), func(t *testing.T) {
 			w := emulate(tt.boxes, 3, configuration(1))
-			w.play(2*time.Second, nil)
+			w.advance(2*time.Second, nil)
 			w.version += 100
-			w.write(func(*Operator) {})
-			w.play(time.Second, nil)
+			w.writeOperator(func(*Operator) {})
+			w.advance(time.Second, nil)
 			w.restore(tt.lost, w.rows.Copy())
-			w.play(time.Second, nil)
+			w.advance(time.Second, nil)
 			w.version += tt.written
 			for version := int64(2); version <= 5; version++ {
-				w.write(func(o *Operator) { o.Table = configuration(version) })
-				w.play(appliedWithin, nil)
+				w.writeOperator(func(o *Operator) { o.Table = configuration(version) })
+				w.advance(appliedWithin, nil)
 				if n := w.inForce(version); n != tt.boxes {
 					t.Errorf("version %d is in force at %d boxes %v after it was written", version, n, appliedWithin)
 				}
@@ -91,11 +91,11 @@
 			for _, ago := range []time.Duration{time.Minute, 30 * time.Second} { // The first read proves nothing yet.
 				d.update(start.Add(-ago), operatorRead{start.Add(-ago), Operator{Changed: known, Known: known}})
 			}
-			d.update(start, peerCalled{name: "box-11", asked: start, m: peer.Message{Operator: tt.told, ProofMS: 10}})
+			d.update(start, peerAnswered{name: "box-11", asked: start, m: peer.Message{OperatorRevision: tt.told, ProofAgeMS: 10}})
 			if got := d.provedAgo(start) < time.Second; got != tt.proved {
 				t.Errorf("proved %v", got)
 			}
-			if got := d.behind.Load(); got != tt.behind {
+			if got := d.operatorBehind.Load(); got != tt.behind {
 				t.Errorf("reads again %v", got)
 			}
 		})
@@ -119,14 +119,14 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := hubOf("box-00")
-			d.update(start, targetsRead{start, Targets{Whole: true, Changed: known, Known: known, Listed: []fleet.Entry{engine("a", 1)}}, false})
-			d.update(start, peerCalled{name: "box-11", asked: start, m: peer.Message{Listed: tt.told}})
+			d.update(start, targetsRead{start, Targets{Snapshot: true, Changed: known, Known: known, Listed: []fleet.Entry{engine("a", 1)}}, false})
+			d.update(start, peerAnswered{name: "box-11", asked: start, m: peer.Message{ListRevision: tt.told}})
 			now := start.Add(overtakenFor)
-			d.readOvertaken(now, &d.tables)
+			d.rereadIfStale(now, &d.tables)
 			if got := d.listReads.hurried(); got != tt.behind {
 				t.Errorf("the list is read anew at once: %v", got)
 			}
-			d.update(now, targetsRead{now, Targets{Whole: true, Changed: revision.Max(tt.told, known), Known: revision.Max(tt.told, known)}, false})
+			d.update(now, targetsRead{now, Targets{Snapshot: true, Changed: revision.Max(tt.told, known), Known: revision.Max(tt.told, known)}, false})
 			if d.tables.listBehind(now.Add(time.Minute)) {
 				t.Error("still behind after it has read as far")
 			}
@@ -156,19 +156,19 @@
 		{"no configuration", Operator{Evacuations: asked}, nil, 0, false, true},
 		{"older, and nothing changed", Operator{Table: configuration(6), Evacuations: asked}, &Operator{}, time.Second, false, true},
 		{"older, and written again", Operator{Table: configuration(6), Evacuations: asked}, &Operator{Table: configuration(7)}, time.Second, true, true},
-		{"older for longer than the operator takes", Operator{Table: configuration(6), Evacuations: asked}, &Operator{}, askAgainWithin, true, true},
+		{"older for longer than the operator takes", Operator{Table: configuration(6), Evacuations: asked}, &Operator{}, operatorRewriteGrace, true, true},
 		{"an evacuation is lost", Operator{Table: configuration(7), Evacuations: none}, nil, 0, true, true},
 		{"an evacuation is lost and asked for again", Operator{Table: configuration(7), Evacuations: none}, &Operator{Evacuations: asked}, time.Minute, true, true},
-		{"an evacuation is lost, and all is read whole again", Operator{Table: configuration(7), Evacuations: none}, &Operator{Whole: true, Evacuations: none}, time.Second, true, true},
-		{"an evacuation is lost for good", Operator{Table: configuration(7), Evacuations: none}, nil, askAgainWithin, true, false},
+		{"an evacuation is lost, and all is read whole again", Operator{Table: configuration(7), Evacuations: none}, &Operator{Snapshot: true, Evacuations: none}, time.Second, true, true},
+		{"an evacuation is lost for good", Operator{Table: configuration(7), Evacuations: none}, nil, operatorRewriteGrace, true, false},
 		{"an evacuation is lost and taken back", Operator{Table: configuration(7), Evacuations: none}, &Operator{Evacuations: map[string]bool{"a": false}}, 0, true, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
-			d.update(start, operatorRead{start, Operator{Whole: true, Table: configuration(7), Evacuations: asked, Known: rev(50), Changed: rev(50)}})
+			d.update(start, operatorRead{start, Operator{Snapshot: true, Table: configuration(7), Evacuations: asked, Known: rev(50), Changed: rev(50)}})
 			restored := start.Add(time.Second)
-			tt.copied.Whole, tt.copied.Known, tt.copied.Changed = true, copied, copied
+			tt.copied.Snapshot, tt.copied.Known, tt.copied.Changed = true, copied, copied
 			d.update(restored, operatorRead{restored, tt.copied})
 			now := restored.Add(tt.after)
 			if tt.then != nil {
@@ -209,7 +209,7 @@
 			return revision.Revision{}, ctx.Err()
 		}
 		d.Platform.Operator = func(ctx context.Context, _ revision.Revision, hold time.Duration) (Operator, error) {
-			d.pause(ctx, hold)
+			d.sleep(ctx, hold)
 			return Operator{Known: revision.Revision{Restores: restores.Load(), Number: 9}}, nil
 		}
 		d.Platform.Targets = func(ctx context.Context, after revision.Revision, _ time.Duration) (Targets, error) {
@@ -218,15 +218,15 @@
 				after = revision.Revision{}
 			}
 			known, err := held(ctx, after)
-			return Targets{Whole: true, Known: known}, err
+			return Targets{Snapshot: true, Known: known}, err
 		}
-		d.Platform.Own = func(ctx context.Context, after revision.Revision, _ time.Duration) (Own, error) {
+		d.Platform.OwnRows = func(ctx context.Context, after revision.Revision, _ time.Duration) (OwnRows, error) {
 			if after.Restores < restores.Load() && ctx.Err() == nil {
 				own.Store(restores.Load())
 				after = revision.Revision{}
 			}
 			known, err := held(ctx, after)
-			return Own{Whole: true, Rows: []table.Row{d.ownRow(), {Key: keyCredential, Value: []byte(`"c"`)}}, Known: known}, err
+			return OwnRows{Snapshot: true, Rows: []table.Row{d.ownRow(), {Key: credentialKey, Value: []byte(`"c"`)}}, Known: known}, err
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -244,7 +244,7 @@
 		}()
 		time.Sleep(4 * time.Second)
 		restores.Store(1)
-		time.Sleep(proofHold + againAfter + targetsEvery)
+		time.Sleep(proofHold + againAfter + targetsReadInterval)
 		if listed.Load() != 1 || own.Load() != 1 {
 			t.Errorf("after %d restores the list was read at %d, the own rows at %d", restores.Load(), listed.Load(), own.Load())
 		}
--- a/entry/rewrite.go
+++ b/entry/rewrite.go
@@ -41,11 +41,11 @@
 	err error
 }
 
-// ownRestored has the rows written again that a restore lost, once these were read whole.
-func (d *Daemon) ownRestored(now time.Time, t *tables, m ownRead) []effect {
-	before := t.ownKnownAt
-	t.ownKnownAt = revision.Max(before, m.change.Known)
-	if !m.change.Whole || before.IsZero() || m.change.Known.Restores == before.Restores {
+// rewriteLostRows has the rows written again that a restore lost, once these were read whole.
+func (d *Daemon) rewriteLostRows(now time.Time, t *tables, m ownRead) []effect {
+	before := t.ownRowsRevision
+	t.ownRowsRevision = revision.Max(before, m.change.Known)
+	if !m.change.Snapshot || before.IsZero() || m.change.Known.Restores == before.Restores {
 		return nil
 	}
 	stands := make(map[string][]byte, len(m.change.Rows))
@@ -55,7 +55,7 @@
 	t.noteRowsLost(d.Settings.Name, stands, m.change.Known.Restores)
 	d.reportAgain(now, t, func(key string) bool { return stands[key] == nil })
 	effects := d.rewriteLost(stands, m.change.Known.Restores)
-	d.Log.Warn("this system's own rows were read after a restore", "revision", m.change.Known, "before", before, "rows", len(stands), "boxes_lost", len(t.rowsLost), "written_again", len(effects))
+	d.Log.Warn("this system's own rows were read after a restore", "revision", m.change.Known, "before", before, "rows", len(stands), "boxes_lost", len(t.lostRows), "written_again", len(effects))
 	return effects
 }
 
@@ -65,7 +65,7 @@
 	if own := d.ownRow(); !d.unlisted.Load() && !bytes.Equal(stands[own.Key], own.Value) {
 		effects = append(effects, d.rewriteOwn())
 	}
-	if stands[keyCredential] == nil {
+	if stands[credentialKey] == nil {
 		effects = append(effects, d.rewriteCredential(restores)...)
 	}
 	return effects
@@ -75,27 +75,27 @@
 // lease is to write again.
 func (t *tables) noteRowsLost(self string, stands map[string][]byte, restores uint64) {
 	for _, w := range t.weights {
-		w.names.Lost()
+		w.versionLog.Lost()
 	}
 	for pool, c := range t.canaries {
 		if stands[canaryPrefix+pool] == nil {
-			c.rowGone(restores)
+			c.markRowLost(restores)
 		}
 	}
-	t.rowsLost = make(map[string]bool)
+	t.lostRows = make(map[string]bool)
 	for name, x := range t.members {
 		if !x.unlisted && name != self && stands[memberPrefix+name] == nil {
-			t.rowsLost[name] = true
+			t.lostRows[name] = true
 		}
 	}
 }
 
 // reportAgain has this box's reports written again of which the rows are lost.
 func (d *Daemon) reportAgain(now time.Time, t *tables, lost func(key string) bool) {
-	for life, x := range t.reports.byLife {
+	for life, x := range t.reports.byIncarnation {
 		if lost(d.crashKey(life)) {
 			x.written = false
-			t.reports.again = now.Add(d.jitter(rewriteSpread))
+			t.reports.retryAt = now.Add(d.jitter(rewriteSpread))
 		}
 	}
 }
@@ -117,18 +117,18 @@
 		panic(err) // A text always encodes.
 	}
 	return []effect{rewrite{table.Transaction{
-		Expect: []table.Condition{{Key: keyCredential, Restores: restores}},
-		Put:    []table.Row{{Key: keyCredential, Value: value}},
+		Expect: []table.Condition{{Key: credentialKey, Restores: restores}},
+		Put:    []table.Row{{Key: credentialKey, Value: value}},
 	}, d.jitter(credentialSpread)}}
 }
 
 // heardRestored has this box write again what it does not read itself: its row, if its hub
 // lacks that, and its reports.
 func (d *Daemon) heardRestored(now time.Time, t *tables, restores uint64, rowLost bool) []effect {
-	if restores <= max(t.restoresTold, t.ownKnownAt.Restores) {
+	if restores <= max(t.hubRestores, t.ownRowsRevision.Restores) {
 		return nil
 	}
-	t.restoresTold = restores
+	t.hubRestores = restores
 	d.reportAgain(now, t, func(string) bool { return true })
 	if !rowLost || d.unlisted.Load() {
 		return nil
@@ -138,7 +138,7 @@
 }
 
 func (d *Daemon) rewrite(ctx context.Context, e rewrite) rewritten {
-	d.pause(ctx, e.after)
+	d.sleep(ctx, e.after)
 	return rewritten{e, d.Platform.Commit(ctx, e.tx)}
 }
 
@@ -151,7 +151,7 @@
 	switch {
 	case m.err == nil:
 		d.Log.Info("rows that a restore lost are written again", "rows", strings.Join(keys, " "))
-		d.counts.rewritten.Add(float64(len(keys)))
+		d.metrics.rewritten.Add(float64(len(keys)))
 		return nil
 	case trace.IsCompareFailed(m.err):
 		return nil // Another box has done so.
--- a/entry/rolloutrow.go
+++ b/entry/rolloutrow.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"github.com/thymewind/thymewind/dated"
 	"github.com/thymewind/thymewind/rollout"
 	"github.com/thymewind/thymewind/table"
+	"github.com/thymewind/thymewind/versionlog"
 )
 
 // rolloutPrefix begins the keys of the rows that tell a rollout's state.
@@ -28,7 +28,7 @@
 	// leaves them alone for a while.
 	Recent []string `json:"recent"`
 	// Namings are the versions named lately, and when.
-	Namings []dated.Row `json:"namings,omitempty"`
+	Namings []versionlog.Row `json:"namings,omitempty"`
 	// Freed is the version for which the stores were cleared of older parts.
 	Freed int64 `json:"freed"`
 }
@@ -36,10 +36,10 @@
 // bar keeps targets that an earlier holder ordered lately from orders: all of them, if a restore
 // of the table service may have lost the row that names them.
 func (d *Daemon) bar(now time.Time, t *tables, rows []table.Row) {
-	apart := d.bounds.Load().Takeover + holdSlack
+	apart := d.bounds.Load().Takeover + handoverMargin
 	until := now.Add(apart)
 	for _, w := range t.weights {
-		w.barredAll = d.lease.LostUntil().Add(apart)
+		w.allBarredUntil = d.lease.LostUntil().Add(apart)
 	}
 	for _, row := range rows {
 		model, ok := strings.CutPrefix(row.Key, rolloutPrefix)
@@ -52,28 +52,28 @@
 			continue // rolloutRead logged it.
 		}
 		if last.Epoch >= d.lease.FirstEpoch() {
-			t.model(model).barredAll = time.Time{}
+			t.rolloutOf(model).allBarredUntil = time.Time{}
 		}
 		for _, id := range last.Recent {
-			t.model(model).barred[id] = until
+			t.rolloutOf(model).barredUntil[id] = until
 		}
 	}
 }
 
 // tellRollout makes the effect that writes the rollout's row.
-func (d *Daemon) tellRollout(now time.Time, t *tables, model string, w *weights, epoch uint64) effect {
+func (d *Daemon) tellRollout(now time.Time, t *tables, model string, w *modelRollout, epoch uint64) effect {
 	w.announcing = true
 	for _, id := range w.planned {
-		w.recent[id] = now
+		w.orderedAt[id] = now
 	}
-	maps.DeleteFunc(w.recent, func(_ string, at time.Time) bool { return now.Sub(at) > recentFor })
+	maps.DeleteFunc(w.orderedAt, func(_ string, at time.Time) bool { return now.Sub(at) > recentFor })
 	row := rolloutRow{
-		Epoch: epoch, Version: w.wanted, Loading: slices.Concat(slices.Sorted(maps.Keys(w.ordered)), w.planned),
-		Recent: slices.Sorted(maps.Keys(w.recent)), Freed: w.freed,
-		Namings: w.names.Rows(now.Add(-toldFor*d.bounds.Load().WeightsWithin), &t.clockOfTable),
+		Epoch: epoch, Version: w.newestVersion, Loading: slices.Concat(slices.Sorted(maps.Keys(w.ordered)), w.planned),
+		Recent: slices.Sorted(maps.Keys(w.orderedAt)), Freed: w.freed,
+		Namings: w.versionLog.Rows(now.Add(-toldFor*d.bounds.Load().WeightsWithin), &t.tableClock),
 	}
-	for _, id := range t.fleet.All() {
-		if t.fleet.Target(id).Versions[model] == w.wanted {
+	for _, id := range t.fleet.IDs() {
+		if t.fleet.Target(id).Versions[model] == w.newestVersion {
 			row.Done = append(row.Done, id)
 		}
 	}
@@ -87,13 +87,13 @@
 // announced sends the orders that were announced. Without the row no order
 // goes out, as a successor could not know of it.
 func (d *Daemon) announced(now time.Time, t *tables, m announced) []effect {
-	w := t.model(m.model)
+	w := t.rolloutOf(m.model)
 	w.announcing = false
 	if m.err != nil {
-		w.tellAgain = now.Add(tellAgain)
+		w.announceRetryAt = now.Add(tellAgain)
 		d.Log.Warn("rollout not announced", "model", m.model, "err", m.err)
 	} else {
-		w.names.Written()
+		w.versionLog.Written()
 	}
 	epoch, _, held := d.lease.Held()
 	planned := w.planned
@@ -108,25 +108,25 @@
 			continue
 		}
 		w.ordered[id] = true
-		x.LoadingUntil = now.Add(loadLongest)
+		x.LoadingUntil = now.Add(maxLoadTime)
 		t.touch(id)
-		d.Log.Info("target is ordered to load weights", "target", id, "model", m.model, "version", w.wanted, "epoch", epoch, "after_orders", x.Orders)
+		d.Log.Info("target is ordered to load weights", "target", id, "model", m.model, "version", w.newestVersion, "epoch", epoch, "after_orders", x.Orders)
 		effects = append(effects, sendOrder{rollout.Order{
-			Target: id, Model: m.model, Version: w.wanted, Holder: d.Settings.Name, Epoch: epoch, After: x.Orders,
-		}, x.Address, x.Life()})
+			Target: id, Model: m.model, Version: w.newestVersion, Holder: d.Settings.Name, Epoch: epoch, After: x.Orders,
+		}, x.Address, x.Incarnation()})
 	}
 	return effects
 }
 
 // ownRead takes over what the boxes tell each other through the table service.
 func (d *Daemon) ownRead(now time.Time, t *tables, m ownRead) []effect {
-	d.restored(now, t, m.change.Known)
-	t.ownKnown = true
+	d.noteRestore(now, t, m.change.Known)
+	t.ownRowsKnown = true
 	known := len(t.members)
-	effects := d.ownRestored(now, t, m)
+	effects := d.rewriteLostRows(now, t, m)
 	for _, row := range m.change.Rows {
 		if name, ok := strings.CutPrefix(row.Key, memberPrefix); ok {
-			d.memberRead(t, name, row.Value)
+			d.applyMemberRow(t, name, row.Value)
 		}
 		if key, ok := strings.CutPrefix(row.Key, crashPrefix); ok {
 			d.crashRead(now, t, key, row.Value)
@@ -134,8 +134,8 @@
 		if pool, ok := strings.CutPrefix(row.Key, canaryPrefix); ok {
 			d.canaryRead(now, t, pool, row.Value, row.At())
 		}
-		if row.Key == keyCredential {
-			d.credentialRead(row.Value)
+		if row.Key == credentialKey {
+			d.applyCredential(row.Value)
 		}
 		if model, ok := strings.CutPrefix(row.Key, rolloutPrefix); ok {
 			d.rolloutRead(now, t, model, row.Value)
@@ -143,16 +143,16 @@
 	}
 	if len(t.members) > known {
 		d.Log.Info("boxes known", "boxes", len(t.members), "before", known)
-		d.budget.Bound(d.burst(now, t))
+		d.budget.SetBurst(d.retryBurst(now, t))
 	}
-	if t.settled || !m.settled && !d.surelySpoke(now, t) {
-		d.waiting.Store(!t.settled)
+	if t.membersKnown || !m.settled && !d.surelySpoke(now, t) {
+		d.roleUnknown.Store(!t.membersKnown)
 		return effects
 	}
-	t.settled = true
-	d.waiting.Store(false)
-	effects = append(effects, d.assumeRole(now, t)...)
-	return append(effects, d.follow(now, t)...)
+	t.membersKnown = true
+	d.roleUnknown.Store(false)
+	effects = append(effects, d.updateRole(now, t)...)
+	return append(effects, d.reconcileSources(now, t)...)
 }
 
 func (d *Daemon) rolloutRead(now time.Time, t *tables, model string, value []byte) {
@@ -161,8 +161,8 @@
 		d.Log.Error("the rollout's row can't be read", "model", model, "err", err)
 		return
 	}
-	w := t.model(model)
-	w.names.Read(now, &t.clockOfTable, row.Namings)
+	w := t.rolloutOf(model)
+	w.versionLog.Read(now, &t.tableClock, row.Namings)
 	if row.Epoch < w.epoch {
 		return // Written late, over a newer one.
 	}
@@ -178,7 +178,7 @@
 	}
 	for _, id := range row.Loading {
 		if x := t.fleet.Target(id); x != nil && x.Versions[model] < row.Version && !w.ordered[id] {
-			x.LoadingUntil = now.Add(loadLongest)
+			x.LoadingUntil = now.Add(maxLoadTime)
 			t.loading[id] = now.Add(loadUsual)
 			t.touch(id)
 		}
--- a/entry/silent_test.go
+++ b/entry/silent_test.go
@@ -21,19 +21,19 @@
 	}{
 		{"answered", nil, false, 0},
 		{"silent", peer.ErrSilent, false, gossipEvery},
-		{"unreachable", errors.New("refused"), true, gossipAgain},
+		{"unreachable", errors.New("refused"), true, gossipRetryDelay},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
-			m := &member{at: netip.MustParseAddrPort("10.0.0.2:7700"), calling: true}
+			m := &member{address: netip.MustParseAddrPort("10.0.0.2:7700"), calling: true}
 			d.tables.members["b2"] = m
-			d.update(start, peerCalled{name: "b2", err: tt.err})
+			d.update(start, peerAnswered{name: "b2", err: tt.err})
 			if m.failed != tt.failed || m.calling {
 				t.Errorf("failed %v, calling %v", m.failed, m.calling)
 			}
-			if early := start.Add(tt.again - 1); tt.again > 0 && !early.Before(m.retry) || start.Add(tt.again).Before(m.retry) {
-				t.Errorf("called again after %v, want %v", m.retry.Sub(start), tt.again)
+			if early := start.Add(tt.again - 1); tt.again > 0 && !early.Before(m.retryAt) || start.Add(tt.again).Before(m.retryAt) {
+				t.Errorf("called again after %v, want %v", m.retryAt.Sub(start), tt.again)
 			}
 		})
 	}
@@ -60,7 +60,7 @@
 			d := newDaemon("b1")
 			e := engine("e1", 1)
 			e.Address = at
-			d.tables.fleet.List(start, e)
+			d.tables.fleet.Upsert(start, e)
 			tt.happen(d)
 			if got := d.looksDead(start.Add(tt.after), &d.tables, "e1"); got != tt.want {
 				t.Errorf("looksDead = %v", got)
@@ -91,9 +91,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
 			d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
-			d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 			if tt.followed {
-				d.tables.followed["a"] = func() {}
+				d.tables.watched["a"] = func() {}
 			}
 			d.tables.fleet.Target("a").Sent(start, 0, 0)
 			if got := d.looksDead(start.Add(tt.after), &d.tables, "a"); got != tt.want {
--- a/entry/slopes_test.go
+++ b/entry/slopes_test.go
@@ -17,8 +17,8 @@
 // for.
 var sizes = []int{60, 300, 600, 3000}
 
-// hubBefore is a hub that knows so many engines.
-func hubBefore(targets int) *Daemon {
+// hubWithTargets is a hub that knows so many engines.
+func hubWithTargets(targets int) *Daemon {
 	d := largeFleet("box-00")
 	d.now = func() time.Time { return start }
 	var list []fleet.Entry
@@ -29,7 +29,7 @@
 		list = append(list, e)
 	}
 	d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
-	d.update(start, targetsRead{start, Targets{Whole: true, Listed: list}, false})
+	d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: list}, false})
 	return d
 }
 
@@ -37,11 +37,11 @@
 // as its first part, as one change, and not at all. Bytes are those on the wire.
 func BenchmarkView(b *testing.B) {
 	for _, n := range sizes {
-		hub := hubBefore(n)
+		hub := hubWithTargets(n)
 		for _, tt := range []struct {
 			name string
 			have changelog.Cursor
-		}{{"whole", changelog.Cursor{}}, {"one changed", changelog.Cursor{Number: hub.tables.log.Number() - 1}}, {"unchanged", changelog.Cursor{Number: hub.tables.log.Number()}}} {
+		}{{"whole", changelog.Cursor{}}, {"one changed", changelog.Cursor{Number: hub.tables.changes.Number() - 1}}, {"unchanged", changelog.Cursor{Number: hub.tables.changes.Number()}}} {
 			b.Run(fmt.Sprintf("%s/%d", tt.name, n), func(b *testing.B) {
 				var wire []byte
 				for b.Loop() {
@@ -58,7 +58,7 @@
 			spoke := largeFleet("box-05")
 			view := hub.view(start, &hub.tables, changelog.Cursor{})
 			for b.Loop() {
-				spoke.entriesRead(start, &spoke.tables, view.Entries)
+				spoke.applyHubEntries(start, &spoke.tables, view.Entries)
 			}
 		})
 	}
@@ -69,13 +69,13 @@
 func BenchmarkNameTargets(b *testing.B) {
 	for _, n := range sizes {
 		for _, closed := range []int{0, n / 10} {
-			d := hubBefore(n)
+			d := hubWithTargets(n)
 			for i := range closed {
-				say(d, start, fleet.Life{ID: fmt.Sprintf("i-%010x", i)}, leaving)
+				sendSignals(d, start, fleet.Incarnation{ID: fmt.Sprintf("i-%010x", i)}, leaving)
 			}
 			b.Run(fmt.Sprintf("%d of %d", closed, n), func(b *testing.B) {
 				for b.Loop() {
-					d.nameTargets(start, d.tables.fleet.Pool("models"))
+					d.targetHints(start, d.tables.fleet.Pool("models"))
 				}
 			})
 		}
