--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -49,7 +49,7 @@
 				if !tt.alone {
 					d.Settings.Peers = netip.MustParseAddrPort("10.0.0.1:1")
 				}
-				d.began = time.Now()
+				d.startedAt = time.Now()
 				var list, operator time.Duration
 				reads := 0
 				d.Platform.Targets = func(ctx context.Context, _ revision.Revision, _ time.Duration) (Targets, error) {
@@ -61,7 +61,7 @@
 				}
 				d.Platform.Operator = func(ctx context.Context, _ revision.Revision, _ time.Duration) (Operator, error) {
 					if reads++; reads == 1 {
-						d.pause(ctx, storeAnswer)
+						d.sleep(ctx, storeAnswer)
 						if tt.stands {
 							if loopFirst {
 								d.current.Store(configuration(1))
@@ -96,13 +96,13 @@
 				}
 				at(tt.role, func(now time.Time) {
 					d.spoke.Store(!tt.hub)
-					d.roleAt.Store(&now)
+					d.roleSince.Store(&now)
 				})
 				at(tt.told, func(time.Time) {
 					for ctx.Err() == nil {
 						now := time.Now()
-						d.proved.Store(&now)
-						d.pause(ctx, spokeEvery)
+						d.provedAt.Store(&now)
+						d.sleep(ctx, spokeGossipInterval)
 					}
 				})
 				time.Sleep(10 * time.Second)
--- a/entry/suspended.go
+++ b/entry/suspended.go
@@ -13,11 +13,11 @@
 	if now.Before(t.due.suspension) {
 		return nil
 	}
-	t.due.suspension = now.Add(lookEvery)
+	t.due.suspension = now.Add(reapInterval)
 	all := d.suspended()
 	if slept := all - t.suspended; slept >= leastSuspension {
 		t.suspended = all
-		d.counts.suspended.Add(slept.Seconds())
+		d.metrics.suspended.Add(slept.Seconds())
 		d.Log.Warn("this box was suspended", "for", slept, "proved_ago", d.provedAgo(d.now()), "configuration", d.version())
 	}
 	return nil
--- a/entry/suspended_test.go
+++ b/entry/suspended_test.go
@@ -20,7 +20,7 @@
 	d.suspended = func() time.Duration { return asleep }
 	d.buildLease()
 	d.update(d.now(), operatorRead{d.now(), Operator{Table: configuration(1), Weights: map[string]int64{"m": 1}}})
-	if err := d.lease.Step(context.Background()); err != nil {
+	if err := d.lease.AcquireOrRenew(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	held := func() bool { _, _, ok := d.lease.Held(); return ok }
@@ -40,13 +40,13 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			asleep = tt.asleep
-			if got := d.fresh(d.now()); got != tt.fresh {
+			if got := d.keysFresh(d.now()); got != tt.fresh {
 				t.Errorf("keys are trusted: %v", got)
 			}
 			if got := held(); got != tt.held {
 				t.Errorf("the lease is held: %v", got)
 			}
-			if got := !d.weightsUnknown(d.now()); got != tt.weigh {
+			if got := !d.weightsStale(d.now()); got != tt.weigh {
 				t.Errorf("weights are known: %v", got)
 			}
 			d.noteSuspension(d.now(), &d.tables)
@@ -64,7 +64,7 @@
 	asked := start
 	d.now = func() time.Time { return asked.Add(10 * time.Second) }
 	d.update(d.now(), operatorRead{asked, Operator{Table: configuration(1)}})
-	if d.fresh(d.now()) {
+	if d.keysFresh(d.now()) {
 		t.Error("keys are trusted by an answer that was 10 s old when it was read")
 	}
 }
@@ -75,13 +75,13 @@
 	d := newDaemon("b1")
 	d.now = func() time.Time { return start }
 	d.buildLease()
-	if err := d.lease.Step(context.Background()); err != nil {
+	if err := d.lease.AcquireOrRenew(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	var sent rollout.Order
-	d.Platform.Order = func(_ context.Context, _ netip.AddrPort, o rollout.Order) (notice.Said, error) {
+	d.Platform.Order = func(_ context.Context, _ netip.AddrPort, o rollout.Order) (notice.Signals, error) {
 		sent = o
-		return notice.Said{}, nil
+		return notice.Signals{}, nil
 	}
 	epoch, until, _ := d.lease.Held()
 	if err := d.order(context.Background(), sendOrder{order: rollout.Order{Epoch: epoch}}); err != nil {
--- a/entry/trial.go
+++ b/entry/trial.go
@@ -43,7 +43,7 @@
 
 // claimTrial asks for a request's trial.
 type claimTrial struct {
-	m   placeAsked
+	m   placementRequest
 	sum fingerprint.Sum
 }
 
@@ -56,7 +56,7 @@
 
 // refuseOrTry refuses a request that takes targets down, or claims its trial if one may be
 // due. It says whether that is all that is to be done about it.
-func (d *Daemon) refuseOrTry(now time.Time, t *tables, m placeAsked) ([]effect, bool) {
+func (d *Daemon) refuseOrTry(now time.Time, t *tables, m placementRequest) ([]effect, bool) {
 	refused := d.refuseQuarantined(now, t, m.ask.Job)
 	if refused == nil || m.trial {
 		return nil, false
@@ -71,15 +71,15 @@
 
 // trialDue says whether this box should claim a request's trial now.
 func (t *tables) trialDue(now time.Time, sum fingerprint.Sum) bool {
-	at, known := t.trials[sum]
+	at, known := t.nextTrial[sum]
 	if !known {
-		t.trials[sum] = now.Add(firstTrial)
+		t.nextTrial[sum] = now.Add(firstTrial)
 		return false
 	}
-	if now.Before(at) || t.crashes.Lives(sum) > 0 {
+	if now.Before(at) || t.crashes.Suspects(sum) > 0 {
 		return false
 	}
-	t.trials[sum] = now.Add(nextTrial)
+	t.nextTrial[sum] = now.Add(nextTrial)
 	return true
 }
 
@@ -118,13 +118,13 @@
 func (d *Daemon) trialClaimed(now time.Time, t *tables, m trialClaimed) []effect {
 	d.Log.Info("request may be tried once more", "request", m.m.ask.Job.ID, "fingerprint", m.sum, "granted", m.granted, "err", m.err)
 	m.m.trial = m.granted
-	return d.placeAsked(now, t, m.m)
+	return d.placementRequested(now, t, m.m)
 }
 
 // expireTrials forgets when requests may be tried that are not refused any more. Their
 // rows stay, a hundred bytes for three targets that ended: other boxes may refuse them yet.
 func (t *tables) expireTrials() {
-	maps.DeleteFunc(t.trials, func(sum fingerprint.Sum, _ time.Time) bool {
-		return t.quarantine.Lives(sum) == 0 && t.crashes.Lives(sum) == 0
+	maps.DeleteFunc(t.nextTrial, func(sum fingerprint.Sum, _ time.Time) bool {
+		return t.quarantine.Crashes(sum) == 0 && t.crashes.Suspects(sum) == 0
 	})
 }
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	d.now = func() time.Time { return now }
 	reply := make(chan placeAnswer, 1)
-	effects := d.placeAsked(now, &d.tables, placeAsked{ctx: context.Background(), ask: deliver.Ask{Job: j}, reply: reply})
+	effects := d.placementRequested(now, &d.tables, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: j}, reply: reply})
 	for _, e := range effects {
 		d.update(now, d.claimTrial(context.Background(), e.(claimTrial)))
 	}
@@ -33,7 +33,7 @@
 	boxes[1].Platform = boxes[0].Platform
 	for _, d := range boxes {
 		for _, life := range []string{"x", "y", "z"} {
-			d.endedUnder(start, &d.tables, life, work("same").Fingerprint(), "b3")
+			d.blameRequest(start, &d.tables, life, jobWithBody("same").Fingerprint(), "b3")
 		}
 	}
 	return boxes
@@ -46,8 +46,8 @@
 	var sent []time.Duration
 	for now := start; now.Before(start.Add(3 * nextTrial)); now = now.Add(time.Second) {
 		for _, d := range boxes {
-			d.prove(now)
-			if codeWithTrial(t, d, now, work("same")) != codeQuarantined {
+			d.noteProof(now)
+			if codeWithTrial(t, d, now, jobWithBody("same")) != codeQuarantined {
 				sent = append(sent, now.Sub(start))
 			}
 		}
@@ -62,24 +62,24 @@
 func TestPopular(t *testing.T) {
 	boxes := quarantining()
 	now := start
-	for codeWithTrial(t, boxes[0], now, work("same")) == codeQuarantined {
+	for codeWithTrial(t, boxes[0], now, jobWithBody("same")) == codeQuarantined {
 		if now = now.Add(100 * time.Millisecond); now.After(start.Add(2 * firstTrial)) {
 			t.Fatal("never tried")
 		}
 	}
-	if codeWithTrial(t, boxes[1], now, work("same")) != codeQuarantined {
+	if codeWithTrial(t, boxes[1], now, jobWithBody("same")) != codeQuarantined {
 		t.Error("sent by another box beside its trial")
 	}
-	boxes[0].update(now, sendingEnded{deliver.Ended{Place: placeAt(0, "e1"), Job: work("same"), Began: true, Answered: true}})
-	told := boxes[0].peerAsks(now, &boxes[0].tables, gossipFrom("b2"))
-	boxes[1].update(now, peerCalled{"b2", now, told, nil})
+	boxes[0].update(now, attemptEnded{deliver.AttemptResult{Place: placeAt(0, "e1"), Job: jobWithBody("same"), Began: true, Answered: true}})
+	told := boxes[0].peerRequest(now, &boxes[0].tables, gossipFrom("b2"))
+	boxes[1].update(now, peerAnswered{"b2", now, told, nil})
 	for _, d := range boxes {
-		if code := codeWithTrial(t, d, now, work("same")); code != "" {
+		if code := codeWithTrial(t, d, now, jobWithBody("same")); code != "" {
 			t.Errorf("%s refuses with %q", d.Settings.Name, code)
 		}
 	}
-	drop := boxes[0].tellCrashes(now, &boxes[0].tables)[0].(writeCrashes).tx.Delete
-	if len(drop) != 1 || drop[0] != trialPrefix+work("same").Fingerprint().String() {
+	drop := boxes[0].reportCrashes(now, &boxes[0].tables)[0].(writeCrashes).tx.Delete
+	if len(drop) != 1 || drop[0] != trialPrefix+jobWithBody("same").Fingerprint().String() {
 		t.Errorf("dropped %v", drop)
 	}
 }
@@ -107,7 +107,7 @@
 				d.Platform.Commit = tt.commit
 			}
 			for _, after := range []time.Duration{0, firstTrial, 2 * firstTrial} {
-				if code := codeWithTrial(t, d, start.Add(after), work("same")); code != codeQuarantined {
+				if code := codeWithTrial(t, d, start.Add(after), jobWithBody("same")); code != codeQuarantined {
 					t.Errorf("after %v: %q", after, code)
 				}
 			}
--- a/entry/unlisted.go
+++ b/entry/unlisted.go
@@ -30,13 +30,13 @@
 	// how long what another hub told counts.
 	metFor     = 10 * time.Second
 	countedFor = 5 * time.Second
-	// drawnShare is how much of the retries that all boxes may save up together is given to
+	// sampledShare is how much of the retries that all boxes may save up together is given to
 	// boxes that are drawn by their names.
-	drawnShare = 0.45
+	sampledShare = 0.45
 )
 
 // enter has this box be found by others, if it has to be, and returns the rows that it read.
-func (d *Daemon) enter(ctx context.Context) Own {
+func (d *Daemon) enter(ctx context.Context) OwnRows {
 	rows := d.readOwn(ctx)
 	if d.weak() && !d.rowNeedless(rows.Rows) && !hasRow(rows.Rows, d.ownRow()) {
 		if d.awaitStronger(ctx) {
@@ -46,11 +46,11 @@
 	if !hasRow(rows.Rows, d.ownRow()) && d.rowNeedless(rows.Rows) {
 		d.unlisted.Store(true)
 		d.Log.Info("this box needs no row, as there are hubs enough", "rows", len(rows.Rows))
-		d.tell(ctx, ownRead{rows, true})
+		d.postContext(ctx, ownRead{rows, true})
 		return rows
 	}
 	d.join(ctx, rows.Rows)
-	d.pause(ctx, memberAfter)
+	d.sleep(ctx, memberAfter)
 	return rows
 }
 
@@ -63,7 +63,7 @@
 		if d.current.Load() != nil {
 			return false
 		}
-		d.pause(ctx, min(left, viewLook))
+		d.sleep(ctx, min(left, viewLook))
 	}
 	return true
 }
@@ -102,35 +102,35 @@
 		t.members[m.From] = x
 		d.Log.Debug("box without a row met", "name", m.From, "domain", m.Domain)
 	}
-	x.met = now
+	x.metAt = now
 }
 
-// count keeps how many boxes there are, and what of the retries this one may save up.
-func (d *Daemon) count(now time.Time, t *tables) {
-	t.unlisted = 0
+// recountBoxes keeps how many boxes there are, and what of the retries this one may save up.
+func (d *Daemon) recountBoxes(now time.Time, t *tables) {
+	t.unlistedMet = 0
 	for name, x := range t.members {
 		switch {
 		case !x.unlisted:
-		case now.Sub(x.met) > metFor:
+		case now.Sub(x.metAt) > metFor:
 			delete(t.members, name)
 		default:
-			t.unlisted++
+			t.unlistedMet++
 		}
 	}
-	d.chooseLender(now, t)
-	if boxes := t.boxes(now); boxes != t.countedBoxes {
-		t.countedBoxes = boxes
-		d.budget.Bound(d.burst(now, t))
+	d.chooseRetryBudget(now, t)
+	if boxes := t.boxCount(now); boxes != t.retryBoxes {
+		t.retryBoxes = boxes
+		d.budget.SetBurst(d.retryBurst(now, t))
 	}
 }
 
-// boxes is how many boxes share the work: those with a row, and those without that this one
+// boxCount is how many boxes share the work: those with a row, and those without that this one
 // or other hubs met, or as a hub told. One that changed its hub may count twice for metFor.
-func (t *tables) boxes(now time.Time) int {
+func (t *tables) boxCount(now time.Time) int {
 	if len(t.members) == 0 {
-		return presumed
+		return assumedBoxes
 	}
-	return max(len(t.members)+t.countedElsewhere(now), t.toldBoxes)
+	return max(len(t.members)+t.countedElsewhere(now), t.hubBoxes)
 }
 
 // countedElsewhere is how many boxes without a row other hubs met.
@@ -138,7 +138,7 @@
 	sum := 0
 	for _, x := range t.members {
 		if now.Sub(x.countedAt) < countedFor {
-			sum += x.counts
+			sum += x.unlistedMet
 		}
 	}
 	return sum
@@ -147,25 +147,25 @@
 // hearCount takes over how many boxes without a row another hub met.
 func (t *tables) hearCount(now time.Time, m peer.Message) {
 	if x := t.members[m.From]; x != nil && !x.unlisted {
-		x.counts, x.countedAt = m.Unlisted, now
+		x.unlistedMet, x.countedAt = m.Unlisted, now
 	}
 }
 
 // rowless is how many boxes without a row there are in all, as far as this one knows.
 func (t *tables) rowless(now time.Time) int {
-	return max(t.unlisted+t.countedElsewhere(now), t.toldRowless)
+	return max(t.unlistedMet+t.countedElsewhere(now), t.hubUnlisted)
 }
 
-// partly says that boxes without a row share the work, so that nobody knows all names. A box
+// hasUnregistered says that boxes without a row share the work, so that nobody knows all names. A box
 // that has joined and whose row this one has not read is none of these.
-func (t *tables) partly(now time.Time) bool { return t.rowless(now) > 0 }
+func (t *tables) hasUnregistered(now time.Time) bool { return t.rowless(now) > 0 }
 
-// drawnBurst is how many retries a box may save up where nobody knows all names: one, if its
+// sampledBurst is how many retries a box may save up where nobody knows all names: one, if its
 // name draws it. Over boxes that draw independently the sum stays below what all may save.
-func drawnBurst(name string, boxes int, all float64) float64 {
+func sampledBurst(name string, boxes int, all float64) float64 {
 	const span = 1 << 32
 	drawn := float64(placement.Hash("retries/"+name)%span) / span
-	if drawn < drawnShare*all/float64(boxes) {
+	if drawn < sampledShare*all/float64(boxes) {
 		return 1
 	}
 	return 0
--- a/entry/unlisted_test.go
+++ b/entry/unlisted_test.go
@@ -41,21 +41,21 @@
 			d.Settings.Box.Share = emulatedShare
 		}
 		d.now = time.Now
-		d.began = time.Now()
+		d.startedAt = time.Now()
 		d.Platform.Commit = func(ctx context.Context, tx table.Transaction) error {
 			f.calls.Add(1)
 			return f.rows.Commit(ctx, tx)
 		}
-		d.Platform.Own = func(ctx context.Context, after revision.Revision, _ time.Duration) (Own, error) {
+		d.Platform.OwnRows = func(ctx context.Context, after revision.Revision, _ time.Duration) (OwnRows, error) {
 			f.calls.Add(1)
 			rows, err := f.rows.ListAll(ctx, "")
 			version := uint64(1 + len(rows))
 			if after == rev(version) {
 				<-ctx.Done() // Nothing changes any more that a test looks at.
-				return Own{}, ctx.Err()
+				return OwnRows{}, ctx.Err()
 			}
 			f.told.Add(int64(len(rows)))
-			return Own{Whole: true, Rows: rows, Known: rev(version)}, err
+			return OwnRows{Snapshot: true, Rows: rows, Known: rev(version)}, err
 		}
 		f.boxes = append(f.boxes, d)
 	}
@@ -116,7 +116,7 @@
 					t.Errorf("%d calls and %d rows told a box, want %d and %d", calls, told, tt.calls, tt.told)
 				}
 				for i, d := range f.boxes {
-					if d.roleAt.Load() == nil || tt.boxes > 12 && d.spoke.Load() == d.hub(time.Now(), &d.tables) {
+					if d.roleSince.Load() == nil || tt.boxes > 12 && d.spoke.Load() == d.hub(time.Now(), &d.tables) {
 						t.Fatalf("box %d does not know its role", i)
 					}
 				}
@@ -139,8 +139,8 @@
 		}
 		d.unlisted.Store(d.Settings.Box.Share < emulatedShare)
 	}
-	w.play(3*time.Second, nil)
-	count := func(d *Daemon) int { return d.tables.boxes(w.now) }
+	w.advance(3*time.Second, nil)
+	count := func(d *Daemon) int { return d.tables.boxCount(w.now) }
 	for _, d := range w.boxes {
 		if got := count(d); got < boxes || got > boxes+2 {
 			t.Errorf("%s counts %d of %d boxes", d.Settings.Name, got, boxes)
@@ -149,7 +149,7 @@
 	for _, d := range w.boxes[80:] {
 		w.dead[d.Settings.Name] = true
 	}
-	w.play(metFor+2*time.Second, nil)
+	w.advance(metFor+2*time.Second, nil)
 	if got := count(w.boxes[0]); got < 80 || got > 82 {
 		t.Errorf("%d of 80 boxes are counted after the others ended", got)
 	}
@@ -170,7 +170,7 @@
 
 // TestDrawnRetries holds the sum of what boxes without rows save up; its sister has each save
 // up one.
-func TestDrawnRetries(t *testing.T) { proof.Holds(t, drawnWithin(drawnBurst)) }
+func TestDrawnRetries(t *testing.T) { proof.Holds(t, drawnWithin(sampledBurst)) }
 
 func TestDrawnRetriesNeedTheDrawing(t *testing.T) {
 	proof.Breaks(t, drawnWithin(func(string, int, float64) float64 { return 1 }))
@@ -180,11 +180,11 @@
 func TestUnlistedBurst(t *testing.T) {
 	d := largeFleet("box-05")
 	d.unlisted.Store(true)
-	if got := d.burst(start, &d.tables); got != 0 {
+	if got := d.retryBurst(start, &d.tables); got != 0 {
 		t.Errorf("saves up %v before it knows of how many", got)
 	}
-	d.update(start, peerCalled{"box-00", start, peer.Message{View: &peer.View{Namings: map[string][]peer.Naming{}, Boxes: 22}}, nil})
-	if got := d.burst(start, &d.tables); got <= 0 {
+	d.update(start, peerAnswered{"box-00", start, peer.Message{View: &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, Boxes: 22}}, nil})
+	if got := d.retryBurst(start, &d.tables); got <= 0 {
 		t.Errorf("saves up %v of 35 for 22 boxes", got)
 	}
 }
@@ -196,17 +196,17 @@
 		f := newStartingFleet(t, 60, 45)
 		last := f.boxes[59]
 		reads := 0
-		own := last.Platform.Own
-		last.Platform.Own = func(ctx context.Context, after revision.Revision, hold time.Duration) (Own, error) {
+		own := last.Platform.OwnRows
+		last.Platform.OwnRows = func(ctx context.Context, after revision.Revision, hold time.Duration) (OwnRows, error) {
 			reads++
 			return own(ctx, after, hold)
 		}
 		go func() {
 			for t.Context().Err() == nil {
-				if now := time.Now(); last.roleAt.Load() != nil && now.Sub(*last.roleAt.Load()) > spokeEvery {
-					last.proved.Store(&now)
+				if now := time.Now(); last.roleSince.Load() != nil && now.Sub(*last.roleSince.Load()) > spokeGossipInterval {
+					last.provedAt.Store(&now)
 				}
-				last.pause(t.Context(), spokeEvery)
+				last.sleep(t.Context(), spokeGossipInterval)
 			}
 		}()
 		f.run(t, 8*time.Second)
@@ -221,8 +221,8 @@
 func TestJoinedIsNotRowless(t *testing.T) {
 	d := largeFleet("box-05")
 	tell := func(boxes, rowless int) {
-		view := &peer.View{Namings: map[string][]peer.Naming{}, Boxes: boxes, Rowless: rowless}
-		d.update(start, peerCalled{"box-00", start, peer.Message{View: view}, nil})
+		view := &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, Boxes: boxes, Unlisted: rowless}
+		d.update(start, peerAnswered{"box-00", start, peer.Message{View: view}, nil})
 	}
 	shares := func() int { return len(d.tables.placing(start, &routing.Pool{Name: "orders"})) }
 	if tell(21, 0); shares() != 20 {
--- a/entry/update.go
+++ b/entry/update.go
@@ -13,59 +13,59 @@
 func (d *Daemon) update(now time.Time, m message) []effect {
 	t := &d.tables
 	switch m := m.(type) {
-	case placeAsked:
-		return d.placeAsked(now, t, m)
-	case suspectAsked:
+	case placementRequest:
+		return d.placementRequested(now, t, m)
+	case suspectQuery:
 		m.reply <- d.looksDead(now, t, m.target)
-	case targetSaid:
-		d.targetSaid(now, t, m.life)
+	case signalsHeard:
+		d.signalsHeard(now, t, m.life)
 	case silenceSeen:
 		t.silences[m.at] = now
 	case answerBegan:
 		d.answerBegan(now, t, m.place)
-	case sendingEnded:
-		d.sendingEnded(now, t, m)
+	case attemptEnded:
+		d.attemptEnded(now, t, m)
 	case operatorRead:
 		return d.operatorRead(now, t, m)
 	case targetsRead:
 		return d.targetsRead(now, t, m)
 	case ownRead:
 		return d.ownRead(now, t, m)
-	case storeLost:
-		t.storeAway = true
+	case tableServiceLost:
+		t.tableServiceDown = true
 		d.Log.Warn("table service lost", "err", m.err, "configuration", d.version(), "proved_ago", d.provedAgo(now))
-	case storeBack:
-		t.storeAway = false
-		t.doubtList(now)
+	case tableServiceBack:
+		t.tableServiceDown = false
+		t.markListUncertain(now)
 		d.Log.Info("table service back", "configuration", d.version())
-	case newsRead:
-		return d.newsRead(now, t, m)
+	case cacheEventsRead:
+		return d.cacheEventsRead(now, t, m)
 	case leaseStepped:
 		d.leaseStepped(now, t, m)
 	case announced:
 		return d.announced(now, t, m)
-	case freedOld:
-		return d.freedOld(now, t, m)
-	case loadedAsked:
-		d.loadedAsked(now, t, m)
+	case staleFreed:
+		return d.staleFreed(now, t, m)
+	case loadPolled:
+		d.loadPolled(now, t, m)
 	case orderEnded:
 		return d.orderEnded(now, t, m)
 	case hubPlaced:
 		return d.hubPlaced(now, t, m)
 	case configurationFromHub:
 		return d.configurationFromHub(now, t, m)
-	case peerCalled:
-		return d.peerCalled(now, t, m)
-	case peerAsks:
-		m.reply <- d.peerAsks(now, t, m.m)
+	case peerAnswered:
+		return d.peerAnswered(now, t, m)
+	case peerRequest:
+		m.reply <- d.peerRequest(now, t, m.m)
 	case probed:
 		d.probed(now, t, m)
 	case trialClaimed:
 		return d.trialClaimed(now, t, m)
-	case canaryDecided:
-		d.canaryDecided(now, t, m)
-	case canaryTold:
-		d.canaryTold(now, t, m)
+	case canaryWritten:
+		d.canaryWritten(now, t, m)
+	case canaryReported:
+		d.canaryReported(now, t, m)
 	case crashesWritten:
 		d.crashesWritten(now, t, m)
 	case rewritten:
@@ -77,20 +77,20 @@
 // operatorRead takes over what the operator wrote. A lower version is never
 // taken.
 func (d *Daemon) operatorRead(now time.Time, t *tables, m operatorRead) []effect {
-	d.restored(now, t, m.change.Known)
-	if m.change.Whole {
+	d.noteRestore(now, t, m.change.Known)
+	if m.change.Snapshot {
 		d.Log.Info("what the operator wrote was read whole", "revision", m.change.Known, "known", t.operatorKnown, "newest_known", t.operatorChange)
 	}
-	d.provedBy(t, d.Settings.Name, m.change.Known)
+	d.countProof(t, d.Settings.Name, m.change.Known)
 	d.weightsRead(now, t, m)
-	d.evacuationsRead(now, t, m)
-	d.canariesRead(now, t, m)
-	if d.proves(now, t, m) {
-		d.prove(m.asked)
+	d.applyEvacuations(now, t, m)
+	d.applyCanaryAsks(now, t, m)
+	if d.provesNewest(now, t, m) {
+		d.noteProof(m.asked)
 	}
 	t.operatorChange = revision.Max(t.operatorChange, m.change.Changed)
 	t.operatorKnown = revision.Max(t.operatorKnown, m.change.Known)
-	d.behind.Store(false)
+	d.operatorBehind.Store(false)
 	if err := m.change.Unusable; err != nil {
 		d.Log.Error("configuration can't be used; the last good one stays", "err", err, "in_force", d.version())
 	}
@@ -99,48 +99,48 @@
 		return nil
 	}
 	d.Log.Info("configuration in force", "version", next.Version, "before", d.version(), "row", m.change.Changed, "asked_ago", now.Sub(m.asked))
-	d.counts.configuration.Set(float64(next.Version))
-	d.raw.Store(&m.change.Raw)
+	d.metrics.configuration.Set(float64(next.Version))
+	d.rawConfiguration.Store(&m.change.Raw)
 	d.current.Store(next)
-	d.returns.Over(now, noConfiguration)
-	d.listStores(t, next)
+	d.retryEstimator.Ended(now, noConfiguration)
+	d.configureStores(t, next)
 	t.refreshedList = 0 // Which pools are of engines may have changed.
-	d.refresh(now, t)
-	return d.follow(now, t)
+	d.refreshInUse(now, t)
+	return d.reconcileSources(now, t)
 }
 
-// sendingEnded learns from how a sending went.
-func (d *Daemon) sendingEnded(now time.Time, t *tables, m sendingEnded) {
-	t.overdue.Done(placement.Hash(m.Place.Target), m.Place.At)
-	d.watchEnd(now, t, m)
-	x := t.fleet.Of(fleet.Life{ID: m.Place.Target, Born: m.Place.Born})
+// attemptEnded learns from how a sending went.
+func (d *Daemon) attemptEnded(now time.Time, t *tables, m attemptEnded) {
+	t.overdue.Done(placement.Hash(m.Place.Target), m.Place.PlacedAt)
+	d.recordLiveness(now, t, m)
+	x := t.fleet.Incarnation(fleet.Incarnation{ID: m.Place.Target, StartedAt: m.Place.StartedAt})
 	if x == nil {
 		return
 	}
-	d.seeCanary(now, t, x, m)
-	x.Ended(now, m.Began, m.Place.Unread, m.Place.Tokens, m.Failed)
-	if m.Whole {
-		t.strain(x.Pool).See(m.Late)
+	d.countCanarySample(now, t, x, m)
+	x.Ended(now, m.Began, m.Place.PrefillTokens, m.Place.Tokens, m.Failed)
+	if m.Completed {
+		t.lateness(x.Pool).Observe(m.Late)
 	}
 	if m.Verdict != 0 {
 		x.Heard(now)
 	}
 	if m.Began && !m.Failed && m.Job.Pool.Engine == nil {
-		t.congestion(x.Pool).See(now, now.Sub(m.Place.At))
+		t.congestion(x.Pool).Observe(now, now.Sub(m.Place.PlacedAt))
 	}
 	if m.Unreachable {
 		x.Fail(now)
 		d.noteFailed(now, x, m)
 	}
-	d.learn(now, t, x, m)
+	d.learnVersion(now, t, x, m)
 }
 
 // noteFailed logs and counts a request that a target failed.
-func (d *Daemon) noteFailed(now time.Time, x *fleet.Target, m sendingEnded) {
-	fields := []any{"target", x.ID, "pool", x.Pool, "request", m.Job.ID, "grey", x.Grey(now), "refused", m.Refused}
-	if m.Cut {
-		d.counts.cut.WithLabelValues(x.Pool).Inc()
-		fields = append(fields, "cut_after", now.Sub(m.Place.At), "fingerprint", m.Job.Fingerprint())
+func (d *Daemon) noteFailed(now time.Time, x *fleet.Target, m attemptEnded) {
+	fields := []any{"target", x.ID, "pool", x.Pool, "request", m.Job.ID, "grey", x.Grey(now), "refused", m.ConnectionRefused}
+	if m.CutOff {
+		d.metrics.cutOff.WithLabelValues(x.Pool).Inc()
+		fields = append(fields, "cut_after", now.Sub(m.Place.PlacedAt), "fingerprint", m.Job.Fingerprint())
 	}
 	d.Log.Warn("target failed a request", fields...)
 }
@@ -148,20 +148,20 @@
 // probed takes over a target's health.
 func (d *Daemon) probed(now time.Time, t *tables, m probed) {
 	delete(t.probing, m.target)
-	d.examined(now, t, m)
+	d.probeAnswered(now, t, m)
 	x := t.fleet.Target(m.target)
 	if x == nil {
 		return
 	}
 	if errors.Is(m.err, ErrReplaced) {
-		d.replaced(now, t, x.Life(), "its health")
+		d.dropReplaced(now, t, x.Incarnation(), "its health")
 		return
 	}
 	if m.err == nil {
 		x.Heard(now)
 		return
 	}
-	if !m.doubted { // One that is busy has the question wait.
+	if !m.suspected { // One that is busy has the question wait.
 		x.Fail(now)
 	}
 }
--- a/entry/update_test.go
+++ b/entry/update_test.go
@@ -40,8 +40,8 @@
 
 func configuration(version int64) *routing.Table {
 	return routing.New(version, []*routing.Route{
-		{Name: "long", Host: "h", Prefix: "/long/", Stream: true, Urgency: 2, Attempts: 1, Shares: []routing.Share{{Pool: "models", Weight: 1}}},
-		{Name: "short", Host: "h", Prefix: "/short/", Stream: true, Urgency: 0, Attempts: 1, Shares: []routing.Share{{Pool: "models", Weight: 1}}},
+		{Name: "long", Host: "h", Prefix: "/long/", Stream: true, Priority: 2, Attempts: 1, Shares: []routing.Share{{Pool: "models", Weight: 1}}},
+		{Name: "short", Host: "h", Prefix: "/short/", Stream: true, Priority: 0, Attempts: 1, Shares: []routing.Share{{Pool: "models", Weight: 1}}},
 	}, []*routing.Pool{
 		{Name: "models", Engine: &routing.Engine{Capacity: 100000, Models: []string{"m"}, TokenBytes: 1000, Megabits: 1000}},
 		{Name: "orders"},
@@ -55,7 +55,7 @@
 func job(route string, tokens int) *deliver.Job {
 	t := configuration(1)
 	return &deliver.Job{
-		Call:  &deliver.Call{ID: "r", Model: "m", Input: tokens, Parts: []deliver.Part{{ID: "p", Tokens: tokens / 2}, {ID: "own", Tokens: tokens / 2}}},
+		Call:  &deliver.Call{ID: "r", Model: "m", PromptTokens: tokens, Parts: []deliver.Part{{ID: "p", Tokens: tokens / 2}, {ID: "own", Tokens: tokens / 2}}},
 		Route: t.Route("h", "/"+route+"/"), Pool: t.Pools["models"],
 	}
 }
@@ -86,7 +86,7 @@
 // sent, never by when its answer came.
 func TestFresh(t *testing.T) {
 	d := newDaemon("b1")
-	if d.fresh(start) {
+	if d.keysFresh(start) {
 		t.Error("fresh without any read")
 	}
 	d.update(start.Add(3*time.Second), operatorRead{start, Operator{}})
@@ -95,12 +95,12 @@
 		want  bool
 	}{{4 * time.Second, true}, {5*time.Second - proofMargin, false}, {time.Hour, false}}
 	for _, tt := range tests {
-		if got := d.fresh(start.Add(tt.after)); got != tt.want {
+		if got := d.keysFresh(start.Add(tt.after)); got != tt.want {
 			t.Errorf("%v after the read was sent: fresh %v, want %v", tt.after, got, tt.want)
 		}
 	}
 	d.update(start.Add(4*time.Second), operatorRead{start.Add(-time.Second), Operator{}})
-	if !d.fresh(start.Add(4 * time.Second)) {
+	if !d.keysFresh(start.Add(4 * time.Second)) {
 		t.Error("an older read took a newer proof back")
 	}
 }
@@ -112,14 +112,14 @@
 	read := func(after time.Duration, away bool, change Targets) {
 		d.update(start.Add(after), targetsRead{start.Add(after), change, away})
 	}
-	read(0, false, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1), engine("b", 1)}})
+	read(0, false, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1), engine("b", 1)}})
 	read(time.Second, false, Targets{Gone: []string{"a"}})
 	if f.Target("a") != nil {
 		t.Error("a target that went while the store answered is kept")
 	}
-	read(2*time.Second, true, Targets{Whole: true})
+	read(2*time.Second, true, Targets{Snapshot: true})
 	x := f.Target("b")
-	if x == nil || !x.Open(start.Add(3*time.Second)) {
+	if x == nil || !x.Available(start.Add(3*time.Second)) {
 		t.Fatal("a target that lapsed while the store was away is gone at once")
 	}
 	read(3*time.Second, false, Targets{Listed: []fleet.Entry{engine("b", 1)}})
@@ -127,8 +127,8 @@
 	if f.Target("b") == nil {
 		t.Error("a target that came back is gone")
 	}
-	read(4*time.Second, true, Targets{Whole: true})
-	d.sweep(start.Add(4*time.Second+fleet.LapsedFor), &d.tables)
+	read(4*time.Second, true, Targets{Snapshot: true})
+	d.sweep(start.Add(4*time.Second+fleet.LapseGrace), &d.tables)
 	if f.Target("b") != nil {
 		t.Error("a target that did not come back is kept")
 	}
@@ -161,19 +161,19 @@
 // TestNews shows that a source that restarted or fell silent keeps nothing.
 func TestNews(t *testing.T) {
 	d := newDaemon("b1")
-	d.tables.followed["s"] = func() {}
-	key := directory.Of("m@1", "p")
-	told := News{Epoch: 1, Changes: []Change{{Kept: true, Scope: "m@1", Part: "p", Tokens: 9}}, Clock: time.Hour}
-	d.update(start, newsRead{source: "s", news: told})
-	if !d.tables.directory.Whole("s", key) || !d.tables.timed {
+	d.tables.watched["s"] = func() {}
+	key := directory.KeyOf("m@1", "p")
+	told := CacheEvents{Epoch: 1, Changes: []CacheEvent{{Cached: true, Scope: "m@1", Part: "p", Tokens: 9}}, Clock: time.Hour}
+	d.update(start, cacheEventsRead{source: "s", events: told})
+	if !d.tables.directory.Has("s", key) || !d.tables.clockKnown {
 		t.Fatal("the news was not taken over")
 	}
-	d.update(start, newsRead{source: "s", err: errors.New("reset")})
-	if d.tables.directory.Whole("s", key) {
+	d.update(start, cacheEventsRead{source: "s", err: errors.New("reset")})
+	if d.tables.directory.Has("s", key) {
 		t.Error("a silent source still counts")
 	}
-	d.update(start, newsRead{source: "s", news: News{Epoch: 2}})
-	if d.tables.directory.Whole("s", key) {
+	d.update(start, cacheEventsRead{source: "s", events: CacheEvents{Epoch: 2}})
+	if d.tables.directory.Has("s", key) {
 		t.Error("a source that restarted still counts")
 	}
 }
@@ -186,30 +186,30 @@
 		m    message
 		gone bool
 	}{
-		{"its epoch changed", newsRead{source: "a", news: News{Epoch: 2}}, true},
-		{"its epoch is as before", newsRead{source: "a", news: News{Epoch: 1}}, false},
+		{"its epoch changed", cacheEventsRead{source: "a", events: CacheEvents{Epoch: 2}}, true},
+		{"its epoch is as before", cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1}}, false},
 		{"another one answers for its health", probed{probe{target: "a"}, ErrReplaced}, true},
 		{"its health is bad", probed{probe{target: "a"}, errors.New("503")}, false},
-		{"another box tells", peerCalled{name: "b2", m: peer.Message{Replaced: []peer.Life{{ID: "a"}}}}, true},
-		{"a request was refused by another one", sendingEnded{deliver.Ended{
-			Place: deliver.Place{Target: "a"}, Job: job("long", 10), Verdict: deliver.Elsewhere,
+		{"another box tells", peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a"}}}}, true},
+		{"a request was refused by another one", attemptEnded{deliver.AttemptResult{
+			Place: deliver.Placement{Target: "a"}, Job: job("long", 10), Verdict: deliver.OtherReplica,
 		}}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
 			d.tables.members["b2"] = &member{}
-			d.tables.settled = true
+			d.tables.membersKnown = true
 			d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
-			list := targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false}
+			list := targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false}
 			d.update(start, list)
-			d.update(start, newsRead{source: "a", news: News{Epoch: 1}})
+			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1}})
 			d.update(start, tt.m)
 			d.update(start, list)
 			if gone := d.tables.fleet.Target("a") == nil; gone != tt.gone {
 				t.Errorf("gone %v", gone)
 			}
-			told := d.peerAsks(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2"}).Replaced
+			told := d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2"}).EndedIncarnations
 			if (len(told) == 1) != tt.gone {
 				t.Errorf("told %v", told)
 			}
@@ -223,11 +223,11 @@
 	first, second := start.Add(-time.Hour), start.Add(time.Hour)
 	life := func(born time.Time, version int64) fleet.Entry {
 		e := engine("a", version)
-		e.Born = born
+		e.StartedAt = born
 		return e
 	}
 	list := func(e fleet.Entry) message { return targetsRead{start, Targets{Listed: []fleet.Entry{e}}, false} }
-	ended := sendingEnded{deliver.Ended{Place: deliver.Place{Target: "a", Born: first, Tokens: 10}, Job: job("long", 10), Failed: true, Unreachable: true}}
+	ended := attemptEnded{deliver.AttemptResult{Place: deliver.Placement{Target: "a", StartedAt: first, Tokens: 10}, Job: job("long", 10), Failed: true, Unreachable: true}}
 	tests := []struct {
 		name  string
 		steps []message
@@ -235,21 +235,21 @@
 		listed bool
 	}{
 		{"by its entry", []message{list(life(second, 3))}, true},
-		{"by its news", []message{newsRead{source: "a", news: News{Epoch: 1, Born: second}}}, false},
-		{"by its news, then its entry", []message{newsRead{source: "a", news: News{Epoch: 1, Born: second}}, list(life(first, 5)), list(life(second, 3))}, true},
-		{"by another box, then its entry", []message{peerCalled{name: "b2", m: peer.Message{Replaced: []peer.Life{{ID: "a", BornMS: first.UnixMilli()}}}}, list(life(second, 3))}, true},
-		{"its entry, then another box tells of the earlier", []message{list(life(second, 3)), peerCalled{name: "b2", m: peer.Message{Replaced: []peer.Life{{ID: "a", BornMS: first.UnixMilli()}}}}}, true},
+		{"by its news", []message{cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1, StartedAt: second}}}, false},
+		{"by its news, then its entry", []message{cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1, StartedAt: second}}, list(life(first, 5)), list(life(second, 3))}, true},
+		{"by another box, then its entry", []message{peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a", StartedMS: first.UnixMilli()}}}}, list(life(second, 3))}, true},
+		{"its entry, then another box tells of the earlier", []message{list(life(second, 3)), peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a", StartedMS: first.UnixMilli()}}}}}, true},
 		{"requests of the earlier life end late", []message{list(life(second, 3)), ended, answerBegan{ended.Place}}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
 			d.tables.members["b2"] = &member{}
-			d.tables.settled = true
+			d.tables.membersKnown = true
 			d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
 			d.update(start, list(life(first, 5)))
-			d.update(start, newsRead{source: "a", news: News{Epoch: 1}})
-			key := directory.Of("m@5", "p")
+			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1}})
+			key := directory.KeyOf("m@5", "p")
 			d.tables.directory.Add("a", key, 100)
 			d.tables.fleet.Target("a").Sent(start, 10, 10)
 			for _, m := range tt.steps {
@@ -259,10 +259,10 @@
 			if (x != nil) != tt.listed {
 				t.Fatalf("listed %+v", x)
 			}
-			if d.tables.directory.Whole("a", key) {
+			if d.tables.directory.Has("a", key) {
 				t.Error("what the earlier life kept is believed")
 			}
-			if x != nil && (!x.Born.Equal(second) || x.Versions["m"] != 3 || x.InFlight != 0 || x.Tokens != 0 || x.Avoided(start)) {
+			if x != nil && (!x.StartedAt.Equal(second) || x.Versions["m"] != 3 || x.InFlight != 0 || x.Tokens != 0 || x.Ejected(start)) {
 				t.Errorf("the later life is %+v", x)
 			}
 		})
--- a/entry/used_test.go
+++ b/entry/used_test.go
@@ -18,10 +18,12 @@
 		goes func(d *Daemon)
 	}{
 		{"gone", func(d *Daemon) { d.update(start, targetsRead{start, Targets{Gone: []string{"a"}}, false}) }},
-		{"replaced", func(d *Daemon) { d.replaced(start, &d.tables, fleet.Life{ID: "a", Born: born}, "a test") }},
+		{"replaced", func(d *Daemon) {
+			d.dropReplaced(start, &d.tables, fleet.Incarnation{ID: "a", StartedAt: born}, "a test")
+		}},
 		{"started again", func(d *Daemon) {
 			e := engine("a", 1)
-			e.Born = start
+			e.StartedAt = start
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{e}}, false})
 		}},
 	}
@@ -29,9 +31,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
 			e := engine("a", 1)
-			e.Born = born
-			d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{e}}, false})
-			d.tables.sent(start, deliver.Place{Target: "a", Born: born, At: start, Tokens: 500})
+			e.StartedAt = born
+			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{e}}, false})
+			d.tables.countSent(start, deliver.Placement{Target: "a", StartedAt: born, PlacedAt: start, Tokens: 500})
 			if got := d.tables.ownShares(start); len(got) != 1 || got[0].Tokens != 500 {
 				t.Fatalf("told %+v while it runs", got)
 			}
--- a/entry/vanish.go
+++ b/entry/vanish.go
@@ -8,14 +8,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// vanishedFor is how long a caller, or another box, may acknowledge nothing before
+// tcpUserTimeout is how long a caller, or another box, may acknowledge nothing before
 // its connection ends: it is probed while nothing is sent, and what is sent has to
 // get through. A machine without power or behind a cut says nothing, and without
 // this a write to it hangs for minutes and its request goes on. It is twice the
 // time in which cuts of the platform are excused, so that a connection outlives
 // them. A caller that lives but reads nothing of what waits for it for that long is
 // taken for vanished too, as the kernel can't tell the two apart.
-const vanishedFor = 6 * time.Second
+const tcpUserTimeout = 6 * time.Second
 
 // probeAfter and probeEach are when a connection without traffic is probed first,
 // and then again.
--- a/entry/vanish_test.go
+++ b/entry/vanish_test.go
@@ -48,7 +48,7 @@
 
 // TestProbes reads from the kernel how connections are probed.
 func TestProbes(t *testing.T) {
-	raw, err := accepted(t, vanishedFor).SyscallConn()
+	raw, err := accepted(t, tcpUserTimeout).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/entry/view.go
+++ b/entry/view.go
@@ -16,20 +16,20 @@
 // view is what this box read of the platform, for a box that was told of its list so far.
 func (d *Daemon) view(now time.Time, t *tables, have changelog.Cursor) *peer.View {
 	v := &peer.View{
-		Configuration: d.version(), ProofMS: d.provedAgo(now).Milliseconds(),
-		Namings: make(map[string][]peer.Naming, len(t.weights)), Evacuated: t.fleet.Evacuated(), ListBehind: t.listBehind(now), Canaries: t.canariesTold(), Boxes: t.boxes(now), Rowless: t.rowless(now),
+		ConfigurationVersion: d.version(), ProofAgeMS: d.provedAgo(now).Milliseconds(),
+		WeightVersions: make(map[string][]peer.WeightVersion, len(t.weights)), Evacuated: t.fleet.Evacuated(), ListBehind: t.listBehind(now), Canaries: t.canarySnapshot(), Boxes: t.boxCount(now), Unlisted: t.rowless(now),
 	}
 	for model, w := range t.weights {
-		if w.wanted == 0 {
+		if w.newestVersion == 0 {
 			continue // Only named by callers.
 		}
-		v.Namings[model] = w.namingsTold(now, d.bounds.Load().WeightsWithin)
+		v.WeightVersions[model] = w.versionsSnapshot(now, d.bounds.Load().WeightsWithin)
 	}
-	if t.log == nil {
+	if t.changes == nil {
 		return v
 	}
-	part := t.log.Since(have, viewMost)
-	v.List, v.ListFrom, v.Changes, v.More, v.Gone = part.Next.Number, part.Next.From, !part.Whole, part.More, part.Removed
+	part := t.changes.Since(have, viewMost)
+	v.ListVersion, v.ListStartVersion, v.Delta, v.More, v.Removed = part.Next.Number, part.Next.SnapshotAt, !part.Snapshot, part.More, part.Removed
 	for _, id := range part.Changed {
 		v.Entries = append(v.Entries, entryOf(now, t.fleet.Target(id)))
 	}
@@ -41,35 +41,35 @@
 	if v == nil {
 		return nil
 	}
-	age := time.Duration(v.ProofMS) * time.Millisecond
+	age := time.Duration(v.ProofAgeMS) * time.Millisecond
 	if age > staleView {
 		d.Log.Warn("hub can't prove the configuration", "hub", hub, "proved_ago", age)
-		t.members[hub].retry = now.Add(gossipAgain)
+		t.members[hub].retryAt = now.Add(gossipRetryDelay)
 	}
 	if v.ListBehind {
 		d.Log.Warn("hub's list is behind", "hub", hub, "proved_ago", age)
-		t.members[hub].retry = now.Add(gossipAgain)
+		t.members[hub].retryAt = now.Add(gossipRetryDelay)
 		return nil
 	}
-	if v.Namings == nil {
+	if v.WeightVersions == nil {
 		d.Log.Warn("hub tells no weights, so its view proves nothing", "hub", hub)
 		return nil
 	}
-	proof := asked.Add(-time.Duration(v.ProofMS) * time.Millisecond)
+	proof := asked.Add(-time.Duration(v.ProofAgeMS) * time.Millisecond)
 	effects := d.heardRestored(now, t, v.Restores, v.RowLost)
 	switch {
-	case v.Configuration > d.version():
-		if at := t.members[hub].at; !t.loadingConfiguration {
+	case v.ConfigurationVersion > d.version():
+		if at := t.members[hub].address; !t.loadingConfiguration {
 			t.loadingConfiguration = true
-			effects = append(effects, readFromHub{at, proof})
+			effects = append(effects, fetchConfiguration{at, proof})
 		}
-	case v.Configuration == d.version():
-		d.prove(proof)
+	case v.ConfigurationVersion == d.version():
+		d.noteProof(proof)
 	}
-	d.refusedFromHub(now, t, hub, v)
-	d.canariesFromHub(now, t, hub, v.Canaries)
-	t.toldBoxes, t.toldRowless = v.Boxes, v.Rowless
-	d.namingsFromHub(now, t, hub, asked, v)
+	d.applyHubQuarantine(now, t, hub, v)
+	d.applyHubCanaries(now, t, hub, v.Canaries)
+	t.hubBoxes, t.hubUnlisted = v.Boxes, v.Unlisted
+	d.applyHubVersions(now, t, hub, asked, v)
 	d.evacuationsFromHub(now, t, hub, proof, v.Evacuated)
 	// The list of a hub that is cut off brings targets back that are gone, and work would
 	// be sent there for as long as that hub is asked: neither that of another hub is taken,
@@ -83,17 +83,17 @@
 
 // listFromHub takes over a part of a hub's list.
 func (d *Daemon) listFromHub(now time.Time, t *tables, hub string, v *peer.View) {
-	next := changelog.Cursor{Number: v.List, From: v.ListFrom}
-	if v.List == 0 || t.hub == hub && t.hubList == next || v.Changes && t.hub != hub {
+	next := changelog.Cursor{Number: v.ListVersion, SnapshotAt: v.ListStartVersion}
+	if v.ListVersion == 0 || t.hub == hub && t.hubList == next || v.Delta && t.hub != hub {
 		return
 	}
-	if !v.Changes {
+	if !v.Delta {
 		t.hubSeen = make(map[string]bool)
 	}
 	t.listRestores = max(t.listRestores, v.Restores)
 	t.hub, t.hubList = hub, next
-	d.entriesRead(now, t, v.Entries)
-	for _, id := range v.Gone {
+	d.applyHubEntries(now, t, v.Entries)
+	for _, id := range v.Removed {
 		delete(t.hubSeen, id)
 		d.unlist(now, t, id, false)
 	}
@@ -108,7 +108,7 @@
 
 // unlistUnseen drops the targets that a hub did not tell of when it told all.
 func (d *Daemon) unlistUnseen(now time.Time, t *tables) {
-	for _, id := range t.fleet.All() {
+	for _, id := range t.fleet.IDs() {
 		if !t.hubSeen[id] {
 			d.unlist(now, t, id, false)
 		}
@@ -117,22 +117,22 @@
 	d.Log.Info("hub's list taken over", "hub", t.hub, "targets", t.fleet.Len())
 }
 
-// prove notes when the configuration in force was known to be the newest.
-func (d *Daemon) prove(at time.Time) {
-	if last := d.proved.Load(); last == nil || at.After(*last) {
-		d.proved.Store(&at)
+// noteProof notes when the configuration in force was known to be the newest.
+func (d *Daemon) noteProof(at time.Time) {
+	if last := d.provedAt.Load(); last == nil || at.After(*last) {
+		d.provedAt.Store(&at)
 	}
-	d.noteOpen(d.now())
+	d.logAdmitting(d.now())
 }
 
-// entriesRead takes over targets of a hub's list.
-func (d *Daemon) entriesRead(now time.Time, t *tables, entries []peer.Entry) {
+// applyHubEntries takes over targets of a hub's list.
+func (d *Daemon) applyHubEntries(now time.Time, t *tables, entries []peer.Entry) {
 	for _, e := range entries {
-		d.entryRead(now, t, e)
+		d.applyHubEntry(now, t, e)
 	}
 }
 
-func (d *Daemon) entryRead(now time.Time, t *tables, e peer.Entry) {
+func (d *Daemon) applyHubEntry(now time.Time, t *tables, e peer.Entry) {
 	at, err := netip.ParseAddrPort(e.Address)
 	if err != nil {
 		d.Log.Error("a hub's entry can't be used", "target", e.ID, "err", err)
@@ -146,20 +146,20 @@
 	}
 	x := d.listTarget(now, t, fleet.Entry{
 		ID: e.ID, Pool: e.Pool, Address: at, Domain: e.Domain, Slots: e.Slots, Leaving: e.Leaving, Software: e.Software, Versions: e.Versions,
-		Born: fromUnixMS(e.BornMS), Cold: time.Duration(e.ColdMS) * time.Millisecond,
+		StartedAt: fromUnixMS(e.StartedMS), Cold: time.Duration(e.ColdMS) * time.Millisecond,
 	})
 	if x == nil {
 		return
 	}
 	x.LoadingUntil = time.Time{}
 	if e.Loading {
-		x.LoadingUntil = now.Add(loadLongest)
+		x.LoadingUntil = now.Add(maxLoadTime)
 	}
 }
 
-// readFromHub reads the configuration from a hub that has a newer one; proof is
+// fetchConfiguration reads the configuration from a hub that has a newer one; proof is
 // when it was known to be the newest.
-type readFromHub struct {
+type fetchConfiguration struct {
 	at    netip.AddrPort
 	proof time.Time
 }
@@ -171,7 +171,7 @@
 	err    error
 }
 
-func (d *Daemon) readFromHub(ctx context.Context, e readFromHub) configurationFromHub {
+func (d *Daemon) fetchConfiguration(ctx context.Context, e fetchConfiguration) configurationFromHub {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	answer, err := d.peers.Call(ctx, e.at, peer.Message{Kind: peer.KindConfiguration, From: d.Settings.Name})
--- a/entry/vouch.go
+++ b/entry/vouch.go
@@ -33,7 +33,7 @@
 // a hub in a large fleet, and another one that answers reads before it.
 func (d *Daemon) vouchedFor(t *tables) time.Duration {
 	hubs := t.hubs()
-	if !t.large() || !slices.Contains(hubs, d.Settings.Name) {
+	if !t.usesHubs() || !slices.Contains(hubs, d.Settings.Name) {
 		return 0
 	}
 	before := 0
@@ -48,11 +48,11 @@
 	return min(vouchLeast+time.Duration(before-1)*vouchEach, vouchMost)
 }
 
-// vouched says that another hub reads the operator's rows and has told lately that this
+// hasPeerProof says that another hub reads the operator's rows and has told lately that this
 // box knows the newest.
-func (d *Daemon) vouched(now time.Time) bool {
-	wait := time.Duration(d.vouches.Load())
-	return wait > 0 && !d.behind.Load() && !d.outage.lost() && d.provedAgo(now) < wait
+func (d *Daemon) hasPeerProof(now time.Time) bool {
+	wait := time.Duration(d.peerProofMaxAge.Load())
+	return wait > 0 && !d.operatorBehind.Load() && !d.outage.lost() && d.provedAgo(now) < wait
 }
 
 // hearProof takes over another hub's proof, if this box knows all that was known there. The
@@ -60,24 +60,24 @@
 // has not read the table service since that was restored proves nothing to one that has.
 func (d *Daemon) hearProof(t *tables, asked time.Time, m peer.Message) {
 	switch {
-	case m.Operator.IsZero() || d.vouches.Load() == 0:
-	case m.Operator.Restores < t.operatorKnown.Restores || !t.olderSince.IsZero():
-	case !m.Operator.After(t.operatorKnown):
-		d.provedBy(t, m.From, m.Operator)
-		d.prove(asked.Add(-time.Duration(m.ProofMS) * time.Millisecond))
+	case m.OperatorRevision.IsZero() || d.peerProofMaxAge.Load() == 0:
+	case m.OperatorRevision.Restores < t.operatorKnown.Restores || !t.olderSince.IsZero():
+	case !m.OperatorRevision.After(t.operatorKnown):
+		d.countProof(t, m.From, m.OperatorRevision)
+		d.noteProof(asked.Add(-time.Duration(m.ProofAgeMS) * time.Millisecond))
 	default:
-		d.behind.Store(true)
+		d.operatorBehind.Store(true)
 	}
 }
 
-// provedBy counts by whose word this box holds its configuration for the newest, and logs of which
+// countProof counts by whose word this box holds its configuration for the newest, and logs of which
 // change that told.
-func (d *Daemon) provedBy(t *tables, box string, newest revision.Revision) {
+func (d *Daemon) countProof(t *tables, box string, newest revision.Revision) {
 	by := "read"
 	if box != d.Settings.Name {
 		by = "another"
 	}
-	d.counts.proofs.WithLabelValues(by).Inc()
+	d.metrics.proofs.WithLabelValues(by).Inc()
 	if by == "another" && newest != t.provedNewest {
 		d.Log.Info("configuration proved by another box", "box", box, "newest_there", newest, "known", t.operatorKnown, "configuration", d.version())
 		t.provedNewest = newest
--- a/entry/vouch_test.go
+++ b/entry/vouch_test.go
@@ -12,7 +12,7 @@
 func hubOf(name string) *Daemon {
 	d := largeFleet(name)
 	d.Settings.Domain = d.tables.members[name].domain
-	d.assumeRole(start, &d.tables)
+	d.updateRole(start, &d.tables)
 	return d
 }
 
@@ -56,29 +56,29 @@
 		after time.Duration
 		want  bool
 	}{
-		{"the same", peer.Message{Operator: rev(known), ProofMS: 300}, 100 * time.Millisecond, true},
-		{"the same, for long", peer.Message{Operator: rev(known), ProofMS: 300}, 700 * time.Millisecond, false},
-		{"an old proof", peer.Message{Operator: rev(known), ProofMS: 900}, 100 * time.Millisecond, false},
-		{"a later change", peer.Message{Operator: rev(known + 1), ProofMS: 10}, 100 * time.Millisecond, false},
-		{"an earlier one", peer.Message{Operator: rev(known - 1), ProofMS: 10}, 100 * time.Millisecond, true},
+		{"the same", peer.Message{OperatorRevision: rev(known), ProofAgeMS: 300}, 100 * time.Millisecond, true},
+		{"the same, for long", peer.Message{OperatorRevision: rev(known), ProofAgeMS: 300}, 700 * time.Millisecond, false},
+		{"an old proof", peer.Message{OperatorRevision: rev(known), ProofAgeMS: 900}, 100 * time.Millisecond, false},
+		{"a later change", peer.Message{OperatorRevision: rev(known + 1), ProofAgeMS: 10}, 100 * time.Millisecond, false},
+		{"an earlier one", peer.Message{OperatorRevision: rev(known - 1), ProofAgeMS: 10}, 100 * time.Millisecond, true},
 		{"nothing", peer.Message{}, 100 * time.Millisecond, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := hubOf("box-10")
 			old := start.Add(-time.Minute)
-			d.proved.Store(&old)
+			d.provedAt.Store(&old)
 			d.update(start.Add(-time.Minute), operatorRead{old, Operator{Changed: rev(known - 2), Known: rev(known)}})
-			d.update(start.Add(50*time.Millisecond), peerCalled{name: "box-11", asked: start, m: tt.m})
-			if got := d.vouched(start.Add(tt.after)); got != tt.want {
+			d.update(start.Add(50*time.Millisecond), peerAnswered{name: "box-11", asked: start, m: tt.m})
+			if got := d.hasPeerProof(start.Add(tt.after)); got != tt.want {
 				t.Errorf("vouched %v", got)
 			}
 			if d.operatorHold() != 0 {
 				t.Errorf("the next read is held %v", d.operatorHold())
 			}
 			d.update(start.Add(time.Second), operatorRead{start.Add(time.Second), Operator{Known: rev(known + 1)}})
-			d.update(start.Add(time.Second), peerCalled{name: "box-11", asked: start, m: tt.m})
-			if !d.vouched(start.Add(time.Second)) {
+			d.update(start.Add(time.Second), peerAnswered{name: "box-11", asked: start, m: tt.m})
+			if !d.hasPeerProof(start.Add(time.Second)) {
 				t.Error("reads again, although it has read all that the other knows")
 			}
 		})
@@ -108,14 +108,14 @@
 						continue
 					}
 					if other.Settings.Name == gone {
-						d.update(now, peerCalled{name: gone, asked: now, err: errors.New("no answer")})
+						d.update(now, peerAnswered{name: gone, asked: now, err: errors.New("no answer")})
 						continue
 					}
-					m := other.peerAsks(now, &other.tables, peer.Message{Kind: peer.KindGossip, From: d.Settings.Name})
-					d.update(now, peerCalled{name: other.Settings.Name, asked: now, m: m})
+					m := other.peerRequest(now, &other.tables, peer.Message{Kind: peer.KindGossip, From: d.Settings.Name})
+					d.update(now, peerAnswered{name: other.Settings.Name, asked: now, m: m})
 				}
-				d.assumeRole(now, &d.tables)
-				if now.Before(next[i]) || d.vouched(now) {
+				d.updateRole(now, &d.tables)
+				if now.Before(next[i]) || d.hasPeerProof(now) {
 					continue
 				}
 				reads[d.Settings.Name]++
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -36,9 +36,9 @@
 	// hubs. They read on and tell within 0.3 s that the service is back, and in an outage
 	// each call of many boxes has its price.
 	spokeAgain = time.Second
-	// targetsEvery is the least time between two reads of the list: many
+	// targetsReadInterval is the least time between two reads of the list: many
 	// entries that change at once then cost one call.
-	targetsEvery = 400 * time.Millisecond
+	targetsReadInterval = 400 * time.Millisecond
 	// targetsStart is the same while a box waits for the others' rows. When all
 	// boxes and targets start at once, most of a large fleet's calls are these.
 	targetsStart = 1500 * time.Millisecond
@@ -73,18 +73,18 @@
 	failed := 0
 	for ctx.Err() == nil {
 		asked := d.now()
-		if d.viewed(asked) {
+		if d.hasFreshView(asked) {
 			failed = 0
-			d.pause(ctx, viewLook)
+			d.sleep(ctx, viewLook)
 			continue
 		}
 		if !after.IsZero() && d.awaitsHub(asked, operatorWithin) {
-			d.pause(ctx, viewLook)
+			d.sleep(ctx, viewLook)
 			continue
 		}
-		if d.vouched(asked) {
+		if d.hasPeerProof(asked) {
 			failed = 0
-			d.pause(ctx, vouchLook)
+			d.sleep(ctx, vouchLook)
 			continue
 		}
 		change, err := d.Platform.Operator(ctx, after, d.operatorHold())
@@ -101,12 +101,12 @@
 		if !change.Asked.IsZero() {
 			asked = change.Asked
 		}
-		d.tell(ctx, operatorRead{asked, change})
+		d.postContext(ctx, operatorRead{asked, change})
 		switch {
 		case after.Number == 0:
-			d.pause(ctx, emptyAgain)
-		case d.roleAt.Load() == nil && d.Settings.Peers.IsValid():
-			d.pause(ctx, viewLook) // Whether a hub tells what the next read would is known soon.
+			d.sleep(ctx, emptyAgain)
+		case d.roleSince.Load() == nil && d.Settings.Peers.IsValid():
+			d.sleep(ctx, viewLook) // Whether a hub tells what the next read would is known soon.
 		}
 	}
 }
@@ -118,8 +118,8 @@
 	if d.spoke.Load() {
 		until = d.now().Add(min(againAfter<<min(failed-1, 8), spokeAgain))
 	}
-	for now := d.now(); ctx.Err() == nil && now.Before(until) && !d.viewed(now); now = d.now() {
-		d.pause(ctx, min(until.Sub(now), againAfter))
+	for now := d.now(); ctx.Err() == nil && now.Before(until) && !d.hasFreshView(now); now = d.now() {
+		d.sleep(ctx, min(until.Sub(now), againAfter))
 	}
 }
 
@@ -132,11 +132,11 @@
 	switch {
 	case d.outage.isOlder():
 		return hubHold
-	case d.outage.lost() || d.vouches.Load() > 0:
+	case d.outage.lost() || d.peerProofMaxAge.Load() > 0:
 		return 0
-	case d.waiting.Load():
+	case d.roleUnknown.Load():
 		return startHold
-	case d.serving.Load():
+	case d.hasSpokes.Load():
 		return hubHold
 	}
 	return proofHold
@@ -144,10 +144,10 @@
 
 // targetsPause is the least time between two reads of the list.
 func (d *Daemon) targetsPause() time.Duration {
-	if d.waiting.Load() {
+	if d.roleUnknown.Load() {
 		return targetsStart
 	}
-	return targetsEvery
+	return targetsReadInterval
 }
 
 // lost notes that the table service does not answer and breaks off the reads
@@ -161,7 +161,7 @@
 	d.outage.away = true
 	d.outage.seen = true
 	d.outage.cancel()
-	d.tell(ctx, storeLost{err})
+	d.postContext(ctx, tableServiceLost{err})
 }
 
 func (d *Daemon) back(ctx context.Context) {
@@ -172,7 +172,7 @@
 	}
 	d.outage.away = false
 	d.outage.ctx, d.outage.cancel = context.WithCancel(ctx)
-	d.tell(ctx, storeBack{})
+	d.postContext(ctx, tableServiceBack{})
 }
 
 // outage is what the watchers know of the table service being away.
@@ -252,25 +252,25 @@
 	var after revision.Revision
 	for ctx.Err() == nil {
 		asked := d.now()
-		if d.viewed(asked) {
+		if d.hasFreshView(asked) {
 			after = revision.Revision{} // The list is read whole when the hub's view is lost.
-			d.pause(ctx, viewLook)
+			d.sleep(ctx, viewLook)
 			continue
 		}
 		if after.IsZero() && d.awaitsHub(asked, listWithin) {
-			d.pause(ctx, viewLook)
+			d.sleep(ctx, viewLook)
 			continue
 		}
 		reading, held := d.listReads.begin(d.outage.reading())
 		change, err := d.Platform.Targets(reading, after, held)
 		if err != nil {
-			d.pause(ctx, againAfter)
+			d.sleep(ctx, againAfter)
 			continue
 		}
 		after = change.Known
 		d.outage.restored(ctx, after.Restores)
-		d.tell(ctx, targetsRead{asked, change, d.outage.takeSeen()})
-		d.pause(ctx, d.targetsPause())
+		d.postContext(ctx, targetsRead{asked, change, d.outage.takeSeen()})
+		d.sleep(ctx, d.targetsPause())
 	}
 }
 
@@ -283,7 +283,7 @@
 	if !d.Settings.Peers.IsValid() {
 		return false // No box can tell it anything.
 	}
-	if role := d.roleAt.Load(); role != nil {
+	if role := d.roleSince.Load(); role != nil {
 		return d.spoke.Load() && now.Sub(*role) < within
 	}
 	return d.current.Load() == nil && d.uptime(now) < roleWithin
@@ -292,21 +292,21 @@
 // readOwn reads the system's own rows as they are before this box writes its
 // own. If that stands there already, the box was there before and so were the
 // others.
-func (d *Daemon) readOwn(ctx context.Context) Own {
+func (d *Daemon) readOwn(ctx context.Context) OwnRows {
 	for ctx.Err() == nil {
-		change, err := d.Platform.Own(ctx, revision.Revision{}, 0)
+		change, err := d.Platform.OwnRows(ctx, revision.Revision{}, 0)
 		if err != nil {
-			d.pause(ctx, againAfter)
+			d.sleep(ctx, againAfter)
 			continue
 		}
 		own := d.ownRow()
 		before := slices.ContainsFunc(change.Rows, func(r table.Row) bool { return r.Key == own.Key })
 		told := change
 		told.Rows = append(slices.Clone(change.Rows), own) // The box knows itself.
-		d.tell(ctx, ownRead{told, before})
+		d.postContext(ctx, ownRead{told, before})
 		return change
 	}
-	return Own{}
+	return OwnRows{}
 }
 
 func (d *Daemon) watchOwn(ctx context.Context) {
@@ -316,26 +316,26 @@
 	// hub's view, too.
 	read, drawn := d.unlisted.Load(), hasCredential(first.Rows)
 	for ctx.Err() == nil {
-		if now := d.now(); read && (d.viewed(now) || d.awaitsHub(now, operatorWithin)) {
-			d.pause(ctx, viewLook)
+		if now := d.now(); read && (d.hasFreshView(now) || d.awaitsHub(now, operatorWithin)) {
+			d.sleep(ctx, viewLook)
 			continue
 		}
-		change, err := d.Platform.Own(d.outage.reading(), after, hold)
+		change, err := d.Platform.OwnRows(d.outage.reading(), after, hold)
 		if err != nil {
-			d.pause(ctx, againAfter)
+			d.sleep(ctx, againAfter)
 			continue
 		}
 		after, read = change.Known, true
 		d.outage.restored(ctx, after.Restores)
-		d.tell(ctx, ownRead{change, true})
+		d.postContext(ctx, ownRead{change, true})
 		if drawn = drawn || hasCredential(change.Rows); !drawn {
 			d.insist(ctx, func() error { return d.draw(ctx) })
 		}
 	}
 }
 
-// pause waits unless ctx ends first.
-func (d *Daemon) pause(ctx context.Context, length time.Duration) {
+// sleep waits unless ctx ends first.
+func (d *Daemon) sleep(ctx context.Context, length time.Duration) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
--- a/entry/watch_empty_test.go
+++ b/entry/watch_empty_test.go
@@ -29,14 +29,14 @@
 			d.Platform.Operator = func(ctx context.Context, after revision.Revision, hold time.Duration) (Operator, error) {
 				if time.Since(began) < empty {
 					calls++
-					d.pause(ctx, answers)
-					return Operator{Whole: true}, nil
+					d.sleep(ctx, answers)
+					return Operator{Snapshot: true}, nil
 				}
 				if !after.IsZero() {
-					d.pause(ctx, hold)
+					d.sleep(ctx, hold)
 				}
-				d.pause(ctx, answers)
-				return Operator{Whole: true, Known: rev(3), Table: configuration(3)}, nil
+				d.sleep(ctx, answers)
+				return Operator{Snapshot: true, Known: rev(3), Table: configuration(3)}, nil
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			d.outage.start(ctx)
--- a/entry/watch_test.go
+++ b/entry/watch_test.go
@@ -19,14 +19,14 @@
 		hold    time.Duration
 		targets time.Duration
 	}{
-		{"at start, nothing known", func(*Daemon) {}, proofHold, targetsEvery},
-		{"new, the others' rows are to come", func(d *Daemon) { d.update(start, ownRead{Own{}, false}) }, startHold, targetsStart},
-		{"there before", func(d *Daemon) { d.update(start, ownRead{Own{}, true}) }, proofHold, targetsEvery},
+		{"at start, nothing known", func(*Daemon) {}, proofHold, targetsReadInterval},
+		{"new, the others' rows are to come", func(d *Daemon) { d.update(start, ownRead{OwnRows{}, false}) }, startHold, targetsStart},
+		{"there before", func(d *Daemon) { d.update(start, ownRead{OwnRows{}, true}) }, proofHold, targetsReadInterval},
 		{"new, the others are known", func(d *Daemon) {
-			d.update(start, ownRead{Own{}, false})
-			d.update(start, ownRead{Own{}, true})
-		}, proofHold, targetsEvery},
-		{"a hub", func(d *Daemon) { d.serving.Store(true) }, hubHold, targetsEvery},
+			d.update(start, ownRead{OwnRows{}, false})
+			d.update(start, ownRead{OwnRows{}, true})
+		}, proofHold, targetsReadInterval},
+		{"a hub", func(d *Daemon) { d.hasSpokes.Store(true) }, hubHold, targetsReadInterval},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -158,7 +158,7 @@
 		d.spoke.Store(true)
 		time.AfterFunc(100*time.Millisecond, func() {
 			now := time.Now()
-			d.proved.Store(&now)
+			d.provedAt.Store(&now)
 		})
 		began := time.Now()
 		d.waitToRead(t.Context(), 9)
--- a/entry/weights.go
+++ b/entry/weights.go
@@ -11,9 +11,9 @@
 
 // How weights are brought to the engines.
 const (
-	// loadLongest is how long a target is taken to load, at most. A load takes
+	// maxLoadTime is how long a target is taken to load, at most. A load takes
 	// 1.3 s after the target's runs have ended.
-	loadLongest = 6 * time.Second
+	maxLoadTime = 6 * time.Second
 	// loadLook is how often a loading target is asked whether it is done.
 	loadLook = 200 * time.Millisecond
 	// loadShy is how long a target that turned a request away during a rollout
@@ -24,15 +24,15 @@
 	leaseEvery = 300 * time.Millisecond
 	// leaseSpread spreads the boxes' first looks.
 	leaseSpread = 200 * time.Millisecond
-	// atOnce targets, or the share of all, load at the same time; with more,
+	// concurrentLoads targets, or the share of all, load at the same time; with more,
 	// each load takes longer and the others are crowded. The platform's pools of
 	// 9, 90 and 112 engines load 2, 18 and 22 at their full speed.
-	atOnce      = 2
-	atOnceShare = 0.2
+	concurrentLoads     = 2
+	concurrentLoadShare = 0.2
 	// recentFor is how long an order counts as recent, and holdSlack is added
 	// to the platform's bound between two holders' orders to one target.
-	recentFor = 5 * time.Second
-	holdSlack = 300 * time.Millisecond
+	recentFor      = 5 * time.Second
+	handoverMargin = 300 * time.Millisecond
 )
 
 // rollWeights keeps all engines on the newest weights, if this box holds the
@@ -42,25 +42,25 @@
 	work := false
 	for _, model := range slices.Sorted(maps.Keys(t.weights)) {
 		w := t.weights[model]
-		if at := (surveyed{t.listNumber, w.wanted}); t.listNumber != 0 && at == w.surveyed && !w.toFree(t) {
-			w.clearing.See(now, w.floor)
+		if at := (scan{t.listVersion, w.newestVersion}); t.listVersion != 0 && at == w.upToDateScan && !w.toFree(t) {
+			w.clearing.SetFloor(now, w.minVersion)
 			continue
 		}
 		replicas := d.replicas(now, t, model, w)
 		least := rollout.Least(replicas)
-		w.clearing.See(now, least)
-		behind := rollout.Behind(w.wanted, replicas) > 0
+		w.clearing.SetFloor(now, least)
+		behind := rollout.Behind(w.newestVersion, replicas) > 0
 		if !behind && !w.toFree(t) {
-			w.surveyed, w.floor = surveyed{t.listNumber, w.wanted}, least
+			w.upToDateScan, w.minVersion = scan{t.listVersion, w.newestVersion}, least
 			continue
 		}
 		work = true
 		epoch, _, held := d.lease.Held()
-		if !held || w.announcing || !t.mayOrder(epoch) || now.Before(w.tellAgain) {
+		if !held || w.announcing || !t.mayOrder(epoch) || now.Before(w.announceRetryAt) {
 			continue
 		}
 		effects = append(effects, d.freeOld(now, t, model, w)...)
-		if w.planned = d.plan.Next(w.wanted, replicas); len(w.planned) > 0 || behind && w.names.Missing(w.wanted, &t.clockOfTable) {
+		if w.planned = d.plan.Next(w.newestVersion, replicas); len(w.planned) > 0 || behind && w.versionLog.Missing(w.newestVersion, &t.tableClock) {
 			effects = append(effects, d.tellRollout(now, t, model, w, epoch))
 		}
 	}
@@ -74,7 +74,7 @@
 func (t *tables) mayOrder(epoch uint64) bool { return t.readEpoch == epoch }
 
 // replicas lists the engines that serve a model.
-func (d *Daemon) replicas(now time.Time, t *tables, model string, w *weights) []rollout.Replica {
+func (d *Daemon) replicas(now time.Time, t *tables, model string, w *modelRollout) []rollout.Replica {
 	table := d.current.Load()
 	if table == nil {
 		return nil
@@ -86,11 +86,11 @@
 		}
 		for _, x := range t.fleet.Pool(name) {
 			version, serves := x.Versions[model]
-			if !serves || !x.Stays(now) {
+			if !serves || !x.Active(now) {
 				continue
 			}
 			list = append(list, rollout.Replica{
-				ID: x.ID, Version: version, Loading: w.ordered[x.ID], Busy: x.InFlight, Barred: now.Before(w.barred[x.ID]) || now.Before(w.barredAll),
+				ID: x.ID, Version: version, Loading: w.ordered[x.ID], Busy: x.InFlight, Barred: now.Before(w.barredUntil[x.ID]) || now.Before(w.allBarredUntil),
 			})
 		}
 	}
@@ -99,15 +99,15 @@
 }
 
 func (d *Daemon) stepLease(now time.Time, t *tables) []effect {
-	if d.spoke.Load() || t.stepping || !d.lease.Due() || now.Before(t.due.lease) {
+	if d.spoke.Load() || t.leaseStepping || !d.lease.Due() || now.Before(t.due.lease) {
 		return nil
 	}
-	t.stepping = true
+	t.leaseStepping = true
 	return []effect{stepLease{t.readEpoch}}
 }
 
 func (d *Daemon) leaseStepped(now time.Time, t *tables, m leaseStepped) {
-	t.stepping = false
+	t.leaseStepping = false
 	epoch, _, held := d.lease.Held()
 	if held && epoch != t.readEpoch && m.read {
 		t.readEpoch = epoch
@@ -117,8 +117,8 @@
 	if held {
 		t.due.lease = now
 	}
-	if held != t.holding || m.err != nil {
+	if held != t.leaseHeld || m.err != nil {
 		d.Log.Info("lease of the weights", "held", held, "epoch", epoch, "err", m.err)
 	}
-	t.holding = held
+	t.leaseHeld = held
 }
--- a/entry/weights_test.go
+++ b/entry/weights_test.go
@@ -25,11 +25,11 @@
 	d.now = func() time.Time { return now }
 	d.lease.Now = d.now
 	d.update(now, operatorRead{now, Operator{Table: configuration(1), Weights: map[string]int64{"m": 2}}})
-	d.update(now, targetsRead{now, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1), engine("b", 1), engine("c", 1), engine("d", 2)}}, false})
+	d.update(now, targetsRead{now, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1), engine("b", 1), engine("c", 1), engine("d", 2)}}, false})
 	if effects := d.rollWeights(now, &d.tables); len(effects) != 1 {
 		t.Fatalf("without the lease: %v", effects)
 	}
-	if err := d.lease.Step(context.Background()); err != nil {
+	if err := d.lease.AcquireOrRenew(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if effects := d.rollWeights(now, &d.tables); len(effects) != 0 {
@@ -48,9 +48,9 @@
 	if got := ordered(t, d, now); got != "" {
 		t.Errorf("ordered %q too early", got)
 	}
-	now = now.Add(d.bounds.Load().Takeover + holdSlack + time.Millisecond)
+	now = now.Add(d.bounds.Load().Takeover + handoverMargin + time.Millisecond)
 	d.tables.readEpoch = 1
-	if err := d.lease.Step(context.Background()); err != nil {
+	if err := d.lease.AcquireOrRenew(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	epoch, _, _ := d.lease.Held()
@@ -80,7 +80,7 @@
 // of.
 func TestNotAnnounced(t *testing.T) {
 	d := newDaemon("b1")
-	d.tables.model("m").planned = []string{"a"}
+	d.tables.rolloutOf("m").planned = []string{"a"}
 	if effects := d.update(start, announced{"m", errors.New("lost")}); len(effects) != 0 {
 		t.Errorf("effects %v", effects)
 	}
@@ -90,9 +90,9 @@
 // taken over.
 func TestLateRow(t *testing.T) {
 	d := newDaemon("b1")
-	d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+	d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 	row := func(epoch, loading string) {
-		d.update(start, ownRead{change: Own{Rows: []table.Row{{Key: rolloutPrefix + "m", Value: []byte(`{"epoch":` + epoch + `,"version":2,"loading":[` + loading + `],"done":[]}`)}}}})
+		d.update(start, ownRead{change: OwnRows{Rows: []table.Row{{Key: rolloutPrefix + "m", Value: []byte(`{"epoch":` + epoch + `,"version":2,"loading":[` + loading + `],"done":[]}`)}}}})
 	}
 	row("4", "")
 	row("3", `"a"`)
@@ -109,25 +109,25 @@
 func TestLearn(t *testing.T) {
 	tests := []struct {
 		name    string
-		ended   deliver.Ended
+		ended   deliver.AttemptResult
 		version int64
 		loading bool
 		known   bool
 	}{
-		{"other weights, told", deliver.Ended{Verdict: deliver.OtherVersion, Version: 3}, 3, false, true},
-		{"other weights, not told", deliver.Ended{Verdict: deliver.OtherVersion}, 1, true, true},
-		{"turned away during a rollout", deliver.Ended{Verdict: deliver.DidNotRun}, 1, true, true},
-		{"another replica has the address", deliver.Ended{Verdict: deliver.Elsewhere}, 0, false, false},
+		{"other weights, told", deliver.AttemptResult{Verdict: deliver.OtherVersion, Version: 3}, 3, false, true},
+		{"other weights, not told", deliver.AttemptResult{Verdict: deliver.OtherVersion}, 1, true, true},
+		{"turned away during a rollout", deliver.AttemptResult{Verdict: deliver.DidNotRun}, 1, true, true},
+		{"another replica has the address", deliver.AttemptResult{Verdict: deliver.OtherReplica}, 0, false, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
-			d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
-			d.tables.model("m").wanted = 2
+			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+			d.tables.rolloutOf("m").newestVersion = 2
 			x := d.tables.fleet.Target("a")
 			x.Sent(start, 0, 0)
-			tt.ended.Place, tt.ended.Job = deliver.Place{Target: "a"}, job("long", 10)
-			d.update(start, sendingEnded{tt.ended})
+			tt.ended.Place, tt.ended.Job = deliver.Placement{Target: "a"}, job("long", 10)
+			d.update(start, attemptEnded{tt.ended})
 			if known := d.tables.fleet.Target("a") != nil; known != tt.known {
 				t.Errorf("known %v", known)
 			}
@@ -146,8 +146,8 @@
 	d.now = func() time.Time { return start }
 	d.lease.Now = d.now
 	d.update(start, operatorRead{start, Operator{Table: configuration(1), Weights: map[string]int64{"m": 2}}})
-	d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1), engine("b", 1), engine("c", 1)}}, false})
-	if err := d.lease.Step(context.Background()); err != nil {
+	d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1), engine("b", 1), engine("c", 1)}}, false})
+	if err := d.lease.AcquireOrRenew(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	epoch, _, _ := d.lease.Held()
@@ -157,11 +157,11 @@
 	}
 	orders := 0
 	d.Platform.Report = func(context.Context, netip.AddrPort) (Report, error) { return Report{}, nil }
-	d.Platform.Order = func(context.Context, netip.AddrPort, rollout.Order) (notice.Said, error) {
+	d.Platform.Order = func(context.Context, netip.AddrPort, rollout.Order) (notice.Signals, error) {
 		orders++
-		return notice.Said{}, ErrReplaced
+		return notice.Signals{}, ErrReplaced
 	}
-	err := d.bring(context.Background(), sendOrder{rollout.Order{Target: "a", Model: "m", Version: 2, Epoch: epoch}, netip.AddrPort{}, fleet.Life{}})
+	err := d.loadWeights(context.Background(), sendOrder{rollout.Order{Target: "a", Model: "m", Version: 2, Epoch: epoch}, netip.AddrPort{}, fleet.Incarnation{}})
 	if !errors.Is(err, ErrReplaced) || orders != 1 {
 		t.Fatalf("%d orders, %v", orders, err)
 	}
@@ -185,14 +185,14 @@
 			looks++
 			return Report{}, fmt.Errorf("%w: refused", exchange.ErrNotSent)
 		}
-		err := d.bring(context.Background(), sendOrder{order: rollout.Order{Target: "a", Model: "m", Version: 2}})
+		err := d.loadWeights(context.Background(), sendOrder{order: rollout.Order{Target: "a", Model: "m", Version: 2}})
 		if !errors.Is(err, errUnreachable) || looks != unreachableTries {
 			t.Errorf("%d looks, %v", looks, err)
 		}
-		d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+		d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 		d.update(start, operatorRead{start, Operator{Table: configuration(1), Weights: map[string]int64{"m": 2}}})
 		d.update(start, orderEnded{"a", "m", 2, err})
-		w := d.tables.model("m")
+		w := d.tables.rolloutOf("m")
 		for _, after := range []time.Duration{0, orderAgain} {
 			replicas := d.replicas(start.Add(after), &d.tables, "m", w)
 			if barred := replicas[0].Barred; barred != (after < orderAgain) {
@@ -207,12 +207,12 @@
 func TestTurnedAwayWhileLoading(t *testing.T) {
 	for _, verdict := range []int{deliver.DidNotRun, deliver.OtherVersion} {
 		d := newDaemon("b1")
-		d.update(start, targetsRead{start, Targets{Whole: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
-		d.tables.model("m").wanted = 2
+		d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
+		d.tables.rolloutOf("m").newestVersion = 2
 		x := d.tables.fleet.Target("a")
 		x.LoadingUntil = start.Add(2 * time.Second)
 		x.Sent(start, 0, 0)
-		d.update(start, sendingEnded{deliver.Ended{Verdict: verdict, Place: deliver.Place{Target: "a"}, Job: job("long", 10)}})
+		d.update(start, attemptEnded{deliver.AttemptResult{Verdict: verdict, Place: deliver.Placement{Target: "a"}, Job: job("long", 10)}})
 		if !x.Loading(start.Add(time.Second)) {
 			t.Errorf("verdict %d: work goes there again a second after the order", verdict)
 		}
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -25,9 +25,9 @@
 // ErrNotSent says that no byte of the request left this box.
 var ErrNotSent = errors.New("the request was not sent")
 
-// ErrFull says that all connections to a target that this box may have are in
+// ErrConnectionLimit says that all connections to a target that this box may have are in
 // use. It comes with ErrNotSent.
-var ErrFull = errors.New("all connections to the target are in use")
+var ErrConnectionLimit = errors.New("all connections to the target are in use")
 
 // ErrLate says that the request's NotAfter was over. It comes with ErrNotSent.
 var ErrLate = errors.New("it is too late to send the request")
@@ -36,18 +36,18 @@
 // use; it is safe for concurrent use after that.
 type Client struct {
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// DialFor bounds how long a new connection may take.
-	DialFor time.Duration
-	// Idle is how long an unused connection is kept if its target says nothing
+	// DialTimeout bounds how long a new connection may take.
+	DialTimeout time.Duration
+	// IdleTimeout is how long an unused connection is kept if its target says nothing
 	// of that; it is shorter than any target's own limit.
-	Idle time.Duration
+	IdleTimeout time.Duration
 	// PerTarget bounds the connections to one address; zero is no bound.
 	PerTarget func(at netip.AddrPort) int
 	// SilentAfter is how long a kept connection may say nothing before an exchange
 	// that is given up shows that it is silent; zero never takes one for that.
 	SilentAfter time.Duration
-	// Silent hears of each such connection; nil hears nothing.
-	Silent func(at netip.AddrPort, waited time.Duration)
+	// OnSilent hears of each such connection; nil hears nothing.
+	OnSilent func(at netip.AddrPort, waited time.Duration)
 	// Dialed hears of each new connection; nil hears nothing.
 	Dialed func(at netip.AddrPort)
 
@@ -110,9 +110,9 @@
 
 func (c *Client) dial(ctx context.Context, at netip.AddrPort) (*connection, error) {
 	if !c.reserve(at) {
-		return nil, ErrFull
+		return nil, ErrConnectionLimit
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.DialFor)
+	ctx, cancel := context.WithTimeout(ctx, c.DialTimeout)
 	defer cancel()
 	conn, err := c.Dial(ctx, "tcp", at.String())
 	if err != nil {
@@ -157,8 +157,8 @@
 	c.release(conn.at)
 }
 
-// Linked says that an unused connection to a target is kept.
-func (c *Client) Linked(at netip.AddrPort) bool {
+// HasIdle says that an unused connection to a target is kept.
+func (c *Client) HasIdle(at netip.AddrPort) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.idle[at]) > 0
@@ -208,7 +208,7 @@
 	for at, list := range c.idle {
 		kept := list[:0]
 		for _, conn := range list {
-			if now.Sub(conn.unused) >= conn.idleFor(c.Idle) {
+			if now.Sub(conn.unused) >= conn.idleFor(c.IdleTimeout) {
 				old = append(old, conn)
 				continue
 			}
@@ -220,12 +220,12 @@
 			delete(c.idle, at)
 		}
 	}
-	maps.DeleteFunc(c.heard, func(_ netip.AddrPort, list []head) bool { return now.Sub(list[len(list)-1].at) >= c.Idle })
+	maps.DeleteFunc(c.heard, func(_ netip.AddrPort, list []head) bool { return now.Sub(list[len(list)-1].at) >= c.IdleTimeout })
 	return old
 }
 
-// Forget closes the unused connections to an address that is gone.
-func (c *Client) Forget(at netip.AddrPort) {
+// CloseIdle closes the unused connections to an address that is gone.
+func (c *Client) CloseIdle(at netip.AddrPort) {
 	for conn := c.pop(at); conn != nil; conn = c.pop(at) {
 		c.drop(conn)
 	}
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -58,7 +58,7 @@
 }
 
 func client() *exchange.Client {
-	return &exchange.Client{Dial: (&net.Dialer{}).DialContext, DialFor: time.Second, Idle: time.Minute}
+	return &exchange.Client{Dial: (&net.Dialer{}).DialContext, DialTimeout: time.Second, IdleTimeout: time.Minute}
 }
 
 // ask does one exchange and reads the answer whole.
@@ -207,7 +207,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := ask(c, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h"}); !errors.Is(err, exchange.ErrFull) || !errors.Is(err, exchange.ErrNotSent) {
+	if _, _, err := ask(c, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h"}); !errors.Is(err, exchange.ErrConnectionLimit) || !errors.Is(err, exchange.ErrNotSent) {
 		t.Errorf("over the bound: %v", err)
 	}
 	first.Close()
@@ -312,12 +312,12 @@
 	if _, _, err := ask(c, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h"}); err != nil {
 		t.Fatal(err)
 	}
-	if !c.Linked(x.at) {
+	if !c.HasIdle(x.at) {
 		t.Error("no connection rests after a request")
 	}
 	c.Sweep(time.Now().Add(2 * time.Minute))
 	<-ended
-	if c.Linked(x.at) {
+	if c.HasIdle(x.at) {
 		t.Error("a connection that is closed rests")
 	}
 }
@@ -347,7 +347,7 @@
 			if !errors.Is(err, tt.want) || tt.want != nil && !errors.Is(err, exchange.ErrNotSent) {
 				t.Errorf("%v, want %v", err, tt.want)
 			}
-			if !c.Linked(x.at) {
+			if !c.HasIdle(x.at) {
 				t.Error("the connection is not kept")
 			}
 		})
--- a/exchange/silent.go
+++ b/exchange/silent.go
@@ -67,8 +67,8 @@
 		return
 	}
 	c.forgetUnheard(conn.at, conn.waiting)
-	if c.Silent != nil {
-		c.Silent(conn.at, waited)
+	if c.OnSilent != nil {
+		c.OnSilent(conn.at, waited)
 	}
 }
 
--- a/exchange/silent_test.go
+++ b/exchange/silent_test.go
@@ -30,7 +30,7 @@
 	link := loopback.New(t, x.at)
 	said := &atomic.Int64{}
 	c := client()
-	c.SilentAfter, c.Silent = silentAfter, func(netip.AddrPort, time.Duration) { said.Add(1) }
+	c.SilentAfter, c.OnSilent = silentAfter, func(netip.AddrPort, time.Duration) { said.Add(1) }
 	return c, link, said
 }
 
@@ -150,7 +150,7 @@
 	link := loopback.New(t, x.at)
 	said := &atomic.Int64{}
 	c := client()
-	c.SilentAfter, c.Silent = silentAfter, func(netip.AddrPort, time.Duration) { said.Add(1) }
+	c.SilentAfter, c.OnSilent = silentAfter, func(netip.AddrPort, time.Duration) { said.Add(1) }
 	keep(t, c, link.At, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -197,7 +197,7 @@
 			})
 			said := &atomic.Int64{}
 			c := client()
-			c.SilentAfter, c.Silent = silentAfter, func(netip.AddrPort, time.Duration) { said.Add(1) }
+			c.SilentAfter, c.OnSilent = silentAfter, func(netip.AddrPort, time.Duration) { said.Add(1) }
 			keep(t, c, x.at, 5)
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan error, 1)
--- a/exposure/gate.go
+++ b/exposure/gate.go
@@ -26,14 +26,14 @@
 	return &Gate{share: share, routes: make(map[string]*count)}
 }
 
-// Room says that the next request of a route may be one that is tried.
-func (g *Gate) Room(route string) bool {
+// Allow says that the next request of a route may be one that is tried.
+func (g *Gate) Allow(route string) bool {
 	c := g.routes[route]
 	return c != nil && float64(c.tried+1) <= use*g.share*float64(c.all+1)
 }
 
-// Take counts a request.
-func (g *Gate) Take(route string, tried bool) {
+// Record counts a request.
+func (g *Gate) Record(route string, tried bool) {
 	c := g.routes[route]
 	if c == nil {
 		c = &count{}
--- a/exposure/gate_test.go
+++ b/exposure/gate_test.go
@@ -23,7 +23,7 @@
 		}
 		route := string(rune('a' + dice.IntN(3)))
 		take := room(gates[at], route)
-		gates[at].Take(route, take)
+		gates[at].Record(route, take)
 		all++
 		if take {
 			tried++
@@ -39,7 +39,7 @@
 	properties := gopter.NewProperties(parameters)
 	properties.Property("within the share", prop.ForAll(func(seed uint64, percent int) bool {
 		share := float64(percent) / 100
-		all, tried := boxes(seed, share, (*exposure.Gate).Room)
+		all, tried := boxes(seed, share, (*exposure.Gate).Allow)
 		return float64(tried) <= share*float64(all)
 	}, gen.UInt64(), gen.IntRange(1, 50)))
 	properties.TestingRun(t)
@@ -51,7 +51,7 @@
 	all, tried := boxes(1, share, func(g *exposure.Gate, route string) bool {
 		ahead := !first[g]
 		first[g] = true
-		return ahead || g.Room(route)
+		return ahead || g.Allow(route)
 	})
 	if float64(tried) <= share*float64(all) {
 		t.Errorf("%d of %d are tried, within the share, though each start tries one in advance", tried, all)
@@ -67,8 +67,8 @@
 		if i%20 == 0 {
 			route = "quiet"
 		}
-		take := g.Room(route)
-		g.Take(route, take)
+		take := g.Allow(route)
+		g.Record(route, take)
 		if take {
 			tried[route]++
 		}
--- a/fair/fair.go
+++ b/fair/fair.go
@@ -69,10 +69,10 @@
 	return sum
 }
 
-// Over says whether an account causes more than its fair share of capacity
+// OverShare says whether an account causes more than its fair share of capacity
 // engine-seconds a second: what accounts with less than their share leave over
 // goes to the others, by weight. Nobody is over while all fits.
-func (m *Meter) Over(now time.Time, account string, capacity float64) bool {
+func (m *Meter) OverShare(now time.Time, account string, capacity float64) bool {
 	w, known := m.accounts[account]
 	if !known {
 		return false
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -36,7 +36,7 @@
 				m.Add(now, fmt.Sprint(i), tt.weights[i], rate)
 			}
 			for i, want := range tt.want {
-				if got := m.Over(now, fmt.Sprint(i), tt.capacity); got != want {
+				if got := m.OverShare(now, fmt.Sprint(i), tt.capacity); got != want {
 					t.Errorf("account %d over = %v, want %v", i, got, want)
 				}
 			}
@@ -60,7 +60,7 @@
 
 func TestEqualShareIsSafe(t *testing.T) {
 	proof.Holds(t, equalShareIsSafe(func(m *fair.Meter, account string, capacity float64) bool {
-		return m.Over(now, account, capacity)
+		return m.OverShare(now, account, capacity)
 	}))
 }
 
@@ -78,7 +78,7 @@
 func TestWorkFades(t *testing.T) {
 	m := fair.Meter{Window: time.Second}
 	m.Add(now, "a", 1, 100)
-	if later := now.Add(20 * time.Second); m.Rate(later, "a") > 1e-6 || m.Over(later, "a", 1) {
+	if later := now.Add(20 * time.Second); m.Rate(later, "a") > 1e-6 || m.OverShare(later, "a", 1) {
 		t.Error("work of long ago still counts")
 	}
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -14,22 +14,22 @@
 	"time"
 )
 
-// LapsedFor is how long a target whose entry was lost in an outage of the
+// LapseGrace is how long a target whose entry was lost in an outage of the
 // platform still takes work. Entries of live replicas are back within 2 s of
 // the platform's return, and work may be sent for 2 s after an entry was gone.
-const LapsedFor = 1900 * time.Millisecond
+const LapseGrace = 1900 * time.Millisecond
 
 // Entry is a replica's own entry in the platform's list.
 type Entry struct {
 	ID string
-	// Born is when this life of the replica began, by its own clock; zero if it does
+	// StartedAt is when this life of the replica began, by its own clock; zero if it does
 	// not tell. An ID with a later one has started again and knows nothing of before.
-	Born    time.Time
-	Pool    string
-	Address netip.AddrPort
-	Domain  string
-	Slots   int
-	Leaving bool
+	StartedAt time.Time
+	Pool      string
+	Address   netip.AddrPort
+	Domain    string
+	Slots     int
+	Leaving   bool
 	// Software is the version of the replica's software, not of weights.
 	Software string
 	Versions map[string]int64
@@ -57,11 +57,11 @@
 	software map[string]map[string]int
 }
 
-// Life names one life of a replica.
-type Life struct {
+// Incarnation names one life of a replica.
+type Incarnation struct {
 	ID string
-	// Born is as in its entry; zero if it did not tell.
-	Born time.Time
+	// StartedAt is as in its entry; zero if it did not tell.
+	StartedAt time.Time
 }
 
 // ended is a life that is over.
@@ -76,31 +76,31 @@
 	return &Fleet{byID: make(map[string]*Target), pools: make(map[string][]*Target), replaced: make(map[string]ended), evacuated: make(map[string]bool), software: make(map[string]map[string]int), lapsed: make(map[string]*Target)}
 }
 
-// List takes over an entry that was read at a time. It returns the target, nil if that
+// Upsert takes over an entry that was read at a time. It returns the target, nil if that
 // life is known to be over, and whether it is new. A later life takes the place of the
 // one listed, of which nothing is believed any more; what an earlier one said, and is
 // read late, changes nothing.
-func (f *Fleet) List(now time.Time, e Entry) (*Target, bool) {
-	if last, over := f.replaced[e.ID]; over && !e.Born.After(last.born) {
+func (f *Fleet) Upsert(now time.Time, e Entry) (*Target, bool) {
+	if last, over := f.replaced[e.ID]; over && !e.StartedAt.After(last.born) {
 		return nil, false
 	}
 	t, known := f.byID[e.ID]
-	if known && e.Born.Before(t.Born) && !e.Born.IsZero() {
+	if known && e.StartedAt.Before(t.StartedAt) && !e.StartedAt.IsZero() {
 		return t, false
 	}
-	if known && e.Born.After(t.Born) && !t.Born.IsZero() {
+	if known && e.StartedAt.After(t.StartedAt) && !t.StartedAt.IsZero() {
 		f.Drop(e.ID)
 		known = false
 	}
 	if !known {
-		t = &Target{ID: e.ID, Pool: e.Pool, Software: e.Software, ListedAt: now, Versions: make(map[string]int64), Behind: make(map[string]int64)}
+		t = &Target{ID: e.ID, Pool: e.Pool, Software: e.Software, ListedAt: now, Versions: make(map[string]int64), StaleVersions: make(map[string]int64)}
 		f.byID[e.ID] = t
 		f.ids = nil
 		f.countSoftware(t, 1)
 		f.pools[e.Pool] = insert(f.pools[e.Pool], t)
 	}
-	if !e.Born.IsZero() {
-		t.Born = e.Born
+	if !e.StartedAt.IsZero() {
+		t.StartedAt = e.StartedAt
 	}
 	t.Address, t.Domain, t.Slots, t.Orders = e.Address, e.Domain, e.Slots, e.Orders
 	t.Leaving = t.Leaving || e.Leaving
@@ -145,30 +145,30 @@
 	}
 }
 
-// Replace notes that a life is over, as another replica has its address or as it
+// MarkEnded notes that a life is over, as another replica has its address or as it
 // started again, and forgets the target. It says whether that is news; of a life before
 // the one listed it is not.
-func (f *Fleet) Replace(now time.Time, life Life) bool {
-	if last, known := f.replaced[life.ID]; known && !life.Born.After(last.born) {
+func (f *Fleet) MarkEnded(now time.Time, life Incarnation) bool {
+	if last, known := f.replaced[life.ID]; known && !life.StartedAt.After(last.born) {
 		return false
 	}
-	if t := f.byID[life.ID]; t != nil && !life.Born.IsZero() && life.Born.Before(t.Born) {
+	if t := f.byID[life.ID]; t != nil && !life.StartedAt.IsZero() && life.StartedAt.Before(t.StartedAt) {
 		return false
 	}
-	f.replaced[life.ID] = ended{life.Born, now}
+	f.replaced[life.ID] = ended{life.StartedAt, now}
 	f.Drop(life.ID)
 	return true
 }
 
-// Replaced returns the lives that were found to be over since a time, by their IDs.
-func (f *Fleet) Replaced(since time.Time) []Life {
-	var list []Life
+// Ended returns the lives that were found to be over since a time, by their IDs.
+func (f *Fleet) Ended(since time.Time) []Incarnation {
+	var list []Incarnation
 	for id, e := range f.replaced {
 		if e.known.After(since) {
-			list = append(list, Life{id, e.born})
+			list = append(list, Incarnation{id, e.born})
 		}
 	}
-	slices.SortFunc(list, func(a, b Life) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(list, func(a, b Incarnation) int { return strings.Compare(a.ID, b.ID) })
 	return list
 }
 
@@ -189,8 +189,8 @@
 	}
 }
 
-// Mixed says that a pool's targets run more than one version of its software.
-func (f *Fleet) Mixed(pool string) bool { return len(f.software[pool]) > 1 }
+// MixedSoftware says that a pool's targets run more than one version of its software.
+func (f *Fleet) MixedSoftware(pool string) bool { return len(f.software[pool]) > 1 }
 
 // Software returns the version of its software that most targets of a pool run, the first by
 // name of several; empty if there is no target.
@@ -208,11 +208,11 @@
 // Target returns a target by its ID, or nil.
 func (f *Fleet) Target(id string) *Target { return f.byID[id] }
 
-// Of returns the target of a life, or nil if that is not the one listed. A life that
+// Incarnation returns the target of a life, or nil if that is not the one listed. A life that
 // is not told is taken for it.
-func (f *Fleet) Of(life Life) *Target {
+func (f *Fleet) Incarnation(life Incarnation) *Target {
 	t := f.byID[life.ID]
-	if t == nil || !life.Born.IsZero() && !t.Born.IsZero() && !life.Born.Equal(t.Born) {
+	if t == nil || !life.StartedAt.IsZero() && !t.StartedAt.IsZero() && !life.StartedAt.Equal(t.StartedAt) {
 		return nil
 	}
 	return t
@@ -225,8 +225,8 @@
 // Len counts the targets.
 func (f *Fleet) Len() int { return len(f.byID) }
 
-// All returns the IDs of all targets, in order. The caller must not change the list.
-func (f *Fleet) All() []string {
+// IDs returns the IDs of all targets, in order. The caller must not change the list.
+func (f *Fleet) IDs() []string {
 	if f.ids == nil {
 		f.ids = slices.Sorted(maps.Keys(f.byID))
 	}
@@ -237,7 +237,7 @@
 func (f *Fleet) Lapsed(now time.Time) []string {
 	var ids []string
 	for id, t := range f.lapsed {
-		if now.Sub(t.LapsedAt) >= LapsedFor {
+		if now.Sub(t.LapsedAt) >= LapseGrace {
 			ids = append(ids, id)
 		}
 	}
@@ -265,14 +265,14 @@
 // Evacuated returns the failure domains that are closed, in order.
 func (f *Fleet) Evacuated() []string { return slices.Sorted(maps.Keys(f.evacuated)) }
 
-// Open says whether a target may get new work at all.
-func (t *Target) Open(now time.Time) bool { return t.Stays(now) && !t.Evacuated }
+// Available says whether a target may get new work at all.
+func (t *Target) Available(now time.Time) bool { return t.Active(now) && !t.Evacuated }
 
-// Stays says whether a target takes part, by what the list says: one whose domain
+// Active says whether a target takes part, by what the list says: one whose domain
 // is evacuated still loads weights. An entry lost in an outage counts for LapsedFor.
-func (t *Target) Stays(now time.Time) bool {
+func (t *Target) Active(now time.Time) bool {
 	if t.Leaving {
 		return false
 	}
-	return t.LapsedAt.IsZero() || now.Sub(t.LapsedAt) < LapsedFor
+	return t.LapsedAt.IsZero() || now.Sub(t.LapsedAt) < LapseGrace
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -22,18 +22,23 @@
 		want   bool
 	}{
 		{"listed", func(*fleet.Fleet) {}, 0, true},
-		{"leaving", func(f *fleet.Fleet) { e := entry("a"); e.Leaving = true; f.List(start, e) }, 0, false},
-		{"leaving is never taken back", func(f *fleet.Fleet) { e := entry("a"); e.Leaving = true; f.List(start, e); f.List(start, entry("a")) }, 0, false},
+		{"leaving", func(f *fleet.Fleet) { e := entry("a"); e.Leaving = true; f.Upsert(start, e) }, 0, false},
+		{"leaving is never taken back", func(f *fleet.Fleet) {
+			e := entry("a")
+			e.Leaving = true
+			f.Upsert(start, e)
+			f.Upsert(start, entry("a"))
+		}, 0, false},
 		{"lapsed a moment ago", func(f *fleet.Fleet) { f.Lapse(start, "a") }, time.Second, true},
-		{"lapsed for too long", func(f *fleet.Fleet) { f.Lapse(start, "a") }, fleet.LapsedFor, false},
-		{"lapsed and back", func(f *fleet.Fleet) { f.Lapse(start, "a"); f.List(start, entry("a")) }, time.Hour, true},
+		{"lapsed for too long", func(f *fleet.Fleet) { f.Lapse(start, "a") }, fleet.LapseGrace, false},
+		{"lapsed and back", func(f *fleet.Fleet) { f.Lapse(start, "a"); f.Upsert(start, entry("a")) }, time.Hour, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			f := fleet.New()
-			x, _ := f.List(start, entry("a"))
+			x, _ := f.Upsert(start, entry("a"))
 			tt.change(f)
-			if got := x.Open(start.Add(tt.after)); got != tt.want {
+			if got := x.Available(start.Add(tt.after)); got != tt.want {
 				t.Errorf("Open = %v, want %v", got, tt.want)
 			}
 		})
@@ -42,13 +47,13 @@
 
 func TestDrop(t *testing.T) {
 	f := fleet.New()
-	x, _ := f.List(start, entry("b"))
-	f.List(start, entry("a"))
+	x, _ := f.Upsert(start, entry("b"))
+	f.Upsert(start, entry("a"))
 	if pool := f.Pool("p"); len(pool) != 2 || pool[0].ID != "a" {
 		t.Fatalf("pool %v", pool)
 	}
 	f.Drop("b")
-	if len(f.Pool("p")) != 1 || f.Target("b") != nil || x.Open(start) {
+	if len(f.Pool("p")) != 1 || f.Target("b") != nil || x.Available(start) {
 		t.Error("a dropped target still takes work")
 	}
 	f.Drop("b")
@@ -57,9 +62,9 @@
 // TestVersionsRise shows that an entry that lags does not take a version back.
 func TestVersionsRise(t *testing.T) {
 	f := fleet.New()
-	x, _ := f.List(start, entry("a"))
+	x, _ := f.Upsert(start, entry("a"))
 	x.Versions["m"] = 3
-	f.List(start, entry("a"))
+	f.Upsert(start, entry("a"))
 	if x.Versions["m"] != 3 {
 		t.Errorf("version %d, want 3", x.Versions["m"])
 	}
@@ -101,7 +106,7 @@
 			x := &fleet.Target{}
 			tt.happen(x)
 			now := start.Add(tt.after)
-			if got := x.Avoided(now); got != tt.avoided {
+			if got := x.Ejected(now); got != tt.avoided {
 				t.Errorf("Avoided = %v", got)
 			}
 			if got := x.Silent(now, 300*time.Millisecond); got != tt.silent {
@@ -122,7 +127,7 @@
 	x.Began(start, 7)
 	x.Ended(start, true, 7, 100, false)
 	x.Ended(start, false, 5, 50, true)
-	if x.InFlight != 0 || x.Unread != 0 || x.Tokens != 0 || x.Silent(start.Add(time.Hour), time.Second) {
+	if x.InFlight != 0 || x.PrefillBacklog != 0 || x.Tokens != 0 || x.Silent(start.Add(time.Hour), time.Second) {
 		t.Errorf("left over: %+v", x)
 	}
 }
@@ -131,21 +136,21 @@
 // whatever the list says.
 func TestReplace(t *testing.T) {
 	f := fleet.New()
-	f.List(start, fleet.Entry{ID: "a", Pool: "p"})
-	if !f.Replace(start, fleet.Life{ID: "a"}) || f.Replace(start.Add(time.Second), fleet.Life{ID: "a"}) {
+	f.Upsert(start, fleet.Entry{ID: "a", Pool: "p"})
+	if !f.MarkEnded(start, fleet.Incarnation{ID: "a"}) || f.MarkEnded(start.Add(time.Second), fleet.Incarnation{ID: "a"}) {
 		t.Error("news only once")
 	}
-	if x, fresh := f.List(start, fleet.Entry{ID: "a", Pool: "p"}); x != nil || fresh || len(f.Pool("p")) != 0 {
+	if x, fresh := f.Upsert(start, fleet.Entry{ID: "a", Pool: "p"}); x != nil || fresh || len(f.Pool("p")) != 0 {
 		t.Errorf("listed again: %+v", x)
 	}
-	if got := f.Replaced(start.Add(-time.Second)); !slices.Equal(got, []fleet.Life{{ID: "a"}}) {
+	if got := f.Ended(start.Add(-time.Second)); !slices.Equal(got, []fleet.Incarnation{{ID: "a"}}) {
 		t.Errorf("replaced %v", got)
 	}
-	if got := f.Replaced(start); len(got) != 0 {
+	if got := f.Ended(start); len(got) != 0 {
 		t.Errorf("replaced since then %v", got)
 	}
 	f.Expire(start.Add(time.Second))
-	if x, fresh := f.List(start, fleet.Entry{ID: "a", Pool: "p"}); x == nil || !fresh {
+	if x, fresh := f.Upsert(start, fleet.Entry{ID: "a", Pool: "p"}); x == nil || !fresh {
 		t.Error("remembered for ever")
 	}
 }
@@ -157,12 +162,12 @@
 	said := func(life int, version int64) func(*fleet.Fleet) {
 		return func(f *fleet.Fleet) {
 			e := entry("a")
-			e.Born, e.Versions, e.Leaving = born(life), map[string]int64{"m": version}, version == 9
-			f.List(start, e)
+			e.StartedAt, e.Versions, e.Leaving = born(life), map[string]int64{"m": version}, version == 9
+			f.Upsert(start, e)
 		}
 	}
 	over := func(life int) func(*fleet.Fleet) {
-		return func(f *fleet.Fleet) { f.Replace(start, fleet.Life{ID: "a", Born: born(life)}) }
+		return func(f *fleet.Fleet) { f.MarkEnded(start, fleet.Incarnation{ID: "a", StartedAt: born(life)}) }
 	}
 	tests := []struct {
 		name  string
@@ -195,10 +200,10 @@
 				}
 				return
 			}
-			if !x.Born.Equal(born(tt.life)) || x.Versions["m"] != tt.version || x.Leaving || len(f.Pool("p")) != 1 {
+			if !x.StartedAt.Equal(born(tt.life)) || x.Versions["m"] != tt.version || x.Leaving || len(f.Pool("p")) != 1 {
 				t.Errorf("listed %+v", x)
 			}
-			if f.Of(fleet.Life{ID: "a", Born: born(tt.life)}) != x || f.Of(fleet.Life{ID: "a"}) != x || f.Of(fleet.Life{ID: "a", Born: born(7)}) != nil {
+			if f.Incarnation(fleet.Incarnation{ID: "a", StartedAt: born(tt.life)}) != x || f.Incarnation(fleet.Incarnation{ID: "a"}) != x || f.Incarnation(fleet.Incarnation{ID: "a", StartedAt: born(7)}) != nil {
 				t.Error("a life is taken for another")
 			}
 		})
--- a/fleet/target.go
+++ b/fleet/target.go
@@ -9,12 +9,12 @@
 type Target struct {
 	// ID names the replica, Born the start from which it lives; a platform that does
 	// not tell the latter gives each start another ID. A Target is of one life.
-	ID      string
-	Born    time.Time
-	Address netip.AddrPort
-	Domain  string
-	Pool    string
-	Slots   int
+	ID        string
+	StartedAt time.Time
+	Address   netip.AddrPort
+	Domain    string
+	Pool      string
+	Slots     int
 	// Software is the version of its software, ListedAt when this box first heard of it.
 	Software string
 	ListedAt time.Time
@@ -31,11 +31,11 @@
 	Evacuated bool
 	// Versions are the weight versions by model, as far as known.
 	Versions map[string]int64
-	// Behind are the weight versions, by model, with which it came into the list
+	// StaleVersions are the weight versions, by model, with which it came into the list
 	// although newer ones were named: the stores may be being cleared of parts
 	// made on them, as nobody knew of it, so it fetches none. That costs it the
 	// reading of shared parts until it has newer weights, within seconds.
-	Behind map[string]int64
+	StaleVersions map[string]int64
 	// Orders counts the orders that the replica took, as the list tells.
 	Orders uint64
 	// LoadingUntil is until when it is thought to load weights.
@@ -43,17 +43,17 @@
 	// ColdUntil is until when it is slow from its start, by what it last said;
 	// MaybeColdUntil the same where it may have become so unheard.
 	ColdUntil, MaybeColdUntil time.Time
-	// Unheard says that its news broke off: it may have started again.
-	Unheard bool
+	// FeedLost says that its news broke off: it may have started again.
+	FeedLost bool
 	// LapsedAt is when the list lost the entry after an outage of the platform;
 	// zero if the entry stands.
 	LapsedAt time.Time
 
 	// InFlight counts this box's requests there.
 	InFlight int
-	// Unread sums the prompt tokens sent by this box that wait to be read,
+	// PrefillBacklog sums the prompt tokens sent by this box that wait to be read,
 	// Tokens the memory that its requests take up.
-	Unread, Tokens int
+	PrefillBacklog, Tokens int
 	// waiting counts requests that have not been answered at all, since the
 	// first of them was sent.
 	waiting      int
@@ -87,8 +87,8 @@
 	greyShare  = 0.3
 )
 
-// Life names the target's.
-func (t *Target) Life() Life { return Life{t.ID, t.Born} }
+// Incarnation names the target's.
+func (t *Target) Incarnation() Incarnation { return Incarnation{t.ID, t.StartedAt} }
 
 // Sent notes a request that goes out.
 func (t *Target) Sent(now time.Time, unread, tokens int) {
@@ -97,14 +97,14 @@
 	}
 	t.waiting++
 	t.InFlight++
-	t.Unread += unread
+	t.PrefillBacklog += unread
 	t.Tokens += tokens
 }
 
 // Began notes that a request's answer has begun.
 func (t *Target) Began(now time.Time, unread int) {
 	t.waiting--
-	t.Unread -= unread
+	t.PrefillBacklog -= unread
 	t.Heard(now)
 }
 
@@ -123,7 +123,7 @@
 	t.Tokens -= tokens
 	if !began {
 		t.waiting--
-		t.Unread -= unread
+		t.PrefillBacklog -= unread
 	}
 	t.score(now, failed)
 }
@@ -178,22 +178,22 @@
 	return now.Sub(last) > patience
 }
 
-// Avoided says that recent failures keep new work away.
-func (t *Target) Avoided(now time.Time) bool { return now.Before(t.avoid) }
+// Ejected says that recent failures keep new work away.
+func (t *Target) Ejected(now time.Time) bool { return now.Before(t.avoid) }
 
 // Cold says that the target is slow from a start, or may be.
 func (t *Target) Cold(now time.Time) bool {
-	return now.Before(t.ColdUntil) || now.Before(t.MaybeColdUntil) || t.Unheard
+	return now.Before(t.ColdUntil) || now.Before(t.MaybeColdUntil) || t.FeedLost
 }
 
-// Shaken says that the target could not be reached, and has not been heard again for
+// Recovering says that the target could not be reached, and has not been heard again for
 // as long as one that started meanwhile stays cold.
-func (t *Target) Shaken(now time.Time, cold time.Duration) bool {
+func (t *Target) Recovering(now time.Time, cold time.Duration) bool {
 	return !t.failedAt.IsZero() && (t.backAt.IsZero() || now.Sub(t.backAt) < cold)
 }
 
-// BacksOff says that the target wants no requests from this box.
-func (t *Target) BacksOff(now time.Time) bool { return now.Before(t.BackoffUntil) }
+// InBackoff says that the target wants no requests from this box.
+func (t *Target) InBackoff(now time.Time) bool { return now.Before(t.BackoffUntil) }
 
 // Loading says that the target is thought to load weights.
 func (t *Target) Loading(now time.Time) bool { return now.Before(t.LoadingUntil) }
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -7,7 +7,7 @@
 	"github.com/thymewind/thymewind/claim"
 	"github.com/thymewind/thymewind/engine"
 	"github.com/thymewind/thymewind/hop"
-	"github.com/thymewind/thymewind/permit"
+	"github.com/thymewind/thymewind/idempotency"
 	"github.com/thymewind/thymewind/route"
 )
 
@@ -16,7 +16,7 @@
 func (x *exchange) answer(w http.ResponseWriter, response *http.Response, placed route.Placed) {
 	defer func() { _ = response.Body.Close() }()
 	x.Said(placed, engine.Said(response))
-	hop.Drop(response.Header)
+	hop.Strip(response.Header)
 	for name, values := range response.Header {
 		w.Header()[name] = values
 	}
@@ -26,7 +26,7 @@
 	_, err := io.Copy(copied, response.Body)
 	x.Ended(route.Ended{Placed: placed, Failed: err != nil && !copied.gone})
 	if err == nil && x.once {
-		x.permit.Answered(x.ctx, claim.Answer{
+		x.permit.Complete(x.ctx, claim.Answer{
 			Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: copied.kept, Cut: copied.over,
 		})
 	}
@@ -47,7 +47,7 @@
 
 // Write implements io.Writer.
 func (t *tee) Write(b []byte) (int, error) {
-	if len(t.kept)+len(b) <= permit.MaxStored {
+	if len(t.kept)+len(b) <= idempotency.MaxStored {
 		t.kept = append(t.kept, b...)
 	} else {
 		t.over = true
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -15,8 +15,8 @@
 	"net/netip"
 	"time"
 
+	"github.com/thymewind/thymewind/idempotency"
 	"github.com/thymewind/thymewind/notice"
-	"github.com/thymewind/thymewind/permit"
 	"github.com/thymewind/thymewind/route"
 )
 
@@ -55,11 +55,11 @@
 	Ended func(route.Ended)
 	// Said hears what the head of an answer says of its target, before any of the answer
 	// is passed on.
-	Said func(route.Placed, notice.Said)
+	Said func(route.Placed, notice.Signals)
 	// Allow is asked right before a request leaves this box; its error keeps it here.
 	Allow func(route.Placed) error
 	// Permits gives marked requests the permission to run.
-	Permits *permit.Office
+	Permits *idempotency.Guard
 	// Send does one exchange on a connection of its own and says whether any
 	// byte was written. It waits no longer than patience for the answer to
 	// begin. See Sender.
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -24,10 +24,10 @@
 	"github.com/thymewind/thymewind/decision"
 	"github.com/thymewind/thymewind/engine"
 	"github.com/thymewind/thymewind/forward"
+	"github.com/thymewind/thymewind/idempotency"
 	"github.com/thymewind/thymewind/internal/fake"
 	"github.com/thymewind/thymewind/internal/proof"
 	"github.com/thymewind/thymewind/notice"
-	"github.com/thymewind/thymewind/permit"
 	"github.com/thymewind/thymewind/refusal"
 	"github.com/thymewind/thymewind/route"
 )
@@ -119,11 +119,11 @@
 			}
 			return route.Placed{Target: "t"}, nil
 		},
-		Permits: &permit.Office{
+		Permits: &idempotency.Guard{
 			Lookup: book.Lookup, Take: book.Take, Release: book.Release, Finish: book.Finish,
-			Record: func(decision.Record) {}, Patience: 2 * time.Second, ComeBack: comeBack,
+			Record: func(decision.Record) {}, Timeout: 2 * time.Second, RetryAfter: comeBack,
 		},
-		Ended: func(route.Ended) {}, Said: func(route.Placed, notice.Said) {}, Allow: func(route.Placed) error { return nil }, Send: send, Retry: func(string) bool { return true }, Attempts: 3, ComeBack: comeBack,
+		Ended: func(route.Ended) {}, Said: func(route.Placed, notice.Signals) {}, Allow: func(route.Placed) error { return nil }, Send: send, Retry: func(string) bool { return true }, Attempts: 3, ComeBack: comeBack,
 	}
 }
 
@@ -293,22 +293,22 @@
 		name   string
 		status int
 		header http.Header
-		want   notice.Said
+		want   notice.Signals
 	}{
-		{"nothing", http.StatusOK, http.Header{}, notice.Said{Unlimited: true}},
-		{"it leaves", http.StatusOK, http.Header{engine.HeaderLeaving: {"1"}}, notice.Said{Leaving: true, Unlimited: true}},
-		{"it wants no requests", http.StatusServiceUnavailable, http.Header{"Retry-After": {"3"}}, notice.Said{Backoff: 3 * time.Second, Unlimited: true}},
-		{"the request alone is to wait", http.StatusTooManyRequests, http.Header{"Retry-After": {"3"}}, notice.Said{Unlimited: true}},
-		{"it limits requests", http.StatusOK, http.Header{engine.HeaderLimit: {"3.6"}}, notice.Said{Limited: true, Rate: 3.6}},
+		{"nothing", http.StatusOK, http.Header{}, notice.Signals{Unlimited: true}},
+		{"it leaves", http.StatusOK, http.Header{engine.HeaderLeaving: {"1"}}, notice.Signals{Leaving: true, Unlimited: true}},
+		{"it wants no requests", http.StatusServiceUnavailable, http.Header{"Retry-After": {"3"}}, notice.Signals{Backoff: 3 * time.Second, Unlimited: true}},
+		{"the request alone is to wait", http.StatusTooManyRequests, http.Header{"Retry-After": {"3"}}, notice.Signals{Unlimited: true}},
+		{"it limits requests", http.StatusOK, http.Header{engine.HeaderLimit: {"3.6"}}, notice.Signals{Limited: true, Rate: 3.6}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var heard []notice.Said
+			var heard []notice.Signals
 			body := &counting{}
 			f := forwarder(t.Context(), &fake.Table{}, &fake.Script{}, func(*http.Request, netip.AddrPort, time.Duration) (*http.Response, bool, error) {
 				return &http.Response{StatusCode: tt.status, Header: tt.header, Body: io.NopCloser(body)}, true, nil
 			})
-			f.Said = func(_ route.Placed, said notice.Said) {
+			f.Said = func(_ route.Placed, said notice.Signals) {
 				if body.read > 0 {
 					t.Error("heard behind the answer's beginning")
 				}
--- a/forward/serve.go
+++ b/forward/serve.go
@@ -10,8 +10,8 @@
 
 	"github.com/thymewind/thymewind/claim"
 	"github.com/thymewind/thymewind/hop"
+	"github.com/thymewind/thymewind/idempotency"
 	"github.com/thymewind/thymewind/notice"
-	"github.com/thymewind/thymewind/permit"
 	"github.com/thymewind/thymewind/refusal"
 	"github.com/thymewind/thymewind/route"
 )
@@ -38,7 +38,7 @@
 	// sent says that a target may have got some of the request.
 	sent bool
 	// permit is that of a marked request.
-	permit *permit.Permit
+	permit *idempotency.Permit
 }
 
 // Serve passes a request on and writes the answer. The error is a
@@ -67,11 +67,11 @@
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(in.Context()), call.Timeout)
 		defer cancel()
 		x.ctx = ctx
-		x.permit = f.Permits.Ask(permit.Request{
+		x.permit = f.Permits.NewPermit(idempotency.Request{
 			ID: call.Request, Account: call.Account, Pool: call.Pool, Key: x.key, OnceByTarget: call.OnceByTarget,
-			Digest: permit.Digest(x.body, call.Pool, in.Method, call.Path, in.URL.RawQuery),
+			Digest: idempotency.Digest(x.body, call.Pool, in.Method, call.Path, in.URL.RawQuery),
 		})
-		earlier, err := x.permit.Earlier(ctx)
+		earlier, err := x.permit.Previous(ctx)
 		if err != nil {
 			return err
 		}
@@ -109,7 +109,7 @@
 			return x.notRun(err)
 		}
 		if x.once {
-			earlier, err := x.permit.Obtain(x.ctx)
+			earlier, err := x.permit.Acquire(x.ctx)
 			if err != nil || earlier != nil {
 				x.Ended(route.Ended{Placed: placed})
 			}
@@ -151,7 +151,7 @@
 		return &answer
 	}
 	if x.once {
-		x.permit.GiveBack(x.ctx)
+		x.permit.Abandon(x.ctx)
 	}
 	return known
 }
@@ -176,7 +176,7 @@
 	out.URL.Path = x.path
 	out.Host = ""
 	out.RequestURI = ""
-	hop.Drop(out.Header)
+	hop.Strip(out.Header)
 	// The caller's key to this system is no business of the target.
 	out.Header.Del("Authorization")
 	out.Header.Set("X-Request-Id", x.call.Request)
--- a/gossip.go
+++ b/gossip.go
@@ -94,9 +94,9 @@
 	}
 	t.turn += maxTurn
 	m.Demand = t.demand(now)
-	m.Use = t.use(now)
+	m.Usage = t.use(now)
 	t.takedowns.tellTakedowns(now, &m)
-	m.Limits = d.limitsTold(now)
+	m.RateLimits = d.limitsTold(now)
 	return m
 }
 
@@ -113,15 +113,15 @@
 }
 
 // use is what this box's requests keep busy of each pool of models.
-func (t *tables) use(now time.Time) []peer.Use {
-	var all []peer.Use
+func (t *tables) use(now time.Time) []peer.PoolUsage {
+	var all []peer.PoolUsage
 	for name, p := range t.Configuration.Pools {
 		if p.Kind != pool.KindModel || len(all) >= maxUse {
 			continue
 		}
 		engines, slots := t.Used(now, name)
 		if engines > 0 || slots > 0 {
-			all = append(all, peer.Use{Pool: name, Engines: int(engines * peer.Thousand), Slots: int(slots * peer.Thousand)})
+			all = append(all, peer.PoolUsage{Pool: name, Engines: int(engines * peer.UsageScale), Slots: int(slots * peer.UsageScale)})
 		}
 	}
 	return all
@@ -139,7 +139,7 @@
 	if p, known := t.peers.Lookup(m.From); known {
 		p.heard = now
 		p.revision = m.Revision
-		p.demand, p.use = m.Demand, m.Use
+		p.demand, p.use = m.Demand, m.Usage
 		t.peers.Put(m.From, p)
 	}
 	for _, l := range m.Loads {
--- a/hangup/hangup.go
+++ b/hangup/hangup.go
@@ -19,20 +19,20 @@
 // key is where Keep puts a connection.
 type key struct{}
 
-// Keep notes a connection in the contexts of its requests, as
+// ConnContext notes a connection in the contexts of its requests, as
 // http.Server.ConnContext.
-func Keep(ctx context.Context, conn net.Conn) context.Context {
+func ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	if raw, ok := conn.(syscall.Conn); ok {
 		return context.WithValue(ctx, key{}, raw)
 	}
 	return ctx
 }
 
-// Seen says whether the other end has closed or reset the connection of a
+// Closed says whether the other end has closed or reset the connection of a
 // request, whatever of it is still unread. It asks the kernel, which takes about
 // a microsecond, and neither waits nor takes bytes. It is false if the connection
 // is not known.
-func Seen(ctx context.Context) bool {
+func Closed(ctx context.Context) bool {
 	conn, ok := ctx.Value(key{}).(syscall.Conn)
 	if !ok {
 		return false
--- a/hangup/hangup_test.go
+++ b/hangup/hangup_test.go
@@ -43,9 +43,9 @@
 				seen <- eventually(r.Context(), tt.want)
 				_, _ = io.Copy(io.Discard, r.Body)
 				// The server's own pending read does not hold the question up.
-				seen <- hangup.Seen(r.Context())
+				seen <- hangup.Closed(r.Context())
 			}))
-			server.Config.ConnContext = hangup.Keep
+			server.Config.ConnContext = hangup.ConnContext
 			server.Start()
 			defer server.Close()
 			conn, err := net.Dial("tcp", server.Listener.Addr().String())
@@ -80,24 +80,24 @@
 	end := time.After(10 * time.Second)
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
-	for want && !hangup.Seen(ctx) {
+	for want && !hangup.Closed(ctx) {
 		select {
 		case <-tick.C:
 		case <-end:
 			return false
 		}
 	}
-	return hangup.Seen(ctx)
+	return hangup.Closed(ctx)
 }
 
 // TestUnknown asks about a request without a connection that is known.
 func TestUnknown(t *testing.T) {
-	if hangup.Seen(context.Background()) {
+	if hangup.Closed(context.Background()) {
 		t.Error("seen")
 	}
 	left, right := net.Pipe()
 	defer func() { _, _ = left.Close(), right.Close() }()
-	if hangup.Seen(hangup.Keep(context.Background(), left)) {
+	if hangup.Closed(hangup.ConnContext(context.Background(), left)) {
 		t.Error("seen")
 	}
 }
@@ -114,10 +114,10 @@
 		b.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	ctx := hangup.Keep(context.Background(), conn)
+	ctx := hangup.ConnContext(context.Background(), conn)
 	b.ReportAllocs()
 	for b.Loop() {
-		if hangup.Seen(ctx) {
+		if hangup.Closed(ctx) {
 			b.Fatal("seen")
 		}
 	}
--- a/headroom/strain.go
+++ b/headroom/strain.go
@@ -1,4 +1,4 @@
-// Package strain learns which share of a pool's answers came late, and says how
+// Package headroom learns which share of a pool's answers came late, and says how
 // much of the engines' memory the least urgent requests leave free for it.
 //
 //	var g strain.Gauge
@@ -9,7 +9,7 @@
 // answers, which no configuration tells. On engines that read at half the usual
 // rate more than a fifth of all streams were late at a fixed limit, those of the
 // urgent kinds as well.
-package strain
+package headroom
 
 const (
 	// weight is how much one answer changes the share: about the last fifty
@@ -43,9 +43,9 @@
 	seen int
 }
 
-// See notes an answer that ended whole, and whether its first event or a pause
+// Observe notes an answer that ended whole, and whether its first event or a pause
 // came later than its route's goals.
-func (g *Gauge) See(late bool) {
+func (g *Gauge) Observe(late bool) {
 	now := 0.0
 	if late {
 		now = 1
@@ -54,8 +54,8 @@
 	g.late += (now - g.late) * weight
 }
 
-// Late returns the share of late answers, from 0 to 1.
-func (g *Gauge) Late() float64 { return g.late }
+// LateShare returns the share of late answers, from 0 to 1.
+func (g *Gauge) LateShare() float64 { return g.late }
 
 // Reserve returns the share of the engines' memory that the least urgent requests leave
 // free beyond their usual limit. It is negative while few answers are late: they then get
--- a/headroom/strain_test.go
+++ b/headroom/strain_test.go
@@ -1,9 +1,9 @@
-package strain_test
+package headroom_test
 
 import (
 	"testing"
 
-	"github.com/thymewind/thymewind/strain"
+	"github.com/thymewind/thymewind/headroom"
 )
 
 // TestReserve says how much memory is left free after some answers of which one
@@ -27,12 +27,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var g strain.Gauge
+			var g headroom.Gauge
 			for i := range tt.answers {
-				g.See((i+1)%tt.oneIn == 0)
+				g.Observe((i+1)%tt.oneIn == 0)
 			}
 			if got := g.Reserve(); got < tt.least || got > tt.most {
-				t.Errorf("reserve %.3f at %.2f late, want %.3f to %.3f", got, g.Late(), tt.least, tt.most)
+				t.Errorf("reserve %.3f at %.2f late, want %.3f to %.3f", got, g.LateShare(), tt.least, tt.most)
 			}
 		})
 	}
@@ -40,12 +40,12 @@
 
 // TestRecover shows that the memory is given back once answers are in time.
 func TestRecover(t *testing.T) {
-	var g strain.Gauge
+	var g headroom.Gauge
 	for range 500 {
-		g.See(true)
+		g.Observe(true)
 	}
 	for range 70 {
-		g.See(false)
+		g.Observe(false)
 	}
 	if got := g.Reserve(); got != 0 {
 		t.Errorf("still reserved: %.3f", got)
--- a/hop/hop.go
+++ b/hop/hop.go
@@ -15,9 +15,9 @@
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Drop removes the connection's own headers, and those that its Connection
+// Strip removes the connection's own headers, and those that its Connection
 // header lists.
-func Drop(h http.Header) {
+func Strip(h http.Header) {
 	for _, list := range h.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
 			h.Del(strings.TrimSpace(name))
--- a/hop/hop_test.go
+++ b/hop/hop_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			hop.Drop(tt.in)
+			hop.Strip(tt.in)
 			if got := slices.Sorted(maps.Keys(tt.in)); !slices.Equal(got, tt.want) {
 				t.Errorf("left %v, want %v", got, tt.want)
 			}
--- a/idempotency/permit.go
+++ b/idempotency/permit.go
@@ -1,4 +1,4 @@
-// Package permit is what a request marked not repeatable needs to run: the
+// Package idempotency is what a request marked not repeatable needs to run: the
 // answer of an earlier run with its key, or the permission to run now.
 //
 //	p := office.Ask(permit.Request{Account: "menu-app", Key: key, Digest: digest, ID: "r1"})
@@ -6,7 +6,7 @@
 //	answer, err = p.Obtain(ctx)   // when it is about to be sent
 //	p.GiveBack(ctx)               // only if nothing can have been sent
 //	p.Answered(ctx, answer)       // so that a caller that lost it can ask again
-package permit
+package idempotency
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 
 	"github.com/thymewind/thymewind/claim"
 	"github.com/thymewind/thymewind/decision"
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/kvcache"
 	"github.com/thymewind/thymewind/refusal"
 )
 
@@ -27,19 +27,19 @@
 // bytes.
 const MaxStored = 4 << 10
 
-// Office gives permits. Set the exported fields before first use; it is safe
+// Guard gives permits. Set the exported fields before first use; it is safe
 // for concurrent use after that.
-type Office struct {
+type Guard struct {
 	// Lookup, Take, Release and Finish are the claims' book.
 	Lookup  func(ctx context.Context, account, key string) (claim.Claim, error)
 	Take    func(ctx context.Context, c claim.Claim) (claim.Claim, error)
 	Release func(ctx context.Context, c claim.Claim) error
 	Finish  func(ctx context.Context, c claim.Claim, answer claim.Answer) error
 	Record  func(decision.Record)
-	// Patience bounds what is written behind an answer or a refusal.
-	Patience time.Duration
-	// ComeBack says when a refused caller should return.
-	ComeBack func() time.Duration
+	// Timeout bounds what is written behind an answer or a refusal.
+	Timeout time.Duration
+	// RetryAfter says when a refused caller should return.
+	RetryAfter func() time.Duration
 }
 
 // Request is what a permit is for.
@@ -57,7 +57,7 @@
 
 // Permit is one request's. It is not safe for concurrent use.
 type Permit struct {
-	*Office
+	*Guard
 	request Request
 	held    claim.Claim
 	has     bool
@@ -71,15 +71,15 @@
 		_, _ = h.Write([]byte{0})
 	}
 	_, _ = h.Write(body)
-	return kept.Digest(h.Sum(nil))
+	return kvcache.Digest(h.Sum(nil))
 }
 
-// Ask begins the way to a permit.
-func (o *Office) Ask(r Request) *Permit { return &Permit{Office: o, request: r} }
+// NewPermit begins the way to a permit.
+func (o *Guard) NewPermit(r Request) *Permit { return &Permit{Guard: o, request: r} }
 
-// Earlier returns the answer of an earlier run with the key, nil if there was
+// Previous returns the answer of an earlier run with the key, nil if there was
 // no earlier try, or a refusal if the earlier try is not through or not known.
-func (p *Permit) Earlier(ctx context.Context) (*claim.Answer, error) {
+func (p *Permit) Previous(ctx context.Context) (*claim.Answer, error) {
 	found, err := p.Lookup(ctx, p.request.Account, p.request.Key)
 	switch {
 	case err == nil:
@@ -90,9 +90,9 @@
 	return nil, p.none()
 }
 
-// Obtain takes the permission to send the request, once. It returns an answer
+// Acquire takes the permission to send the request, once. It returns an answer
 // instead if an earlier run was faster.
-func (p *Permit) Obtain(ctx context.Context) (*claim.Answer, error) {
+func (p *Permit) Acquire(ctx context.Context) (*claim.Answer, error) {
 	if p.has {
 		return nil, nil
 	}
@@ -113,25 +113,25 @@
 	return nil, p.none()
 }
 
-// GiveBack releases the permission. Call it only if nothing can have been sent.
+// Abandon releases the permission. Call it only if nothing can have been sent.
 // If it fails the book looks after it; the key stays taken until then.
-func (p *Permit) GiveBack(ctx context.Context) {
+func (p *Permit) Abandon(ctx context.Context) {
 	if !p.has {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.Patience)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.Timeout)
 	defer cancel()
 	if err := p.Release(ctx, p.held); err != nil {
 		p.record("not released yet", trace.Unwrap(err).Error())
 	}
 }
 
-// Answered keeps a whole answer for a caller that asks again.
-func (p *Permit) Answered(ctx context.Context, answer claim.Answer) {
+// Complete keeps a whole answer for a caller that asks again.
+func (p *Permit) Complete(ctx context.Context, answer claim.Answer) {
 	if !p.has {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.Patience)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.Timeout)
 	defer cancel()
 	if err := p.Finish(ctx, p.held, answer); err != nil {
 		p.record("answer not stored", trace.Unwrap(err).Error())
@@ -150,12 +150,12 @@
 			"request %s ran and was answered with status %d; its answer was too large to keep", by.Request, by.Answer.Status)
 	}
 	return nil, refusal.New(refusal.Unknown, http.StatusConflict, "still_running",
-		"request %s has this key; it may be running or may have run", by.Request).After(p.ComeBack())
+		"request %s has this key; it may be running or may have run", by.Request).After(p.RetryAfter())
 }
 
 func (p *Permit) none() error {
 	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "no_permission",
-		"the platform's table service gives no permission to run it; whether an earlier try with this key ran is not known").After(p.ComeBack())
+		"the platform's table service gives no permission to run it; whether an earlier try with this key ran is not known").After(p.RetryAfter())
 }
 
 func (p *Permit) record(rule, result string) {
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -8,7 +8,7 @@
 
 	"github.com/gravitational/trace"
 
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/kvcache"
 	"github.com/thymewind/thymewind/placement"
 	"github.com/thymewind/thymewind/pool"
 	"github.com/thymewind/thymewind/retention"
@@ -37,7 +37,7 @@
 	return []Policy{Ours, RoundRobin, LeastLoad, Affinity, KeepAll, NeverImport, PlainRoundRobin}
 }
 
-type choose func(now time.Time, ask placement.Ask, targets []*target.Target) (placement.Choice, error)
+type choose func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error)
 
 // chooser returns the policy's way to choose a target.
 func (p Policy) chooser(ours *placement.Chooser, random *rand.Rand) choose {
@@ -65,7 +65,7 @@
 
 // pick makes a chooser of a function over the usable targets.
 func pick(of func(usable []int, home uint64, all []*target.Target) int) choose {
-	return func(now time.Time, ask placement.Ask, targets []*target.Target) (placement.Choice, error) {
+	return func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error) {
 		var choice placement.Choice
 		var usable []int
 		for i, x := range targets {
@@ -106,11 +106,11 @@
 }
 
 // drop returns what a full store box loses.
-func (p Policy) drop(now time.Time, all []kept.Manifest, need int) []string {
+func (p Policy) drop(now time.Time, all []kvcache.Manifest, need int) []string {
 	if p != KeepAll {
-		return retention.Drop(now, all, need)
+		return retention.Evict(now, all, need)
 	}
-	slices.SortFunc(all, func(a, b kept.Manifest) int {
+	slices.SortFunc(all, func(a, b kvcache.Manifest) int {
 		return cmp.Or(a.Used.Compare(b.Used), cmp.Compare(b.Depth, a.Depth), cmp.Compare(a.Key, b.Key))
 	})
 	var keys []string
--- a/internal/measure/store.go
+++ b/internal/measure/store.go
@@ -10,7 +10,7 @@
 
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/kvcache"
 	"github.com/thymewind/thymewind/prefix"
 )
 
@@ -20,7 +20,7 @@
 	name    string
 	address netip.AddrPort
 	// rows holds what is kept; tiers says on which tier.
-	rows  map[string]kept.Manifest
+	rows  map[string]kvcache.Manifest
 	tiers map[string]int
 	size  [2]int
 	rate  [2]float64
@@ -37,13 +37,13 @@
 func newStore(w *world, i int) *store {
 	s := &store{
 		world: w, name: fmt.Sprintf("store-%d", i), address: addressOf(2, i),
-		rows: make(map[string]kept.Manifest), tiers: make(map[string]int),
+		rows: make(map[string]kvcache.Manifest), tiers: make(map[string]int),
 		size: [2]int{storeMemory, storeDisk}, rate: [2]float64{memoryRate, diskRate}, told: [2]float64{memoryRate, diskRate},
 	}
 	// The size is a positive constant, the only thing that could be refused.
 	s.memory, _ = simplelru.NewLRU(storeMemory, func(key string, _ struct{}) {
 		if _, known := s.tiers[key]; known {
-			s.tiers[key] = kept.TierDisk
+			s.tiers[key] = kvcache.TierDisk
 		}
 	})
 	return s
@@ -52,13 +52,13 @@
 // touch brings a piece to the memory tier; the least used one there goes to
 // disk.
 func (s *store) touch(key string) {
-	s.tiers[key] = kept.TierMemory
+	s.tiers[key] = kvcache.TierMemory
 	s.memory.Add(key, struct{}{})
 }
 
 // find returns the run of manifests for the keys.
-func (s *store) find(keys []string) kept.Found {
-	var found kept.Found
+func (s *store) find(keys []string) kvcache.Found {
+	var found kvcache.Found
 	for tier := range found.Links {
 		found.Links[tier].Rate = s.told[tier]
 		if wait := s.busyUntil[tier].Sub(s.now); wait > 0 {
@@ -80,7 +80,7 @@
 }
 
 // fetch moves pieces over the links and returns when the last is there.
-func (s *store) fetch(run []kept.Manifest) (ready time.Time, pieces int) {
+func (s *store) fetch(run []kvcache.Manifest) (ready time.Time, pieces int) {
 	ready = s.now
 	if s.dead {
 		return s.now.Add(time.Second), 0
@@ -110,11 +110,11 @@
 }
 
 // keep writes a prompt's pieces and then their manifests.
-func (s *store) keep(scope prefix.Key, keys []prefix.Key) []kept.Manifest {
+func (s *store) keep(scope prefix.Key, keys []prefix.Key) []kvcache.Manifest {
 	if s.dead {
 		return nil
 	}
-	var run []kept.Manifest
+	var run []kvcache.Manifest
 	for depth, key := range keys {
 		text := key.String()
 		m, known := s.rows[text]
@@ -122,9 +122,9 @@
 			if len(s.rows) >= s.size[0]+s.size[1] {
 				return run
 			}
-			s.move(kept.TierMemory, pieceKV)
+			s.move(kvcache.TierMemory, pieceKV)
 			s.touch(text)
-			m = kept.Seal(kept.Manifest{Key: text, Scope: scope.String(), Depth: depth, Piece: kept.Piece{Digest: text, Bytes: pieceKV, Tokens: pieceTokens}})
+			m = kvcache.Seal(kvcache.Manifest{Key: text, Scope: scope.String(), Depth: depth, Piece: kvcache.Piece{Digest: text, Bytes: pieceKV, Tokens: pieceTokens}})
 		}
 		m.Used = s.now
 		s.rows[text] = m
@@ -142,7 +142,7 @@
 		if s.dead || float64(room) >= least*float64(size) {
 			continue
 		}
-		all := slices.SortedFunc(maps.Values(s.rows), func(a, b kept.Manifest) int { return cmp.Compare(a.Key, b.Key) })
+		all := slices.SortedFunc(maps.Values(s.rows), func(a, b kvcache.Manifest) int { return cmp.Compare(a.Key, b.Key) })
 		for _, key := range w.Policy.drop(w.now, all, int(2*least*float64(size)-float64(room))*pieceKV) {
 			delete(s.tiers, key)
 			delete(s.rows, key)
--- a/internal/measure/traffic.go
+++ b/internal/measure/traffic.go
@@ -11,7 +11,7 @@
 
 	"github.com/thymewind/thymewind/dispatch"
 	api "github.com/thymewind/thymewind/engine"
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/kvcache"
 	"github.com/thymewind/thymewind/notice"
 	"github.com/thymewind/thymewind/prefix"
 	"github.com/thymewind/thymewind/reuse"
@@ -149,7 +149,7 @@
 		return
 	}
 	if r.store.dead {
-		t.board.StoreAvoid[r.placed.StoreName] = t.now.Add(dispatch.StorePause)
+		t.board.StoreAvoidUntil[r.placed.StoreName] = t.now.Add(dispatch.StoreBackoff)
 		return
 	}
 	keys := make([]string, len(r.placed.Keys))
@@ -157,11 +157,11 @@
 		keys[i] = key.String()
 	}
 	found := r.store.find(keys)
-	found.Run = kept.Usable(found.Run, r.placed.Scope.String(), keys)
+	found.Run = kvcache.Usable(found.Run, r.placed.Scope.String(), keys)
 	r.placed.KeptPieces = len(found.Run)
 	weights := t.board.Configuration.Pools[poolName].Policy
 	n := t.Policy.imports(t.now, r.placed.Estimate, weights, reuse.Choice{Tokens: r.tokens(), Found: found, Wait: r.placed.Wait})
-	r.placed.Said = reuse.Said(found, n)
+	r.placed.Said = reuse.Predicted(found, n)
 	if n > 0 {
 		r.placed.Import = &api.Import{Store: r.placed.Store, Run: found.Run[:n]}
 	}
@@ -177,7 +177,7 @@
 			return
 		}
 		if !e.submit(r) {
-			t.board.Said(t.now, r.placed, notice.Said{Leaving: e.leaving})
+			t.board.ApplySignals(t.now, r.placed, notice.Signals{Leaving: e.leaving})
 			t.retry(r, route.Ended{Placed: r.placed, Refused: true})
 			return
 		}
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -38,7 +38,7 @@
 	end     time.Time
 	events  queue
 	order   int
-	board   dispatch.Board
+	board   dispatch.Scheduler
 	engines []*engine
 	stores  []*store
 	traffic *traffic
@@ -125,11 +125,11 @@
 
 func (w *world) startBoard() {
 	chooser := &placement.Chooser{Usable: (*target.Target).Usable, Wait: w.board.Wait}
-	w.board = dispatch.Board{
+	w.board = dispatch.Scheduler{
 		Choose: w.Policy.chooser(chooser, w.random), Scope: prefix.Scope, Keep: w.Policy.keep(),
-		Boxes: func() int { return 1 }, Others: func(string) dispatch.Use { return dispatch.Use{} }, Limit: func(_ string, limit int) int { return limit },
+		Boxes: func() int { return 1 }, Others: func(string) dispatch.Usage { return dispatch.Usage{} }, Limit: func(_ string, limit int) int { return limit },
 		Jitter: func(d time.Duration) time.Duration { return d }, Record: func(decision.Record) {},
-		Failing: func(string) {}, Leaving: func(_, _ string) {},
+		OnFailing: func(string) {}, OnLeaving: func(_, _ string) {},
 	}
 	w.board.Start()
 	w.board.Configuration = &configuration.Configuration{
@@ -161,7 +161,7 @@
 	for _, s := range w.stores {
 		w.board.Stores.Put(s.name, boxes.Box{Name: s.name, Address: s.address})
 	}
-	w.board.Group()
+	w.board.GroupByPool()
 }
 
 // report brings every engine's load report, late.
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -18,7 +18,7 @@
 
 	api "github.com/thymewind/thymewind/engine"
 	"github.com/thymewind/thymewind/internal/standin/fault"
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/kvcache"
 	"github.com/thymewind/thymewind/prefix"
 )
 
@@ -65,7 +65,7 @@
 	reports []api.Load
 	events  []event
 	log     []Ran
-	store   kept.Store
+	store   kvcache.Client
 }
 
 // event is one change of the prefix cache.
@@ -89,7 +89,7 @@
 	e.version = e.Version
 	e.runs = make(map[string]*run)
 	e.cache, _ = simplelru.NewLRU(max(e.CachePieces, 1), func(key string, _ struct{}) { e.note(false, key) })
-	e.store = kept.Store{HTTP: &http.Client{Timeout: 10 * time.Second}}
+	e.store = kvcache.Client{HTTP: &http.Client{Timeout: 10 * time.Second}}
 	go e.report(ctx)
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/generate", e.generate)
@@ -240,7 +240,7 @@
 		return
 	}
 	var answer struct {
-		Pieces []kept.Piece `json:"pieces"`
+		Pieces []kvcache.Piece `json:"pieces"`
 	}
 	for _, key := range keys {
 		data := e.kv(key)
@@ -248,7 +248,7 @@
 			http.Error(w, err.Error(), http.StatusInsufficientStorage)
 			return
 		}
-		answer.Pieces = append(answer.Pieces, kept.Piece{Digest: kept.Digest(data), Bytes: len(data), Tokens: tokens})
+		answer.Pieces = append(answer.Pieces, kvcache.Piece{Digest: kvcache.Digest(data), Bytes: len(data), Tokens: tokens})
 	}
 	fault.Answer(w, http.StatusOK, answer)
 }
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -12,7 +12,7 @@
 
 	api "github.com/thymewind/thymewind/engine"
 	"github.com/thymewind/thymewind/internal/standin/fault"
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/kvcache"
 	"github.com/thymewind/thymewind/prefix"
 	"github.com/thymewind/thymewind/stream"
 )
@@ -175,7 +175,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	for i, m := range run[reused:] {
-		if kept.Check(m, x.ask.Scope, m.Key, reused+i) != nil {
+		if kvcache.Check(m, x.ask.Scope, m.Key, reused+i) != nil {
 			return 0
 		}
 		data, err := e.store.Piece(ctx, x.ask.Import.Store, m.Piece)
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/thymewind/thymewind/internal/standin/fault"
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/kvcache"
 )
 
 // pinned is how long a piece that was just read is kept from deletion.
@@ -31,7 +31,7 @@
 
 	mu        sync.Mutex
 	pieces    map[string]*piece
-	manifests map[string]kept.Manifest
+	manifests map[string]kvcache.Manifest
 	memory    int
 	disk      int
 	busy      [2]time.Time
@@ -47,7 +47,7 @@
 // Handler returns the service.
 func (s *Store) Handler() http.Handler {
 	s.pieces = make(map[string]*piece)
-	s.manifests = make(map[string]kept.Manifest)
+	s.manifests = make(map[string]kvcache.Manifest)
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /v1/pieces/{digest}", s.putPiece)
 	mux.HandleFunc("GET /v1/pieces/{digest}", s.piece)
@@ -61,7 +61,7 @@
 
 func (s *Store) putPiece(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(r.Body)
-	if err != nil || kept.Digest(data) != r.PathValue("digest") {
+	if err != nil || kvcache.Digest(data) != r.PathValue("digest") {
 		http.Error(w, "the bytes don't match the digest", http.StatusBadRequest)
 		return
 	}
@@ -128,7 +128,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answer := kept.Found{Links: s.links()}
+	answer := kvcache.Found{Links: s.links()}
 	for _, key := range query.Keys {
 		m, ok := s.manifests[key]
 		if !ok {
@@ -138,7 +138,7 @@
 		m.Hits++
 		s.manifests[key] = m
 		if p := s.pieces[m.Piece.Digest]; p != nil && p.onDisk {
-			m.Tier = kept.TierDisk
+			m.Tier = kvcache.TierDisk
 		}
 		answer.Run = append(answer.Run, m)
 	}
@@ -146,8 +146,8 @@
 }
 
 // links tells how the tiers' links are used.
-func (s *Store) links() [kept.Tiers]kept.Link {
-	links := [kept.Tiers]kept.Link{{Rate: s.MemoryRate}, {Rate: s.DiskRate}}
+func (s *Store) links() [kvcache.Tiers]kvcache.Link {
+	links := [kvcache.Tiers]kvcache.Link{{Rate: s.MemoryRate}, {Rate: s.DiskRate}}
 	for tier := range links {
 		if wait := time.Until(s.busy[tier]); wait > 0 {
 			links[tier].Queue = int(wait.Seconds() * links[tier].Rate)
@@ -158,7 +158,7 @@
 
 // manifests is how manifests travel.
 type manifests struct {
-	Manifests []kept.Manifest `json:"manifests"`
+	Manifests []kvcache.Manifest `json:"manifests"`
 }
 
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
@@ -168,7 +168,7 @@
 	for _, m := range s.manifests {
 		answer.Manifests = append(answer.Manifests, m)
 	}
-	slices.SortFunc(answer.Manifests, func(a, b kept.Manifest) int { return a.Used.Compare(b.Used) })
+	slices.SortFunc(answer.Manifests, func(a, b kvcache.Manifest) int { return a.Used.Compare(b.Used) })
 	if limit, err := strconv.Atoi(r.URL.Query().Get("oldest")); err == nil && limit < len(answer.Manifests) {
 		answer.Manifests = answer.Manifests[:max(limit, 0)]
 	}
--- a/keep.go
+++ b/keep.go
@@ -11,7 +11,7 @@
 	"github.com/thymewind/thymewind/decision"
 	"github.com/thymewind/thymewind/dispatch"
 	"github.com/thymewind/thymewind/engine"
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/kvcache"
 	"github.com/thymewind/thymewind/placement"
 	"github.com/thymewind/thymewind/prefix"
 	"github.com/thymewind/thymewind/retention"
@@ -38,7 +38,7 @@
 // cacheExported is how that went.
 type cacheExported struct {
 	placed route.Placed
-	run    []kept.Manifest
+	run    []kvcache.Manifest
 	err    error
 }
 
@@ -73,7 +73,7 @@
 		_ = d.send(ctx, storeFailed{placed.StoreName})
 		return
 	}
-	usable := kept.Usable(found.Run, placed.Scope.String(), keys)
+	usable := kvcache.Usable(found.Run, placed.Scope.String(), keys)
 	if len(usable) < len(found.Run) {
 		d.counts.kept.WithLabelValues("wrong").Inc()
 	}
@@ -97,16 +97,16 @@
 
 // decideImport imports as much of the kept cache found as is predicted to cost
 // less than computing it.
-func (d *Daemon) decideImport(placed *route.Placed, prompt string, found kept.Found) {
+func (d *Daemon) decideImport(placed *route.Placed, prompt string, found kvcache.Found) {
 	p := d.currentOrEmpty().Pools[placed.Pool]
 	n := placed.Estimate.Best(d.now(), p.Policy, reuse.Choice{Tokens: len(prompt) / dispatch.BytesPerToken, Found: found, Wait: placed.Wait})
-	placed.Said = reuse.Said(found, n)
-	tokens, bytes := kept.Size(found.Run)
+	placed.Said = reuse.Predicted(found, n)
+	tokens, bytes := kvcache.Size(found.Run)
 	record := decision.Record{
 		At: d.now(), Kind: decision.Reused, Request: placed.Request, Account: placed.Account, Pool: placed.Pool,
 		Rule: "least predicted cost",
 		Inputs: fmt.Sprintf("%d tokens kept in %d bytes; prefill %.0f tokens/s, links %+v, slower than said by %.1f",
-			tokens, bytes, placed.Estimate.Prefill, found.Links, placed.Estimate.Slow),
+			tokens, bytes, placed.Estimate.Prefill, found.Links, placed.Estimate.Slowdown),
 		Result: fmt.Sprintf("import %d of %d pieces from %s", n, len(found.Run), placed.StoreName),
 	}
 	if n > 0 {
@@ -123,10 +123,10 @@
 	if err == nil && len(pieces) != len(placed.Keys) {
 		err = trace.CompareFailed("%d pieces were written, want %d", len(pieces), len(placed.Keys))
 	}
-	var run []kept.Manifest
+	var run []kvcache.Manifest
 	for i, piece := range pieces {
-		m := kept.Manifest{Key: placed.Keys[min(i, len(placed.Keys)-1)].String(), Scope: placed.Scope.String(), Depth: i, Piece: piece}
-		run = append(run, kept.Seal(m))
+		m := kvcache.Manifest{Key: placed.Keys[min(i, len(placed.Keys)-1)].String(), Scope: placed.Scope.String(), Depth: i, Piece: piece}
+		run = append(run, kvcache.Seal(m))
 	}
 	if err == nil {
 		err = d.stores.Put(ctx, placed.Store, run)
@@ -170,7 +170,7 @@
 // makeRoom drops the manifests least worth keeping if the store box is nearly
 // full; twice the least room is made, so that it is not done all the time.
 func (d *Daemon) makeRoom(ctx context.Context, e makeRoom) message {
-	room, size, err := d.stores.Room(ctx, e.address)
+	room, size, err := d.stores.Capacity(ctx, e.address)
 	if err != nil || float64(room) >= roomLeast*float64(size) {
 		return roomMade{store: e.store, err: trace.Wrap(err)}
 	}
@@ -178,7 +178,7 @@
 	if err != nil {
 		return roomMade{store: e.store, err: trace.Wrap(err)}
 	}
-	keys := retention.Drop(d.now(), manifests, int(2*roomLeast*float64(size))-room)
+	keys := retention.Evict(d.now(), manifests, int(2*roomLeast*float64(size))-room)
 	for _, key := range keys {
 		if err := d.stores.Drop(ctx, e.address, key); err != nil {
 			return roomMade{store: e.store, err: trace.Wrap(err)}
@@ -195,6 +195,6 @@
 	delete(t.pending, pendingRoom+m.store)
 	d.counts.kept.WithLabelValues("dropped").Add(float64(m.dropped))
 	if m.err != nil {
-		t.StoreAvoid[m.store] = now.Add(dispatch.StorePause)
+		t.StoreAvoidUntil[m.store] = now.Add(dispatch.StoreBackoff)
 	}
 }
--- a/kvcache/kept_test.go
+++ b/kvcache/kept_test.go
@@ -1,4 +1,4 @@
-package kept_test
+package kvcache_test
 
 import (
 	"bytes"
@@ -22,7 +22,7 @@
 	"github.com/thymewind/thymewind/internal/proof"
 	"github.com/thymewind/thymewind/internal/standin/fault"
 	"github.com/thymewind/thymewind/internal/standin/store"
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/kvcache"
 	"github.com/thymewind/thymewind/prefix"
 )
 
@@ -91,13 +91,13 @@
 
 // control is what sister tests remove.
 type control struct {
-	usable func(run []kept.Manifest, scope string, keys []string) []kept.Manifest
-	piece  func(s *kept.Store, p kept.Piece) ([]byte, error)
+	usable func(run []kvcache.Manifest, scope string, keys []string) []kvcache.Manifest
+	piece  func(s *kvcache.Client, p kvcache.Piece) ([]byte, error)
 }
 
 var inForce = control{
-	usable: kept.Usable,
-	piece: func(s *kept.Store, p kept.Piece) ([]byte, error) {
+	usable: kvcache.Usable,
+	piece: func(s *kvcache.Client, p kvcache.Piece) ([]byte, error) {
 		return s.Piece(context.Background(), at, p)
 	},
 }
@@ -121,21 +121,21 @@
 
 // write keeps a prompt's cache: each piece first, then the manifests. The
 // writer dies after some pieces if the number given is small.
-func write(s *kept.Store, p prompt, dies int) {
+func write(s *kvcache.Client, p prompt, dies int) {
 	ctx := context.Background()
-	var run []kept.Manifest
+	var run []kvcache.Manifest
 	for i, key := range p.keys {
 		if i == dies || s.PutPiece(ctx, at, cache(key)) != nil {
 			return
 		}
-		piece := kept.Piece{Digest: kept.Digest(cache(key)), Bytes: len(cache(key)), Tokens: pieceBytes / 4}
-		run = append(run, kept.Seal(kept.Manifest{Key: key, Scope: p.scope.String(), Depth: i, Piece: piece}))
+		piece := kvcache.Piece{Digest: kvcache.Digest(cache(key)), Bytes: len(cache(key)), Tokens: pieceBytes / 4}
+		run = append(run, kvcache.Seal(kvcache.Manifest{Key: key, Scope: p.scope.String(), Depth: i, Piece: piece}))
 	}
 	_ = s.Put(ctx, at, run)
 }
 
 // read imports a prompt's cache and says whether all of it was its own.
-func (c control) read(s *kept.Store, p prompt) bool {
+func (c control) read(s *kvcache.Client, p prompt) bool {
 	found, err := s.Find(context.Background(), at, p.keys)
 	if err != nil {
 		return true
@@ -158,7 +158,7 @@
 		ok := true
 		synctest.Test(t, func(*testing.T) {
 			w := &wire{script: fake.Script{Kinds: faults}, box: newBox()}
-			s := &kept.Store{HTTP: &http.Client{Transport: w}}
+			s := &kvcache.Client{HTTP: &http.Client{Transport: w}}
 			for i, step := range steps {
 				p := promptOf(step)
 				switch i % 4 {
@@ -181,13 +181,13 @@
 
 func TestOnlyOwnWholePiecesNeedsTheManifestCheck(t *testing.T) {
 	removed := inForce
-	removed.usable = func(run []kept.Manifest, _ string, _ []string) []kept.Manifest { return run }
+	removed.usable = func(run []kvcache.Manifest, _ string, _ []string) []kvcache.Manifest { return run }
 	proof.Breaks(t, onlyOwnWholePieces(t, removed))
 }
 
 func TestOnlyOwnWholePiecesNeedsTheDigest(t *testing.T) {
 	removed := inForce
-	removed.piece = func(s *kept.Store, p kept.Piece) ([]byte, error) {
+	removed.piece = func(s *kvcache.Client, p kvcache.Piece) ([]byte, error) {
 		response, err := s.HTTP.Get("http://" + at.String() + "/v1/pieces/" + p.Digest)
 		if err != nil {
 			return nil, err
@@ -202,25 +202,25 @@
 }
 
 func TestCheck(t *testing.T) {
-	good := kept.Seal(kept.Manifest{Key: "k", Scope: "s", Depth: 1, Piece: kept.Piece{Digest: "d", Bytes: 1, Tokens: 1}})
+	good := kvcache.Seal(kvcache.Manifest{Key: "k", Scope: "s", Depth: 1, Piece: kvcache.Piece{Digest: "d", Bytes: 1, Tokens: 1}})
 	tests := []struct {
 		name   string
-		change func(*kept.Manifest)
+		change func(*kvcache.Manifest)
 		ok     bool
 	}{
-		{"as sealed", func(*kept.Manifest) {}, true},
-		{"asked for meanwhile", func(m *kept.Manifest) { m.Hits = 9 }, true},
-		{"another scope", func(m *kept.Manifest) { m.Scope = "other" }, false},
-		{"another depth", func(m *kept.Manifest) { m.Depth = 0 }, false},
-		{"another piece", func(m *kept.Manifest) { m.Piece.Digest = "e" }, false},
-		{"more tokens", func(m *kept.Manifest) { m.Piece.Tokens = 2 }, false},
-		{"no bytes", func(m *kept.Manifest) { m.Piece.Bytes = 0; *m = kept.Seal(*m) }, false},
+		{"as sealed", func(*kvcache.Manifest) {}, true},
+		{"asked for meanwhile", func(m *kvcache.Manifest) { m.Hits = 9 }, true},
+		{"another scope", func(m *kvcache.Manifest) { m.Scope = "other" }, false},
+		{"another depth", func(m *kvcache.Manifest) { m.Depth = 0 }, false},
+		{"another piece", func(m *kvcache.Manifest) { m.Piece.Digest = "e" }, false},
+		{"more tokens", func(m *kvcache.Manifest) { m.Piece.Tokens = 2 }, false},
+		{"no bytes", func(m *kvcache.Manifest) { m.Piece.Bytes = 0; *m = kvcache.Seal(*m) }, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			m := good
 			tt.change(&m)
-			if err := kept.Check(m, "s", "k", 1); (err == nil) != tt.ok {
+			if err := kvcache.Check(m, "s", "k", 1); (err == nil) != tt.ok {
 				t.Errorf("Check = %v, want ok %v", err, tt.ok)
 			}
 		})
--- a/kvcache/manifest.go
+++ b/kvcache/manifest.go
@@ -1,4 +1,4 @@
-// Package kept holds what is known of KV cache kept on store boxes: the
+// Package kvcache holds what is known of KV cache kept on store boxes: the
 // manifests that make pieces usable, and the checks before their use.
 //
 // A piece is written first and its manifest last; a manifest is used only if
@@ -7,7 +7,7 @@
 //
 //	run, err := store.Find(ctx, address, keys)
 //	usable := kept.Usable(run, scope, keys)
-package kept
+package kvcache
 
 import (
 	"encoding/binary"
--- a/kvcache/store.go
+++ b/kvcache/store.go
@@ -1,4 +1,4 @@
-package kept
+package kvcache
 
 import (
 	"bytes"
@@ -12,14 +12,14 @@
 	"github.com/gravitational/trace"
 )
 
-// Store is the client of store boxes. Set HTTP before first use.
-type Store struct {
+// Client is the client of store boxes. Set HTTP before first use.
+type Client struct {
 	HTTP *http.Client
 }
 
 // Find returns the manifests that the store box holds for the keys, shortest
 // prefix first, up to the first one that it lacks.
-func (s *Store) Find(ctx context.Context, at netip.AddrPort, keys []string) (Found, error) {
+func (s *Client) Find(ctx context.Context, at netip.AddrPort, keys []string) (Found, error) {
 	body := struct {
 		Keys []string `json:"keys"`
 	}{keys}
@@ -35,20 +35,20 @@
 
 // Put writes sealed manifests. The store box refuses one whose piece it lacks
 // with trace.CompareFailed; those before it in the list are written.
-func (s *Store) Put(ctx context.Context, at netip.AddrPort, run []Manifest) error {
+func (s *Client) Put(ctx context.Context, at netip.AddrPort, run []Manifest) error {
 	return trace.Wrap(s.call(ctx, s.to(at).Put("/v1/manifests").BodyJSON(manifests{run}), nil))
 }
 
 // Oldest returns up to limit manifests of the store box, those first that were
 // not asked for for longest.
-func (s *Store) Oldest(ctx context.Context, at netip.AddrPort, limit int) ([]Manifest, error) {
+func (s *Client) Oldest(ctx context.Context, at netip.AddrPort, limit int) ([]Manifest, error) {
 	var answer manifests
 	err := s.call(ctx, s.to(at).Get("/v1/manifests?oldest="+strconv.Itoa(limit)), &answer)
 	return answer.Manifests, trace.Wrap(err)
 }
 
-// Room returns the free bytes and the size of the store box.
-func (s *Store) Room(ctx context.Context, at netip.AddrPort) (free, size int, err error) {
+// Capacity returns the free bytes and the size of the store box.
+func (s *Client) Capacity(ctx context.Context, at netip.AddrPort) (free, size int, err error) {
 	var answer struct {
 		Free int `json:"free"`
 		Size int `json:"size"`
@@ -59,20 +59,20 @@
 
 // Drop deletes a manifest. Its pieces go once no manifest lists them and no
 // import has them pinned.
-func (s *Store) Drop(ctx context.Context, at netip.AddrPort, key string) error {
+func (s *Client) Drop(ctx context.Context, at netip.AddrPort, key string) error {
 	return trace.Wrap(s.call(ctx, s.to(at).Delete("/v1/manifests/"+key), nil))
 }
 
 // PutPiece writes one piece under its digest. It fails with
 // trace.LimitExceeded when the store box is full.
-func (s *Store) PutPiece(ctx context.Context, at netip.AddrPort, data []byte) error {
+func (s *Client) PutPiece(ctx context.Context, at netip.AddrPort, data []byte) error {
 	call := s.to(at).Put("/v1/pieces/"+Digest(data)).Set("Content-Type", "application/octet-stream").Body(bytes.NewReader(data))
 	return trace.Wrap(s.call(ctx, call, nil))
 }
 
 // Piece reads one piece and pins it shortly against deletion. Bytes that don't
 // match the digest are an error, never returned.
-func (s *Store) Piece(ctx context.Context, at netip.AddrPort, p Piece) ([]byte, error) {
+func (s *Client) Piece(ctx context.Context, at netip.AddrPort, p Piece) ([]byte, error) {
 	request, err := s.to(at).Get("/v1/pieces/" + p.Digest).Request()
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -95,11 +95,11 @@
 	return data, nil
 }
 
-func (s *Store) to(at netip.AddrPort) *sling.Sling {
+func (s *Client) to(at netip.AddrPort) *sling.Sling {
 	return sling.New().Client(s.HTTP).Base("http://" + at.String())
 }
 
-func (s *Store) call(ctx context.Context, call *sling.Sling, success any) error {
+func (s *Client) call(ctx context.Context, call *sling.Sling, success any) error {
 	request, err := call.Request()
 	if err != nil {
 		return trace.Wrap(err)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -36,12 +36,12 @@
 // Lease is one duty's lease as this daemon knows it. Set the exported fields
 // before first use; it is safe for concurrent use after that.
 type Lease struct {
-	// Duty names the rows in the table service. It is never empty.
-	Duty string
+	// Name names the rows in the table service. It is never empty.
+	Name string
 	// Holder is this box's name.
 	Holder string
-	// Length is how long one renewal lasts. It is longer than Margin.
-	Length time.Duration
+	// TTL is how long one renewal lasts. It is longer than Margin.
+	TTL time.Duration
 	// Margin is how long before the end the holder stops acting, and how long
 	// behind the end a successor waits. It covers the difference of two clocks'
 	// rates over one Length.
@@ -99,7 +99,7 @@
 func (l *Lease) Due() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.mine == "" || !l.Now().Before(l.until.Add(-l.Length/2))
+	return l.mine == "" || !l.Now().Before(l.until.Add(-l.TTL/2))
 }
 
 // Restored notes how often the table service was restored, as told at a time, and says whether
@@ -123,7 +123,7 @@
 	if l.restores == 0 {
 		return time.Time{}
 	}
-	return l.restoredAt.Add(l.Length)
+	return l.restoredAt.Add(l.TTL)
 }
 
 // FirstEpoch is the lowest epoch that is given out since the last restore that is known.
@@ -133,9 +133,9 @@
 	return l.restores*epochsEach + 1
 }
 
-// Step renews the lease or takes it if its holder let it lapse. It returns the
+// AcquireOrRenew renews the lease or takes it if its holder let it lapse. It returns the
 // table service's error; a lease that is held then runs out by itself.
-func (l *Lease) Step(ctx context.Context) error {
+func (l *Lease) AcquireOrRenew(ctx context.Context) error {
 	started := l.Now()
 	current, at, err := l.read(ctx)
 	if err != nil {
@@ -163,14 +163,14 @@
 	}
 	now := l.Now()
 	if l.mine != "" && l.holds(now, current, at) {
-		return row{Holder: l.Holder, Epoch: l.epoch, Nonce: l.Nonce(), Length: l.Length}, true
+		return row{Holder: l.Holder, Epoch: l.epoch, Nonce: l.Nonce(), Length: l.TTL}, true
 	}
 	l.mine = ""
 	if !l.lapsed(now, current, at) {
 		return row{}, false
 	}
 	epoch := max(current.Epoch, l.restores*epochsEach) + 1
-	return row{Holder: l.Holder, Epoch: epoch, Nonce: l.Nonce(), Length: l.Length}, true
+	return row{Holder: l.Holder, Epoch: epoch, Nonce: l.Nonce(), Length: l.TTL}, true
 }
 
 // holds says whether nobody can have taken the lease since its last renewal: the row still
@@ -188,7 +188,7 @@
 // before a restore.
 func (l *Lease) lapsed(now time.Time, current row, at revision.Revision) bool {
 	if at.Number == 0 {
-		return l.restores == 0 || now.Sub(l.restoredAt) >= l.Length+l.Margin
+		return l.restores == 0 || now.Sub(l.restoredAt) >= l.TTL+l.Margin
 	}
 	if current.Holder == "" {
 		return true
@@ -215,7 +215,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mine, l.renewedAfter, l.epoch = next.Nonce, at.Restores, next.Epoch
-	l.until = started.Add(l.Length)
+	l.until = started.Add(l.TTL)
 	return nil
 }
 
@@ -238,9 +238,9 @@
 // key names the row of the time between two restores.
 func (l *Lease) key(restores uint64) string {
 	if restores == 0 {
-		return "lease/" + l.Duty
+		return "lease/" + l.Name
 	}
-	return fmt.Sprintf("lease/%s/%d", l.Duty, restores)
+	return fmt.Sprintf("lease/%s/%d", l.Name, restores)
 }
 
 // known is how many restores of the table service are known.
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -77,7 +77,7 @@
 				rate := 1 + float64(box-1)/100
 				n := 0
 				l := &lease.Lease{
-					Duty: "orders", Holder: fmt.Sprint(box), Length: 6 * time.Second, Margin: c.margin,
+					Name: "orders", Holder: fmt.Sprint(box), TTL: 6 * time.Second, Margin: c.margin,
 					Commit: c.commit(rows), Read: c.read(rows),
 					Nonce: func() string { n++; return fmt.Sprint(box, "-", n) },
 					Now:   func() time.Time { return began.Add(time.Duration(float64(time.Since(began)) * rate)) },
@@ -95,7 +95,7 @@
 func live(l *lease.Lease, box int, w *watch, freezes []int) {
 	for i, freeze := range freezes {
 		if l.Due() {
-			_ = l.Step(context.Background())
+			_ = l.AcquireOrRenew(context.Background())
 		}
 		epoch, _, held := l.Held()
 		w.note(box, epoch, held)
@@ -137,16 +137,16 @@
 		n := 0
 		box := func(name string) *lease.Lease {
 			return &lease.Lease{
-				Duty: "charges", Holder: name, Length: 6 * time.Second, Margin: time.Second, Commit: rows.Commit, Read: rows.Read,
+				Name: "charges", Holder: name, TTL: 6 * time.Second, Margin: time.Second, Commit: rows.Commit, Read: rows.Read,
 				Nonce: func() string { n++; return fmt.Sprint(n) }, Now: time.Now,
 			}
 		}
 		first, second := box("a"), box("b")
 		ctx := context.Background()
-		if err := first.Step(ctx); err != nil {
+		if err := first.AcquireOrRenew(ctx); err != nil {
 			t.Fatal(err)
 		}
-		if err := second.Step(ctx); err != nil {
+		if err := second.AcquireOrRenew(ctx); err != nil {
 			t.Fatal(err)
 		}
 		if _, _, ok := second.Held(); ok {
@@ -155,7 +155,7 @@
 		if err := first.Release(ctx); err != nil {
 			t.Fatal(err)
 		}
-		if err := second.Step(ctx); err != nil {
+		if err := second.AcquireOrRenew(ctx); err != nil {
 			t.Fatal(err)
 		}
 		epoch, _, ok := second.Held()
--- a/lease/restored_test.go
+++ b/lease/restored_test.go
@@ -31,7 +31,7 @@
 				rate := 1 + float64(box-1)/100
 				n := 0
 				l := &lease.Lease{
-					Duty: "orders", Holder: fmt.Sprint(box), Length: 6 * time.Second, Margin: time.Second,
+					Name: "orders", Holder: fmt.Sprint(box), TTL: 6 * time.Second, Margin: time.Second,
 					Commit: rows.Commit, Read: read(rows),
 					Nonce: func() string { n++; return fmt.Sprint(box, "-", n) },
 					Now:   func() time.Time { return began.Add(time.Duration(float64(time.Since(began)) * rate)) },
--- a/leastrequest/nearest.go
+++ b/leastrequest/nearest.go
@@ -1,9 +1,9 @@
-// Package nearest chooses a replica of a plain service: one that is well, with
+// Package leastrequest chooses a replica of a plain service: one that is well, with
 // the least of this box's own requests, in the box's own failure domain if that
 // makes no odds.
 //
 //	target, ok := nearest.Chooser{Domain: "quezon"}.Choose(now, targets, skip)
-package nearest
+package leastrequest
 
 import (
 	"time"
@@ -12,9 +12,9 @@
 	"github.com/thymewind/thymewind/placement"
 )
 
-// SilentAfter is how long a service with requests may say nothing: the slowest
+// SilenceTimeout is how long a service with requests may say nothing: the slowest
 // in 100 take a fifth of a second.
-const SilentAfter = 350 * time.Millisecond
+const SilenceTimeout = 350 * time.Millisecond
 
 const (
 	// elsewhere is the cost of another failure domain in requests under way: a
@@ -41,7 +41,7 @@
 	var best *fleet.Target
 	var least float64
 	for _, t := range targets {
-		if !t.Open(now) || skip(t.ID) || t.Silent(now, SilentAfter) {
+		if !t.Available(now) || skip(t.ID) || t.Silent(now, SilenceTimeout) {
 			continue
 		}
 		cost := c.cost(now, t)
@@ -63,7 +63,7 @@
 	if t.Grey(now) {
 		cost += doubt
 	}
-	if t.Avoided(now) {
+	if t.Ejected(now) {
 		cost += suspicion
 	}
 	return cost
@@ -71,4 +71,4 @@
 
 // Silent says whether a target should be asked for its health: requests wait
 // there and nothing comes.
-func Silent(now time.Time, t *fleet.Target) bool { return t.Silent(now, SilentAfter) }
+func Silent(now time.Time, t *fleet.Target) bool { return t.Silent(now, SilenceTimeout) }
--- a/leastrequest/nearest_test.go
+++ b/leastrequest/nearest_test.go
@@ -1,11 +1,11 @@
-package nearest_test
+package leastrequest_test
 
 import (
 	"testing"
 	"time"
 
 	"github.com/thymewind/thymewind/fleet"
-	"github.com/thymewind/thymewind/nearest"
+	"github.com/thymewind/thymewind/leastrequest"
 )
 
 func TestChoose(t *testing.T) {
@@ -30,7 +30,7 @@
 			near, far := &fleet.Target{ID: "near", Domain: "a"}, &fleet.Target{ID: "far", Domain: "b"}
 			tt.change(near, far)
 			got := ""
-			if x, ok := (nearest.Chooser{Domain: "a"}).Choose(start, []*fleet.Target{far, near}, func(id string) bool { return id == tt.skip }); ok {
+			if x, ok := (leastrequest.Chooser{Domain: "a"}).Choose(start, []*fleet.Target{far, near}, func(id string) bool { return id == tt.skip }); ok {
 				got = x.ID
 			}
 			if got != tt.want {
--- a/leastrequest/spread_test.go
+++ b/leastrequest/spread_test.go
@@ -1,4 +1,4 @@
-package nearest_test
+package leastrequest_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/thymewind/thymewind/fleet"
-	"github.com/thymewind/thymewind/nearest"
+	"github.com/thymewind/thymewind/leastrequest"
 	"github.com/thymewind/thymewind/placement"
 )
 
@@ -24,7 +24,7 @@
 			}
 			first := make(map[string]int)
 			for i := range boxes {
-				c := nearest.Chooser{Domain: "a", Self: placement.Hash(fmt.Sprintf("box-%d", i))}
+				c := leastrequest.Chooser{Domain: "a", Self: placement.Hash(fmt.Sprintf("box-%d", i))}
 				x, _ := c.Choose(start, list, func(string) bool { return false })
 				again, _ := c.Choose(start, list, func(string) bool { return false })
 				if again != x {
--- a/limited.go
+++ b/limited.go
@@ -23,7 +23,7 @@
 // allow returns why a request must not leave for its target any more, or nil.
 func (d *Daemon) allow(p route.Placed) error {
 	now := d.now()
-	if d.notices.Limit(notice.LifeAt(p.Target, p.Address)).Named && (!p.Granted || now.Sub(p.At) > grantFor) {
+	if d.notices.Limit(notice.IncarnationAt(p.Target, p.Address)).Active && (!p.Granted || now.Sub(p.At) > grantFor) {
 		d.Log.Info("request is kept from a target at the last moment", "request", p.Request, "target", p.Target, "placed_ago", now.Sub(p.At))
 		return notice.ErrLimited
 	}
@@ -36,7 +36,7 @@
 	if t.quotaBoxes == nil {
 		t.quotaBoxes = t.sharing(d.Settings.Name)
 	}
-	return quota.Part(x.Rate, x.Hash, d.Settings.Name, t.quotaBoxes)
+	return quota.Share(x.Rate, x.Hash, d.Settings.Name, t.quotaBoxes)
 }
 
 // sharing lists the boxes that share targets' rates: those listed that don't leave, and this one.
@@ -54,22 +54,22 @@
 func (d *Daemon) limitTargets(t *tables) {
 	t.quotaBoxes = nil
 	for name, x := range t.Targets.All() {
-		limit := d.notices.Limit(notice.LifeAt(name, x.Address))
-		if x.Limited != limit.Named {
-			d.Log.Info("target's limit on the requests of all boxes", "target", name, "limited", limit.Named, "per_second", limit.PerSecond, "known_for", d.now().Sub(limit.At))
+		limit := d.notices.Limit(notice.IncarnationAt(name, x.Address))
+		if x.Limited != limit.Active {
+			d.Log.Info("target's limit on the requests of all boxes", "target", name, "limited", limit.Active, "per_second", limit.PerSecond, "known_for", d.now().Sub(limit.At))
 		}
-		t.SetLimit(x, limit.Named, limit.PerSecond)
+		t.SetLimit(x, limit.Active, limit.PerSecond)
 	}
 }
 
 // limitsTold lists the limits known, for a peer; which ones of many varies.
-func (d *Daemon) limitsTold(now time.Time) []peer.Limit {
-	var list []peer.Limit
+func (d *Daemon) limitsTold(now time.Time) []peer.RateLimit {
+	var list []peer.RateLimit
 	for _, x := range d.notices.Limits() {
 		if len(list) == maxLimits {
 			break
 		}
-		list = append(list, peer.LimitOf(now, x))
+		list = append(list, peer.NewRateLimit(now, x))
 	}
 	return list
 }
@@ -77,8 +77,8 @@
 // hearLimits takes over the limits that a peer knows.
 func (d *Daemon) hearLimits(now time.Time, t *tables, m peer.Message) {
 	news := false
-	for _, l := range m.Limits {
-		x, err := l.Rated(now)
+	for _, l := range m.RateLimits {
+		x, err := l.Decode(now)
 		if err != nil {
 			d.Log.Warn("a peer's word of a limit can't be used", "from", m.From, "err", err)
 			continue
--- a/limited_test.go
+++ b/limited_test.go
@@ -144,22 +144,22 @@
 		rate    float64
 	}{
 		{"nothing", func(*Daemon) {}, false, 0},
-		{"an answer", func(d *Daemon) { d.tellSaid(placed, notice.Said{Limited: true, Rate: 3}) }, true, 3},
+		{"an answer", func(d *Daemon) { d.tellSaid(placed, notice.Signals{Limited: true, Rate: 3}) }, true, 3},
 		{"a peer", func(d *Daemon) {
-			d.update(now, peerSaid{peer.Message{Limits: []peer.Limit{{Target: "engine-0@" + at.String(), Named: true, PerSecond: 2}}}, make(chan peer.Message, 1)})
+			d.update(now, peerSaid{peer.Message{RateLimits: []peer.RateLimit{{Target: "engine-0@" + at.String(), Active: true, PerSecond: 2}}}, make(chan peer.Message, 1)})
 		}, true, 2},
 		{"a peer, of a target at another address", func(d *Daemon) {
-			d.update(now, peerSaid{peer.Message{Limits: []peer.Limit{{Target: "engine-0@10.9.9.9:1", Named: true, PerSecond: 2}}}, make(chan peer.Message, 1)})
+			d.update(now, peerSaid{peer.Message{RateLimits: []peer.RateLimit{{Target: "engine-0@10.9.9.9:1", Active: true, PerSecond: 2}}}, make(chan peer.Message, 1)})
 		}, false, 0},
 		{"an end", func(d *Daemon) {
-			d.tellSaid(placed, notice.Said{Limited: true, Rate: 3})
+			d.tellSaid(placed, notice.Signals{Limited: true, Rate: 3})
 			later := placed
 			later.At = d.now().Add(time.Second)
-			d.tellSaid(later, notice.Said{Unlimited: true})
+			d.tellSaid(later, notice.Signals{Unlimited: true})
 		}, false, 0},
 		{"an answer to a request placed before", func(d *Daemon) {
-			d.tellSaid(placed, notice.Said{Limited: true, Rate: 3})
-			d.tellSaid(placed, notice.Said{Unlimited: true})
+			d.tellSaid(placed, notice.Signals{Limited: true, Rate: 3})
+			d.tellSaid(placed, notice.Signals{Unlimited: true})
 		}, true, 3},
 	}
 	for _, tt := range tests {
@@ -210,7 +210,7 @@
 	if err := d.allow(p); err != nil {
 		t.Errorf("no limit is known: %v", err)
 	}
-	d.tellSaid(p, notice.Said{Limited: true, Rate: 3})
+	d.tellSaid(p, notice.Signals{Limited: true, Rate: 3})
 	if d.allow(p) == nil {
 		t.Error("placed before the limit, and not kept back")
 	}
--- a/message.go
+++ b/message.go
@@ -32,7 +32,7 @@
 // targetSaid tells what the head of an answer says of its target.
 type targetSaid struct {
 	placed route.Placed
-	said   notice.Said
+	said   notice.Signals
 }
 
 // runResumed tells that a run's answer is read again from a target.
--- a/minlatency/quickest_test.go
+++ b/minlatency/quickest_test.go
@@ -1,4 +1,4 @@
-package quickest_test
+package minlatency_test
 
 import (
 	"math"
@@ -6,54 +6,54 @@
 	"testing"
 	"time"
 
-	"github.com/thymewind/thymewind/quickest"
+	"github.com/thymewind/thymewind/minlatency"
 )
 
 var start = time.Unix(1000, 0)
 
 // TestLeast says what is known of a kind's least time.
 func TestLeast(t *testing.T) {
-	see := func(r *quickest.Record, after time.Duration, n int, took time.Duration) {
+	see := func(r *minlatency.Tracker, after time.Duration, n int, took time.Duration) {
 		for range n {
-			r.See(start.Add(after), "k", took)
+			r.Observe(start.Add(after), "k", took)
 		}
 	}
 	tests := []struct {
 		name   string
-		happen func(r *quickest.Record)
+		happen func(r *minlatency.Tracker)
 		after  time.Duration
 		want   time.Duration
 		known  bool
 	}{
-		{"nothing", func(*quickest.Record) {}, 0, 0, false},
-		{"too few", func(r *quickest.Record) { see(r, 0, quickest.Enough-1, 100*time.Millisecond) }, 0, 70 * time.Millisecond, false},
-		{"enough", func(r *quickest.Record) { see(r, 0, quickest.Enough, 100*time.Millisecond) }, 0, 70 * time.Millisecond, true},
-		{"one was quicker", func(r *quickest.Record) {
-			see(r, 0, quickest.Enough, 100*time.Millisecond)
+		{"nothing", func(*minlatency.Tracker) {}, 0, 0, false},
+		{"too few", func(r *minlatency.Tracker) { see(r, 0, minlatency.MinSamples-1, 100*time.Millisecond) }, 0, 70 * time.Millisecond, false},
+		{"enough", func(r *minlatency.Tracker) { see(r, 0, minlatency.MinSamples, 100*time.Millisecond) }, 0, 70 * time.Millisecond, true},
+		{"one was quicker", func(r *minlatency.Tracker) {
+			see(r, 0, minlatency.MinSamples, 100*time.Millisecond)
 			see(r, 0, 1, 50*time.Millisecond)
 		}, 0, 35 * time.Millisecond, true},
-		{"a window ago", func(r *quickest.Record) { see(r, 0, quickest.Enough, 100*time.Millisecond) }, 20 * time.Second, 70 * time.Millisecond, true},
-		{"a quicker one a window ago", func(r *quickest.Record) {
+		{"a window ago", func(r *minlatency.Tracker) { see(r, 0, minlatency.MinSamples, 100*time.Millisecond) }, 20 * time.Second, 70 * time.Millisecond, true},
+		{"a quicker one a window ago", func(r *minlatency.Tracker) {
 			see(r, 0, 1, 50*time.Millisecond)
-			see(r, 20*time.Second, quickest.Enough, 100*time.Millisecond)
+			see(r, 20*time.Second, minlatency.MinSamples, 100*time.Millisecond)
 		}, 21 * time.Second, 35 * time.Millisecond, true},
-		{"a quicker one long ago", func(r *quickest.Record) {
+		{"a quicker one long ago", func(r *minlatency.Tracker) {
 			see(r, 0, 1, 50*time.Millisecond)
-			see(r, 16*time.Second, quickest.Enough, 100*time.Millisecond)
+			see(r, 16*time.Second, minlatency.MinSamples, 100*time.Millisecond)
 			see(r, 32*time.Second, 1, 100*time.Millisecond)
 		}, 32 * time.Second, 70 * time.Millisecond, true},
-		{"forgotten when nothing is served", func(r *quickest.Record) { see(r, 0, quickest.Enough, 100*time.Millisecond) }, 31 * time.Second, 0, false},
-		{"another kind's", func(r *quickest.Record) {
-			for range quickest.Enough {
-				r.See(start, "other", time.Millisecond)
+		{"forgotten when nothing is served", func(r *minlatency.Tracker) { see(r, 0, minlatency.MinSamples, 100*time.Millisecond) }, 31 * time.Second, 0, false},
+		{"another kind's", func(r *minlatency.Tracker) {
+			for range minlatency.MinSamples {
+				r.Observe(start, "other", time.Millisecond)
 			}
 		}, 0, 0, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var r quickest.Record
+			var r minlatency.Tracker
 			tt.happen(&r)
-			got, known := r.Least(start.Add(tt.after), "k")
+			got, known := r.Min(start.Add(tt.after), "k")
 			if known != tt.known || known && got != tt.want {
 				t.Errorf("least %v, %v, want %v, %v", got, known, tt.want, tt.known)
 			}
@@ -71,11 +71,11 @@
 	}
 	wronged, all := 0, 0
 	for range 300 {
-		var r quickest.Record
-		for range quickest.Enough {
-			r.See(start, "k", draw())
+		var r minlatency.Tracker
+		for range minlatency.MinSamples {
+			r.Observe(start, "k", draw())
 		}
-		least, _ := r.Least(start, "k")
+		least, _ := r.Min(start, "k")
 		for range 1000 {
 			all++
 			if draw() < least {
--- a/notice/limit.go
+++ b/notice/limit.go
@@ -21,8 +21,8 @@
 
 // Limit is the rate of requests that a target takes of all boxes together.
 type Limit struct {
-	// Named says that there is one. Without it the target takes what comes.
-	Named bool
+	// Active says that there is one. Without it the target takes what comes.
+	Active bool
 	// PerSecond is the rate, never negative.
 	PerSecond float64
 	// At is how new that is: when the answer was read that named the rate, or when the
@@ -30,43 +30,43 @@
 	At time.Time
 }
 
-// Rated is a target's life with its limit.
-type Rated struct {
-	Life  fleet.Life
-	Limit Limit
+// TargetLimit is a target's life with its limit.
+type TargetLimit struct {
+	Incarnation fleet.Incarnation
+	Limit       Limit
 	// Since is when this box learnt that the limit began, changed or ended.
 	Since time.Time
 }
 
-// LifeAt is the life of a target that is known by its name and address alone.
-func LifeAt(name string, at netip.AddrPort) fleet.Life {
-	return fleet.Life{ID: name + "@" + at.String()}
+// IncarnationAt is the life of a target that is known by its name and address alone.
+func IncarnationAt(name string, at netip.AddrPort) fleet.Incarnation {
+	return fleet.Incarnation{ID: name + "@" + at.String()}
 }
 
-// HearLimit notes what an answer says of its target's limit, to a request sent at asked, and
+// ObserveLimit notes what an answer says of its target's limit, to a request sent at asked, and
 // returns whether that is news. An answer that names none lifts a limit only if it was asked
 // for after the limit was heard: answers on several connections pass each other.
-func (b *Book) HearLimit(now, asked time.Time, life fleet.Life, said Said) bool {
+func (b *Registry) ObserveLimit(now, asked time.Time, life fleet.Incarnation, said Signals) bool {
 	switch {
 	case said.Limited:
-		return b.SetLimit(now, Rated{Life: life, Limit: Limit{Named: true, PerSecond: said.Rate, At: now}})
-	case said.Unlimited && b.Limit(life).Named:
-		return b.SetLimit(now, Rated{Life: life, Limit: Limit{At: asked}})
+		return b.SetLimit(now, TargetLimit{Incarnation: life, Limit: Limit{Active: true, PerSecond: said.Rate, At: now}})
+	case said.Unlimited && b.Limit(life).Active:
+		return b.SetLimit(now, TargetLimit{Incarnation: life, Limit: Limit{At: asked}})
 	}
 	return false
 }
 
 // SetLimit notes a limit, or its end, unless something newer is known. It returns whether
 // that is news.
-func (b *Book) SetLimit(now time.Time, x Rated) bool {
+func (b *Registry) SetLimit(now time.Time, x TargetLimit) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.record(now, x.Life)
+	r := b.record(now, x.Incarnation)
 	if r == nil || !x.Limit.At.After(r.limit.At) {
 		return false
 	}
 	change := math.Abs(r.limitNoted - x.Limit.PerSecond)
-	news := r.limit.Named != x.Limit.Named || change > noted*r.limitNoted
+	news := r.limit.Active != x.Limit.Active || change > noted*r.limitNoted
 	r.limit = x.Limit
 	if news {
 		r.limitedAt, r.limitNoted = now, x.Limit.PerSecond
@@ -75,7 +75,7 @@
 }
 
 // Limit returns what is known of a life's limit.
-func (b *Book) Limit(life fleet.Life) Limit {
+func (b *Registry) Limit(life fleet.Incarnation) Limit {
 	if r := b.find(life); r != nil {
 		return r.limit
 	}
@@ -83,24 +83,24 @@
 }
 
 // Limits lists the limits known and those that ended lately.
-func (b *Book) Limits() []Rated {
+func (b *Registry) Limits() []TargetLimit {
 	if b.size.Load() == 0 {
 		return nil
 	}
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	var list []Rated
+	var list []TargetLimit
 	for id, r := range b.byID {
 		if !r.limit.At.IsZero() {
-			list = append(list, Rated{fleet.Life{ID: id, Born: r.born}, r.limit, r.limitedAt})
+			list = append(list, TargetLimit{fleet.Incarnation{ID: id, StartedAt: r.born}, r.limit, r.limitedAt})
 		}
 	}
 	return list
 }
 
-// PerSecond reads a rate, and says whether the value is one: a number that is neither
+// ParseRate reads a rate, and says whether the value is one: a number that is neither
 // negative nor without bound.
-func PerSecond(value string) (float64, bool) {
+func ParseRate(value string) (float64, bool) {
 	rate, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if err != nil || !(rate >= 0) || math.IsInf(rate, 1) {
 		return 0, false
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	// Longest bounds for how long a target is left alone at its own word. Targets seen
+	// MaxBackoff bounds for how long a target is left alone at its own word. Targets seen
 	// ask for some seconds; one that names a year must not be lost for that.
-	Longest = 5 * time.Minute
+	MaxBackoff = 5 * time.Minute
 	// keep is for how long a target that leaves is remembered after its word was heard
 	// or asked for last. One that leaves is gone within a minute, but a list that is old
 	// may name it again.
@@ -45,8 +45,8 @@
 	ErrLimited = errors.New("the target limits requests")
 )
 
-// Said is what an answer says of its target. The zero value says nothing.
-type Said struct {
+// Signals is what an answer says of its target. The zero value says nothing.
+type Signals struct {
 	// Leaving says that the target takes no new work.
 	Leaving bool
 	// Backoff is for how long the target wants no requests from this box, counted from
@@ -60,8 +60,8 @@
 	Unlimited bool
 }
 
-// Book is what one box heard. The zero value is ready; it is safe for concurrent use.
-type Book struct {
+// Registry is what one box heard. The zero value is ready; it is safe for concurrent use.
+type Registry struct {
 	mu   sync.RWMutex
 	byID map[string]*record
 	// size is len(byID), so that a request asks for no lock while nothing was heard.
@@ -85,23 +85,23 @@
 
 // of says whether the record is of a life. One that does not tell its birth is taken
 // for the one known.
-func (r *record) of(life fleet.Life) bool {
-	return life.Born.IsZero() || r.born.IsZero() || life.Born.Equal(r.born)
+func (r *record) of(life fleet.Incarnation) bool {
+	return life.StartedAt.IsZero() || r.born.IsZero() || life.StartedAt.Equal(r.born)
 }
 
-// Hear notes what a life's answer said, and returns what of it is news. A later life
+// Observe notes what a life's answer said, and returns what of it is news. A later life
 // makes what an earlier one said void; what that one said late changes nothing.
-func (b *Book) Hear(now time.Time, life fleet.Life, said Said) Said {
+func (b *Registry) Observe(now time.Time, life fleet.Incarnation, said Signals) Signals {
 	if !said.Leaving && said.Backoff <= 0 {
-		return Said{}
+		return Signals{}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.record(now, life)
 	if r == nil {
-		return Said{}
+		return Signals{}
 	}
-	var news Said
+	var news Signals
 	if said.Leaving && !r.leaving {
 		r.leaving, news.Leaving = true, true
 	}
@@ -111,7 +111,7 @@
 	if !now.Before(r.until) {
 		news.Backoff = said.Backoff
 	}
-	if until := now.Add(min(said.Backoff, Longest)); until.After(r.until) {
+	if until := now.Add(min(said.Backoff, MaxBackoff)); until.After(r.until) {
 		r.until = until
 	}
 	return news
@@ -119,11 +119,11 @@
 
 // record returns a life's record, which is begun if there is none; nil if a later life is
 // known.
-func (b *Book) record(now time.Time, life fleet.Life) *record {
+func (b *Registry) record(now time.Time, life fleet.Incarnation) *record {
 	r := b.byID[life.ID]
 	switch {
 	case r != nil && r.of(life):
-	case r != nil && life.Born.Before(r.born):
+	case r != nil && life.StartedAt.Before(r.born):
 		return nil
 	default:
 		r = b.add(now, life)
@@ -133,20 +133,20 @@
 }
 
 // add begins a life's record. A full book forgets the one heard of longest ago.
-func (b *Book) add(now time.Time, life fleet.Life) *record {
+func (b *Registry) add(now time.Time, life fleet.Incarnation) *record {
 	if b.byID == nil {
 		b.byID = make(map[string]*record)
 	}
 	if len(b.byID) >= most {
 		b.dropOldest(now)
 	}
-	r := &record{born: life.Born}
+	r := &record{born: life.StartedAt}
 	b.byID[life.ID] = r
 	b.size.Store(int64(len(b.byID)))
 	return r
 }
 
-func (b *Book) dropOldest(now time.Time) {
+func (b *Registry) dropOldest(now time.Time) {
 	oldest, at := "", now
 	for id, r := range b.byID {
 		if !r.last.After(at) {
@@ -157,7 +157,7 @@
 }
 
 // find returns what a life said, or nil.
-func (b *Book) find(life fleet.Life) *record {
+func (b *Registry) find(life fleet.Incarnation) *record {
 	if b.size.Load() == 0 {
 		return nil
 	}
@@ -172,7 +172,7 @@
 }
 
 // Allow returns why no request may be sent to a life of a target, or nil.
-func (b *Book) Allow(now time.Time, life fleet.Life) error {
+func (b *Registry) Allow(now time.Time, life fleet.Incarnation) error {
 	r := b.find(life)
 	switch {
 	case r == nil:
@@ -185,14 +185,14 @@
 	return nil
 }
 
-// Leaves says whether a life said that it leaves.
-func (b *Book) Leaves(life fleet.Life) bool {
+// Leaving says whether a life said that it leaves.
+func (b *Registry) Leaving(life fleet.Incarnation) bool {
 	r := b.find(life)
 	return r != nil && r.leaving
 }
 
-// Until is until when a life wants no requests; zero if it did not ask for that.
-func (b *Book) Until(life fleet.Life) time.Time {
+// BackoffUntil is until when a life wants no requests; zero if it did not ask for that.
+func (b *Registry) BackoffUntil(life fleet.Incarnation) time.Time {
 	if r := b.find(life); r != nil {
 		return r.until
 	}
@@ -200,7 +200,7 @@
 }
 
 // Touch remembers a life for longer, as the platform's list names it.
-func (b *Book) Touch(now time.Time, life fleet.Life) {
+func (b *Registry) Touch(now time.Time, life fleet.Incarnation) {
 	if b.size.Load() == 0 {
 		return
 	}
@@ -212,14 +212,14 @@
 }
 
 // Expire forgets what makes no odds any more. Call it now and then.
-func (b *Book) Expire(now time.Time) {
+func (b *Registry) Expire(now time.Time) {
 	if b.size.Load() == 0 {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	maps.DeleteFunc(b.byID, func(_ string, r *record) bool {
-		if r.leaving || r.limit.Named {
+		if r.leaving || r.limit.Active {
 			return now.Sub(r.last) > keep
 		}
 		return !now.Before(r.until) && now.Sub(r.limit.At) > liftedFor
--- a/notice/seconds.go
+++ b/notice/seconds.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Seconds reads the value of a Retry-After header that is a time in seconds, with or without a
+// ParseRetryAfter reads the value of a Retry-After header that is a time in seconds, with or without a
 // fraction. What is no such time, or a
 // negative one, asks for nothing; one beyond what a duration holds is the longest.
-func Seconds(value string) time.Duration {
+func ParseRetryAfter(value string) time.Duration {
 	s, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if math.IsInf(s, 1) {
 		return math.MaxInt64
--- a/notice/seconds_test.go
+++ b/notice/seconds_test.go
@@ -12,14 +12,14 @@
 		f.Add(value)
 	}
 	f.Fuzz(func(t *testing.T, value string) {
-		var b Book
-		got := Seconds(value)
+		var b Registry
+		got := ParseRetryAfter(value)
 		if got < 0 {
 			t.Errorf("%q is %v", value, got)
 		}
 		now := time.Unix(1000, 0)
-		b.Hear(now, plain, Said{Backoff: got})
-		if until := b.Until(plain); until.After(now.Add(Longest)) {
+		b.Observe(now, plain, Signals{Backoff: got})
+		if until := b.BackoffUntil(plain); until.After(now.Add(MaxBackoff)) {
 			t.Errorf("%q closes a target until %v", value, until)
 		}
 	})
@@ -39,7 +39,7 @@
 		{"", 0},
 	}
 	for _, tt := range tests {
-		if got := Seconds(tt.value); got != tt.want {
+		if got := ParseRetryAfter(tt.value); got != tt.want {
 			t.Errorf("%q is %v, want %v", tt.value, got, tt.want)
 		}
 	}
--- a/outlier/usual.go
+++ b/outlier/usual.go
@@ -1,10 +1,10 @@
-// Package usual learns how long answers of one kind take, and says which take several times as
+// Package outlier learns how long answers of one kind take, and says which take several times as
 // long.
 //
 //	var t usual.Time
 //	t.See(took)
 //	if t.Known() && t.Slow(took) { ... }
-package usual
+package outlier
 
 import (
 	"math"
@@ -21,16 +21,16 @@
 	usualWeight = 1.0 / 30
 )
 
-// Time is how long answers take, at this time. The zero value is ready; it is not safe for
+// Detector is how long answers take, at this time. The zero value is ready; it is not safe for
 // concurrent use.
-type Time struct {
+type Detector struct {
 	// log is the mean of the logarithms of the seconds, of n answers.
 	log float64
 	n   int
 }
 
-// See learns from an answer.
-func (u *Time) See(took time.Duration) {
+// Observe learns from an answer.
+func (u *Detector) Observe(took time.Duration) {
 	seconds := math.Log(max(took, time.Millisecond).Seconds())
 	if u.n == 0 {
 		u.log = seconds
@@ -40,9 +40,9 @@
 }
 
 // Known says that enough answers tell what is usual.
-func (u *Time) Known() bool { return u.n >= usualLeast }
+func (u *Detector) Known() bool { return u.n >= usualLeast }
 
 // Slow says that an answer took several times as long as is usual.
-func (u *Time) Slow(took time.Duration) bool {
+func (u *Detector) Slow(took time.Duration) bool {
 	return u.Known() && math.Log(took.Seconds()) > u.log+math.Log(slowFactor)
 }
--- a/outlier/usual_test.go
+++ b/outlier/usual_test.go
@@ -1,4 +1,4 @@
-package usual_test
+package outlier_test
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/thymewind/thymewind/usual"
+	"github.com/thymewind/thymewind/outlier"
 )
 
 // TestSlow compares answers with what is usual on the route.
@@ -15,12 +15,12 @@
 	draw := func() time.Duration {
 		return time.Duration(float64(60*time.Millisecond) * math.Exp(0.4*dice.NormFloat64()))
 	}
-	var u usual.Time
+	var u outlier.Detector
 	if u.Slow(time.Hour) {
 		t.Error("slow before anything is usual")
 	}
 	for range 200 {
-		u.See(draw())
+		u.Observe(draw())
 	}
 	slow, several := 0, 0
 	for range 1000 {
@@ -35,7 +35,7 @@
 		t.Errorf("%d of 1000 usual answers count as slow, %d of those that take four times as long", slow, several)
 	}
 	for range 100 {
-		u.See(3 * draw()) // All answers are slow now, under load.
+		u.Observe(3 * draw()) // All answers are slow now, under load.
 	}
 	if u.Slow(180 * time.Millisecond) {
 		t.Error("an answer counts as slow that is usual by now")
--- a/overdue/overdue.go
+++ b/overdue/overdue.go
@@ -11,9 +11,9 @@
 
 import "time"
 
-// Book holds the requests of one box that have no answer yet. The zero value is
+// Tracker holds the requests of one box that have no answer yet. The zero value is
 // ready; it is not safe for concurrent use.
-type Book struct {
+type Tracker struct {
 	waiting map[uint64]map[time.Time]read
 }
 
@@ -23,9 +23,9 @@
 	tokens int
 }
 
-// Wait notes a prompt that was placed at a target at a time and should be read at
+// Add notes a prompt that was placed at a target at a time and should be read at
 // another.
-func (b *Book) Wait(target uint64, placed, due time.Time, tokens int) {
+func (b *Tracker) Add(target uint64, placed, due time.Time, tokens int) {
 	if b.waiting == nil {
 		b.waiting = make(map[uint64]map[time.Time]read)
 	}
@@ -36,7 +36,7 @@
 }
 
 // Done notes that the prompt placed at a target at a time waits no more.
-func (b *Book) Done(target uint64, placed time.Time) {
+func (b *Tracker) Done(target uint64, placed time.Time) {
 	delete(b.waiting[target], placed)
 	if len(b.waiting[target]) == 0 {
 		delete(b.waiting, target)
@@ -44,7 +44,7 @@
 }
 
 // Tokens returns the tokens of a target's prompts that should have been read.
-func (b *Book) Tokens(now time.Time, target uint64) int {
+func (b *Tracker) Tokens(now time.Time, target uint64) int {
 	sum := 0
 	for _, r := range b.waiting[target] {
 		if now.After(r.due) {
--- a/peer/link.go
+++ b/peer/link.go
@@ -11,8 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/gravitational/trace"
 
+	"github.com/thymewind/thymewind/adaptive"
 	"github.com/thymewind/thymewind/boottime"
-	"github.com/thymewind/thymewind/patience"
 )
 
 const (
@@ -42,7 +42,7 @@
 	node *Node
 	at   netip.AddrPort
 	// bound is how long an answer is waited for, by the times seen of this peer.
-	bound *patience.Bound
+	bound *adaptive.Timeout
 
 	mu sync.Mutex
 	// wire is the connection in use; nil if there is none.
@@ -127,7 +127,7 @@
 type wire struct {
 	node  *Node
 	at    netip.AddrPort
-	bound *patience.Bound
+	bound *adaptive.Timeout
 	conn  *websocket.Conn
 	// queue holds messages that wait to be written.
 	queue chan []byte
@@ -235,9 +235,9 @@
 		return errLost
 	}
 	w.end()
-	w.bound.Silent()
-	if w.node.Silent != nil {
-		w.node.Silent(w.at, waited)
+	w.bound.TimedOut()
+	if w.node.OnSilent != nil {
+		w.node.OnSilent(w.at, waited)
 	}
 	return ErrSilent
 }
@@ -270,7 +270,7 @@
 		}
 		w.mu.Unlock()
 		if known {
-			w.bound.Answered(time.Since(p.asked))
+			w.bound.Observe(time.Since(p.asked))
 			p.answer <- m
 		}
 	}
--- a/peer/link_test.go
+++ b/peer/link_test.go
@@ -31,7 +31,7 @@
 	s := &slow{release: make(chan struct{}), entered: make(chan struct{}, 9)}
 	s.Node = peer.Node{
 		Credential: "secret",
-		Sent:       func(int) {}, Received: func(int) {},
+		OnSent:     func(int) {}, OnReceived: func(int) {},
 		Handle: func(_ context.Context, m peer.Message) peer.Message {
 			if m.Statement == "slow" {
 				s.entered <- struct{}{}
--- a/peer/message.go
+++ b/peer/message.go
@@ -32,56 +32,56 @@
 	Leaving []Leaving `cbor:"5,keyasint,omitempty"`
 	// Demand is the sender's use of accounts that have limits.
 	Demand []Demand `cbor:"6,keyasint,omitempty"`
-	// Use is what the sender's requests keep busy, by pool.
-	Use []Use `cbor:"10,keyasint,omitempty"`
-	// Shares are what the sender's own requests take up, by target.
-	Shares []Share `cbor:"11,keyasint,omitempty"`
-	// List is the number of the hub's list that the sender has.
-	List uint64 `cbor:"12,keyasint,omitempty"`
-	// ListFrom is the hub's number when it began to tell the sender its whole list; zero
+	// Usage is what the sender's requests keep busy, by pool.
+	Usage []PoolUsage `cbor:"10,keyasint,omitempty"`
+	// TargetLoads are what the sender's own requests take up, by target.
+	TargetLoads []TargetLoad `cbor:"11,keyasint,omitempty"`
+	// ListVersion is the number of the hub's list that the sender has.
+	ListVersion uint64 `cbor:"12,keyasint,omitempty"`
+	// ListStartVersion is the hub's number when it began to tell the sender its whole list; zero
 	// once it has.
-	ListFrom uint64 `cbor:"28,keyasint,omitempty"`
+	ListStartVersion uint64 `cbor:"28,keyasint,omitempty"`
 	// View answers boxes that read the platform through the answering one.
 	View *View `cbor:"13,keyasint,omitempty"`
-	// Ask and Placed are a request's placing by a hub.
-	Ask    *PlaceAsk `cbor:"14,keyasint,omitempty"`
-	Placed *Placed   `cbor:"15,keyasint,omitempty"`
-	// Replaced are targets' lives that were found to be over, as another replica has
+	// PlacementRequest and Placed are a request's placing by a hub.
+	PlacementRequest  *PlacementRequest  `cbor:"14,keyasint,omitempty"`
+	PlacementResponse *PlacementResponse `cbor:"15,keyasint,omitempty"`
+	// EndedIncarnations are targets' lives that were found to be over, as another replica has
 	// the address or as the target started again.
-	Replaced []Life `cbor:"20,keyasint,omitempty"`
-	// Ended are requests that ran on targets when these ended, as the sender found
+	EndedIncarnations []Incarnation `cbor:"20,keyasint,omitempty"`
+	// CrashReports are requests that ran on targets when these ended, as the sender found
 	// lately; Lifted are such that were answered after all.
-	Ended  []EndedUnder      `cbor:"23,keyasint,omitempty"`
-	Lifted []fingerprint.Sum `cbor:"24,keyasint,omitempty"`
-	// Refuses numbers the set of requests that the hub was last heard to refuse.
-	Refuses uint64 `cbor:"25,keyasint,omitempty"`
+	CrashReports []CrashReport     `cbor:"23,keyasint,omitempty"`
+	Lifted       []fingerprint.Sum `cbor:"24,keyasint,omitempty"`
+	// QuarantineVersion numbers the set of requests that the hub was last heard to refuse.
+	QuarantineVersion uint64 `cbor:"25,keyasint,omitempty"`
 	// Stale says that the sender refuses callers, as it can't tell whether its
 	// configuration is in force.
 	Stale bool `cbor:"18,keyasint,omitempty"`
-	// Operator is the newest change of what the operator wrote that the sender knows,
+	// OperatorRevision is the newest change of what the operator wrote that the sender knows,
 	// ProofMS how long ago it was known to be the newest.
-	Operator revision.Revision `cbor:"35,keyasint,omitempty"`
-	ProofMS  int64             `cbor:"22,keyasint,omitempty"`
-	// Configuration is the version in force at the sender.
-	Configuration int64 `cbor:"37,keyasint,omitempty"`
-	// Listed is the newest change of the list of targets that the sender read.
-	Listed revision.Revision `cbor:"36,keyasint,omitempty"`
+	OperatorRevision revision.Revision `cbor:"35,keyasint,omitempty"`
+	ProofAgeMS       int64             `cbor:"22,keyasint,omitempty"`
+	// ConfigurationVersion is the version in force at the sender.
+	ConfigurationVersion int64 `cbor:"37,keyasint,omitempty"`
+	// ListRevision is the newest change of the list of targets that the sender read.
+	ListRevision revision.Revision `cbor:"36,keyasint,omitempty"`
 	// Domain is the sender's failure domain, Unlisted how many boxes without a row of their
 	// own it has met.
 	Domain   string `cbor:"29,keyasint,omitempty"`
 	Unlisted int    `cbor:"30,keyasint,omitempty"`
-	// Earned is what the sender's requests earned of retries, by pool, since it last told. Pool
+	// RetryCredits is what the sender's requests earned of retries, by pool, since it last told. Pool
 	// is the one that a retry is asked for, Granted says that it may be made.
-	Earned  map[string]float64 `cbor:"31,keyasint,omitempty"`
-	Pool    string             `cbor:"32,keyasint,omitempty"`
-	Granted bool               `cbor:"33,keyasint,omitempty"`
-	// Limits are the rates of requests that targets take of all boxes together, as far as
+	RetryCredits map[string]float64 `cbor:"31,keyasint,omitempty"`
+	RetryPool    string             `cbor:"32,keyasint,omitempty"`
+	RetryGranted bool               `cbor:"33,keyasint,omitempty"`
+	// RateLimits are the rates of requests that targets take of all boxes together, as far as
 	// the sender knows of them or of their end.
-	Limits []Limit `cbor:"34,keyasint,omitempty"`
-	// Seen is what boxes saw of versions that are tried out.
-	Seen []Seen `cbor:"27,keyasint,omitempty"`
-	// Reads are what the sender had targets read by its own choice.
-	Reads []Read `cbor:"19,keyasint,omitempty"`
+	RateLimits []RateLimit `cbor:"34,keyasint,omitempty"`
+	// CanarySamples is what boxes saw of versions that are tried out.
+	CanarySamples []CanarySample `cbor:"27,keyasint,omitempty"`
+	// PrefillTotals are what the sender had targets read by its own choice.
+	PrefillTotals []PrefillTotal `cbor:"19,keyasint,omitempty"`
 	// Statement is an operator's question.
 	Statement string `cbor:"7,keyasint,omitempty"`
 	// Body is an answer in JSON, or a configuration.
@@ -90,18 +90,18 @@
 	Error string `cbor:"9,keyasint,omitempty"`
 }
 
-// Life names one life of a target.
-type Life struct {
+// Incarnation names one life of a target.
+type Incarnation struct {
 	ID string `cbor:"1,keyasint"`
-	// BornMS is when it began, in Unix milliseconds; zero if it does not tell.
-	BornMS int64 `cbor:"2,keyasint,omitempty"`
+	// StartedMS is when it began, in Unix milliseconds; zero if it does not tell.
+	StartedMS int64 `cbor:"2,keyasint,omitempty"`
 }
 
-// EndedUnder tells which requests ran on a target when it ended.
-type EndedUnder struct {
-	// Life names the target's life as all boxes do.
-	Life string            `cbor:"1,keyasint"`
-	Sums []fingerprint.Sum `cbor:"2,keyasint"`
+// CrashReport tells which requests ran on a target when it ended.
+type CrashReport struct {
+	// Incarnation names the target's life as all boxes do.
+	Incarnation  string            `cbor:"1,keyasint"`
+	Fingerprints []fingerprint.Sum `cbor:"2,keyasint"`
 }
 
 // Load is one target's report as it travels.
@@ -122,41 +122,41 @@
 	Age int `cbor:"7,keyasint,omitempty"`
 }
 
-// Share is what one box's requests take up at a target or a store.
-type Share struct {
+// TargetLoad is what one box's requests take up at a target or a store.
+type TargetLoad struct {
 	// Target is the hash of the target's ID or of the store's name.
 	Target uint64 `cbor:"1,keyasint"`
 	// Tokens is the memory that running requests need, Unread the part of their
 	// prompts that should have been read by now and was not.
-	Tokens int `cbor:"2,keyasint,omitempty"`
-	Unread int `cbor:"3,keyasint,omitempty"`
-	// AskedMS is how long the moves from there that ended lately should have
+	Tokens         int `cbor:"2,keyasint,omitempty"`
+	PrefillBacklog int `cbor:"3,keyasint,omitempty"`
+	// ExpectedMS is how long the moves from there that ended lately should have
 	// taken, TookMS how long they took, in milliseconds.
-	AskedMS int `cbor:"4,keyasint,omitempty"`
-	TookMS  int `cbor:"5,keyasint,omitempty"`
+	ExpectedMS int `cbor:"4,keyasint,omitempty"`
+	ActualMS   int `cbor:"5,keyasint,omitempty"`
 }
 
-// Read is how many prompt tokens a box had a target read.
-type Read struct {
+// PrefillTotal is how many prompt tokens a box had a target read.
+type PrefillTotal struct {
 	// Target is the hash of the target's ID.
 	Target uint64 `cbor:"1,keyasint"`
 	// Total counts since the box started and never falls until it starts again.
 	Total uint64 `cbor:"2,keyasint"`
 }
 
-// Empty says that the share tells of nothing.
-func (s Share) Empty() bool {
-	return s.Tokens == 0 && s.Unread == 0 && s.AskedMS == 0 && s.TookMS == 0
+// IsZero says that the share tells of nothing.
+func (s TargetLoad) IsZero() bool {
+	return s.Tokens == 0 && s.PrefillBacklog == 0 && s.ExpectedMS == 0 && s.ActualMS == 0
 }
 
-// Plus returns the sum of two shares of one target.
-func (s Share) Plus(b Share) Share {
-	return Share{s.Target, s.Tokens + b.Tokens, s.Unread + b.Unread, s.AskedMS + b.AskedMS, s.TookMS + b.TookMS}
+// Add returns the sum of two shares of one target.
+func (s TargetLoad) Add(b TargetLoad) TargetLoad {
+	return TargetLoad{s.Target, s.Tokens + b.Tokens, s.PrefillBacklog + b.PrefillBacklog, s.ExpectedMS + b.ExpectedMS, s.ActualMS + b.ActualMS}
 }
 
-// Less returns the share without a part of it.
-func (s Share) Less(b Share) Share {
-	return Share{s.Target, s.Tokens - b.Tokens, s.Unread - b.Unread, s.AskedMS - b.AskedMS, s.TookMS - b.TookMS}
+// Sub returns the share without a part of it.
+func (s TargetLoad) Sub(b TargetLoad) TargetLoad {
+	return TargetLoad{s.Target, s.Tokens - b.Tokens, s.PrefillBacklog - b.PrefillBacklog, s.ExpectedMS - b.ExpectedMS, s.ActualMS - b.ActualMS}
 }
 
 // Leaving tells how long ago a target was said to be leaving, by itself or by
@@ -174,11 +174,11 @@
 	Requests int    `cbor:"2,keyasint"`
 }
 
-// Thousand is how Use counts: in thousandths of an engine or a slot.
-const Thousand = 1000
+// UsageScale is how Use counts: in thousandths of an engine or a slot.
+const UsageScale = 1000
 
-// Use is how much of a pool a box's requests keep busy.
-type Use struct {
+// PoolUsage is how much of a pool a box's requests keep busy.
+type PoolUsage struct {
 	Pool    string `cbor:"1,keyasint"`
 	Engines int    `cbor:"2,keyasint,omitempty"`
 	Slots   int    `cbor:"3,keyasint,omitempty"`
--- a/peer/node.go
+++ b/peer/node.go
@@ -19,8 +19,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/gravitational/trace"
 
+	"github.com/thymewind/thymewind/adaptive"
 	"github.com/thymewind/thymewind/boottime"
-	"github.com/thymewind/thymewind/patience"
 )
 
 // maxMessage bounds one message, in bytes. A whole configuration fits.
@@ -42,18 +42,18 @@
 type Node struct {
 	// Credential is what all daemons of a deployment share.
 	Credential string
-	// Shown returns the credential if it is learnt later; nil shows Credential.
-	Shown func() string
+	// CredentialFunc returns the credential if it is learnt later; nil shows Credential.
+	CredentialFunc func() string
 	// Handle answers one message.
 	Handle func(ctx context.Context, m Message) Message
 	// HTTP dials; its TLS settings decide whom to trust.
 	HTTP *http.Client
 	// Scheme is ws or wss.
 	Scheme string
-	// Silent hears of each connection that is given up as silent; nil hears nothing.
-	Silent func(at netip.AddrPort, waited time.Duration)
-	// Sent and Received hear of the bytes that travel.
-	Sent, Received func(bytes int)
+	// OnSilent hears of each connection that is given up as silent; nil hears nothing.
+	OnSilent func(at netip.AddrPort, waited time.Duration)
+	// OnSent and Received hear of the bytes that travel.
+	OnSent, OnReceived func(bytes int)
 
 	mu    sync.Mutex
 	links map[netip.AddrPort]*link
@@ -123,8 +123,8 @@
 }
 
 func (n *Node) credential() string {
-	if n.Shown != nil {
-		return n.Shown()
+	if n.CredentialFunc != nil {
+		return n.CredentialFunc()
 	}
 	return n.Credential
 }
@@ -146,7 +146,7 @@
 	}
 	l, ok := n.links[at]
 	if !ok {
-		l = &link{node: n, at: at, bound: &patience.Bound{Least: leastSilent, Most: mostSilent}}
+		l = &link{node: n, at: at, bound: &adaptive.Timeout{Min: leastSilent, Max: mostSilent}}
 		n.links[at] = l
 	}
 	return l
@@ -180,7 +180,7 @@
 	if kind != websocket.MessageBinary {
 		return m, trace.BadParameter("peers speak CBOR")
 	}
-	n.Received(len(data))
+	n.OnReceived(len(data))
 	return m, trace.Wrap(cbor.Unmarshal(data, &m))
 }
 
@@ -201,6 +201,6 @@
 func (n *Node) send(conn *websocket.Conn, data []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), writeFor)
 	defer cancel()
-	n.Sent(len(data))
+	n.OnSent(len(data))
 	return conn.Write(ctx, websocket.MessageBinary, data)
 }
--- a/peer/node_test.go
+++ b/peer/node_test.go
@@ -14,7 +14,7 @@
 
 func node(credential string) *peer.Node {
 	return &peer.Node{
-		Credential: credential, HTTP: http.DefaultClient, Scheme: "ws", Sent: func(int) {}, Received: func(int) {},
+		Credential: credential, HTTP: http.DefaultClient, Scheme: "ws", OnSent: func(int) {}, OnReceived: func(int) {},
 		Handle: func(_ context.Context, m peer.Message) peer.Message {
 			return peer.Message{Kind: m.Kind, From: "answering", Revision: m.Revision + 1}
 		},
--- a/peer/silent_test.go
+++ b/peer/silent_test.go
@@ -30,7 +30,7 @@
 	n := caller(t)
 	link := loopback.New(t, netip.MustParseAddrPort(server.Listener.Addr().String()))
 	said := &atomic.Int64{}
-	n.Silent = func(netip.AddrPort, time.Duration) { said.Add(1) }
+	n.OnSilent = func(netip.AddrPort, time.Duration) { said.Add(1) }
 	return n, link, said
 }
 
