--- a/peerload/shares.go
+++ b/peerload/shares.go
@@ -1,4 +1,4 @@
-// Package shares adds up what the requests of other boxes take up at each
+// Package peerload adds up what the requests of other boxes take up at each
 // target, as those boxes tell it.
 //
 //	s := shares.New()
@@ -7,7 +7,7 @@
 //
 // It holds one entry for each box and target, and the sums, so that asking for
 // one target costs the same however many boxes there are.
-package shares
+package peerload
 
 import (
 	"maps"
@@ -16,28 +16,28 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// Sum is not safe for concurrent use.
-type Sum struct {
+// Totals is not safe for concurrent use.
+type Totals struct {
 	boxes map[string]*box
 	// total is the sum over boxes, by target. It holds no empty share.
-	total map[uint64]peer.Share
+	total map[uint64]peer.TargetLoad
 }
 
 // box is what one box told.
 type box struct {
 	heard  time.Time
-	shares map[uint64]peer.Share
+	shares map[uint64]peer.TargetLoad
 }
 
 // New returns an empty sum.
-func New() *Sum {
-	return &Sum{boxes: make(map[string]*box), total: make(map[uint64]peer.Share)}
+func New() *Totals {
+	return &Totals{boxes: make(map[string]*box), total: make(map[uint64]peer.TargetLoad)}
 }
 
 // Set takes what a box told in place of what it told before.
-func (s *Sum) Set(now time.Time, name string, list []peer.Share) {
+func (s *Totals) Set(now time.Time, name string, list []peer.TargetLoad) {
 	s.forget(name)
-	b := &box{heard: now, shares: make(map[uint64]peer.Share, len(list))}
+	b := &box{heard: now, shares: make(map[uint64]peer.TargetLoad, len(list))}
 	s.boxes[name] = b
 	for _, share := range list {
 		s.add(b, share)
@@ -46,21 +46,21 @@
 
 // Add counts something for a box that it will tell of itself. It changes nothing
 // for a box that was not heard of.
-func (s *Sum) Add(name string, share peer.Share) {
+func (s *Totals) Add(name string, share peer.TargetLoad) {
 	if b := s.boxes[name]; b != nil {
 		s.add(b, share)
 	}
 }
 
-func (s *Sum) add(b *box, share peer.Share) {
-	b.shares[share.Target] = share.Plus(b.shares[share.Target])
-	s.total[share.Target] = share.Plus(s.total[share.Target])
+func (s *Totals) add(b *box, share peer.TargetLoad) {
+	b.shares[share.Target] = share.Add(b.shares[share.Target])
+	s.total[share.Target] = share.Add(s.total[share.Target])
 }
 
 // take takes a share away from the total.
-func (s *Sum) take(share peer.Share) {
-	left := s.total[share.Target].Less(share)
-	if left.Empty() {
+func (s *Totals) take(share peer.TargetLoad) {
+	left := s.total[share.Target].Sub(share)
+	if left.IsZero() {
 		delete(s.total, share.Target)
 		return
 	}
@@ -68,7 +68,7 @@
 }
 
 // Expire forgets the boxes that were not heard since a time.
-func (s *Sum) Expire(since time.Time) {
+func (s *Totals) Expire(since time.Time) {
 	for name, b := range s.boxes {
 		if b.heard.Before(since) {
 			s.forget(name)
@@ -76,7 +76,7 @@
 	}
 }
 
-func (s *Sum) forget(name string) {
+func (s *Totals) forget(name string) {
 	b := s.boxes[name]
 	if b == nil {
 		return
@@ -88,13 +88,13 @@
 }
 
 // Boxes counts the boxes heard.
-func (s *Sum) Boxes() int { return len(s.boxes) }
+func (s *Totals) Boxes() int { return len(s.boxes) }
 
 // Of returns what all boxes heard tell of a target or store.
-func (s *Sum) Of(target uint64) peer.Share { return s.total[target] }
+func (s *Totals) Of(target uint64) peer.TargetLoad { return s.total[target] }
 
 // Without returns what the boxes heard take up by target, but for some boxes.
-func (s *Sum) Without(names []string) map[uint64]peer.Share {
+func (s *Totals) Without(names []string) map[uint64]peer.TargetLoad {
 	rest := maps.Clone(s.total)
 	for _, name := range names {
 		b := s.boxes[name]
@@ -102,7 +102,7 @@
 			continue
 		}
 		for target, share := range b.shares {
-			rest[target] = rest[target].Less(share)
+			rest[target] = rest[target].Sub(share)
 		}
 	}
 	return rest
--- a/peerload/shares_test.go
+++ b/peerload/shares_test.go
@@ -1,4 +1,4 @@
-package shares_test
+package peerload_test
 
 import (
 	"math/rand/v2"
@@ -6,54 +6,54 @@
 	"time"
 
 	"github.com/thymewind/thymewind/peer"
-	"github.com/thymewind/thymewind/shares"
+	"github.com/thymewind/thymewind/peerload"
 )
 
 var start = time.Unix(1000, 0)
 
-func share(target uint64, tokens, unread int) peer.Share {
-	return peer.Share{Target: target, Tokens: tokens, Unread: unread}
+func share(target uint64, tokens, unread int) peer.TargetLoad {
+	return peer.TargetLoad{Target: target, Tokens: tokens, PrefillBacklog: unread}
 }
 
 func TestOf(t *testing.T) {
 	tests := []struct {
 		name           string
-		change         func(s *shares.Sum)
+		change         func(s *peerload.Totals)
 		tokens, unread int
 		boxes          int
 	}{
-		{"told", func(*shares.Sum) {}, 30, 3, 2},
-		{"told anew", func(s *shares.Sum) { s.Set(start, "a", []peer.Share{share(7, 5, 0)}) }, 25, 2, 2},
-		{"nothing any more", func(s *shares.Sum) { s.Set(start, "a", nil) }, 20, 2, 2},
-		{"counted ahead", func(s *shares.Sum) { s.Add("a", share(7, 100, 50)) }, 130, 53, 2},
-		{"counted ahead, then told", func(s *shares.Sum) {
+		{"told", func(*peerload.Totals) {}, 30, 3, 2},
+		{"told anew", func(s *peerload.Totals) { s.Set(start, "a", []peer.TargetLoad{share(7, 5, 0)}) }, 25, 2, 2},
+		{"nothing any more", func(s *peerload.Totals) { s.Set(start, "a", nil) }, 20, 2, 2},
+		{"counted ahead", func(s *peerload.Totals) { s.Add("a", share(7, 100, 50)) }, 130, 53, 2},
+		{"counted ahead, then told", func(s *peerload.Totals) {
 			s.Add("a", share(7, 100, 50))
-			s.Set(start, "a", []peer.Share{share(7, 110, 0)})
+			s.Set(start, "a", []peer.TargetLoad{share(7, 110, 0)})
 		}, 130, 2, 2},
-		{"counted for a box that was not heard of", func(s *shares.Sum) { s.Add("c", share(7, 100, 50)) }, 30, 3, 2},
-		{"silent for long", func(s *shares.Sum) { s.Expire(start.Add(time.Second)) }, 0, 0, 0},
-		{"one is silent for long", func(s *shares.Sum) {
-			s.Set(start.Add(time.Second), "b", []peer.Share{share(7, 1, 1)})
+		{"counted for a box that was not heard of", func(s *peerload.Totals) { s.Add("c", share(7, 100, 50)) }, 30, 3, 2},
+		{"silent for long", func(s *peerload.Totals) { s.Expire(start.Add(time.Second)) }, 0, 0, 0},
+		{"one is silent for long", func(s *peerload.Totals) {
+			s.Set(start.Add(time.Second), "b", []peer.TargetLoad{share(7, 1, 1)})
 			s.Expire(start.Add(time.Second))
 		}, 1, 1, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := shares.New()
-			s.Set(start, "a", []peer.Share{share(7, 10, 1), share(8, 1, 1)})
-			s.Set(start, "b", []peer.Share{share(7, 20, 2)})
+			s := peerload.New()
+			s.Set(start, "a", []peer.TargetLoad{share(7, 10, 1), share(8, 1, 1)})
+			s.Set(start, "b", []peer.TargetLoad{share(7, 20, 2)})
 			tt.change(s)
-			if got := s.Of(7); got.Tokens != tt.tokens || got.Unread != tt.unread || s.Boxes() != tt.boxes {
-				t.Errorf("%d, %d of %d boxes, want %d, %d of %d", got.Tokens, got.Unread, s.Boxes(), tt.tokens, tt.unread, tt.boxes)
+			if got := s.Of(7); got.Tokens != tt.tokens || got.PrefillBacklog != tt.unread || s.Boxes() != tt.boxes {
+				t.Errorf("%d, %d of %d boxes, want %d, %d of %d", got.Tokens, got.PrefillBacklog, s.Boxes(), tt.tokens, tt.unread, tt.boxes)
 			}
 		})
 	}
 }
 
 func TestWithout(t *testing.T) {
-	s := shares.New()
-	s.Set(start, "a", []peer.Share{share(7, 10, 1)})
-	s.Set(start, "b", []peer.Share{share(7, 20, 2), share(8, 5, 0)})
+	s := peerload.New()
+	s.Set(start, "a", []peer.TargetLoad{share(7, 10, 1)})
+	s.Set(start, "b", []peer.TargetLoad{share(7, 20, 2), share(8, 5, 0)})
 	rest := s.Without([]string{"a", "unknown"})
 	if rest[7] != share(7, 20, 2) || rest[8] != share(8, 5, 0) {
 		t.Errorf("rest %v", rest)
@@ -66,7 +66,7 @@
 // TestSums compares the sums with adding all up, over random changes.
 func TestSums(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	s := shares.New()
+	s := peerload.New()
 	told := make(map[string]map[uint64]int)
 	names := []string{"a", "b", "c"}
 	for range 2000 {
@@ -76,7 +76,7 @@
 			told[name][target] += tokens
 			s.Add(name, share(target, tokens, tokens))
 		} else {
-			var list []peer.Share
+			var list []peer.TargetLoad
 			told[name] = make(map[uint64]int)
 			for target := range random.Uint64N(5) {
 				tokens := random.IntN(100)
@@ -90,8 +90,8 @@
 			for _, one := range told {
 				want += one[target]
 			}
-			if got := s.Of(target); got.Tokens != want || got.Unread != want {
-				t.Fatalf("target %d: %d, %d, want %d", target, got.Tokens, got.Unread, want)
+			if got := s.Of(target); got.Tokens != want || got.PrefillBacklog != want {
+				t.Fatalf("target %d: %d, %d, want %d", target, got.Tokens, got.PrefillBacklog, want)
 			}
 		}
 	}
@@ -100,18 +100,18 @@
 // TestMoves shows that what boxes tell of moves is summed up and forgotten like
 // the rest, and that a share that tells only of them is not taken for an empty one.
 func TestMoves(t *testing.T) {
-	s := shares.New()
-	s.Set(start, "a", []peer.Share{{Target: 7, AskedMS: 80, TookMS: 100}})
-	s.Set(start, "b", []peer.Share{{Target: 7, AskedMS: 20, TookMS: 300}})
-	if got := s.Of(7); got.AskedMS != 100 || got.TookMS != 400 {
-		t.Errorf("moves of %d ms took %d ms", got.AskedMS, got.TookMS)
+	s := peerload.New()
+	s.Set(start, "a", []peer.TargetLoad{{Target: 7, ExpectedMS: 80, ActualMS: 100}})
+	s.Set(start, "b", []peer.TargetLoad{{Target: 7, ExpectedMS: 20, ActualMS: 300}})
+	if got := s.Of(7); got.ExpectedMS != 100 || got.ActualMS != 400 {
+		t.Errorf("moves of %d ms took %d ms", got.ExpectedMS, got.ActualMS)
 	}
 	s.Set(start, "b", nil)
-	if got := s.Of(7); got.AskedMS != 80 || got.TookMS != 100 {
-		t.Errorf("without b: moves of %d ms took %d ms", got.AskedMS, got.TookMS)
+	if got := s.Of(7); got.ExpectedMS != 80 || got.ActualMS != 100 {
+		t.Errorf("without b: moves of %d ms took %d ms", got.ExpectedMS, got.ActualMS)
 	}
 	s.Expire(start.Add(time.Second))
-	if got := s.Of(7); !got.Empty() {
+	if got := s.Of(7); !got.IsZero() {
 		t.Errorf("left: %+v", got)
 	}
 }
--- a/place.go
+++ b/place.go
@@ -26,7 +26,7 @@
 	if x, known := t.Targets.Lookup(m.placed.Target); known && m.said.Backoff > 0 && !now.Before(x.BackoffUntil) {
 		d.Log.Info("target wants no requests", "target", x.Name, "for", m.said.Backoff, "request", m.placed.Request)
 	}
-	t.Said(now, m.placed, m.said)
+	t.ApplySignals(now, m.placed, m.said)
 	d.limitTargets(t)
 }
 
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -44,8 +44,8 @@
 // closed is the wait of a target that can't be chosen.
 const closed = -1
 
-// Ask is what a request is placed by.
-type Ask struct {
+// Request is what a request is placed by.
+type Request struct {
 	// Home ranks the targets.
 	Home uint64
 	// Slack is how much longer than at the target with the shortest wait the
@@ -62,8 +62,8 @@
 	// best-ranked one.
 	Index, Home int
 	Rule        string
-	// Least is the shortest wait, Wait the one at the chosen target.
-	Least, Wait time.Duration
+	// MinWait is the shortest wait, Wait the one at the chosen target.
+	MinWait, Wait time.Duration
 	// Usable counts the targets that could have been chosen.
 	Usable int
 }
@@ -80,16 +80,16 @@
 
 // Choose returns the target for a request. It fails with trace.NotFound when
 // no target is usable.
-func (c *Chooser) Choose(now time.Time, ask Ask, targets []*target.Target) (Choice, error) {
-	choice := Choice{Index: -1, Home: -1, Least: closed}
+func (c *Chooser) Choose(now time.Time, ask Request, targets []*target.Target) (Choice, error) {
+	choice := Choice{Index: -1, Home: -1, MinWait: closed}
 	c.waits = c.waits[:0]
 	for _, t := range targets {
 		wait := time.Duration(closed)
 		if c.open(now, ask, t) {
 			wait = c.Wait(t)
 			choice.Usable++
-			if choice.Least == closed || wait < choice.Least {
-				choice.Least = wait
+			if choice.MinWait == closed || wait < choice.MinWait {
+				choice.MinWait = wait
 			}
 		}
 		c.waits = append(c.waits, wait)
@@ -106,9 +106,9 @@
 }
 
 // rank finds the best-ranked target of all and of those within the slack.
-func (c *Chooser) rank(ask Ask, targets []*target.Target, choice *Choice) {
+func (c *Chooser) rank(ask Request, targets []*target.Target, choice *Choice) {
 	var best, home uint64
-	longest := choice.Least + ask.Slack
+	longest := choice.MinWait + ask.Slack
 	for i, wait := range c.waits {
 		if wait == closed {
 			continue
@@ -123,6 +123,6 @@
 	}
 }
 
-func (c *Chooser) open(now time.Time, ask Ask, t *target.Target) bool {
+func (c *Chooser) open(now time.Time, ask Request, t *target.Target) bool {
 	return c.Usable(t, now) && (ask.Skip == nil || !ask.Skip(t))
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -31,8 +31,8 @@
 
 func wait(t *target.Target) time.Duration { return t.WaitAt(at, 2*time.Second) }
 
-func asked(home uint64) placement.Ask {
-	return placement.Ask{Home: home, Slack: 100 * time.Millisecond}
+func asked(home uint64) placement.Request {
+	return placement.Request{Home: home, Slack: 100 * time.Millisecond}
 }
 
 func TestChoose(t *testing.T) {
--- a/quarantine.go
+++ b/quarantine.go
@@ -34,8 +34,8 @@
 
 // takedowns is what this box knows of requests that take engines down.
 type takedowns struct {
-	watch crash.Watch
-	book  quarantine.Book
+	watch crash.Tracker
+	book  quarantine.List
 	// lives counts the lives of each engine that this box saw end.
 	lives map[string]int
 	// ended are the ends that are told on, lifted the requests that were answered,
@@ -63,7 +63,7 @@
 func (d *Daemon) place(now time.Time, t *tables, ask route.Ask) (route.Placed, error) {
 	k := &t.takedowns
 	if ask.Model != "" && k.book.Len()+k.watch.Len() > 0 {
-		if sum := ask.Fingerprint(); k.book.Refuses(now, sum, k.watch.Lives(sum)) {
+		if sum := ask.Fingerprint(); k.book.Refuses(now, sum, k.watch.Suspects(sum)) {
 			return route.Placed{}, refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "quarantined",
 				"%d engines ended while requests for the same ran there", quarantine.Threshold).After(comeBackQuarantined)
 		}
@@ -88,7 +88,7 @@
 	switch {
 	case e.Dead:
 		d.engineEnded(now, t, e.Placed.Target)
-	case e.Cut && k.watch.Cut(now, life, sum()):
+	case e.Cut && k.watch.CutOff(now, life, sum()):
 		d.endedUnder(now, t, life, []fingerprint.Sum{sum()}, d.Settings.Name)
 	case e.End.Request != "" && k.book.Len() > 0 && k.book.Answered(now, sum()):
 		k.lifted[sum()] = now
@@ -103,7 +103,7 @@
 	switch {
 	case errors.Is(m.err, syscall.ECONNREFUSED):
 		d.engineEnded(now, t, m.target)
-	case m.err == nil && k.watch.Over(life):
+	case m.err == nil && k.watch.HasEnded(life):
 		k.lives[m.target]++
 	case m.err == nil:
 		k.watch.Alive(life, m.asked)
@@ -138,8 +138,8 @@
 // tellTakedowns adds what is news to a message.
 func (k *takedowns) tellTakedowns(now time.Time, m *peer.Message) {
 	for life, news := range k.ended {
-		if now.Sub(news.at) < endedNews && len(m.Ended) < maxEnded {
-			m.Ended = append(m.Ended, peer.EndedUnder{Life: life, Sums: news.sums[:min(len(news.sums), maxSums)]})
+		if now.Sub(news.at) < endedNews && len(m.CrashReports) < maxEnded {
+			m.CrashReports = append(m.CrashReports, peer.CrashReport{Incarnation: life, Fingerprints: news.sums[:min(len(news.sums), maxSums)]})
 		}
 	}
 	for sum, at := range k.lifted {
@@ -152,9 +152,9 @@
 // hearTakedowns takes a peer's news over.
 func (d *Daemon) hearTakedowns(now time.Time, t *tables, m peer.Message) {
 	k := &t.takedowns
-	for _, told := range m.Ended {
-		if _, known := k.ended[told.Life]; !known {
-			d.endedUnder(now, t, told.Life, told.Sums[:min(len(told.Sums), maxSums)], m.From)
+	for _, told := range m.CrashReports {
+		if _, known := k.ended[told.Incarnation]; !known {
+			d.endedUnder(now, t, told.Incarnation, told.Fingerprints[:min(len(told.Fingerprints), maxSums)], m.From)
 		}
 	}
 	for _, sum := range m.Lifted {
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -25,20 +25,20 @@
 	// refused. The platform counts what a request does after the third. With two, more
 	// of those that merely ran on targets that crashed would be refused.
 	Threshold = 3
-	// Keep is how long a fingerprint is remembered after a target ended under it or it
+	// Retention is how long a fingerprint is remembered after a target ended under it or it
 	// was refused last. Forgotten, it takes Threshold targets down again.
-	Keep = time.Hour
-	// Most bounds the fingerprints remembered, at 350 bytes each with one life, as
+	Retention = time.Hour
+	// MaxEntries bounds the fingerprints remembered, at 350 bytes each with one life, as
 	// measured. A target that crashes adds what ran there, 128 on the engines known.
-	Most = 4096
+	MaxEntries = 4096
 	// mostLives bounds what is remembered of one fingerprint: with this many, more
 	// tell nothing new.
 	mostLives = 16
 )
 
-// Book is what one box knows. The zero value is ready; it is not safe for concurrent
+// List is what one box knows. The zero value is ready; it is not safe for concurrent
 // use.
-type Book struct {
+type List struct {
 	bySum map[fingerprint.Sum]*record
 	// refused is what Refused returns, unless changed says that it has to be worked out.
 	refused []fingerprint.Sum
@@ -72,7 +72,7 @@
 
 // Ended notes that a target's life ended while a request ran there. It says whether the
 // fingerprint is refused from now on and was not before.
-func (b *Book) Ended(now time.Time, sum fingerprint.Sum, life string) bool {
+func (b *List) Ended(now time.Time, sum fingerprint.Sum, life string) bool {
 	r := b.of(now, sum)
 	before := r.counts()
 	if _, known := r.lives[life]; !known && len(r.lives) < mostLives {
@@ -83,8 +83,8 @@
 	return news
 }
 
-// Tell notes that another box refuses a fingerprint. It says whether that is news.
-func (b *Book) Tell(now time.Time, sum fingerprint.Sum) bool {
+// AddRemote notes that another box refuses a fingerprint. It says whether that is news.
+func (b *List) AddRemote(now time.Time, sum fingerprint.Sum) bool {
 	r := b.of(now, sum)
 	fresh := r.counts() < Threshold
 	r.told = true
@@ -94,7 +94,7 @@
 
 // Answered notes that a request with the fingerprint was answered whole. It says whether
 // something spoke against it until then.
-func (b *Book) Answered(now time.Time, sum fingerprint.Sum) bool {
+func (b *List) Answered(now time.Time, sum fingerprint.Sum) bool {
 	r := b.bySum[sum]
 	if r == nil || r.counts() == 0 {
 		return false
@@ -109,7 +109,7 @@
 
 // Refuses says whether a request with the fingerprint must not be sent to a target, with
 // some lives more that may have ended under it.
-func (b *Book) Refuses(now time.Time, sum fingerprint.Sum, more int) bool {
+func (b *List) Refuses(now time.Time, sum fingerprint.Sum, more int) bool {
 	r := b.bySum[sum]
 	if r == nil {
 		return more >= Threshold
@@ -121,8 +121,8 @@
 	return true
 }
 
-// Lives returns how many lives speak against a fingerprint.
-func (b *Book) Lives(sum fingerprint.Sum) int {
+// Crashes returns how many lives speak against a fingerprint.
+func (b *List) Crashes(sum fingerprint.Sum) int {
 	if r := b.bySum[sum]; r != nil {
 		return r.counts()
 	}
@@ -130,11 +130,11 @@
 }
 
 // Len is how many fingerprints are remembered.
-func (b *Book) Len() int { return len(b.bySum) }
+func (b *List) Len() int { return len(b.bySum) }
 
 // Refused returns the fingerprints that are refused, in order. The caller must not change
 // the list, which is told to some 40 boxes, 7 times a second each.
-func (b *Book) Refused() []fingerprint.Sum {
+func (b *List) Refused() []fingerprint.Sum {
 	if !b.changed {
 		return b.refused
 	}
@@ -150,9 +150,9 @@
 }
 
 // Expire forgets what was not heard of for Keep.
-func (b *Book) Expire(now time.Time) {
+func (b *List) Expire(now time.Time) {
 	before := len(b.bySum)
-	maps.DeleteFunc(b.bySum, func(_ fingerprint.Sum, r *record) bool { return now.Sub(r.last) > Keep })
+	maps.DeleteFunc(b.bySum, func(_ fingerprint.Sum, r *record) bool { return now.Sub(r.last) > Retention })
 	b.changed = b.changed || len(b.bySum) < before
 }
 
@@ -162,7 +162,7 @@
 
 // of returns the record of a fingerprint. If there are too many, those go against which
 // least speaks, and of these the ones not heard of for longest.
-func (b *Book) of(now time.Time, sum fingerprint.Sum) *record {
+func (b *List) of(now time.Time, sum fingerprint.Sum) *record {
 	r := b.bySum[sum]
 	if r == nil {
 		b.makeRoom()
@@ -173,18 +173,18 @@
 	return r
 }
 
-func (b *Book) makeRoom() {
+func (b *List) makeRoom() {
 	if b.bySum == nil {
 		b.bySum = make(map[fingerprint.Sum]*record)
 	}
-	if len(b.bySum) < Most {
+	if len(b.bySum) < MaxEntries {
 		return
 	}
 	sums := slices.SortedFunc(maps.Keys(b.bySum), func(x, y fingerprint.Sum) int {
 		return cmp.Or(cmp.Compare(b.bySum[x].counts(), b.bySum[y].counts()), b.bySum[x].last.Compare(b.bySum[y].last))
 	})
 	b.changed = true
-	for _, sum := range sums[:Most/eighth] {
+	for _, sum := range sums[:MaxEntries/eighth] {
 		delete(b.bySum, sum)
 	}
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -22,39 +22,39 @@
 
 // TestRefuses says after which histories a fingerprint is refused.
 func TestRefuses(t *testing.T) {
-	ended := func(lives ...string) func(*quarantine.Book) {
-		return func(b *quarantine.Book) {
+	ended := func(lives ...string) func(*quarantine.List) {
+		return func(b *quarantine.List) {
 			for _, life := range lives {
 				b.Ended(start, sum(1), life)
 			}
 		}
 	}
-	answered := func(b *quarantine.Book) { b.Answered(start, sum(1)) }
-	told := func(b *quarantine.Book) { b.Tell(start, sum(1)) }
+	answered := func(b *quarantine.List) { b.Answered(start, sum(1)) }
+	told := func(b *quarantine.List) { b.AddRemote(start, sum(1)) }
 	tests := []struct {
 		name  string
-		steps []func(*quarantine.Book)
+		steps []func(*quarantine.List)
 		more  int
 		after time.Duration
 		want  bool
 	}{
 		{"nothing", nil, 0, 0, false},
-		{"two targets ended", []func(*quarantine.Book){ended("a", "b")}, 0, 0, false},
-		{"three did", []func(*quarantine.Book){ended("a", "b", "c")}, 0, 0, true},
-		{"one, told of by three boxes", []func(*quarantine.Book){ended("a", "a", "a")}, 0, 0, false},
-		{"two, and one more may have", []func(*quarantine.Book){ended("a", "b")}, 1, 0, true},
+		{"two targets ended", []func(*quarantine.List){ended("a", "b")}, 0, 0, false},
+		{"three did", []func(*quarantine.List){ended("a", "b", "c")}, 0, 0, true},
+		{"one, told of by three boxes", []func(*quarantine.List){ended("a", "a", "a")}, 0, 0, false},
+		{"two, and one more may have", []func(*quarantine.List){ended("a", "b")}, 1, 0, true},
 		{"three may have", nil, 3, 0, true},
-		{"answered in between", []func(*quarantine.Book){ended("a", "b"), answered, ended("c")}, 0, 0, false},
-		{"answered, and told of again", []func(*quarantine.Book){ended("a", "b", "c"), answered, ended("a", "b", "c")}, 0, 0, false},
-		{"answered, and three more ended", []func(*quarantine.Book){ended("a"), answered, ended("b", "c", "d")}, 0, 0, true},
-		{"another box refuses it", []func(*quarantine.Book){told}, 0, 0, true},
-		{"another box did, until it was answered", []func(*quarantine.Book){told, answered}, 0, 0, false},
-		{"just within the time", []func(*quarantine.Book){ended("a", "b", "c")}, 0, quarantine.Keep, true},
-		{"forgotten", []func(*quarantine.Book){ended("a", "b", "c")}, 0, quarantine.Keep + 1, false},
+		{"answered in between", []func(*quarantine.List){ended("a", "b"), answered, ended("c")}, 0, 0, false},
+		{"answered, and told of again", []func(*quarantine.List){ended("a", "b", "c"), answered, ended("a", "b", "c")}, 0, 0, false},
+		{"answered, and three more ended", []func(*quarantine.List){ended("a"), answered, ended("b", "c", "d")}, 0, 0, true},
+		{"another box refuses it", []func(*quarantine.List){told}, 0, 0, true},
+		{"another box did, until it was answered", []func(*quarantine.List){told, answered}, 0, 0, false},
+		{"just within the time", []func(*quarantine.List){ended("a", "b", "c")}, 0, quarantine.Retention, true},
+		{"forgotten", []func(*quarantine.List){ended("a", "b", "c")}, 0, quarantine.Retention + 1, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := quarantine.Book{}
+			b := quarantine.List{}
 			for _, step := range tt.steps {
 				step(&b)
 			}
@@ -71,13 +71,13 @@
 
 // TestNews says that each refusal is told once.
 func TestNews(t *testing.T) {
-	b := quarantine.Book{}
+	b := quarantine.List{}
 	for i, want := range []bool{false, false, true, false} {
 		if got := b.Ended(start, sum(1), fmt.Sprint(i)); got != want {
 			t.Errorf("life %d: news %v, want %v", i, got, want)
 		}
 	}
-	if b.Tell(start, sum(1)) || !b.Tell(start, sum(2)) {
+	if b.AddRemote(start, sum(1)) || !b.AddRemote(start, sum(2)) {
 		t.Error("what is refused already is no news, what is not is")
 	}
 	if got := b.Refused(); !slices.Equal(got, []fingerprint.Sum{sum(1), sum(2)}) {
@@ -89,7 +89,7 @@
 	if got := b.Refused(); !slices.Equal(got, []fingerprint.Sum{sum(2)}) {
 		t.Errorf("refused after an answer: %v", got)
 	}
-	b.Expire(start.Add(quarantine.Keep + 1))
+	b.Expire(start.Add(quarantine.Retention + 1))
 	if got := b.Refused(); len(got) != 0 {
 		t.Errorf("refused after an hour: %v", got)
 	}
@@ -97,13 +97,13 @@
 
 // TestKeptWhileItComes keeps refusing what keeps coming.
 func TestKeptWhileItComes(t *testing.T) {
-	b := quarantine.Book{}
+	b := quarantine.List{}
 	for i := range 3 {
 		b.Ended(start, sum(1), fmt.Sprint(i))
 	}
 	now := start
 	for range 5 {
-		now = now.Add(quarantine.Keep - time.Second)
+		now = now.Add(quarantine.Retention - time.Second)
 		b.Expire(now)
 		if !b.Refuses(now, sum(1), 0) {
 			t.Fatal("forgotten though it came within the time")
@@ -113,20 +113,20 @@
 
 // TestBounded drowns what is refused in requests that merely ran on targets that ended.
 func TestBounded(t *testing.T) {
-	b := quarantine.Book{}
+	b := quarantine.List{}
 	for i := range 3 {
 		b.Ended(start, sum(1), fmt.Sprint(i))
 	}
-	for i := range 5 * quarantine.Most {
+	for i := range 5 * quarantine.MaxEntries {
 		b.Ended(start.Add(time.Duration(i)), sum(2+i), "crowd")
-		if b.Len() > quarantine.Most {
+		if b.Len() > quarantine.MaxEntries {
 			t.Fatalf("%d are remembered", b.Len())
 		}
 	}
 	if !b.Refuses(start, sum(1), 0) {
 		t.Error("what took three targets down was forgotten for what took down one")
 	}
-	if b.Lives(sum(1+5*quarantine.Most)) != 1 {
+	if b.Crashes(sum(1+5*quarantine.MaxEntries)) != 1 {
 		t.Error("the newest is not remembered")
 	}
 }
--- a/quarantine_test.go
+++ b/quarantine_test.go
@@ -99,8 +99,8 @@
 		}
 	}
 	late := now.Add(2 * endedNews)
-	if m := third.state(late, &third.tables); len(m.Ended) != 0 {
-		t.Errorf("told on for ever: %v", m.Ended)
+	if m := third.state(late, &third.tables); len(m.CrashReports) != 0 {
+		t.Errorf("told on for ever: %v", m.CrashReports)
 	}
 }
 
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -30,9 +30,9 @@
 	trial = 0.1
 )
 
-// Part returns how many requests a second this box may send to the target with a hash, of the
+// Share returns how many requests a second this box may send to the target with a hash, of the
 // boxes that share its rate. It is zero for a box that has no part of it.
-func Part(perSecond float64, target uint64, self string, boxes []string) float64 {
+func Share(perSecond float64, target uint64, self string, boxes []string) float64 {
 	perSecond = max(perSecond, trial)
 	holders := len(boxes)
 	if perSecond+spare < float64(holders) {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -56,7 +56,7 @@
 			for target := range uint64(20) {
 				sum, holders := 0.0, 0
 				for _, box := range names(tt.boxes) {
-					part := quota.Part(tt.rate, target, box, names(tt.boxes))
+					part := quota.Share(tt.rate, target, box, names(tt.boxes))
 					sum += part
 					if part > 0 {
 						holders++
@@ -68,7 +68,7 @@
 			}
 		})
 	}
-	if part := quota.Part(3, 1, "stranger", names(6)); part != 0 {
+	if part := quota.Share(3, 1, "stranger", names(6)); part != 0 {
 		t.Errorf("a box that is not among them has %v", part)
 	}
 }
@@ -139,7 +139,7 @@
 			}
 			part := rate
 			if shared {
-				part = quota.Part(rate, seed, joined[i], known)
+				part = quota.Share(rate, seed, joined[i], known)
 			}
 			b := &buckets[i]
 			b.Refill(start.Add(now), part)
--- a/reclaim/clearing.go
+++ b/reclaim/clearing.go
@@ -1,4 +1,4 @@
-// Package clearing decides when kept parts that were made on older weights may
+// Package reclaim decides when kept parts that were made on older weights may
 // be freed. A part must not go while an engine still fetches it, and nobody but
 // the engine knows when it does. So fetches are bounded at their placing, and a
 // part is freed once no fetch that any box may have placed can still run.
@@ -8,7 +8,7 @@
 //	w.See(now, 2)                // the engines listed have version 2 at least
 //	if v := w.Below(now); v > 0 { // parts made on versions below v may be freed
 //	}
-package clearing
+package reclaim
 
 import (
 	"slices"
@@ -35,19 +35,19 @@
 	spread = 700 * time.Millisecond
 )
 
-// FetchFor is how long after its placing a fetch is thrown away. Newest says
+// FetchTimeout is how long after its placing a fetch is thrown away. Newest says
 // that it is of parts made on the newest weights that the box knows, and
 // provedAgo how old the box's proof of that is.
-func FetchFor(newest bool, provedAgo time.Duration) time.Duration {
+func FetchTimeout(newest bool, provedAgo time.Duration) time.Duration {
 	if newest && provedAgo <= freshProof {
 		return longFetch
 	}
 	return shortFetch
 }
 
-// Watch follows the weights of one model's engines. The zero value is ready; it
+// Tracker follows the weights of one model's engines. The zero value is ready; it
 // is not safe for concurrent use.
-type Watch struct {
+type Tracker struct {
 	// floor is the lowest version of any engine listed, since when.
 	floor int64
 	since time.Time
@@ -64,16 +64,16 @@
 	at      time.Time
 }
 
-// Name notes that the operator named a version.
-func (w *Watch) Name(now time.Time, version int64) {
+// AddVersion notes that the operator named a version.
+func (w *Tracker) AddVersion(now time.Time, version int64) {
 	if n := len(w.names); n > 0 && w.names[n-1].version >= version {
 		return
 	}
 	w.names = append(w.names, name{version, now})
 }
 
-// See notes the lowest version of the engines listed, or zero if none is.
-func (w *Watch) See(now time.Time, floor int64) {
+// SetFloor notes the lowest version of the engines listed, or zero if none is.
+func (w *Tracker) SetFloor(now time.Time, floor int64) {
 	if floor == w.floor {
 		return
 	}
@@ -81,14 +81,14 @@
 	w.names = slices.DeleteFunc(w.names, func(n name) bool { return n.version < floor })
 }
 
-// Doubt notes that the list lacks engines, or may, that have older weights.
-func (w *Watch) Doubt(now time.Time) { w.doubted = now }
+// MarkIncomplete notes that the list lacks engines, or may, that have older weights.
+func (w *Tracker) MarkIncomplete(now time.Time) { w.doubted = now }
 
 // Floor returns the lowest version of the engines listed.
-func (w *Watch) Floor() int64 { return w.floor }
+func (w *Tracker) Floor() int64 { return w.floor }
 
 // Below returns the version below which parts may be freed, or zero.
-func (w *Watch) Below(now time.Time) int64 {
+func (w *Tracker) Below(now time.Time) int64 {
 	named, known := w.outdated()
 	if w.floor == 0 || !known {
 		return 0
@@ -110,7 +110,7 @@
 
 // outdated returns when the parts below the floor were first known to be made
 // on older weights.
-func (w *Watch) outdated() (time.Time, bool) {
+func (w *Tracker) outdated() (time.Time, bool) {
 	for _, n := range w.names {
 		if n.version >= w.floor {
 			return n.at, true
--- a/reclaim/clearing_test.go
+++ b/reclaim/clearing_test.go
@@ -1,4 +1,4 @@
-package clearing
+package reclaim
 
 import (
 	"testing"
@@ -12,28 +12,28 @@
 	const done = 10 * time.Second
 	tests := []struct {
 		name   string
-		change func(w *Watch)
+		change func(w *Tracker)
 		after  time.Duration
 		want   int64
 	}{
-		{"a fetch may still run", func(*Watch) {}, done + spread + shortFetch - time.Millisecond, 0},
-		{"no fetch can run", func(*Watch) {}, done + spread + shortFetch, 2},
-		{"an engine with older weights is listed again", func(w *Watch) { w.See(start.Add(done+time.Second), 1) }, time.Minute, 1},
-		{"and loads the newer ones", func(w *Watch) {
-			w.See(start.Add(done+time.Second), 1)
-			w.See(start.Add(done+2*time.Second), 2)
+		{"a fetch may still run", func(*Tracker) {}, done + spread + shortFetch - time.Millisecond, 0},
+		{"no fetch can run", func(*Tracker) {}, done + spread + shortFetch, 2},
+		{"an engine with older weights is listed again", func(w *Tracker) { w.SetFloor(start.Add(done+time.Second), 1) }, time.Minute, 1},
+		{"and loads the newer ones", func(w *Tracker) {
+			w.SetFloor(start.Add(done+time.Second), 1)
+			w.SetFloor(start.Add(done+2*time.Second), 2)
 		}, done + 2*time.Second + spread + shortFetch - time.Millisecond, 0},
-		{"no engine is listed", func(w *Watch) { w.See(start.Add(done), 0) }, time.Minute, 0},
-		{"the list lacked engines", func(w *Watch) { w.Doubt(start.Add(done)) }, done + back + spread + shortFetch - time.Millisecond, 0},
-		{"and it is whole again", func(w *Watch) { w.Doubt(start.Add(done)) }, done + back + spread + shortFetch, 2},
-		{"a newer version was named meanwhile", func(w *Watch) { w.Name(start.Add(done), 3) }, done + spread + shortFetch, 2},
+		{"no engine is listed", func(w *Tracker) { w.SetFloor(start.Add(done), 0) }, time.Minute, 0},
+		{"the list lacked engines", func(w *Tracker) { w.MarkIncomplete(start.Add(done)) }, done + back + spread + shortFetch - time.Millisecond, 0},
+		{"and it is whole again", func(w *Tracker) { w.MarkIncomplete(start.Add(done)) }, done + back + spread + shortFetch, 2},
+		{"a newer version was named meanwhile", func(w *Tracker) { w.AddVersion(start.Add(done), 3) }, done + spread + shortFetch, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var w Watch
-			w.Name(start, 2)
-			w.See(start, 1)
-			w.See(start.Add(done), 2)
+			var w Tracker
+			w.AddVersion(start, 2)
+			w.SetFloor(start, 1)
+			w.SetFloor(start.Add(done), 2)
 			tt.change(&w)
 			if got := w.Below(start.Add(tt.after)); got != tt.want {
 				t.Errorf("parts below %d may be freed, want %d", got, tt.want)
@@ -45,10 +45,10 @@
 // TestQuickRollout has all engines on a version right after it was named, when
 // boxes that had not heard of it placed fetches that run longer.
 func TestQuickRollout(t *testing.T) {
-	var w Watch
-	w.See(start, 1)
-	w.Name(start, 2)
-	w.See(start, 2)
+	var w Tracker
+	w.SetFloor(start, 1)
+	w.AddVersion(start, 2)
+	w.SetFloor(start, 2)
 	if got := w.Below(start.Add(freshProof + longFetch - time.Millisecond)); got != 0 {
 		t.Errorf("below %d too early", got)
 	}
@@ -59,10 +59,10 @@
 
 // TestNameOnce shows that a version counts from when it was first heard of.
 func TestNameOnce(t *testing.T) {
-	var w Watch
-	w.Name(start, 2)
-	w.Name(start.Add(time.Minute), 2)
-	w.See(start, 2)
+	var w Tracker
+	w.AddVersion(start, 2)
+	w.AddVersion(start.Add(time.Minute), 2)
+	w.SetFloor(start, 2)
 	if got := w.Below(start.Add(freshProof + longFetch)); got != 2 {
 		t.Errorf("below %d, want 2", got)
 	}
@@ -70,8 +70,8 @@
 
 // TestUnnamed shows that nothing is freed below weights that nobody named.
 func TestUnnamed(t *testing.T) {
-	var w Watch
-	w.See(start, 3)
+	var w Tracker
+	w.SetFloor(start, 3)
 	if got := w.Below(start.Add(time.Hour)); got != 0 {
 		t.Errorf("below %d", got)
 	}
@@ -90,7 +90,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := FetchFor(tt.newest, tt.provedAgo); got != tt.want {
+			if got := FetchTimeout(tt.newest, tt.provedAgo); got != tt.want {
 				t.Errorf("FetchFor = %v, want %v", got, tt.want)
 			}
 		})
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -54,7 +54,7 @@
 	Ended func(route.Ended)
 	// Said hears what the head of an answer says of its target, before any of the answer
 	// is passed on.
-	Said func(route.Placed, notice.Said)
+	Said func(route.Placed, notice.Signals)
 	// Allow is asked right before a request leaves this box; its error keeps it here.
 	Allow func(route.Placed) error
 	// Retry asks the retry budget for one more attempt and says whether there
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -161,7 +161,7 @@
 }
 
 // unheard is for tests in which targets say nothing of themselves.
-func unheard(route.Placed, notice.Said) {}
+func unheard(route.Placed, notice.Signals) {}
 
 func allowed(route.Placed) error { return nil }
 
@@ -360,16 +360,16 @@
 func TestSaid(t *testing.T) {
 	tests := []struct {
 		name string
-		said notice.Said
+		said notice.Signals
 	}{
-		{"nothing", notice.Said{}},
-		{"it leaves", notice.Said{Leaving: true}},
+		{"nothing", notice.Signals{}},
+		{"it leaves", notice.Signals{Leaving: true}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			e := &engines{queued: make(map[string]bool), versions: make(map[string]string)}
 			passed := 0
-			var heard []notice.Said
+			var heard []notice.Signals
 			r := relay.Relay{
 				Place: func(_ context.Context, ask route.Ask) (route.Placed, error) {
 					return route.Placed{Attempt: ask.Attempt, Version: "v1", FirstToken: time.Minute}, nil
@@ -380,7 +380,7 @@
 					return frames, err
 				},
 				Resume: e.resume, Cancel: e.cancel, Accept: (*stream.Checker).Accept, Ended: func(route.Ended) {},
-				Said: func(_ route.Placed, said notice.Said) {
+				Said: func(_ route.Placed, said notice.Signals) {
 					if passed > 0 {
 						t.Error("heard behind the answer's beginning")
 					}
--- a/request.go
+++ b/request.go
@@ -69,8 +69,8 @@
 }
 
 // tellSaid notes what an answer's head says of its target, and tells the loop of news.
-func (d *Daemon) tellSaid(placed route.Placed, said notice.Said) {
-	limited := d.notices.HearLimit(d.now(), placed.At, notice.LifeAt(placed.Target, placed.Address), said)
+func (d *Daemon) tellSaid(placed route.Placed, said notice.Signals) {
+	limited := d.notices.ObserveLimit(d.now(), placed.At, notice.IncarnationAt(placed.Target, placed.Address), said)
 	if limited || said.Leaving || said.Backoff > 0 {
 		_ = d.send(context.Background(), targetSaid{placed, said})
 	}
--- a/retention/retention.go
+++ b/retention/retention.go
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/kvcache"
 	"github.com/thymewind/thymewind/pool"
 )
 
@@ -49,9 +49,9 @@
 	Prefill, Link float64
 }
 
-// Saw notes a prompt of an account and whether it has been there before. Old
+// Observe notes a prompt of an account and whether it has been there before. Old
 // prompts fade, so that an account's habits may change.
-func (p *Policy) Saw(account string, returned bool) {
+func (p *Policy) Observe(account string, returned bool) {
 	const fade = 0.995
 	if p.seen == nil {
 		p.seen = make(map[string]*seen)
@@ -98,11 +98,11 @@
 	return now.Sub(p.at).Seconds()
 }
 
-// Drop returns the keys of manifests to delete so that at least need bytes
+// Evict returns the keys of manifests to delete so that at least need bytes
 // come free, the least worth keeping first: those that save the fewest tokens
 // a byte, by how often and how lately they were asked for. Of a prompt's pieces
 // the last goes first, so that what stays can be used.
-func Drop(now time.Time, manifests []kept.Manifest, need int) []string {
+func Evict(now time.Time, manifests []kvcache.Manifest, need int) []string {
 	type scored struct {
 		key   string
 		bytes int
@@ -127,7 +127,7 @@
 	return keys
 }
 
-func score(now time.Time, m kept.Manifest) float64 {
+func score(now time.Time, m kvcache.Manifest) float64 {
 	age := max(now.Sub(m.Used).Seconds(), 1)
 	perByte := float64(m.Piece.Tokens) / float64(max(m.Piece.Bytes, 1))
 	return perByte * float64(m.Hits+1) / age
--- a/retention/retention_test.go
+++ b/retention/retention_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/kvcache"
 	"github.com/thymewind/thymewind/pool"
 	"github.com/thymewind/thymewind/retention"
 )
@@ -31,7 +31,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			p := retention.Policy{Burst: 5, LinkShare: 0.3}
 			for range 50 {
-				p.Saw("a", tt.returned)
+				p.Observe("a", tt.returned)
 			}
 			tt.cost.At, tt.cost.Account, tt.cost.Weights = now, "a", tt.weights
 			if got := p.Keep(tt.cost); got != tt.want {
@@ -43,17 +43,17 @@
 
 func TestDropTakesTheEndFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
-	piece := kept.Piece{Bytes: 10, Tokens: 5}
-	all := []kept.Manifest{
+	piece := kvcache.Piece{Bytes: 10, Tokens: 5}
+	all := []kvcache.Manifest{
 		{Key: "old-0", Depth: 0, Piece: piece, Used: now.Add(-time.Hour)},
 		{Key: "old-1", Depth: 1, Piece: piece, Used: now.Add(-time.Hour)},
 		{Key: "new-0", Depth: 0, Piece: piece, Used: now.Add(-time.Minute)},
 		{Key: "used", Depth: 0, Piece: piece, Used: now.Add(-time.Hour), Hits: 100},
 	}
-	if got := retention.Drop(now, all, 15); !slices.Equal(got, []string{"old-1", "old-0"}) {
+	if got := retention.Evict(now, all, 15); !slices.Equal(got, []string{"old-1", "old-0"}) {
 		t.Errorf("Drop = %v", got)
 	}
-	if got := retention.Drop(now, all, 0); got != nil {
+	if got := retention.Evict(now, all, 0); got != nil {
 		t.Errorf("Drop of nothing = %v", got)
 	}
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -15,25 +15,25 @@
 	Share float64
 	// Burst is how many retries can be saved up. A pool begins with them.
 	Burst float64
-	// Empty says that a pool begins with nothing saved up, so that a process
+	// StartEmpty says that a pool begins with nothing saved up, so that a process
 	// that starts again does not get its retries anew.
-	Empty bool
+	StartEmpty bool
 
 	mu sync.Mutex
 	// saved lies between 0 and Burst.
 	saved map[string]float64
 }
 
-// Request notes a request, which earns a part of a retry.
-func (b *Budget) Request(pool string) {
+// Deposit notes a request, which earns a part of a retry.
+func (b *Budget) Deposit(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.saved[b.known(pool)] = min(b.Burst, b.saved[pool]+b.Share)
 }
 
-// Bound changes how many retries can be saved up, as when more boxes share what
+// SetBurst changes how many retries can be saved up, as when more boxes share what
 // all of them may spend. What is saved above it is lost.
-func (b *Budget) Bound(burst float64) {
+func (b *Budget) SetBurst(burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.Burst = burst
@@ -64,7 +64,7 @@
 	if b.saved == nil {
 		b.saved = make(map[string]float64)
 	}
-	if _, ok := b.saved[pool]; !ok && !b.Empty {
+	if _, ok := b.saved[pool]; !ok && !b.StartEmpty {
 		b.saved[pool] = b.Burst
 	}
 	return pool
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -32,9 +32,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			// An eighth sums up exactly.
-			b := retry.Budget{Share: 0.125, Burst: 5, Empty: tt.empty}
+			b := retry.Budget{Share: 0.125, Burst: 5, StartEmpty: tt.empty}
 			for range tt.requests {
-				b.Request("p")
+				b.Deposit("p")
 			}
 			if got := spend(&b); got != tt.want {
 				t.Errorf("%d retries, want %d", got, tt.want)
@@ -46,16 +46,16 @@
 // TestBound shows that all boxes together stay within what they share, when
 // more boxes are found to share it.
 func TestBound(t *testing.T) {
-	b := retry.Budget{Share: 1, Burst: 10, Empty: true}
+	b := retry.Budget{Share: 1, Burst: 10, StartEmpty: true}
 	for range 10 {
-		b.Request("p")
+		b.Deposit("p")
 	}
-	b.Bound(2)
+	b.SetBurst(2)
 	if got := spend(&b); got != 2 {
 		t.Errorf("%d retries, want 2", got)
 	}
 	for range 10 {
-		b.Request("p")
+		b.Deposit("p")
 	}
 	if got := spend(&b); got != 2 {
 		t.Errorf("%d retries after more requests, want 2", got)
--- a/retry/purse.go
+++ b/retry/purse.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Purse keeps what many boxes save up together: they pay in what their requests earn, and take
+// SharedBudget keeps what many boxes save up together: they pay in what their requests earn, and take
 // out one for each retry. So a box with few requests may try again as soon as any has earned it,
 // where with a part of its own it saves up for minutes.
 //
@@ -15,14 +15,14 @@
 //	if p.Spend("menu") { tryAgain() }
 //
 // The zero value holds nothing and takes nothing. It is safe for concurrent use.
-type Purse struct {
+type SharedBudget struct {
 	mu    sync.Mutex
 	most  float64
 	saved map[string]float64
 }
 
-// Bound changes how much the purse holds for each pool. What is above it is lost.
-func (p *Purse) Bound(most float64) {
+// SetBurst changes how much the purse holds for each pool. What is above it is lost.
+func (p *SharedBudget) SetBurst(most float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.most = most
@@ -31,8 +31,8 @@
 	}
 }
 
-// Pay puts in what requests earned.
-func (p *Purse) Pay(pool string, amount float64) {
+// Deposit puts in what requests earned.
+func (p *SharedBudget) Deposit(pool string, amount float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.saved == nil {
@@ -42,7 +42,7 @@
 }
 
 // Spend takes one retry out, or returns false if none is left.
-func (p *Purse) Spend(pool string) bool {
+func (p *SharedBudget) Spend(pool string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.saved[pool] < 1 {
@@ -52,8 +52,8 @@
 	return true
 }
 
-// Empty takes all out, to be paid in elsewhere; nil if there is nothing.
-func (p *Purse) Empty() map[string]float64 {
+// Drain takes all out, to be paid in elsewhere; nil if there is nothing.
+func (p *SharedBudget) Drain() map[string]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	maps.DeleteFunc(p.saved, func(_ string, saved float64) bool { return saved <= 0 })
--- a/retry/purse_test.go
+++ b/retry/purse_test.go
@@ -23,15 +23,15 @@
 func pursesWithin(bound float64) gopter.Prop {
 	return prop.ForAll(func(seed uint64) bool {
 		dice := rand.New(rand.NewPCG(seed, 9))
-		hubs := make([]*retry.Purse, purses)
-		fresh := func() *retry.Purse { p := &retry.Purse{}; p.Bound(bound); return p }
+		hubs := make([]*retry.SharedBudget, purses)
+		fresh := func() *retry.SharedBudget { p := &retry.SharedBudget{}; p.SetBurst(bound); return p }
 		for i := range hubs {
 			hubs[i] = fresh()
 		}
-		kept := make([]*retry.Purse, purseBoxes)
+		kept := make([]*retry.SharedBudget, purseBoxes)
 		for i := range kept {
-			kept[i] = &retry.Purse{}
-			kept[i].Bound(1)
+			kept[i] = &retry.SharedBudget{}
+			kept[i].SetBurst(1)
 		}
 		var requests, retried []int
 		greedy := false
@@ -46,11 +46,11 @@
 			for _, box := range kept {
 				for range dice.IntN(3) {
 					asked++
-					box.Pay("p", purseShare)
+					box.Deposit("p", purseShare)
 				}
 				hub := hubs[dice.IntN(purses)]
-				if paid := box.Empty(); dice.IntN(10) > 0 {
-					hub.Pay("p", paid["p"])
+				if paid := box.Drain(); dice.IntN(10) > 0 {
+					hub.Deposit("p", paid["p"])
 				}
 				for greedy && hub.Spend("p") {
 					again++
--- a/retryafter/comeback.go
+++ b/retryafter/comeback.go
@@ -1,4 +1,4 @@
-// Package comeback says when a refused caller should return.
+// Package retryafter says when a refused caller should return.
 //
 //	e := comeback.Estimator{Draw: rand.Float64}
 //	e.Began(now, "outage")               // and e.Over when it is over
@@ -14,7 +14,7 @@
 //
 // All who were refused together are told different times. The more urgent are
 // spread over the first part of the span that the others are spread over.
-package comeback
+package retryafter
 
 import (
 	"sync"
@@ -26,11 +26,11 @@
 	// another target or box is found, and the least time given.
 	soon  = 120 * time.Millisecond
 	least = soon / 2
-	// Longest bounds how long something is expected to last yet. Callers give up
+	// MaxOutage bounds how long something is expected to last yet. Callers give up
 	// after 1 to 15 s and wait for up to a third of the time that they have left.
 	// With 3 s one caller in 1,000 more was served in long outages, but
 	// those who returned so late kept as many others from being answered in time.
-	Longest = 1500 * time.Millisecond
+	MaxOutage = 1500 * time.Millisecond
 	// fromGoal and spanGoal are, as shares of the route's goal, from when on and
 	// over how long those return who found no memory free, so early that an answer
 	// can still come within the goal. Where goals are 0.4 to 0.6 s that is about what
@@ -72,9 +72,9 @@
 	since time.Time
 }
 
-// Began notes that something that keeps callers from being served lasts from now
+// Started notes that something that keeps callers from being served lasts from now
 // on, unless it did before.
-func (e *Estimator) Began(now time.Time, what string) {
+func (e *Estimator) Started(now time.Time, what string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.spans == nil {
@@ -88,8 +88,8 @@
 	}
 }
 
-// Over notes its end and returns how long it lasted, or zero if it did not.
-func (e *Estimator) Over(now time.Time, what string) time.Duration {
+// Ended notes its end and returns how long it lasted, or zero if it did not.
+func (e *Estimator) Ended(now time.Time, what string) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	l := e.spans[what]
@@ -105,10 +105,10 @@
 	return took
 }
 
-// Lasting returns when a caller should return who was refused because of what
+// DuringOutage returns when a caller should return who was refused because of what
 // lasts now. If it lasts for longer than its like did before, or is the first of
 // its kind, it is taken to last as long again as it has beyond that.
-func (e *Estimator) Lasting(now time.Time, what string, urgency int) time.Duration {
+func (e *Estimator) DuringOutage(now time.Time, what string, urgency int) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	l := e.spans[what]
@@ -120,19 +120,19 @@
 	if left <= 0 {
 		left = passed - l.usual
 	}
-	left = min(max(left, least), Longest)
+	left = min(max(left, least), MaxOutage)
 	return e.within(left, max(time.Duration(span*float64(left)), soon), urgency)
 }
 
 // Ends returns when a caller should return whose cause of refusal ends in a time that is
 // known. It is Longest at most: another box, which the caller may meet, need not wait.
 func (e *Estimator) Ends(left time.Duration, urgency int) time.Duration {
-	return e.within(min(max(left, least), Longest), soon, urgency)
+	return e.within(min(max(left, least), MaxOutage), soon, urgency)
 }
 
-// Crowded returns when a caller should return whose request found no memory free,
+// MemoryFull returns when a caller should return whose request found no memory free,
 // on a route with a goal, or zero.
-func (e *Estimator) Crowded(goal time.Duration, urgency int) time.Duration {
+func (e *Estimator) MemoryFull(goal time.Duration, urgency int) time.Duration {
 	if goal <= 0 {
 		return e.Soon(urgency)
 	}
--- a/retryafter/comeback_test.go
+++ b/retryafter/comeback_test.go
@@ -1,17 +1,17 @@
-package comeback_test
+package retryafter_test
 
 import (
 	"testing"
 	"time"
 
-	"github.com/thymewind/thymewind/comeback"
+	"github.com/thymewind/thymewind/retryafter"
 )
 
 var start = time.Unix(1000, 0)
 
 // drawn returns the time given for a number drawn.
-func drawn(draw float64, prepare func(*comeback.Estimator), ask func(*comeback.Estimator) time.Duration) time.Duration {
-	e := &comeback.Estimator{Draw: func() float64 { return draw }}
+func drawn(draw float64, prepare func(*retryafter.Estimator), ask func(*retryafter.Estimator) time.Duration) time.Duration {
+	e := &retryafter.Estimator{Draw: func() float64 { return draw }}
 	prepare(e)
 	return ask(e)
 }
@@ -20,29 +20,29 @@
 // refused because of what lasts.
 func TestLasting(t *testing.T) {
 	// lasted has an outage last for each of some times, and then another one begin.
-	lasted := func(times ...time.Duration) func(*comeback.Estimator) {
-		return func(e *comeback.Estimator) {
+	lasted := func(times ...time.Duration) func(*retryafter.Estimator) {
+		return func(e *retryafter.Estimator) {
 			now := start.Add(-time.Hour)
 			for _, d := range times {
-				e.Began(now, "x")
-				e.Over(now.Add(d), "x")
+				e.Started(now, "x")
+				e.Ended(now.Add(d), "x")
 				now = now.Add(time.Minute)
 			}
-			e.Began(start, "x")
-			e.Began(start.Add(time.Second), "x") // Told again, it began no later.
+			e.Started(start, "x")
+			e.Started(start.Add(time.Second), "x") // Told again, it began no later.
 		}
 	}
 	tests := []struct {
 		name    string
-		prepare func(*comeback.Estimator)
+		prepare func(*retryafter.Estimator)
 		passed  time.Duration
 		from    time.Duration
 		to      time.Duration
 	}{
-		{"does not last", func(*comeback.Estimator) {}, time.Second, 60 * time.Millisecond, 180 * time.Millisecond},
+		{"does not last", func(*retryafter.Estimator) {}, time.Second, 60 * time.Millisecond, 180 * time.Millisecond},
 		{"the first one, as long again", lasted(), 800 * time.Millisecond, 800 * time.Millisecond, 1200 * time.Millisecond},
 		{"the first one, just begun", lasted(), 0, 60 * time.Millisecond, 180 * time.Millisecond},
-		{"the first one, for long", lasted(), time.Minute, comeback.Longest, comeback.Longest * 3 / 2},
+		{"the first one, for long", lasted(), time.Minute, retryafter.MaxOutage, retryafter.MaxOutage * 3 / 2},
 		{"the last one's end", lasted(2 * time.Second), 500 * time.Millisecond, 1500 * time.Millisecond, 2250 * time.Millisecond},
 		{"nearly over", lasted(2 * time.Second), 1990 * time.Millisecond, 60 * time.Millisecond, 180 * time.Millisecond},
 		{"longer than the last one", lasted(time.Second), 1800 * time.Millisecond, 800 * time.Millisecond, 1200 * time.Millisecond},
@@ -50,7 +50,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			ask := func(e *comeback.Estimator) time.Duration { return e.Lasting(start.Add(tt.passed), "x", 9) }
+			ask := func(e *retryafter.Estimator) time.Duration { return e.DuringOutage(start.Add(tt.passed), "x", 9) }
 			from, to := drawn(0, tt.prepare, ask), drawn(1, tt.prepare, ask)
 			if from != tt.from || to != tt.to {
 				t.Errorf("from %v to %v, want %v to %v", from, to, tt.from, tt.to)
@@ -61,15 +61,15 @@
 
 // TestOver says how long something lasted, once.
 func TestOver(t *testing.T) {
-	var e comeback.Estimator
-	if got := e.Over(start, "x"); got != 0 {
+	var e retryafter.Estimator
+	if got := e.Ended(start, "x"); got != 0 {
 		t.Errorf("lasted %v though it never began", got)
 	}
-	e.Began(start, "x")
-	if got := e.Over(start.Add(time.Second), "x"); got != time.Second {
+	e.Started(start, "x")
+	if got := e.Ended(start.Add(time.Second), "x"); got != time.Second {
 		t.Errorf("lasted %v", got)
 	}
-	if got := e.Over(start.Add(time.Minute), "x"); got != 0 {
+	if got := e.Ended(start.Add(time.Minute), "x"); got != 0 {
 		t.Errorf("lasted %v after its end", got)
 	}
 }
@@ -77,27 +77,29 @@
 // TestSpread says by the route's goal and the rank of urgency within which times
 // those return who were refused together: the more urgent sooner.
 func TestSpread(t *testing.T) {
-	long := func(e *comeback.Estimator) { e.Began(start, "x") }
+	long := func(e *retryafter.Estimator) { e.Started(start, "x") }
 	tests := []struct {
 		name string
-		ask  func(urgency int) func(*comeback.Estimator) time.Duration
+		ask  func(urgency int) func(*retryafter.Estimator) time.Duration
 		from time.Duration
 		to   [4]time.Duration // By urgency.
 	}{
-		{"crowded", func(u int) func(*comeback.Estimator) time.Duration {
-			return func(e *comeback.Estimator) time.Duration { return e.Crowded(600*time.Millisecond, u) }
+		{"crowded", func(u int) func(*retryafter.Estimator) time.Duration {
+			return func(e *retryafter.Estimator) time.Duration { return e.MemoryFull(600*time.Millisecond, u) }
 		}, 60 * time.Millisecond, [4]time.Duration{100, 140, 180, 180}},
-		{"crowded, a long goal", func(u int) func(*comeback.Estimator) time.Duration {
-			return func(e *comeback.Estimator) time.Duration { return e.Crowded(1200*time.Millisecond, u) }
+		{"crowded, a long goal", func(u int) func(*retryafter.Estimator) time.Duration {
+			return func(e *retryafter.Estimator) time.Duration { return e.MemoryFull(1200*time.Millisecond, u) }
 		}, 120 * time.Millisecond, [4]time.Duration{200, 280, 360, 360}},
-		{"crowded, no goal", func(u int) func(*comeback.Estimator) time.Duration {
-			return func(e *comeback.Estimator) time.Duration { return e.Crowded(0, u) }
+		{"crowded, no goal", func(u int) func(*retryafter.Estimator) time.Duration {
+			return func(e *retryafter.Estimator) time.Duration { return e.MemoryFull(0, u) }
 		}, 60 * time.Millisecond, [4]time.Duration{100, 140, 180, 180}},
-		{"soon", func(u int) func(*comeback.Estimator) time.Duration {
-			return func(e *comeback.Estimator) time.Duration { return e.Soon(u) }
+		{"soon", func(u int) func(*retryafter.Estimator) time.Duration {
+			return func(e *retryafter.Estimator) time.Duration { return e.Soon(u) }
 		}, 60 * time.Millisecond, [4]time.Duration{100, 140, 180, 180}},
-		{"lasting", func(u int) func(*comeback.Estimator) time.Duration {
-			return func(e *comeback.Estimator) time.Duration { return e.Lasting(start.Add(1200*time.Millisecond), "x", u) }
+		{"lasting", func(u int) func(*retryafter.Estimator) time.Duration {
+			return func(e *retryafter.Estimator) time.Duration {
+				return e.DuringOutage(start.Add(1200*time.Millisecond), "x", u)
+			}
 		}, 1200 * time.Millisecond, [4]time.Duration{1400, 1600, 1800, 1800}},
 	}
 	for _, tt := range tests {
--- a/retryafter/play_test.go
+++ b/retryafter/play_test.go
@@ -1,4 +1,4 @@
-package comeback_test
+package retryafter_test
 
 import (
 	"container/heap"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/thymewind/thymewind/comeback"
+	"github.com/thymewind/thymewind/retryafter"
 )
 
 // kind is a kind of request.
@@ -110,23 +110,23 @@
 func estimated(p *play, b *box, c *caller, cause string) time.Duration {
 	switch {
 	case cause == "":
-		return b.returns.Crowded(c.goal, c.urgency)
+		return b.returns.MemoryFull(c.goal, c.urgency)
 	case cause == outage && slices.ContainsFunc(p.boxes, func(b *box) bool { return !b.out }):
 		return b.returns.Soon(c.urgency)
 	}
-	return b.returns.Lasting(p.time(), cause, c.urgency)
+	return b.returns.DuringOutage(p.time(), cause, c.urgency)
 }
 
 // alone is the same for boxes that know nothing of each other.
 func alone(p *play, b *box, c *caller, cause string) time.Duration {
 	if cause == outage {
-		return b.returns.Lasting(p.time(), cause, c.urgency)
+		return b.returns.DuringOutage(p.time(), cause, c.urgency)
 	}
 	return estimated(p, b, c, cause)
 }
 
 type box struct {
-	returns comeback.Estimator
+	returns retryafter.Estimator
 	out     bool
 }
 
@@ -148,7 +148,7 @@
 func newPlay(s scene, w way, seed uint64) *play {
 	p := &play{scene: s, way: w, arrivals: rand.New(rand.NewPCG(seed, 1)), rng: rand.New(rand.NewPCG(seed, 2))}
 	for range boxes {
-		p.boxes = append(p.boxes, &box{returns: comeback.Estimator{Draw: p.rng.Float64}})
+		p.boxes = append(p.boxes, &box{returns: retryafter.Estimator{Draw: p.rng.Float64}})
 	}
 	return p
 }
@@ -215,8 +215,8 @@
 		begin := time.Duration(i+1) * 10 * time.Second
 		length := p.shortest + time.Duration(p.arrivals.Float64()*float64(p.longest-p.shortest))
 		for _, b := range p.boxes[:int(p.hit*boxes)] {
-			p.after(begin, func() { b.out = true; b.returns.Began(p.time(), outage) })
-			p.after(begin+length, func() { b.out = false; b.returns.Over(p.time(), outage) })
+			p.after(begin, func() { b.out = true; b.returns.Started(p.time(), outage) })
+			p.after(begin+length, func() { b.out = false; b.returns.Ended(p.time(), outage) })
 		}
 	}
 	for i := range engines {
@@ -243,11 +243,11 @@
 	}
 	best := p.best()
 	if best < 0 {
-		b.returns.Began(p.time(), noTarget)
+		b.returns.Started(p.time(), noTarget)
 		p.refused(c, p.way(p, b, c, noTarget))
 		return
 	}
-	b.returns.Over(p.time(), noTarget)
+	b.returns.Ended(p.time(), noTarget)
 	fill := 1.15
 	if c.urgency == len(kinds)-1 {
 		fill = 0.92
--- a/reuse/reuse.go
+++ b/reuse/reuse.go
@@ -10,7 +10,7 @@
 import (
 	"time"
 
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/kvcache"
 	"github.com/thymewind/thymewind/pool"
 	"github.com/thymewind/thymewind/stream"
 )
@@ -28,10 +28,10 @@
 	Prefill float64
 	// Link is the bytes imported a second, waiting included; zero if not known.
 	Link float64
-	// Slow is how many times longer imports take than store boxes say; zero if
+	// Slowdown is how many times longer imports take than store boxes say; zero if
 	// not known. It counts until Forgotten.
-	Slow      float64
-	Forgotten time.Time
+	Slowdown      float64
+	SlowdownUntil time.Time
 }
 
 // Choice is one prompt with kept cache.
@@ -39,7 +39,7 @@
 	// Tokens are the prompt's.
 	Tokens int
 	// Found is what the store box holds.
-	Found kept.Found
+	Found kvcache.Found
 	// Wait is how long the engine is busy before it begins to compute; imports
 	// go on meanwhile.
 	Wait time.Duration
@@ -54,10 +54,10 @@
 	wait := c.Wait.Seconds()
 	best, least := 0, p.FirstToken*(wait+float64(c.Tokens)/e.Prefill)+p.Recompute*float64(c.Tokens)/e.Prefill
 	tokens := 0
-	var bytes [kept.Tiers]int
+	var bytes [kvcache.Tiers]int
 	for i, m := range c.Found.Run {
 		tokens += m.Piece.Tokens
-		bytes[m.Tier%kept.Tiers] += m.Piece.Bytes
+		bytes[m.Tier%kvcache.Tiers] += m.Piece.Bytes
 		ready, moving := e.links(now, c.Found.Links, bytes)
 		compute := float64(c.Tokens-tokens) / e.Prefill
 		cost := p.FirstToken*(max(wait, ready)+compute) + p.Recompute*compute + p.Link*moving
@@ -70,10 +70,10 @@
 
 // links predicts when bytes of each tier are there and for how long the links
 // move them, in seconds.
-func (e Estimate) links(now time.Time, links [kept.Tiers]kept.Link, bytes [kept.Tiers]int) (ready, moving float64) {
+func (e Estimate) links(now time.Time, links [kvcache.Tiers]kvcache.Link, bytes [kvcache.Tiers]int) (ready, moving float64) {
 	slow := 1.0
-	if e.Slow > 0 && now.Before(e.Forgotten) {
-		slow = e.Slow
+	if e.Slowdown > 0 && now.Before(e.SlowdownUntil) {
+		slow = e.Slowdown
 	}
 	for tier, link := range links {
 		if bytes[tier] == 0 || link.Rate <= 0 {
@@ -85,11 +85,11 @@
 	return ready, moving
 }
 
-// Said returns how long the store box says that an import takes, in seconds.
-func Said(found kept.Found, n int) float64 {
-	var bytes [kept.Tiers]int
+// Predicted returns how long the store box says that an import takes, in seconds.
+func Predicted(found kvcache.Found, n int) float64 {
+	var bytes [kvcache.Tiers]int
 	for _, m := range found.Run[:n] {
-		bytes[m.Tier%kept.Tiers] += m.Piece.Bytes
+		bytes[m.Tier%kvcache.Tiers] += m.Piece.Bytes
 	}
 	ready, _ := Estimate{}.links(time.Time{}, found.Links, bytes)
 	return ready
@@ -100,8 +100,8 @@
 	// Usage are the engine's own figures.
 	Usage stream.Usage
 	// Bytes were to be imported, and Said seconds is how long that should take.
-	Bytes int
-	Said  float64
+	Bytes     int
+	Predicted float64
 }
 
 // Learn takes in how one run went.
@@ -118,9 +118,9 @@
 		took *= failed // It brought nothing in spite of the wait.
 	}
 	e.Link = mean(e.Link, float64(s.Bytes)/took)
-	if s.Said > 0 {
-		e.Slow = mean(e.Slow, max(took/s.Said, 1))
-		e.Forgotten = now.Add(memory)
+	if s.Predicted > 0 {
+		e.Slowdown = mean(e.Slowdown, max(took/s.Predicted, 1))
+		e.SlowdownUntil = now.Add(memory)
 	}
 }
 
--- a/reuse/reuse_test.go
+++ b/reuse/reuse_test.go
@@ -4,16 +4,16 @@
 	"testing"
 	"time"
 
-	"github.com/thymewind/thymewind/kept"
+	"github.com/thymewind/thymewind/kvcache"
 	"github.com/thymewind/thymewind/pool"
 	"github.com/thymewind/thymewind/reuse"
 	"github.com/thymewind/thymewind/stream"
 )
 
-func found(tiers ...int) kept.Found {
-	f := kept.Found{Links: [kept.Tiers]kept.Link{{Rate: 10000}, {Rate: 1000}}}
+func found(tiers ...int) kvcache.Found {
+	f := kvcache.Found{Links: [kvcache.Tiers]kvcache.Link{{Rate: 10000}, {Rate: 1000}}}
 	for _, tier := range tiers {
-		f.Run = append(f.Run, kept.Manifest{Tier: tier, Piece: kept.Piece{Bytes: 1000, Tokens: 1000}})
+		f.Run = append(f.Run, kvcache.Manifest{Tier: tier, Piece: kvcache.Piece{Bytes: 1000, Tokens: 1000}})
 	}
 	return f
 }
@@ -40,8 +40,8 @@
 		{"recomputing weighs more", known, recompute, reuse.Choice{Tokens: 3000, Found: found(1)}, 1},
 		{"the link weighs most", known, links, reuse.Choice{Tokens: 3000, Found: found(0, 0)}, 0},
 		{"the link has a queue", known, firstToken, reuse.Choice{Tokens: 3000, Found: queued}, 0},
-		{"slower than it says", reuse.Estimate{Prefill: 2000, Slow: 20, Forgotten: now.Add(1)}, firstToken, reuse.Choice{Tokens: 3000, Found: found(0, 0)}, 0},
-		{"was slower long ago", reuse.Estimate{Prefill: 2000, Slow: 20, Forgotten: now}, firstToken, reuse.Choice{Tokens: 3000, Found: found(0, 0)}, 2},
+		{"slower than it says", reuse.Estimate{Prefill: 2000, Slowdown: 20, SlowdownUntil: now.Add(1)}, firstToken, reuse.Choice{Tokens: 3000, Found: found(0, 0)}, 0},
+		{"was slower long ago", reuse.Estimate{Prefill: 2000, Slowdown: 20, SlowdownUntil: now}, firstToken, reuse.Choice{Tokens: 3000, Found: found(0, 0)}, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -56,10 +56,10 @@
 	now := time.Unix(1000, 0)
 	var e reuse.Estimate
 	for range 50 {
-		e.Learn(now, reuse.Sample{Usage: stream.Usage{Prompt: 3000, Imported: 2000, PrefillMillis: 500, ImportMillis: 100}, Bytes: 5000, Said: 0.05})
+		e.Learn(now, reuse.Sample{Usage: stream.Usage{Prompt: 3000, Imported: 2000, PrefillMillis: 500, ImportMillis: 100}, Bytes: 5000, Predicted: 0.05})
 	}
 	near := func(got, want float64) bool { return got > 0.99*want && got < 1.01*want }
-	if !near(e.Prefill, 2000) || !near(e.Link, 50000) || !near(e.Slow, 2) {
+	if !near(e.Prefill, 2000) || !near(e.Link, 50000) || !near(e.Slowdown, 2) {
 		t.Errorf("learned %+v, want 2000 tokens/s, 50000 bytes/s, twice as slow", e)
 	}
 	e.Learn(now, reuse.Sample{})
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -18,8 +18,8 @@
 	return !r.Limited() || region != "" && slices.Contains(r, region)
 }
 
-// And returns the regions that two limits allow.
-func (r Regions) And(other Regions) Regions {
+// Intersect returns the regions that two limits allow.
+func (r Regions) Intersect(other Regions) Regions {
 	if !r.Limited() {
 		return other
 	}
@@ -42,11 +42,11 @@
 	return strings.Join(slices.Compact(list), ",")
 }
 
-// Within returns where a request of an account on a route may be run, kept and stored. The
+// AllowedRegions returns where a request of an account on a route may be run, kept and stored. The
 // account is nil on open routes.
-func Within(r *Route, a *Account) Regions {
+func AllowedRegions(r *Route, a *Account) Regions {
 	if a == nil {
 		return r.Regions
 	}
-	return r.Regions.And(a.Regions)
+	return r.Regions.Intersect(a.Regions)
 }
--- a/routing/regions_test.go
+++ b/routing/regions_test.go
@@ -24,7 +24,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got := routing.Within(&routing.Route{Regions: tt.route}, &routing.Account{Regions: tt.account})
+			got := routing.AllowedRegions(&routing.Route{Regions: tt.route}, &routing.Account{Regions: tt.account})
 			allowed := ""
 			for _, region := range []string{"a", "b", "x", ""} {
 				if got.Allow(region) {
@@ -36,7 +36,7 @@
 			}
 		})
 	}
-	if routing.Within(&routing.Route{Regions: routing.Regions{"a"}}, nil).Allow("b") {
+	if routing.AllowedRegions(&routing.Route{Regions: routing.Regions{"a"}}, nil).Allow("b") {
 		t.Error("an open route's limit does not hold")
 	}
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -48,10 +48,10 @@
 	Timeout time.Duration
 	// Goal is the time in which an answer, or its first event, should come.
 	Goal time.Duration
-	// Pause is the longest pause between events that is still in time.
-	Pause time.Duration
-	// Urgency orders requests; lower goes first.
-	Urgency int
+	// GapGoal is the longest pause between events that is still in time.
+	GapGoal time.Duration
+	// Priority orders requests; lower goes first.
+	Priority int
 	// Attempts bounds the targets that one request is sent to.
 	Attempts int
 	// Open requests need no key.
@@ -96,8 +96,8 @@
 	TokenBytes int
 	// Megabits is the speed of a target's link, a second.
 	Megabits float64
-	// Followers is how many callers may wait for a target's events at once.
-	Followers int
+	// MaxWatchers is how many callers may wait for a target's events at once.
+	MaxWatchers int
 }
 
 // Store is a box that keeps prompt parts for engines.
@@ -107,20 +107,20 @@
 	// Capacity is in tokens.
 	Capacity int
 	Megabits float64
-	// First is what each move waits before it begins.
-	First time.Duration
+	// TransferDelay is what each move waits before it begins.
+	TransferDelay time.Duration
 	// Managed stores drop nothing by themselves.
-	Managed   bool
-	Followers int
+	Managed     bool
+	MaxWatchers int
 }
 
 // Account is a client account.
 type Account struct {
 	Name string
 	Keys []string
-	// Urgency takes precedence over the route's, if Ranked.
-	Urgency int
-	Ranked  bool
+	// Priority takes precedence over the route's, if Ranked.
+	Priority    int
+	HasPriority bool
 	// Regions limits where the account's requests may be run, kept and stored.
 	Regions Regions
 	// Isolated accounts share no kept part with another.
@@ -144,7 +144,7 @@
 	for _, r := range routes {
 		t.host(canonical(r.Host)).add(r)
 		for _, s := range r.Shares {
-			t.least[s.Pool] = max(t.least[s.Pool], r.Urgency)
+			t.least[s.Pool] = max(t.least[s.Pool], r.Priority)
 			if goal, known := t.goals[s.Pool]; r.Goal > 0 && (!known || r.Goal < goal) {
 				t.goals[s.Pool] = r.Goal
 			}
@@ -176,8 +176,8 @@
 	return a, known
 }
 
-// Keyed says whether requests on a route need a key.
-func (t *Table) Keyed(r *Route) bool { return t.keyed && !r.Open }
+// NeedsKey says whether requests on a route need a key.
+func (t *Table) NeedsKey(r *Route) bool { return t.keyed && !r.Open }
 
 // Pick returns the pool for a request, by a number drawn for it.
 func (r *Route) Pick(drawn uint64) string {
@@ -201,16 +201,16 @@
 // Goal returns the shortest goal of a pool's routes, or zero if none has one.
 func (t *Table) Goal(pool string) time.Duration { return t.goals[pool] }
 
-// LeastUrgent returns the highest rank among the routes of a pool.
-func (t *Table) LeastUrgent(pool string) int { return t.least[pool] }
+// LowestPriority returns the highest rank among the routes of a pool.
+func (t *Table) LowestPriority(pool string) int { return t.least[pool] }
 
-// Urgency returns the rank of an account's requests on a route; lower goes
+// Priority returns the rank of an account's requests on a route; lower goes
 // first. The account is nil on open routes.
-func Urgency(r *Route, a *Account) int {
-	if a != nil && a.Ranked {
-		return a.Urgency
+func Priority(r *Route, a *Account) int {
+	if a != nil && a.HasPriority {
+		return a.Priority
 	}
-	return r.Urgency
+	return r.Priority
 }
 
 // canonical is a host without port, in lower case.
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -8,12 +8,12 @@
 
 func table() *routing.Table {
 	return routing.New(3, []*routing.Route{
-		{Name: "root", Host: "a.example", Prefix: "/", Shares: []routing.Share{{Pool: "p", Weight: 1}}, Urgency: 2},
-		{Name: "long", Host: "a.example", Prefix: "/x/y/", Shares: []routing.Share{{Pool: "p", Weight: 1}}, Urgency: 0},
-		{Name: "short", Host: "A.example", Prefix: "/x/", Shares: []routing.Share{{Pool: "q", Weight: 1}}, Urgency: 1, Open: true},
+		{Name: "root", Host: "a.example", Prefix: "/", Shares: []routing.Share{{Pool: "p", Weight: 1}}, Priority: 2},
+		{Name: "long", Host: "a.example", Prefix: "/x/y/", Shares: []routing.Share{{Pool: "p", Weight: 1}}, Priority: 0},
+		{Name: "short", Host: "A.example", Prefix: "/x/", Shares: []routing.Share{{Pool: "q", Weight: 1}}, Priority: 1, Open: true},
 		{Name: "open", Host: "c.example", Prefix: "/open", Shares: []routing.Share{{Pool: "p", Weight: 1}}},
 		{Name: "closed", Host: "c.example", Prefix: "/open/slash/", Shares: []routing.Share{{Pool: "p", Weight: 1}}},
-	}, []*routing.Pool{{Name: "p"}, {Name: "q"}}, []*routing.Account{{Name: "cafe", Keys: []string{"k1", "k2"}, Urgency: 1, Ranked: true}})
+	}, []*routing.Pool{{Name: "p"}, {Name: "q"}}, []*routing.Account{{Name: "cafe", Keys: []string{"k1", "k2"}, Priority: 1, HasPriority: true}})
 }
 
 func TestRoute(t *testing.T) {
@@ -51,10 +51,10 @@
 		t.Error("keys differ by case")
 	}
 	long, short := x.Route("a.example", "/x/y/"), x.Route("a.example", "/x/")
-	if !x.Keyed(long) || x.Keyed(short) {
+	if !x.NeedsKey(long) || x.NeedsKey(short) {
 		t.Error("open routes need no key, others do")
 	}
-	if routing.New(1, nil, nil, nil).Keyed(long) {
+	if routing.New(1, nil, nil, nil).NeedsKey(long) {
 		t.Error("without accounts no route needs a key")
 	}
 }
@@ -74,13 +74,13 @@
 	x := table()
 	a, _ := x.Account("k1")
 	r := x.Route("a.example", "/x/y/")
-	if got := routing.Urgency(r, a); got != 1 {
+	if got := routing.Priority(r, a); got != 1 {
 		t.Errorf("an account's rank comes before the route's: %d", got)
 	}
-	if got := routing.Urgency(r, nil); got != 0 {
+	if got := routing.Priority(r, nil); got != 0 {
 		t.Errorf("without an account the route's counts: %d", got)
 	}
-	if p, q := x.LeastUrgent("p"), x.LeastUrgent("q"); p != 2 || q != 1 {
+	if p, q := x.LowestPriority("p"), x.LowestPriority("q"); p != 2 || q != 1 {
 		t.Errorf("least urgent %d and %d", p, q)
 	}
 }
--- a/show.go
+++ b/show.go
@@ -75,7 +75,7 @@
 func (d *Daemon) showBoxes(ctx context.Context, r *report.Report) error {
 	d.inspect(ctx, func(_ time.Time, t *tables) {
 		requests := 0
-		for _, n := range t.Gate.Accounts() {
+		for _, n := range t.Gate.InFlightByAccount() {
 			requests += n
 		}
 		r.Add(d.Settings.Name, d.Settings.Domain, t.Configuration.Revision, d.stopping.Load(), requests, t.peers.Len())
@@ -142,7 +142,7 @@
 
 func (d *Daemon) showAccounts(ctx context.Context, r *report.Report) error {
 	d.inspect(ctx, func(_ time.Time, t *tables) {
-		inFlight := t.Gate.Accounts()
+		inFlight := t.Gate.InFlightByAccount()
 		for name, a := range t.Configuration.Accounts {
 			r.Add(name, a.Weight, a.Concurrency, a.TokensPerMinute, len(a.KeyHashes), inFlight[name])
 		}
--- a/showrows.go
+++ b/showrows.go
@@ -61,7 +61,7 @@
 			if a.Concurrency > 0 {
 				here = t.limit(now, name, a.Concurrency)
 			}
-			r.Add(name, a.Concurrency, here, t.Gate.Account(name), a.TokensPerMinute)
+			r.Add(name, a.Concurrency, here, t.Gate.AccountInFlight(name), a.TokensPerMinute)
 		}
 	})
 	return nil
--- a/slowstart/warming.go
+++ b/slowstart/warming.go
@@ -1,4 +1,4 @@
-// Package warming bounds what all boxes together send to a target that is cold: one
+// Package slowstart bounds what all boxes together send to a target that is cold: one
 // that has just started, or says that it is slow for a while.
 //
 //	most := warming.Most(18, 1.5, 5)                  // of all boxes in a second
@@ -18,7 +18,7 @@
 // ways were weighed: one owner for each cold target, whose end costs the whole target and
 // whose change doubles the rate; and shares lent by an owner, which need a call before
 // each request and bear no cut.
-package warming
+package slowstart
 
 import (
 	"time"
@@ -38,9 +38,9 @@
 	part = 0.75
 )
 
-// Most returns how many requests all boxes may send to a cold target within the window,
+// Limit returns how many requests all boxes may send to a cold target within the window,
 // if it bears a rate a second, and the platform allows a factor and some more.
-func Most(rate, factor, more float64) int { return int(part * (rate*factor + more)) }
+func Limit(rate, factor, more float64) int { return int(part * (rate*factor + more)) }
 
 // Share returns how many of those a box may send, of the boxes that place requests, to
 // the target with a hash. It is zero for a box that is none of them.
@@ -63,16 +63,16 @@
 	return share
 }
 
-// Gate counts what this box sent to cold targets, by the hash of their IDs. The zero
+// Limiter counts what this box sent to cold targets, by the hash of their IDs. The zero
 // value is ready; it is not safe for concurrent use.
-type Gate struct {
+type Limiter struct {
 	// sent holds when requests were sent, in order; none is older than the window once
 	// Room was asked.
 	sent map[uint64][]time.Time
 }
 
-// Room says whether one more request may be sent to a target, of so many in a window.
-func (g *Gate) Room(now time.Time, target uint64, share int) bool {
+// Allow says whether one more request may be sent to a target, of so many in a window.
+func (g *Limiter) Allow(now time.Time, target uint64, share int) bool {
 	list := g.sent[target]
 	for len(list) > 0 && now.Sub(list[0]) >= window {
 		list = list[1:]
@@ -86,7 +86,7 @@
 }
 
 // Take counts a request that goes out.
-func (g *Gate) Take(now time.Time, target uint64) {
+func (g *Limiter) Take(now time.Time, target uint64) {
 	if g.sent == nil {
 		g.sent = make(map[uint64][]time.Time)
 	}
@@ -94,7 +94,7 @@
 }
 
 // Expire forgets targets that got nothing for a while.
-func (g *Gate) Expire(now time.Time) {
+func (g *Limiter) Expire(now time.Time) {
 	for target, list := range g.sent {
 		if now.Sub(list[len(list)-1]) >= window {
 			delete(g.sent, target)
--- a/slowstart/warming_test.go
+++ b/slowstart/warming_test.go
@@ -1,4 +1,4 @@
-package warming_test
+package slowstart_test
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"github.com/leanovate/gopter/prop"
 
 	"github.com/thymewind/thymewind/placement"
-	"github.com/thymewind/thymewind/warming"
+	"github.com/thymewind/thymewind/slowstart"
 )
 
 // What the platform's pool of 60 engines allows: a cold one bears 18 requests a
@@ -33,7 +33,7 @@
 }
 
 func TestShare(t *testing.T) {
-	most := warming.Most(rate, 1.5, 5)
+	most := slowstart.Limit(rate, 1.5, 5)
 	tests := []struct {
 		name        string
 		most, boxes int
@@ -52,7 +52,7 @@
 				all := boxes(tt.boxes)
 				sum, least, highest := 0, tt.most, 0
 				for _, box := range all {
-					share := warming.Share(tt.most, target, box, all)
+					share := slowstart.Share(tt.most, target, box, all)
 					sum, least, highest = sum+share, min(least, share), max(highest, share)
 				}
 				if sum != tt.most || least != tt.least || highest != tt.highest {
@@ -61,7 +61,7 @@
 			}
 		})
 	}
-	if share := warming.Share(most, 1, "stranger", boxes(6)); share != 0 {
+	if share := slowstart.Share(most, 1, "stranger", boxes(6)); share != 0 {
 		t.Errorf("a box that places nothing may send %d", share)
 	}
 }
@@ -74,22 +74,22 @@
 func history(seed uint64, n int, limited bool) []arrival {
 	random := rand.New(rand.NewPCG(seed, 1))
 	all := boxes(n)
-	gates := make([]warming.Gate, n)
-	most := warming.Most(rate, 1.5, 5)
+	gates := make([]slowstart.Limiter, n)
+	most := slowstart.Limit(rate, 1.5, 5)
 	target := placement.Hash(fmt.Sprint("target", seed))
 	// A box has joined that the others don't know of yet.
 	joined := append(slices.Clone(all), "box-new")
-	late := warming.Gate{}
+	late := slowstart.Limiter{}
 	var list []arrival
 	for now := time.Duration(0); now < 4*time.Second; now += time.Millisecond {
 		for range random.IntN(3) {
 			i := random.IntN(n + 1)
-			gate, share := &late, warming.Share(most, target, "box-new", joined)
+			gate, share := &late, slowstart.Share(most, target, "box-new", joined)
 			if i < n {
-				gate, share = &gates[i], warming.Share(most, target, all[i], all)
+				gate, share = &gates[i], slowstart.Share(most, target, all[i], all)
 			}
 			at := start.Add(now)
-			if limited && !gate.Room(at, target, share) {
+			if limited && !gate.Allow(at, target, share) {
 				continue
 			}
 			gate.Take(at, target)
@@ -136,7 +136,7 @@
 }
 
 func TestGate(t *testing.T) {
-	var g warming.Gate
+	var g slowstart.Limiter
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	tests := []struct {
 		ms, share int
@@ -154,7 +154,7 @@
 		{1260, 3, true},
 	}
 	for _, tt := range tests {
-		if room := g.Room(at(tt.ms), 1, tt.share); room != tt.room {
+		if room := g.Allow(at(tt.ms), 1, tt.share); room != tt.room {
 			t.Errorf("after %d ms, share %d: room %v", tt.ms, tt.share, room)
 			continue
 		}
@@ -162,11 +162,11 @@
 			g.Take(at(tt.ms), 1)
 		}
 	}
-	if !g.Room(at(1260), 2, 1) {
+	if !g.Allow(at(1260), 2, 1) {
 		t.Error("another target has no room")
 	}
 	g.Expire(at(5000))
-	if !g.Room(at(5000), 1, 1) {
+	if !g.Allow(at(5000), 1, 1) {
 		t.Error("an expired target has no room")
 	}
 }
--- a/tables.go
+++ b/tables.go
@@ -14,7 +14,7 @@
 
 // tables are the entities that the loop owns. Only the loop touches them.
 type tables struct {
-	dispatch.Board
+	dispatch.Scheduler
 	// departed remembers targets that were leaving when the list dropped them,
 	// as a list that lags may name them again.
 	departed map[string]departure
@@ -50,7 +50,7 @@
 	revision uint64
 	// demand is its use of limited accounts, use that of pools.
 	demand []peer.Demand
-	use    []peer.Use
+	use    []peer.PoolUsage
 	heard  time.Time
 }
 
@@ -105,13 +105,13 @@
 }
 
 // others is the use of a pool that the other boxes told of lately.
-func (t *tables) others(now time.Time, pool string) dispatch.Use {
-	var sum dispatch.Use
+func (t *tables) others(now time.Time, pool string) dispatch.Usage {
+	var sum dispatch.Usage
 	for _, p := range t.peers.All() {
 		switch {
 		case p.leaving:
 		case now.Sub(p.heard) > demandFresh:
-			sum.Unheard++
+			sum.Unreported++
 		default:
 			sum = p.addUse(sum, pool)
 		}
@@ -120,11 +120,11 @@
 }
 
 // addUse adds what a box uses of a pool; one that tells nothing uses nothing.
-func (p peerBox) addUse(sum dispatch.Use, pool string) dispatch.Use {
+func (p peerBox) addUse(sum dispatch.Usage, pool string) dispatch.Usage {
 	for _, use := range p.use {
 		if use.Pool == pool {
-			sum.Engines += float64(use.Engines) / peer.Thousand
-			sum.Slots += float64(use.Slots) / peer.Thousand
+			sum.Engines += float64(use.Engines) / peer.UsageScale
+			sum.Slots += float64(use.Slots) / peer.UsageScale
 		}
 	}
 	return sum
--- a/throughput/fit.go
+++ b/throughput/fit.go
@@ -1,4 +1,4 @@
-package pace
+package throughput
 
 import "time"
 
--- a/throughput/pace.go
+++ b/throughput/pace.go
@@ -1,4 +1,4 @@
-// Package pace learns how quickly engines read prompts and sources move kept
+// Package throughput learns how quickly engines read prompts and sources move kept
 // parts, from how soon requests got their first event. Nothing is asked for it:
 // each request that is served anyway is a sample.
 //
@@ -12,7 +12,7 @@
 // had up to a fourteenth of all prompt tokens read although a store kept them
 // whole and its moves hardly waited; what is learnt instead also shows a source
 // that has turned slow.
-package pace
+package throughput
 
 import (
 	"math"
@@ -26,16 +26,16 @@
 	// Tokens had to be read until then: the request's own and those of requests
 	// before it.
 	Tokens int
-	// Moves were ordered for the request.
-	Moves []Move
+	// Transfers were ordered for the request.
+	Transfers []Transfer
 }
 
-// Move is one move of kept parts.
-type Move struct {
+// Transfer is one move of kept parts.
+type Transfer struct {
 	// Source is the hash of the source's name.
 	Source uint64
-	// Takes is how long the move takes over an unused link.
-	Takes time.Duration
+	// Expected is how long the move takes over an unused link.
+	Expected time.Duration
 }
 
 const (
@@ -56,9 +56,9 @@
 	longestTook = 4 * time.Second
 )
 
-// Record is what one box learnt. The zero value is ready; it is not safe for
+// Estimator is what one box learnt. The zero value is ready; it is not safe for
 // concurrent use.
-type Record struct {
+type Estimator struct {
 	reading fit
 	moves   map[uint64]*sum
 }
@@ -70,31 +70,31 @@
 	as          time.Time
 }
 
-// See learns from a request. Without moves it tells how engines read; with moves,
+// Observe learns from a request. Without moves it tells how engines read; with moves,
 // what is left after the reading was spent on them.
-func (r *Record) See(now time.Time, s Sample) {
+func (r *Estimator) Observe(now time.Time, s Sample) {
 	took := min(s.Took, longestTook)
-	if len(s.Moves) == 0 {
+	if len(s.Transfers) == 0 {
 		r.reading.add(float64(s.Tokens), float64(took))
 		return
 	}
-	base, token := r.Reading()
+	base, token := r.Prefill()
 	took = max(took-base-time.Duration(s.Tokens)*token, 0)
 	var all time.Duration
-	for _, m := range s.Moves {
-		all += m.Takes
+	for _, m := range s.Transfers {
+		all += m.Expected
 	}
 	if all <= 0 {
 		return
 	}
 	took = min(took, all) + max(took-all-scatter, 0)
-	for _, m := range s.Moves {
-		r.of(now, m.Source).add(m.Takes, time.Duration(float64(took)*float64(m.Takes)/float64(all)))
+	for _, m := range s.Transfers {
+		r.of(now, m.Source).add(m.Expected, time.Duration(float64(took)*float64(m.Expected)/float64(all)))
 	}
 }
 
 // of returns a source's sum as of now.
-func (r *Record) of(now time.Time, source uint64) *sum {
+func (r *Estimator) of(now time.Time, source uint64) *sum {
 	if r.moves == nil {
 		r.moves = make(map[uint64]*sum)
 	}
@@ -113,13 +113,13 @@
 	x.took += float64(took)
 }
 
-// Reading returns the time to a first event if nothing has to be read, and what
+// Prefill returns the time to a first event if nothing has to be read, and what
 // each token adds.
-func (r *Record) Reading() (base, token time.Duration) { return r.reading.line() }
+func (r *Estimator) Prefill() (base, token time.Duration) { return r.reading.line() }
 
-// Moved returns how long recent moves from a source should have taken, and how
+// Transferred returns how long recent moves from a source should have taken, and how
 // long they took.
-func (r *Record) Moved(now time.Time, source uint64) (asked, took time.Duration) {
+func (r *Estimator) Transferred(now time.Time, source uint64) (asked, took time.Duration) {
 	if r.moves[source] == nil {
 		return 0, 0
 	}
@@ -129,9 +129,9 @@
 
 // Each calls a function for each source with recent moves, and forgets the
 // others.
-func (r *Record) Each(now time.Time, yield func(source uint64, asked, took time.Duration)) {
+func (r *Estimator) Each(now time.Time, yield func(source uint64, asked, took time.Duration)) {
 	for source := range r.moves {
-		asked, took := r.Moved(now, source)
+		asked, took := r.Transferred(now, source)
 		if asked < time.Millisecond {
 			delete(r.moves, source)
 			continue
@@ -140,8 +140,8 @@
 	}
 }
 
-// Stretch returns by how much moves take longer than over an unused link, from
+// Slowdown returns by how much moves take longer than over an unused link, from
 // how long they should have taken and took.
-func Stretch(asked, took time.Duration) float64 {
+func Slowdown(asked, took time.Duration) float64 {
 	return min(max(float64(took+trust)/float64(asked+trust), 1), mostStretch)
 }
--- a/throughput/pace_test.go
+++ b/throughput/pace_test.go
@@ -1,11 +1,11 @@
-package pace_test
+package throughput_test
 
 import (
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"github.com/thymewind/thymewind/pace"
+	"github.com/thymewind/thymewind/throughput"
 )
 
 var start = time.Unix(1000, 0)
@@ -16,12 +16,12 @@
 )
 
 // read feeds requests without moves to a record, with noise.
-func read(r *pace.Record, n int, base, token time.Duration) {
+func read(r *throughput.Estimator, n int, base, token time.Duration) {
 	draw := rand.New(rand.NewPCG(1, 2))
 	for range n {
 		tokens := draw.IntN(10000)
 		noise := time.Duration(draw.IntN(40)-20) * ms
-		r.See(start, pace.Sample{Took: base + time.Duration(tokens)*token + noise, Tokens: tokens})
+		r.Observe(start, throughput.Sample{Took: base + time.Duration(tokens)*token + noise, Tokens: tokens})
 	}
 }
 
@@ -40,9 +40,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var r pace.Record
+			var r throughput.Estimator
 			read(&r, tt.samples, tt.base, tt.token)
-			base, token := r.Reading()
+			base, token := r.Prefill()
 			if ratio := float64(token) / float64(tt.token); ratio < 1-tt.within || ratio > 1+tt.within {
 				t.Errorf("a token takes %v, want %v", token, tt.token)
 			}
@@ -56,12 +56,12 @@
 // TestReadingBounded shows that requests which waited for something else don't
 // make the line useless.
 func TestReadingBounded(t *testing.T) {
-	var r pace.Record
+	var r throughput.Estimator
 	for range 300 {
-		r.See(start, pace.Sample{Took: time.Hour, Tokens: 10})
-		r.See(start, pace.Sample{Took: 0, Tokens: 10000})
+		r.Observe(start, throughput.Sample{Took: time.Hour, Tokens: 10})
+		r.Observe(start, throughput.Sample{Took: 0, Tokens: 10000})
 	}
-	if base, token := r.Reading(); base > 500*ms || token <= 0 {
+	if base, token := r.Prefill(); base > 500*ms || token <= 0 {
 		t.Errorf("base %v, token %v", base, token)
 	}
 }
@@ -90,12 +90,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var r pace.Record
-			base, _ := r.Reading()
+			var r throughput.Estimator
+			base, _ := r.Prefill()
 			for range tt.moves {
-				r.See(start, pace.Sample{Took: base + tt.took, Moves: []pace.Move{{Source: store, Takes: tt.takes}}})
+				r.Observe(start, throughput.Sample{Took: base + tt.took, Transfers: []throughput.Transfer{{Source: store, Expected: tt.takes}}})
 			}
-			got := pace.Stretch(r.Moved(start.Add(tt.later), store))
+			got := throughput.Slowdown(r.Transferred(start.Add(tt.later), store))
 			if got < tt.least || got > tt.most {
 				t.Errorf("stretch %.2f, want %.2f to %.2f", got, tt.least, tt.most)
 			}
@@ -105,8 +105,8 @@
 
 // TestEach shows that sources without recent moves are forgotten.
 func TestEach(t *testing.T) {
-	var r pace.Record
-	r.See(start, pace.Sample{Took: 100 * ms, Moves: []pace.Move{{Source: store, Takes: 80 * ms}}})
+	var r throughput.Estimator
+	r.Observe(start, throughput.Sample{Took: 100 * ms, Transfers: []throughput.Transfer{{Source: store, Expected: 80 * ms}}})
 	count := func(at time.Time) int {
 		n := 0
 		r.Each(at, func(uint64, time.Duration, time.Duration) { n++ })
--- a/update.go
+++ b/update.go
@@ -38,7 +38,7 @@
 	case charged:
 		d.charged(t, m)
 	case storeFailed:
-		t.StoreAvoid[m.store] = now.Add(dispatch.StorePause)
+		t.StoreAvoidUntil[m.store] = now.Add(dispatch.StoreBackoff)
 	case cacheExported:
 		d.cacheExported(now, t, m)
 	case roomMade:
@@ -90,8 +90,8 @@
 		}
 	}
 	d.unlist(now, t, listed)
-	t.StillLeaving(now)
-	t.Group()
+	t.ExpireLeaving(now)
+	t.GroupByPool()
 	d.watch(t)
 	d.limitTargets(t)
 	t.byID = make(map[uint64]*target.Target, t.Targets.Len())
@@ -109,7 +109,7 @@
 			t.MarkLeaving(x, now, "list")
 		}
 	}
-	t.StillLeaving(now)
+	t.ExpireLeaving(now)
 }
 
 // askKnownPeers is how a daemon that boots while the platform is down comes to
--- a/update_test.go
+++ b/update_test.go
@@ -115,7 +115,7 @@
 		said := peer.Message{Kind: peer.KindGossip, From: "entry-2", Leaving: []peer.Leaving{{Target: target.ID(name, address(name))}}}
 		d.update(now, peerSaid{said, make(chan peer.Message, 1)})
 	case answersLeaving:
-		d.update(now, targetSaid{route.Placed{Pool: "menu", Target: name, Address: address(name)}, notice.Said{Leaving: true}})
+		d.update(now, targetSaid{route.Placed{Pool: "menu", Target: name, Address: address(name)}, notice.Signals{Leaving: true}})
 	case asked:
 		reply := make(chan placeAnswer, 1)
 		d.update(now, placeAsked{route.Ask{Request: "r", Model: "m", Attempt: 1}, reply})
@@ -244,7 +244,7 @@
 			w.happens(d, now, "engine-0", reportsLive)
 			x := d.duty(&d.tables, dutyOrders+"menu")
 			x.lease.Commit, x.lease.Read = rows.Commit, rows.Read
-			if err := x.lease.Step(t.Context()); err != nil {
+			if err := x.lease.AcquireOrRenew(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 			d.update(now, leaseStepped{duty: dutyOrders + "menu"})
@@ -391,7 +391,7 @@
 	}
 	for i := range 3 {
 		name := fmt.Sprintf("engine-%d", i)
-		d.update(now, targetSaid{route.Placed{Target: name, Address: address(name)}, notice.Said{Backoff: 3 * time.Second}})
+		d.update(now, targetSaid{route.Placed{Target: name, Address: address(name)}, notice.Signals{Backoff: 3 * time.Second}})
 		d.update(now, loadRead{target: name, load: engine.Load{Version: "v1", Slots: 8}})
 	}
 	for _, tt := range []struct {
--- a/versionlog/dated.go
+++ b/versionlog/dated.go
@@ -1,4 +1,4 @@
-// Package dated keeps when versions of a model's weights were named, by this
+// Package versionlog keeps when versions of a model's weights were named, by this
 // box's own clock and by one that all boxes can read, so that a box that starts
 // knows what others found out before.
 //
@@ -6,7 +6,7 @@
 //	n.Prove(5, lastReadWithoutIt, told)  // told by the common clock
 //	rows := n.Rows(now.Add(-time.Minute), &clock) // to be written where all read
 //	n.Read(now, &clock, rows)            // on a box that has just started
-package dated
+package versionlog
 
 import (
 	"maps"
@@ -27,9 +27,9 @@
 
 func (r Row) told() time.Duration { return time.Duration(r.AtMS) * time.Millisecond }
 
-// Namings are those of one model. The zero value is ready; it is not safe for
+// Log are those of one model. The zero value is ready; it is not safe for
 // concurrent use.
-type Namings struct {
+type Log struct {
 	naming.Record
 	// proved and assumed are what the common clock showed when a version was not
 	// named yet.
@@ -41,12 +41,12 @@
 
 // Prove notes that a version was not named yet at a time of this box, at which the
 // common clock showed told; zero if that is not known.
-func (n *Namings) Prove(version int64, at time.Time, told time.Duration) {
+func (n *Log) Prove(version int64, at time.Time, told time.Duration) {
 	n.Record.Prove(version, at)
 	n.prove(version, told)
 }
 
-func (n *Namings) prove(version int64, told time.Duration) {
+func (n *Log) prove(version int64, told time.Duration) {
 	if n.proved == nil {
 		n.proved = make(map[int64]time.Duration)
 	}
@@ -55,7 +55,7 @@
 	}
 }
 
-func (n *Namings) assume(version int64, told time.Duration) {
+func (n *Log) assume(version int64, told time.Duration) {
 	if n.assumed == nil {
 		n.assumed = make(map[int64]time.Duration)
 	}
@@ -66,7 +66,7 @@
 
 // Read takes over what is written. Whoever wrote it, it stays true. Rows that came
 // late, over newer ones, lack a naming, which then has to be written again.
-func (n *Namings) Read(now time.Time, clock *clockbound.Clock, rows []Row) {
+func (n *Log) Read(now time.Time, clock *clockbound.Clock, rows []Row) {
 	n.written = 0
 	for _, r := range rows {
 		n.written = max(n.written, r.Version)
@@ -81,7 +81,7 @@
 
 // Date turns what the common clock showed into this box's times, as far as the
 // clock is known. A time that lies ahead was told by another clock and says nothing.
-func (n *Namings) Date(now time.Time, clock *clockbound.Clock) {
+func (n *Log) Date(now time.Time, clock *clockbound.Clock) {
 	for version, told := range n.proved {
 		if at, ok := clock.Earliest(told); ok && !at.After(now) {
 			n.Record.Prove(version, at)
@@ -96,12 +96,12 @@
 
 // Rows lists the namings that were not replaced before a time, to be written.
 // Those that the common clock can't date are left out.
-func (n *Namings) Rows(since time.Time, clock *clockbound.Clock) []Row {
+func (n *Log) Rows(since time.Time, clock *clockbound.Clock) []Row {
 	var rows []Row
 	for _, one := range n.Since(since) {
 		told, known := n.proved[one.Version]
 		if !known {
-			told, known = clock.Least(one.At)
+			told, known = clock.Min(one.At)
 		}
 		if known {
 			rows = append(rows, Row{one.Version, told.Milliseconds(), one.Assumed})
@@ -112,27 +112,27 @@
 }
 
 // Written says that the rows of the last call to Rows were written.
-func (n *Namings) Written() { n.written = max(n.written, n.writing) }
+func (n *Log) Written() { n.written = max(n.written, n.writing) }
 
 // Lost says that the rows may be gone, so that they are written again.
-func (n *Namings) Lost() { n.written, n.writing = 0, 0 }
+func (n *Log) Lost() { n.written, n.writing = 0, 0 }
 
 // Missing says that a version is not written, so that a box that starts could not
 // know of its naming, although the common clock can date it.
-func (n *Namings) Missing(version int64, clock *clockbound.Clock) bool {
+func (n *Log) Missing(version int64, clock *clockbound.Clock) bool {
 	return clock.Seen() && version > n.written
 }
 
 // ForgetClock drops times that were told by a common clock that began anew, and has
 // those of this box written again.
-func (n *Namings) ForgetClock() {
+func (n *Log) ForgetClock() {
 	clear(n.proved)
 	clear(n.assumed)
 	n.written, n.writing = 0, 0
 }
 
 // Trim drops times of versions that the record does not hold any more.
-func (n *Namings) Trim() {
+func (n *Log) Trim() {
 	least := n.Least()
 	over := func(version int64, _ time.Duration) bool { return version < least }
 	maps.DeleteFunc(n.proved, over)
--- a/versionlog/dated_test.go
+++ b/versionlog/dated_test.go
@@ -1,11 +1,11 @@
-package dated_test
+package versionlog_test
 
 import (
 	"testing"
 	"time"
 
 	"github.com/thymewind/thymewind/clockbound"
-	"github.com/thymewind/thymewind/dated"
+	"github.com/thymewind/thymewind/versionlog"
 )
 
 var start = time.Unix(1000, 0)
@@ -13,7 +13,7 @@
 // clock is an hour ahead of this box's, and known to 2 ms.
 func clock() *clockbound.Clock {
 	c := &clockbound.Clock{}
-	c.See(start, start.Add(time.Millisecond), time.Hour)
+	c.Observe(start, start.Add(time.Millisecond), time.Hour)
 	return c
 }
 
@@ -22,21 +22,21 @@
 	const near = 5 * time.Millisecond
 	tests := []struct {
 		name    string
-		note    func(n *dated.Namings)
+		note    func(n *versionlog.Log)
 		want    time.Duration // When version 5 was named, since start.
 		assumed bool
 	}{
-		{"proved, and told by the common clock", func(n *dated.Namings) { n.Prove(5, start, time.Hour+3*time.Second) }, 3 * time.Second, false},
-		{"proved by this box's clock only", func(n *dated.Namings) { n.Prove(5, start.Add(3*time.Second), 0) }, 3 * time.Second, false},
-		{"assumed", func(n *dated.Namings) { n.Assume(5, start.Add(3*time.Second)) }, 3 * time.Second, true},
-		{"the later of two proofs", func(n *dated.Namings) {
+		{"proved, and told by the common clock", func(n *versionlog.Log) { n.Prove(5, start, time.Hour+3*time.Second) }, 3 * time.Second, false},
+		{"proved by this box's clock only", func(n *versionlog.Log) { n.Prove(5, start.Add(3*time.Second), 0) }, 3 * time.Second, false},
+		{"assumed", func(n *versionlog.Log) { n.Assume(5, start.Add(3*time.Second)) }, 3 * time.Second, true},
+		{"the later of two proofs", func(n *versionlog.Log) {
 			n.Prove(5, start, time.Hour+3*time.Second)
 			n.Prove(5, start, time.Hour+2*time.Second)
 		}, 3 * time.Second, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var a, b dated.Namings
+			var a, b versionlog.Log
 			tt.note(&a)
 			a.Date(start.Add(time.Minute), clock())
 			rows := a.Rows(start, clock())
@@ -54,8 +54,8 @@
 
 // TestReadBeforeTheClock reads rows before the common clock is known.
 func TestReadBeforeTheClock(t *testing.T) {
-	var n dated.Namings
-	n.Read(start, &clockbound.Clock{}, []dated.Row{{Version: 5, AtMS: time.Hour.Milliseconds()}})
+	var n versionlog.Log
+	n.Read(start, &clockbound.Clock{}, []versionlog.Row{{Version: 5, AtMS: time.Hour.Milliseconds()}})
 	if got := n.Since(start.Add(-time.Hour)); len(got) != 0 {
 		t.Fatalf("dated without a clock: %+v", got)
 	}
@@ -68,7 +68,7 @@
 // TestMissing says when a naming has to be written.
 func TestMissing(t *testing.T) {
 	c := clock()
-	var n dated.Namings
+	var n versionlog.Log
 	n.Prove(5, start, time.Hour)
 	steps := []struct {
 		name string
@@ -79,7 +79,7 @@
 		{"being written", func() { n.Rows(start, c) }, true},
 		{"written", n.Written, false},
 		{"read without it", func() { n.Read(start, c, nil) }, true},
-		{"read with it", func() { n.Read(start, c, []dated.Row{{Version: 5, AtMS: 1}}) }, false},
+		{"read with it", func() { n.Read(start, c, []versionlog.Row{{Version: 5, AtMS: 1}}) }, false},
 		{"the clock began anew", n.ForgetClock, true},
 	}
 	for _, s := range steps {
@@ -95,8 +95,8 @@
 
 // TestAhead shows that a time that lies ahead is not believed.
 func TestAhead(t *testing.T) {
-	var n dated.Namings
-	n.Read(start, clock(), []dated.Row{{Version: 5, AtMS: (2 * time.Hour).Milliseconds()}})
+	var n versionlog.Log
+	n.Read(start, clock(), []versionlog.Row{{Version: 5, AtMS: (2 * time.Hour).Milliseconds()}})
 	if got := n.Since(start); len(got) != 0 {
 		t.Errorf("read %+v", got)
 	}
--- a/weights/weights.go
+++ b/weights/weights.go
@@ -20,9 +20,9 @@
 // Rollout remembers which targets were ordered to load. Set the exported
 // fields before first use; it is not safe for concurrent use.
 type Rollout struct {
-	// Patience is how long an ordered load counts as under way. After that the
+	// Timeout is how long an ordered load counts as under way. After that the
 	// order is given again.
-	Patience time.Duration
+	Timeout time.Duration
 
 	// ordered holds when each target was ordered to load which version.
 	ordered map[string]order
@@ -78,7 +78,7 @@
 	if !known {
 		return false
 	}
-	if (t.Version == o.version && t.ReportedAt.After(o.at)) || now.Sub(o.at) > r.Patience {
+	if (t.Version == o.version && t.ReportedAt.After(o.at)) || now.Sub(o.at) > r.Timeout {
 		delete(r.ordered, t.Name)
 		return false
 	}
--- a/weights/weights_test.go
+++ b/weights/weights_test.go
@@ -28,11 +28,11 @@
 		all[i] = &target.Target{Name: fmt.Sprint(i), Listed: true, Version: "v1", ReportedAt: now}
 	}
 	var given []string
-	r := weights.Rollout{Patience: 10 * time.Second}
+	r := weights.Rollout{Timeout: 10 * time.Second}
 	for step := range 10000 {
 		now = now.Add(100 * time.Millisecond)
 		if step%term == term-1 {
-			r = weights.Rollout{Patience: 10 * time.Second}
+			r = weights.Rollout{Timeout: 10 * time.Second}
 			for _, name := range given {
 				if remembers {
 					r.Note(name, "v2", now)
--- a/workingset/set.go
+++ b/workingset/set.go
@@ -41,9 +41,9 @@
 // Size is how many targets are in use, if there are as many.
 func (s *Set) Size() int { return least << s.doublings }
 
-// Fit takes over which share of the memory of the targets in use is taken up, and whether they
+// Resize takes over which share of the memory of the targets in use is taken up, and whether they
 // are all that there are. It says whether the size changed.
-func (s *Set) Fit(now time.Time, share float64, all bool) bool {
+func (s *Set) Resize(now time.Time, share float64, all bool) bool {
 	switch {
 	case share >= fills && !all:
 		s.doublings++
@@ -61,9 +61,9 @@
 	return false
 }
 
-// Of returns the targets in use, by their IDs: the first that are open in the order of their
+// Members returns the targets in use, by their IDs: the first that are open in the order of their
 // IDs' hashes. One that closes gives its place to the next, and has it back when it opens.
-func (s *Set) Of(targets []*fleet.Target, open func(*fleet.Target) bool) []*fleet.Target {
+func (s *Set) Members(targets []*fleet.Target, open func(*fleet.Target) bool) []*fleet.Target {
 	if len(targets) <= s.Size() {
 		return targets
 	}
--- a/workingset/set_test.go
+++ b/workingset/set_test.go
@@ -41,7 +41,7 @@
 func TestOf(t *testing.T) {
 	var s workingset.Set
 	all := pool(10000)
-	members := s.Of(all, open)
+	members := s.Members(all, open)
 	if len(members) != s.Size() {
 		t.Fatalf("%d members, want %d", len(members), s.Size())
 	}
@@ -62,7 +62,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got := s.Of(tt.change(pool(10000)), open)
+			got := s.Members(tt.change(pool(10000)), open)
 			if n := shared(members, got); len(got) != len(members) || n < tt.least {
 				t.Errorf("%d members, of which %d stay, want %d", len(got), n, tt.least)
 			}
@@ -73,7 +73,7 @@
 			}
 		})
 	}
-	if small := pool(100); len(s.Of(small, open)) != 100 {
+	if small := pool(100); len(s.Members(small, open)) != 100 {
 		t.Error("a small pool is not in use as a whole")
 	}
 }
@@ -101,7 +101,7 @@
 		{"little for a moment", 150 * time.Second, 0.01, false, 2 * first},
 	}
 	for _, tt := range steps {
-		s.Fit(start.Add(tt.after), tt.share, tt.all)
+		s.Resize(start.Add(tt.after), tt.share, tt.all)
 		if s.Size() != tt.want {
 			t.Errorf("%s: %d targets, want %d", tt.name, s.Size(), tt.want)
 		}
