--- a/entry/admit.go
+++ b/entry/admit.go
@@ -19,9 +19,9 @@
 	maxShare            = 1.15
 )
 
-// usualWeight is how much a request changes what its route's requests are taken
+// typicalWeight is how much a request changes what its route's requests are taken
 // to need: about the last forty count.
-const usualWeight = 0.05
+const typicalWeight = 0.05
 
 // admissionLimit is what a request is admitted by.
 type admissionLimit struct {
@@ -59,13 +59,13 @@
 	if !known {
 		usual = own
 	}
-	usual += (own - usual) * usualWeight
+	usual += (own - usual) * typicalWeight
 	t.sizes[job.Route.Name] = usual
 	return int(usual)
 }
 
-// refuseCrowded returns why an engine can't take a request more, or nil.
-func (d *Daemon) refuseCrowded(now time.Time, t *tables, x *fleet.Target, ask affinity.Request, r admissionLimit) *refusal.Refusal {
+// refuseMemoryFull returns why an engine can't take a request more, or nil.
+func (d *Daemon) refuseMemoryFull(now time.Time, t *tables, x *fleet.Target, ask affinity.Request, r admissionLimit) *refusal.Refusal {
 	running, _ := d.load(now, t, x)
 	if r.admits(running, ask.Tokens, ask.Capacity) {
 		return nil
@@ -75,8 +75,8 @@
 		"the engines' memory is taken up: %.2f at the best of them, %.2f with a usual request, of %.2f", share(ask.Tokens), share(r.typicalTokens), r.maxMemoryShare)
 }
 
-// roomOf returns what another box's request is admitted by.
-func roomOf(ask *peer.PlacementRequest) admissionLimit {
+// peerAdmissionLimit returns what another box's request is admitted by.
+func peerAdmissionLimit(ask *peer.PlacementRequest) admissionLimit {
 	return admissionLimit{ask.MaxMemoryShare, ask.TypicalTokens}
 }
 
--- a/entry/admit_test.go
+++ b/entry/admit_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// takenUp returns a box that knows one engine, of whose memory another box's
+// withMemoryUsed returns a box that knows one engine, of whose memory another box's
 // requests take up some tokens.
-func takenUp(tokens int) *Daemon {
+func withMemoryUsed(tokens int) *Daemon {
 	d := newDaemon("b1")
 	d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
 	d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
@@ -75,7 +75,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := takenUp(tt.taken)
+			d := withMemoryUsed(tt.taken)
 			for range 200 {
 				d.tables.learnTypicalTokens(job("long", usual))
 			}
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestUsual shows that what requests take up as a rule is learnt by route, and
+// TestTypicalTokens shows that what requests take up as a rule is learnt by route, and
 // that a hub admits by what the asking box learnt.
-func TestUsual(t *testing.T) {
+func TestTypicalTokens(t *testing.T) {
 	d := newDaemon("b1")
 	if got := d.tables.learnTypicalTokens(job("long", 8000)); got != 8000 {
 		t.Errorf("the first one: %d", got)
@@ -104,7 +104,7 @@
 	if got := d.tables.learnTypicalTokens(job("short", 1000)); got != 1000 {
 		t.Errorf("the short route's: %d", got)
 	}
-	if got := roomOf(&peer.PlacementRequest{MaxMemoryShare: 0.9, TypicalTokens: 700}); got != (admissionLimit{0.9, 700}) {
+	if got := peerAdmissionLimit(&peer.PlacementRequest{MaxMemoryShare: 0.9, TypicalTokens: 700}); got != (admissionLimit{0.9, 700}) {
 		t.Errorf("a hub's: %+v", got)
 	}
 }
@@ -124,7 +124,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := takenUp(75000)
+			d := withMemoryUsed(75000)
 			for _, late := range tt.late {
 				for range 100 {
 					x := d.tables.fleet.Target("a")
--- a/entry/burst_test.go
+++ b/entry/burst_test.go
@@ -14,11 +14,11 @@
 
 // What all boxes do in a phase of a history, step by step.
 const (
-	asks = iota
-	asksMuch
-	retries
-	rests
-	startsAgain
+	requestOnce = iota
+	requestMany
+	retryAll
+	idle
+	restart
 	actions
 )
 
@@ -52,11 +52,11 @@
 // act has a box do one thing and returns its requests and retries.
 func act(b *retry.Budget, action int) (requests, retried int) {
 	switch action {
-	case asks, asksMuch:
-		requests = 1 + 50*(action-asks)
-	case startsAgain:
+	case requestOnce, requestMany:
+		requests = 1 + 50*(action-requestOnce)
+	case restart:
 		*b = retry.Budget{Share: b.Share, Burst: b.Burst, StartEmpty: true}
-	case retries:
+	case retryAll:
 		for b.Spend("p") {
 			retried++
 		}
@@ -121,14 +121,14 @@
 	proof.Holds(t, withinBudget(t, func(d *Daemon) float64 { return d.retryBurst(start, &d.tables) }))
 }
 
-// TestRetriesOverAllBoxesNeedTheBoxesCounted has each box save up as much as ten
+// TestRetriesOverAllBoxesNeedBoxCount has each box save up as much as ten
 // boxes may.
-func TestRetriesOverAllBoxesNeedTheBoxesCounted(t *testing.T) {
+func TestRetriesOverAllBoxesNeedBoxCount(t *testing.T) {
 	proof.Breaks(t, withinBudget(t, func(*Daemon) float64 { return retryExtra * retryUse / burstBoxes }))
 }
 
-// TestRetriesOverAllBoxesNeedFewSavers has each of many boxes save up one.
-func TestRetriesOverAllBoxesNeedFewSavers(t *testing.T) {
+// TestRetriesOverAllBoxesNeedRank has each of many boxes save up one.
+func TestRetriesOverAllBoxesNeedRank(t *testing.T) {
 	proof.Breaks(t, withinBudget(t, func(d *Daemon) float64 { return max(1, d.retryBurst(start, &d.tables)) }))
 }
 
--- a/entry/canary.go
+++ b/entry/canary.go
@@ -23,38 +23,38 @@
 
 // canaryRollout is a version of a pool's software that is tried out, as this box sees it.
 type canaryRollout struct {
-	ask canary.Rollout
+	spec canary.Rollout
 	// state, until and barred are as the row says, of which the revision was read.
 	state    canary.State
 	revision revision.Revision
-	// until is when it has to be decided, on the table service's clock; zero if the row does
+	// deadline is when it has to be decided, on the table service's clock; zero if the row does
 	// not tell.
-	until  time.Duration
-	barred []string
+	deadline time.Duration
+	barred   []string
 	// stopped says that nothing goes to the version whatever the row says: it is bad, by
 	// what this box or its hub saw, or the operator took the ask back.
 	stopped bool
-	// asked is when this box heard of what is asked for, since when of the state.
-	asked, since time.Time
-	gate         *exposure.Gate
-	judge        *canary.Judge
-	// own is what this box saw, by route.
-	own map[string]canary.Counts
-	// seen is what other boxes told, with when that last changed.
-	seen map[seenAt]seenOf
+	// specKnownAt is when this box heard of what is asked for, since when of the state.
+	specKnownAt, stateSince time.Time
+	gate                    *exposure.Gate
+	judge                   *canary.Judge
+	// ownCounts is what this box saw, by route.
+	ownCounts map[string]canary.Counts
+	// peerCounts is what other boxes told, with when that last changed.
+	peerCounts map[sampleKey]peerSample
 	// writing says that the row is being changed, telling that the operator is being told.
-	writing, telling bool
-	// told says that this box told the operator of toldState, rowTold that the row says that
+	writing, reporting bool
+	// reported says that this box told the operator of toldState, rowTold that the row says that
 	// the operator was told of the end.
-	told, rowTold bool
+	reported, rowReported bool
 	// rowLost says that a restore lost the row.
-	rowLost   bool
-	toldState canary.State
-	// again is when a change that failed is tried again.
-	again time.Time
-	// lostAt is when a restored table service was read that lacks what the operator asked for;
+	rowLost       bool
+	reportedState canary.State
+	// retryAt is when a change that failed is tried again.
+	retryAt time.Time
+	// specLostAt is when a restored table service was read that lacks what the operator asked for;
 	// zero if it does not.
-	lostAt time.Time
+	specLostAt time.Time
 }
 
 // canaryOf returns what is tried out in a pool, or nil.
@@ -65,7 +65,7 @@
 	asked := m.change.Canaries
 	for _, pool := range slices.Sorted(maps.Keys(asked)) {
 		if ask := asked[pool]; ask != nil {
-			d.canaryAsked(now, t, *ask, "the operator")
+			d.startCanary(now, t, *ask, "the operator")
 		}
 	}
 	for pool, c := range t.canaries {
@@ -73,12 +73,12 @@
 		lost := m.change.Snapshot && asked != nil && !told
 		switch {
 		case told && ask != nil:
-			c.lostAt = time.Time{}
+			c.specLostAt = time.Time{}
 		case lost && m.change.Known.Restores > t.operatorKnown.Restores:
-			d.Log.Warn("a restore lost what version is to be tried out; the operator has the time to ask again", "pool", pool, "version", c.ask.Version, "for", operatorRewriteGrace)
-			c.lostAt = now
-		case told || lost && c.lostAt.IsZero():
-			d.stopTrying(now, c, "the operator took it back")
+			d.Log.Warn("a restore lost what version is to be tried out; the operator has the time to ask again", "pool", pool, "version", c.spec.Version, "for", operatorRewriteGrace)
+			c.specLostAt = now
+		case told || lost && c.specLostAt.IsZero():
+			d.stopCanary(now, c, "the operator took it back")
 		}
 	}
 }
@@ -87,27 +87,27 @@
 // lost that.
 func (d *Daemon) stopLostCanaries(now time.Time, t *tables) {
 	for _, c := range t.canaries {
-		if !c.lostAt.IsZero() && now.Sub(c.lostAt) >= operatorRewriteGrace {
-			c.lostAt = time.Time{}
-			d.stopTrying(now, c, "the operator did not ask again after a restore")
+		if !c.specLostAt.IsZero() && now.Sub(c.specLostAt) >= operatorRewriteGrace {
+			c.specLostAt = time.Time{}
+			d.stopCanary(now, c, "the operator did not ask again after a restore")
 		}
 	}
 }
 
-// canaryAsked begins to try a version out, if that is news. An earlier one that was not
+// startCanary begins to try a version out, if that is news. An earlier one that was not
 // completed gets nothing any more.
-func (d *Daemon) canaryAsked(now time.Time, t *tables, ask canary.Rollout, from string) *canaryRollout {
+func (d *Daemon) startCanary(now time.Time, t *tables, ask canary.Rollout, from string) *canaryRollout {
 	before := t.canaries[ask.Pool]
-	if before != nil && ask.Same(before.ask) {
-		before.ask.Order, before.ask.Timeout = max(before.ask.Order, ask.Order), max(before.ask.Timeout, ask.Timeout)
+	if before != nil && ask.Same(before.spec) {
+		before.spec.Order, before.spec.Timeout = max(before.spec.Order, ask.Order), max(before.spec.Timeout, ask.Timeout)
 		return before
 	}
-	if before != nil && before.ask.Order >= ask.Order {
+	if before != nil && before.spec.Order >= ask.Order {
 		return before
 	}
 	c := &canaryRollout{
-		ask: ask, asked: now, since: now, gate: exposure.New(d.bounds.Load().TriedShare), judge: canary.NewJudge(),
-		own: make(map[string]canary.Counts), seen: make(map[seenAt]seenOf),
+		spec: ask, specKnownAt: now, stateSince: now, gate: exposure.New(d.bounds.Load().TriedShare), judge: canary.NewJudge(),
+		ownCounts: make(map[string]canary.Counts), peerCounts: make(map[sampleKey]peerSample),
 	}
 	if before != nil {
 		c.revision, c.barred = before.revision, before.bars()
@@ -124,29 +124,29 @@
 // bars lists the versions that get nothing once this one is followed by another.
 func (c *canaryRollout) bars() []string {
 	list := slices.Clone(c.barred)
-	if c.state != canary.Completed && c.ask.Version != "" && !slices.Contains(list, c.ask.Version) {
-		list = append(list, c.ask.Version)
+	if c.state != canary.Completed && c.spec.Version != "" && !slices.Contains(list, c.spec.Version) {
+		list = append(list, c.spec.Version)
 	}
 	return list
 }
 
-// stopTrying sends nothing more to the version, unless it was completed before.
-func (d *Daemon) stopTrying(now time.Time, c *canaryRollout, why string) {
+// stopCanary sends nothing more to the version, unless it was completed before.
+func (d *Daemon) stopCanary(now time.Time, c *canaryRollout, why string) {
 	if c.stopped || c.state.Ended() {
 		return
 	}
 	c.stopped = true
-	d.Log.Warn("a version gets no more requests", "pool", c.ask.Pool, "version", c.ask.Version, "order", c.ask.Order, "why", why, "after", now.Sub(c.since), "answers", c.judge.Total())
+	d.Log.Warn("a version gets no more requests", "pool", c.spec.Pool, "version", c.spec.Version, "order", c.spec.Order, "why", why, "after", now.Sub(c.stateSince), "answers", c.judge.Total())
 	d.metrics.canaries.WithLabelValues("stopped").Inc()
 }
 
-// moved takes over how far the version has come.
-func (d *Daemon) moved(now time.Time, c *canaryRollout, state canary.State, from string) {
+// setCanaryState takes over how far the version has come.
+func (d *Daemon) setCanaryState(now time.Time, c *canaryRollout, state canary.State, from string) {
 	if state <= c.state {
 		return
 	}
-	c.state, c.since = state, now
-	d.Log.Info("a version that is tried out", "pool", c.ask.Pool, "version", c.ask.Version, "order", c.ask.Order, "state", state, "told_by", from, "answers", c.judge.Total())
+	c.state, c.stateSince = state, now
+	d.Log.Info("a version that is tried out", "pool", c.spec.Pool, "version", c.spec.Version, "order", c.spec.Order, "state", state, "told_by", from, "answers", c.judge.Total())
 	if state == canary.RolledBack {
 		d.metrics.canaries.WithLabelValues("taken_back").Inc()
 	}
@@ -155,50 +155,50 @@
 	}
 }
 
-// fresh says that a target runs the version that is tried out. If that can't be read, it is
+// isCanary says that a target runs the version that is tried out. If that can't be read, it is
 // each one that came after that was asked for.
-func (c *canaryRollout) fresh(x *fleet.Target) bool {
-	if c.ask.Version == "" {
-		return x.ListedAt.After(c.asked)
+func (c *canaryRollout) isCanary(x *fleet.Target) bool {
+	if c.spec.Version == "" {
+		return x.ListedAt.After(c.specKnownAt)
 	}
-	return x.Software == c.ask.Version
+	return x.Software == c.spec.Version
 }
 
-// overFor is how long older targets get nothing after a version was completed: they stop at
+// olderExcludedFor is how long older targets get nothing after a version was completed: they stop at
 // once, and their entries go within seconds. From then on other software is of another ask,
 // or of the operator's own doing.
-const overFor = 30 * time.Second
+const olderExcludedFor = 30 * time.Second
 
-// sends says which of the versions get requests at all.
-func (c *canaryRollout) sends(now time.Time) (fresh, older bool) {
+// receiving says which of the versions get requests at all.
+func (c *canaryRollout) receiving(now time.Time) (fresh, older bool) {
 	switch {
 	case c.state == canary.Completed:
-		return true, now.Sub(c.since) > overFor
+		return true, now.Sub(c.stateSince) > olderExcludedFor
 	case c.state == canary.Completing:
 		return !c.stopped, c.stopped
-	case c.state == canary.RolledBack || c.stopped || c.ask.Version == "":
+	case c.state == canary.RolledBack || c.stopped || c.spec.Version == "":
 		return false, true
 	}
 	return true, true
 }
 
-// closedTo says that a target gets no request because of its software.
-func (d *Daemon) closedTo(now time.Time, t *tables, x *fleet.Target) bool {
+// excludedBySoftware says that a target gets no request because of its software.
+func (d *Daemon) excludedBySoftware(now time.Time, t *tables, x *fleet.Target) bool {
 	c := t.canaryOf(x.Pool)
 	if c == nil {
-		return d.unproved(t, x)
+		return d.mayBeUnknownCanary(t, x)
 	}
-	fresh, older := c.sends(now)
-	if c.fresh(x) {
+	fresh, older := c.receiving(now)
+	if c.isCanary(x) {
 		return !fresh
 	}
 	return !older || slices.Contains(c.barred, x.Software)
 }
 
-// unproved says that a target may run a version that is to be tried out, as its pool has
+// mayBeUnknownCanary says that a target may run a version that is to be tried out, as its pool has
 // several, and what the operator asks for was last read before it came. What is asked for
 // stands there before such targets start.
-func (d *Daemon) unproved(t *tables, x *fleet.Target) bool {
+func (d *Daemon) mayBeUnknownCanary(t *tables, x *fleet.Target) bool {
 	if !t.fleet.MixedSoftware(x.Pool) || x.Software == t.fleet.Software(x.Pool) {
 		return false
 	}
@@ -206,26 +206,26 @@
 	return proved == nil || proved.Before(x.ListedAt)
 }
 
-// turns lists what to pass over for a request, in the order in which that is tried: a
+// softwareFilters lists what to pass over for a request, in the order in which that is tried: a
 // request that may go to the version that is tried out goes there, if any of its targets
 // takes it.
-func (d *Daemon) turns(now time.Time, t *tables, ask deliver.PlacementRequest) []func(*fleet.Target) bool {
-	closed := func(x *fleet.Target) bool { return d.closedTo(now, t, x) }
+func (d *Daemon) softwareFilters(now time.Time, t *tables, ask deliver.PlacementRequest) []func(*fleet.Target) bool {
+	closed := func(x *fleet.Target) bool { return d.excludedBySoftware(now, t, x) }
 	c := t.canaryOf(ask.Job.Pool.Name)
 	if c == nil || c.state != canary.Trying {
 		return []func(*fleet.Target) bool{closed}
 	}
-	older := func(x *fleet.Target) bool { return c.fresh(x) || closed(x) }
-	if fresh, _ := c.sends(now); !fresh || !c.gate.Allow(ask.Job.Route.Name) {
+	older := func(x *fleet.Target) bool { return c.isCanary(x) || closed(x) }
+	if fresh, _ := c.receiving(now); !fresh || !c.gate.Allow(ask.Job.Route.Name) {
 		return []func(*fleet.Target) bool{older}
 	}
-	return []func(*fleet.Target) bool{func(x *fleet.Target) bool { return !c.fresh(x) || closed(x) }, older}
+	return []func(*fleet.Target) bool{func(x *fleet.Target) bool { return !c.isCanary(x) || closed(x) }, older}
 }
 
-// takeTurn counts a request that was placed.
-func (t *tables) takeTurn(ask deliver.PlacementRequest, x *fleet.Target) {
+// countExposure counts a request that was placed.
+func (t *tables) countExposure(ask deliver.PlacementRequest, x *fleet.Target) {
 	if c := t.canaryOf(x.Pool); c != nil && c.state == canary.Trying {
-		c.gate.Record(ask.Job.Route.Name, c.fresh(x))
+		c.gate.Record(ask.Job.Route.Name, c.isCanary(x))
 	}
 }
 
@@ -234,7 +234,7 @@
 	var list []peer.Canary
 	for _, pool := range slices.Sorted(maps.Keys(t.canaries)) {
 		c := t.canaries[pool]
-		list = append(list, peer.Canary{Pool: pool, Version: c.ask.Version, Order: c.ask.Order, State: int(c.state), Stopped: c.stopped, Barred: c.barred})
+		list = append(list, peer.Canary{Pool: pool, Version: c.spec.Version, Order: c.spec.Order, State: int(c.state), Stopped: c.stopped, Barred: c.barred})
 	}
 	return list
 }
@@ -242,8 +242,8 @@
 // applyHubCanaries takes over what is tried out, as a hub sees it.
 func (d *Daemon) applyHubCanaries(now time.Time, t *tables, hub string, list []peer.Canary) {
 	for _, told := range list {
-		c := d.canaryAsked(now, t, canary.Rollout{Pool: told.Pool, Version: told.Version, Order: told.Order}, hub)
-		if !c.ask.Same(canary.Rollout{Pool: told.Pool, Version: told.Version, Order: told.Order}) {
+		c := d.startCanary(now, t, canary.Rollout{Pool: told.Pool, Version: told.Version, Order: told.Order}, hub)
+		if !c.spec.Same(canary.Rollout{Pool: told.Pool, Version: told.Version, Order: told.Order}) {
 			continue // The hub has not heard of the newer one.
 		}
 		for _, version := range told.Barred {
@@ -251,9 +251,9 @@
 				c.barred = append(c.barred, version)
 			}
 		}
-		d.moved(now, c, canary.State(told.State), hub)
+		d.setCanaryState(now, c, canary.State(told.State), hub)
 		if told.Stopped {
-			d.stopTrying(now, c, "told by "+hub)
+			d.stopCanary(now, c, "told by "+hub)
 		}
 	}
 }
--- a/entry/canary_test.go
+++ b/entry/canary_test.go
@@ -19,8 +19,8 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// canaryWorld is a fleet whose plain service is asked to move to another version.
-type canaryWorld struct {
+// canaryFleet is a fleet whose plain service is asked to move to another version.
+type canaryFleet struct {
 	*emulator
 	dice *rand.Rand
 	// answer says how the new version answers, with how many it has given so far.
@@ -30,20 +30,20 @@
 	// reached it behind the platform's bound for that.
 	sent, tried, bad, late int
 	fiftieth               time.Time
-	// olderLate are requests that reached the older version once it was completed.
-	olderLate int
-	asked     bool
+	// olderAfterCompletion are requests that reached the older version once it was completed.
+	olderAfterCompletion int
+	asked                bool
 }
 
-// tryFor is how long it may take, the platform's own example.
-const tryFor = 12 * time.Second
+// rolloutTime is how long it may take, the platform's own example.
+const rolloutTime = 12 * time.Second
 
 func serviceAt(id, software string, i int) fleet.Entry {
 	return fleet.Entry{ID: id, Pool: "orders", Software: software, Domain: fmt.Sprintf("d%d", i%3), Slots: 8, Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 3, 0, byte(i)}), 1)}
 }
 
-func newCanaryWorld(seed uint64, boxes int) *canaryWorld {
-	w := &canaryWorld{emulator: emulate(boxes, 3, configuration(1)), dice: rand.New(rand.NewPCG(seed, 4))}
+func newCanaryFleet(seed uint64, boxes int) *canaryFleet {
+	w := &canaryFleet{emulator: emulate(boxes, 3, configuration(1)), dice: rand.New(rand.NewPCG(seed, 4))}
 	w.answer = func(string, int) (bool, float64) { return false, 1 }
 	for i := range 5 {
 		w.addTargets(serviceAt(fmt.Sprintf("old-%d", i), "v1", i))
@@ -53,9 +53,9 @@
 }
 
 // ask has the operator ask for a version, whose targets start a second later.
-func (w *canaryWorld) ask(version string) {
+func (w *canaryFleet) ask(version string) {
 	w.writeOperator(func(o *Operator) {
-		o.Canaries = map[string]*canary.Rollout{"orders": {Pool: "orders", Version: version, Order: w.version, Timeout: tryFor}}
+		o.Canaries = map[string]*canary.Rollout{"orders": {Pool: "orders", Version: version, Order: w.version, Timeout: rolloutTime}}
 	})
 	w.asked = true
 	w.after(time.Second, func() {
@@ -66,7 +66,7 @@
 }
 
 // serve has each box send requests: some 400 a second in all.
-func (w *canaryWorld) serve() {
+func (w *canaryFleet) serve() {
 	for _, d := range w.boxes {
 		if w.dead[d.Settings.Name] || w.dice.IntN(100) >= 28*70/len(w.boxes) {
 			continue
@@ -75,7 +75,7 @@
 	}
 }
 
-func (w *canaryWorld) request(d *Daemon) {
+func (w *canaryFleet) request(d *Daemon) {
 	route := []string{"short", "long"}[min(w.dice.IntN(3), 1)]
 	job := &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{Name: route, Goal: 300 * time.Millisecond}, Pool: d.current.Load().Pools["orders"]}
 	place, err := d.place(w.now, &d.tables, deliver.PlacementRequest{Job: job})
@@ -88,9 +88,9 @@
 		w.sent++
 	}
 	if fresh := w.targets[place.Target].Software != "v1"; fresh {
-		failed, took = w.arriveFresh(route, took)
+		failed, took = w.answerFromCanary(route, took)
 	} else if states := w.canaryReports["orders"]; len(states) > 0 && states[len(states)-1] == canary.Completed {
-		w.olderLate++
+		w.olderAfterCompletion++
 	}
 	w.after(took, func() {
 		w.reach(d, answerBegan{place})
@@ -98,8 +98,8 @@
 	})
 }
 
-// arriveFresh counts a request that reaches the new version, and draws its answer.
-func (w *canaryWorld) arriveFresh(route string, took time.Duration) (bool, time.Duration) {
+// answerFromCanary counts a request that reaches the new version, and draws its answer.
+func (w *canaryFleet) answerFromCanary(route string, took time.Duration) (bool, time.Duration) {
 	if !w.fiftieth.IsZero() && w.now.Sub(w.fiftieth) > 5*time.Second {
 		w.late++
 	}
@@ -114,15 +114,15 @@
 }
 
 // last is what the operator was told last.
-func (w *canaryWorld) last() canary.State {
+func (w *canaryFleet) last() canary.State {
 	if states := w.canaryReports["orders"]; len(states) > 0 {
 		return states[len(states)-1]
 	}
 	return canary.Trying
 }
 
-// badIn answers with a share of failures, and such that take four times as long.
-func (w *canaryWorld) badIn(percent int, slow bool, from int, only string) func(string, int) (bool, float64) {
+// badAnswers answers with a share of failures, and such that take four times as long.
+func (w *canaryFleet) badAnswers(percent int, slow bool, from int, only string) func(string, int) (bool, float64) {
 	return func(route string, given int) (bool, float64) {
 		if given < from || only != "" && route != only || w.dice.IntN(100) >= percent {
 			return false, 1
@@ -141,23 +141,23 @@
 	t.Parallel()
 	tests := []struct {
 		name   string
-		answer func(w *canaryWorld) func(string, int) (bool, float64)
+		answer func(w *canaryFleet) func(string, int) (bool, float64)
 		want   canary.State
 	}{
-		{"good", func(w *canaryWorld) func(string, int) (bool, float64) { return w.answer }, canary.Completed},
-		{"fails half", func(w *canaryWorld) func(string, int) (bool, float64) { return w.badIn(50, false, 0, "") }, canary.RolledBack},
-		{"fails a fifth", func(w *canaryWorld) func(string, int) (bool, float64) { return w.badIn(20, false, 0, "") }, canary.RolledBack},
-		{"four times as slow", func(w *canaryWorld) func(string, int) (bool, float64) { return w.badIn(100, true, 0, "") }, canary.RolledBack},
-		{"half are slow", func(w *canaryWorld) func(string, int) (bool, float64) { return w.badIn(50, true, 0, "") }, canary.RolledBack},
-		{"fails half, later", func(w *canaryWorld) func(string, int) (bool, float64) { return w.badIn(50, false, 60, "") }, canary.RolledBack},
-		{"fails half, on one route", func(w *canaryWorld) func(string, int) (bool, float64) { return w.badIn(50, false, 0, "short") }, canary.RolledBack},
+		{"good", func(w *canaryFleet) func(string, int) (bool, float64) { return w.answer }, canary.Completed},
+		{"fails half", func(w *canaryFleet) func(string, int) (bool, float64) { return w.badAnswers(50, false, 0, "") }, canary.RolledBack},
+		{"fails a fifth", func(w *canaryFleet) func(string, int) (bool, float64) { return w.badAnswers(20, false, 0, "") }, canary.RolledBack},
+		{"four times as slow", func(w *canaryFleet) func(string, int) (bool, float64) { return w.badAnswers(100, true, 0, "") }, canary.RolledBack},
+		{"half are slow", func(w *canaryFleet) func(string, int) (bool, float64) { return w.badAnswers(50, true, 0, "") }, canary.RolledBack},
+		{"fails half, later", func(w *canaryFleet) func(string, int) (bool, float64) { return w.badAnswers(50, false, 60, "") }, canary.RolledBack},
+		{"fails half, on one route", func(w *canaryFleet) func(string, int) (bool, float64) { return w.badAnswers(50, false, 0, "short") }, canary.RolledBack},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newCanaryWorld(1, 70)
+			w := newCanaryFleet(1, 70)
 			w.answer = tt.answer(w)
 			w.ask("v2")
-			w.advance(tryFor, w.serve)
+			w.advance(rolloutTime, w.serve)
 			t.Logf("%d of %d requests reached the new version, %d bad answers, told %v", w.tried, w.sent, w.bad, w.canaryReports["orders"])
 			if w.last() != tt.want {
 				t.Errorf("told %v at the end, want %v", w.canaryReports["orders"], tt.want)
@@ -165,36 +165,36 @@
 			if tt.want == canary.RolledBack && float64(w.tried) > 0.1*float64(w.sent)+50 {
 				t.Errorf("a bad version got %d of %d requests", w.tried, w.sent)
 			}
-			if w.late > 0 || w.olderLate > 0 {
-				t.Errorf("%d requests came too late to the new version, %d to the older one after it was completed", w.late, w.olderLate)
+			if w.late > 0 || w.olderAfterCompletion > 0 {
+				t.Errorf("%d requests came too late to the new version, %d to the older one after it was completed", w.late, w.olderAfterCompletion)
 			}
 		})
 	}
 }
 
-// troubles are what may befall the fleet meanwhile.
-var troubles = []struct {
+// faults are what may befall the fleet meanwhile.
+var faults = []struct {
 	name string
-	do   func(w *canaryWorld)
+	do   func(w *canaryFleet)
 }{
-	{"none", func(*canaryWorld) {}},
-	{"the holder dies", func(w *canaryWorld) { w.dead[w.holder()] = true }},
-	{"the holder is cut off from the table service", func(w *canaryWorld) { w.tableServiceDown[w.holder()] = true }},
-	{"hubs die", func(w *canaryWorld) { w.dead["box-0000"], w.dead["box-0001"] = true, true }},
-	{"boxes start again", func(w *canaryWorld) {
+	{"none", func(*canaryFleet) {}},
+	{"the holder dies", func(w *canaryFleet) { w.dead[w.holder()] = true }},
+	{"the holder is cut off from the table service", func(w *canaryFleet) { w.tableServiceDown[w.holder()] = true }},
+	{"hubs die", func(w *canaryFleet) { w.dead["box-0000"], w.dead["box-0001"] = true, true }},
+	{"boxes start again", func(w *canaryFleet) {
 		for i := 20; i < 40; i++ {
 			w.restart(i)
 		}
 	}},
-	{"the table service loses answers", func(w *canaryWorld) {
+	{"the table service loses answers", func(w *canaryFleet) {
 		w.rows.Fault = func() fake.Kind { return []fake.Kind{fake.None, fake.Lost, fake.Dropped, fake.Late}[w.dice.IntN(4)] }
 	}},
-	{"asked for again", func(w *canaryWorld) { w.ask("v2") }},
-	{"an older target goes", func(w *canaryWorld) { w.removeTargets("old-0") }},
+	{"asked for again", func(w *canaryFleet) { w.ask("v2") }},
+	{"an older target goes", func(w *canaryFleet) { w.removeTargets("old-0") }},
 }
 
 // holder is the box that holds the lease, or the first.
-func (w *canaryWorld) holder() string {
+func (w *canaryFleet) holder() string {
 	for _, d := range w.boxes {
 		if _, _, held := d.lease.Held(); held {
 			return d.Settings.Name
@@ -204,7 +204,7 @@
 }
 
 // restart has a box forget all.
-func (w *canaryWorld) restart(i int) {
+func (w *canaryFleet) restart(i int) {
 	old := w.boxes[i]
 	d := w.add(old.Settings.Name, old.Settings.Domain, false)
 	w.boxes = slices.Delete(w.boxes, len(w.boxes)-1, len(w.boxes))
@@ -212,31 +212,31 @@
 	w.join(d)
 }
 
-// TestCanaryInTrouble draws what the version is like, what happens and when, over 70 boxes:
+// TestCanaryWithFaults draws what the version is like, what happens and when, over 70 boxes:
 // a bad version never gets more than its share, nor anything later than the bound after its
 // fiftieth bad answer, a good one is never taken back for what befalls boxes, and nothing
 // goes to the older one once the operator was told that it may stop.
-func TestCanaryInTrouble(t *testing.T) {
+func TestCanaryWithFaults(t *testing.T) {
 	t.Parallel()
 	parameters := gopter.DefaultTestParametersWithSeed(7)
 	parameters.MinSuccessfulTests = 10
 	properties := gopter.NewProperties(parameters)
 	properties.Property("within its bounds", prop.ForAll(func(seed uint64, percent, trouble, after int) bool {
-		w := newCanaryWorld(seed, 70)
-		w.answer = w.badIn(percent, seed%2 == 0, int(seed%50), "")
+		w := newCanaryFleet(seed, 70)
+		w.answer = w.badAnswers(percent, seed%2 == 0, int(seed%50), "")
 		w.ask("v2")
 		w.advance(time.Duration(after)*time.Second, w.serve)
-		troubles[trouble].do(w)
-		w.advance(tryFor+time.Second, w.serve) // Asked for again, it has as long again.
-		ok := w.late == 0 && w.olderLate == 0 && w.last().Ended()
+		faults[trouble].do(w)
+		w.advance(rolloutTime+time.Second, w.serve) // Asked for again, it has as long again.
+		ok := w.late == 0 && w.olderAfterCompletion == 0 && w.last().Ended()
 		if percent > 0 {
 			ok = ok && float64(w.tried) <= 0.1*float64(w.sent)+50 && w.last() == canary.RolledBack
 		}
 		if !ok {
-			t.Logf("seed %d, %d in 100 bad, %s after %d s: %d of %d reached it, %d late, %d to the older one, told %v", seed, percent, troubles[trouble].name, after, w.tried, w.sent, w.late, w.olderLate, w.canaryReports["orders"])
+			t.Logf("seed %d, %d in 100 bad, %s after %d s: %d of %d reached it, %d late, %d to the older one, told %v", seed, percent, faults[trouble].name, after, w.tried, w.sent, w.late, w.olderAfterCompletion, w.canaryReports["orders"])
 		}
 		return ok
-	}, gen.UInt64Range(1, 1000), gen.OneConstOf(0, 20, 50, 100), gen.IntRange(0, len(troubles)-1), gen.IntRange(1, 6)))
+	}, gen.UInt64Range(1, 1000), gen.OneConstOf(0, 20, 50, 100), gen.IntRange(0, len(faults)-1), gen.IntRange(1, 6)))
 	properties.TestingRun(t)
 }
 
@@ -260,15 +260,15 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			w := newCanaryWorld(5, 70)
+			w := newCanaryFleet(5, 70)
 			for _, d := range w.boxes {
 				d.Settings.Bounds.TriedShare = tt.share
 				d.bounds.Store(&d.Settings.Bounds)
 			}
-			w.answer = w.badIn(tt.percent, tt.percent == 20, 0, "")
+			w.answer = w.badAnswers(tt.percent, tt.percent == 20, 0, "")
 			w.ask("v2")
 			over := 0.0
-			w.advance(tryFor, func() {
+			w.advance(rolloutTime, func() {
 				w.serve()
 				if c := w.boxes[0].tables.canaryOf("orders"); c == nil || c.state == canary.Trying {
 					over = max(over, float64(w.tried)-share*float64(w.sent)-extra)
@@ -295,13 +295,13 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newCanaryWorld(1, 70)
+			w := newCanaryFleet(1, 70)
 			for _, d := range w.boxes {
 				tt.take(d)
 			}
-			w.answer = w.badIn(tt.bad, false, 0, "")
+			w.answer = w.badAnswers(tt.bad, false, 0, "")
 			w.ask("v2")
-			w.advance(tryFor, w.serve)
+			w.advance(rolloutTime, w.serve)
 			if float64(w.tried) <= 0.1*float64(w.sent)+50 && w.late == 0 && w.last() == canary.RolledBack {
 				t.Errorf("holds without: %d of %d reached it, told %v", w.tried, w.sent, w.canaryReports["orders"])
 			}
--- a/entry/canaryrow.go
+++ b/entry/canaryrow.go
@@ -23,13 +23,13 @@
 	// completeAt is the part of the time asked for after which a version that is no worse
 	// begins to be completed: one that turns bad later is found until then.
 	completeAt = 0.65
-	// settleFor is how long boxes have to hear that all requests go to the new version:
+	// completionDelay is how long boxes have to hear that all requests go to the new version:
 	// hubs read the row within 0.3 s, and boxes their view each 0.15 s.
-	settleFor = 1500 * time.Millisecond
-	// decideBefore is how long before the end it is decided, for the calls that this takes.
-	decideBefore = time.Second
-	// canaryAgain is the pause after a change that failed.
-	canaryAgain = 300 * time.Millisecond
+	completionDelay = 1500 * time.Millisecond
+	// decisionMargin is how long before the end it is decided, for the calls that this takes.
+	decisionMargin = time.Second
+	// canaryRetryDelay is the pause after a change that failed.
+	canaryRetryDelay = 300 * time.Millisecond
 )
 
 // canaryRow is the value of such a row.
@@ -37,12 +37,12 @@
 	Order   uint64       `json:"order"`
 	Version string       `json:"version"`
 	State   canary.State `json:"state"`
-	// UntilMS is when it has to be decided, on the table service's clock.
-	UntilMS int64 `json:"until_ms"`
+	// DeadlineMS is when it has to be decided, on the table service's clock.
+	DeadlineMS int64 `json:"until_ms"`
 	// Barred are versions that were tried and not taken.
 	Barred []string `json:"barred,omitempty"`
-	// Told says that the operator was told of a state that changes no more.
-	Told bool `json:"told,omitempty"`
+	// Reported says that the operator was told of a state that changes no more.
+	Reported bool `json:"told,omitempty"`
 }
 
 // writeCanary changes a row as it was read.
@@ -61,7 +61,7 @@
 
 // reportCanary tells the operator.
 type reportCanary struct {
-	ask   canary.Rollout
+	spec  canary.Rollout
 	state canary.State
 }
 
@@ -78,12 +78,12 @@
 	work := false
 	for _, pool := range slices.Sorted(maps.Keys(t.canaries)) {
 		c := t.canaries[pool]
-		if d.spoke.Load() || c.settled() {
+		if d.spoke.Load() || c.finished() {
 			continue
 		}
 		work = true
 		if _, _, held := d.lease.Held(); held {
-			effects = append(effects, d.decide(now, t, c)...)
+			effects = append(effects, d.advanceCanary(now, t, c)...)
 		}
 	}
 	if work {
@@ -96,48 +96,48 @@
 // it anew, and one is due.
 func (c *canaryRollout) markRowLost(restores uint64) {
 	c.revision = revision.Revision{Restores: restores}
-	c.rowLost, c.rowTold = true, false
+	c.rowLost, c.rowReported = true, false
 }
 
-// settled says that nothing is left to decide or to tell.
-func (c *canaryRollout) settled() bool { return c.state.Ended() && c.rowTold }
+// finished says that nothing is left to decide or to tell.
+func (c *canaryRollout) finished() bool { return c.state.Ended() && c.rowReported }
 
-// toldNow says that the operator was told of the state as it is, by this box.
-func (c *canaryRollout) toldNow() bool { return c.told && c.toldState == c.state }
+// stateReported says that the operator was told of the state as it is, by this box.
+func (c *canaryRollout) stateReported() bool { return c.reported && c.reportedState == c.state }
 
-// decide has the row written as it should be, and the operator told of it as it is.
-func (d *Daemon) decide(now time.Time, t *tables, c *canaryRollout) []effect {
-	if now.Before(c.again) {
+// advanceCanary has the row written as it should be, and the operator told of it as it is.
+func (d *Daemon) advanceCanary(now time.Time, t *tables, c *canaryRollout) []effect {
+	if now.Before(c.retryAt) {
 		return nil
 	}
 	var effects []effect
 	if !c.writing {
-		if row, changes := d.next(now, t, c); changes {
+		if row, changes := d.nextCanaryRow(now, t, c); changes {
 			c.writing = true
-			effects = append(effects, writeCanary{c.ask.Pool, row, c.revision})
+			effects = append(effects, writeCanary{c.spec.Pool, row, c.revision})
 		}
 	}
-	if stands := c.until != 0; stands && !c.telling && !c.toldNow() {
-		c.telling = true
-		effects = append(effects, reportCanary{c.ask, c.state})
+	if stands := c.deadline != 0; stands && !c.reporting && !c.stateReported() {
+		c.reporting = true
+		effects = append(effects, reportCanary{c.spec, c.state})
 	}
 	return effects
 }
 
-// next returns the row that should stand, and whether that is another one.
-func (d *Daemon) next(now time.Time, t *tables, c *canaryRollout) (canaryRow, bool) {
+// nextCanaryRow returns the row that should stand, and whether that is another one.
+func (d *Daemon) nextCanaryRow(now time.Time, t *tables, c *canaryRollout) (canaryRow, bool) {
 	clock, known := t.tableClock.Max(now)
-	row := canaryRow{Order: c.ask.Order, Version: c.ask.Version, State: c.state, UntilMS: c.until.Milliseconds(), Barred: c.barred}
+	row := canaryRow{Order: c.spec.Order, Version: c.spec.Version, State: c.state, DeadlineMS: c.deadline.Milliseconds(), Barred: c.barred}
 	switch {
 	case !known:
 		return row, false
 	case c.state.Ended():
-		row.Told = c.toldNow()
-		return row, row.Told && !c.rowTold
-	case c.until == 0:
-		row.UntilMS = (clock + c.ask.Timeout - now.Sub(c.since)).Milliseconds()
+		row.Reported = c.stateReported()
+		return row, row.Reported && !c.rowReported
+	case c.deadline == 0:
+		row.DeadlineMS = (clock + c.spec.Timeout - now.Sub(c.stateSince)).Milliseconds()
 		return row, true
-	case c.stopped || c.ask.Version == "":
+	case c.stopped || c.spec.Version == "":
 		row.State = canary.RolledBack
 	case c.state == canary.Trying:
 		row.State = c.afterTrying(clock)
@@ -150,11 +150,11 @@
 // afterTrying is the state by the time that is left. A version that is not shown to be no
 // worse by then is taken back: the older one serves, and the operator may ask again.
 func (c *canaryRollout) afterTrying(clock time.Duration) canary.State {
-	left := c.until - clock
+	left := c.deadline - clock
 	switch {
-	case left <= decideBefore:
+	case left <= decisionMargin:
 		return canary.RolledBack
-	case left <= time.Duration(float64(c.ask.Timeout)*(1-completeAt)) && c.judge.Good():
+	case left <= time.Duration(float64(c.spec.Timeout)*(1-completeAt)) && c.judge.Good():
 		return canary.Completing
 	}
 	return canary.Trying
@@ -163,10 +163,10 @@
 // mayComplete says that boxes have heard that nothing goes to the older version, and that
 // nothing runs there any more, or that time is up.
 func (d *Daemon) mayComplete(now time.Time, clock time.Duration, t *tables, c *canaryRollout) bool {
-	if now.Sub(c.since) < settleFor {
+	if now.Sub(c.stateSince) < completionDelay {
 		return false
 	}
-	return d.oldRuns(now, t, c) == 0 || c.until-clock <= decideBefore
+	return d.baselineInFlight(now, t, c) == 0 || c.deadline-clock <= decisionMargin
 }
 
 func (d *Daemon) writeCanary(ctx context.Context, e writeCanary) canaryWritten {
@@ -189,37 +189,37 @@
 func (d *Daemon) canaryWritten(now time.Time, t *tables, m canaryWritten) {
 	if c := t.canaryOf(m.pool); c != nil {
 		c.writing = false
-		c.again = now.Add(canaryAgain)
+		c.retryAt = now.Add(canaryRetryDelay)
 	}
 	if m.err != nil {
 		d.Log.Warn("how far a version has come was not written", "pool", m.pool, "state", m.row.State, "err", m.err)
 	}
 	if m.current.Value != nil {
-		d.canaryRead(now, t, m.pool, m.current.Value, m.current.At())
+		d.applyCanaryRow(now, t, m.pool, m.current.Value, m.current.At())
 	}
 }
 
-// canaryRead takes over a row.
-func (d *Daemon) canaryRead(now time.Time, t *tables, pool string, value []byte, changed revision.Revision) {
+// applyCanaryRow takes over a row.
+func (d *Daemon) applyCanaryRow(now time.Time, t *tables, pool string, value []byte, changed revision.Revision) {
 	var row canaryRow
 	if err := json.Unmarshal(value, &row); err != nil {
 		d.Log.Error("the row of a version that is tried out can't be read", "pool", pool, "err", err)
 		return
 	}
 	ask := canary.Rollout{Pool: pool, Version: row.Version, Order: row.Order}
-	c := d.canaryAsked(now, t, ask, "its row")
+	c := d.startCanary(now, t, ask, "its row")
 	if c.revision.After(changed) {
 		return
 	}
 	c.revision, c.rowLost = changed, false
-	if !c.ask.Same(ask) {
+	if !c.spec.Same(ask) {
 		c.barred = union(c.barred, row.bars())
 		return
 	}
-	c.until = time.Duration(row.UntilMS) * time.Millisecond
+	c.deadline = time.Duration(row.DeadlineMS) * time.Millisecond
 	c.barred = union(c.barred, row.Barred)
-	c.rowTold = row.Told
-	d.moved(now, c, row.State, "its row")
+	c.rowReported = row.Reported
+	d.setCanaryState(now, c, row.State, "its row")
 }
 
 // bars lists the versions that get nothing by an earlier row.
@@ -238,20 +238,20 @@
 }
 
 func (d *Daemon) reportCanary(ctx context.Context, e reportCanary) canaryReported {
-	return canaryReported{e, d.Platform.ReportCanary(ctx, e.ask, e.state)}
+	return canaryReported{e, d.Platform.ReportCanary(ctx, e.spec, e.state)}
 }
 
 // canaryReported notes that the operator was told.
 func (d *Daemon) canaryReported(now time.Time, t *tables, m canaryReported) {
-	c := t.canaryOf(m.ask.Pool)
-	if c == nil || !c.ask.Same(m.ask) {
+	c := t.canaryOf(m.spec.Pool)
+	if c == nil || !c.spec.Same(m.spec) {
 		return
 	}
-	c.telling = false
+	c.reporting = false
 	if m.err != nil {
-		c.again = now.Add(canaryAgain)
-		d.Log.Warn("the operator was not told how far a version has come", "pool", m.ask.Pool, "state", m.state, "err", m.err)
+		c.retryAt = now.Add(canaryRetryDelay)
+		d.Log.Warn("the operator was not told how far a version has come", "pool", m.spec.Pool, "state", m.state, "err", m.err)
 		return
 	}
-	c.told, c.toldState = true, m.state
+	c.reported, c.reportedState = true, m.state
 }
--- a/entry/canaryseen.go
+++ b/entry/canaryseen.go
@@ -14,17 +14,17 @@
 	// canaryGossipEvery is how often hubs tell each other what boxes saw of versions that are tried
 	// out. Boxes tell their hub each spokeEvery.
 	canaryGossipEvery = 500 * time.Millisecond
-	// runsFor is how long what a box told of requests under way counts.
-	runsFor = 2 * time.Second
+	// inFlightTTL is how long what a box told of requests under way counts.
+	inFlightTTL = 2 * time.Second
 )
 
-// seenAt is one route at one box.
-type seenAt struct{ box, route string }
+// sampleKey is one route at one box.
+type sampleKey struct{ box, route string }
 
-// seenOf is what was told of it, when that was last heard, and when it last changed.
-type seenOf struct {
-	seen           peer.CanarySample
-	heard, changed time.Time
+// peerSample is what was told of it, when that was last heard, and when it last changed.
+type peerSample struct {
+	sample                peer.CanarySample
+	receivedAt, changedAt time.Time
 }
 
 // countCanarySample counts the end of a request in a pool in which a version is tried out.
@@ -34,8 +34,8 @@
 	}
 	c := t.canaryOf(x.Pool)
 	route, took := m.Job.Route.Name, now.Sub(m.Place.PlacedAt)
-	before := t.usualTook(alike(m.Job))
-	fresh := c != nil && c.fresh(x)
+	before := t.usualAnswerTime(answerTimeKey(m.Job))
+	fresh := c != nil && c.isCanary(x)
 	if !fresh && !m.Failed {
 		defer before.Observe(took)
 	}
@@ -43,7 +43,7 @@
 		return
 	}
 	bad := m.Failed || before.Slow(took)
-	counts := c.own[route]
+	counts := c.ownCounts[route]
 	switch {
 	case fresh && bad:
 		counts.Bad++
@@ -54,14 +54,14 @@
 	default:
 		counts.BaselineGood++
 	}
-	c.own[route] = counts
+	c.ownCounts[route] = counts
 	c.judge.Observe(d.Settings.Name, route, counts)
 	d.stopIfBad(now, c)
 }
 
-// usualTook is how long the older version's answers take, of requests that are alike. It is
+// usualAnswerTime is how long the older version's answers take, of requests that are alike. It is
 // learnt all the time, to be known when a version is tried out.
-func (t *tables) usualTook(alike string) *outlier.Detector {
+func (t *tables) usualAnswerTime(alike string) *outlier.Detector {
 	took := t.answerTimes[alike]
 	if took == nil {
 		took = &outlier.Detector{}
@@ -73,7 +73,7 @@
 // stopIfBad stops what is tried out as soon as what this box knows speaks against it.
 func (d *Daemon) stopIfBad(now time.Time, c *canaryRollout) {
 	if c.judge.Bad() {
-		d.stopTrying(now, c, "its answers are worse than the older version's")
+		d.stopCanary(now, c, "its answers are worse than the older version's")
 	}
 }
 
@@ -100,32 +100,32 @@
 		if c.state.Ended() {
 			continue
 		}
-		list = append(list, d.ownSeen(t, pool, c)...)
+		list = append(list, d.ownCanarySamples(t, pool, c)...)
 		if !others {
 			continue
 		}
-		for _, of := range c.seen {
-			if !of.changed.Before(since) {
-				list = append(list, of.seen)
+		for _, of := range c.peerCounts {
+			if !of.changedAt.Before(since) {
+				list = append(list, of.sample)
 			}
 		}
 	}
 	return list
 }
 
-// ownSeen is what this box saw, and under no route how many requests the older version has
+// ownCanarySamples is what this box saw, and under no route how many requests the older version has
 // under way for it.
-func (d *Daemon) ownSeen(t *tables, pool string, c *canaryRollout) []peer.CanarySample {
-	runs := peer.CanarySample{Box: d.Settings.Name, Pool: pool, Order: c.ask.Order}
+func (d *Daemon) ownCanarySamples(t *tables, pool string, c *canaryRollout) []peer.CanarySample {
+	runs := peer.CanarySample{Box: d.Settings.Name, Pool: pool, Order: c.spec.Order}
 	for _, x := range t.fleet.Pool(pool) {
-		if !c.fresh(x) {
+		if !c.isCanary(x) {
 			runs.BaselineInFlight += x.InFlight
 		}
 	}
 	list := []peer.CanarySample{runs}
-	for route, n := range c.own {
+	for route, n := range c.ownCounts {
 		list = append(list, peer.CanarySample{
-			Box: d.Settings.Name, Pool: pool, Route: route, Order: c.ask.Order,
+			Box: d.Settings.Name, Pool: pool, Route: route, Order: c.spec.Order,
 			Good: n.Good, Bad: n.Bad, BaselineGood: n.BaselineGood, BaselineBad: n.BaselineBad,
 		})
 	}
@@ -136,27 +136,27 @@
 func (d *Daemon) receiveCanarySamples(now time.Time, t *tables, list []peer.CanarySample) {
 	for _, s := range list {
 		c := t.canaryOf(s.Pool)
-		if c == nil || c.ask.Order != s.Order || s.Box == d.Settings.Name {
+		if c == nil || c.spec.Order != s.Order || s.Box == d.Settings.Name {
 			continue
 		}
-		at := seenAt{s.Box, s.Route}
-		of := c.seen[at]
-		if of.seen != s {
-			of.changed = now
+		at := sampleKey{s.Box, s.Route}
+		of := c.peerCounts[at]
+		if of.sample != s {
+			of.changedAt = now
 		}
-		of.seen, of.heard = s, now
-		c.seen[at] = of
+		of.sample, of.receivedAt = s, now
+		c.peerCounts[at] = of
 		c.judge.Observe(s.Box, s.Route, canary.Counts{Good: s.Good, Bad: s.Bad, BaselineGood: s.BaselineGood, BaselineBad: s.BaselineBad})
 		d.stopIfBad(now, c)
 	}
 }
 
-// oldRuns sums up the requests that the older version has under way, as boxes told lately.
-func (d *Daemon) oldRuns(now time.Time, t *tables, c *canaryRollout) int {
-	n := d.ownSeen(t, c.ask.Pool, c)[0].BaselineInFlight
-	for at, of := range c.seen {
-		if at.route == "" && now.Sub(of.heard) < runsFor {
-			n += of.seen.BaselineInFlight
+// baselineInFlight sums up the requests that the older version has under way, as boxes told lately.
+func (d *Daemon) baselineInFlight(now time.Time, t *tables, c *canaryRollout) int {
+	n := d.ownCanarySamples(t, c.spec.Pool, c)[0].BaselineInFlight
+	for at, of := range c.peerCounts {
+		if at.route == "" && now.Sub(of.receivedAt) < inFlightTTL {
+			n += of.sample.BaselineInFlight
 		}
 	}
 	return n
--- a/entry/cold.go
+++ b/entry/cold.go
@@ -12,9 +12,9 @@
 	"github.com/thymewind/thymewind/slowstart"
 )
 
-// placersFor is how long the list of the boxes that place requests is used. It changes
+// placersTTL is how long the list of the boxes that place requests is used. It changes
 // when boxes join, and ranking 200 boxes for each placing would take longer than that.
-const placersFor = time.Second
+const placersTTL = time.Second
 
 // cold says that a target of a pool is cold, or may be: by what it says of itself, as
 // its news broke off and it may have started again, or, without news, as it could not be
@@ -26,8 +26,8 @@
 	return x.Cold(now) || pool.Engine == nil && x.Recovering(now, pool.ColdFor)
 }
 
-// overCold says that a target is cold and has got what this box may send it.
-func (d *Daemon) overCold(now time.Time, t *tables, pool *routing.Pool, x *fleet.Target) bool {
+// coldShareUsed says that a target is cold and has got what this box may send it.
+func (d *Daemon) coldShareUsed(now time.Time, t *tables, pool *routing.Pool, x *fleet.Target) bool {
 	if x == nil || !cold(now, pool, x) {
 		return false
 	}
@@ -52,24 +52,24 @@
 	if pool.Engine == nil && !t.hasUnregistered(now) {
 		return slices.Collect(maps.Keys(t.members))
 	}
-	if t.placersAt.IsZero() || now.Sub(t.placersAt) > placersFor {
+	if t.placersAt.IsZero() || now.Sub(t.placersAt) > placersTTL {
 		t.placers, t.placersAt = t.hubs(), now
 	}
 	return t.placers
 }
 
-// takeCold counts a request that goes to a target, if that is cold.
-func (d *Daemon) takeCold(now time.Time, t *tables, pool *routing.Pool, x *fleet.Target) {
+// countCold counts a request that goes to a target, if that is cold.
+func (d *Daemon) countCold(now time.Time, t *tables, pool *routing.Pool, x *fleet.Target) {
 	if cold(now, pool, x) {
 		t.gate.Take(now, placement.Hash(x.ID))
 	}
 }
 
-// heldBack counts the targets that would take a request if they were not cold.
-func (d *Daemon) heldBack(now time.Time, t *tables, ask deliver.PlacementRequest) int {
+// countColdExcluded counts the targets that would take a request if they were not cold.
+func (d *Daemon) countColdExcluded(now time.Time, t *tables, ask deliver.PlacementRequest) int {
 	n := 0
 	for _, x := range t.fleet.Pool(ask.Job.Pool.Name) {
-		if x.Available(now) && !slices.Contains(ask.Attempted, x.ID) && d.overCold(now, t, ask.Job.Pool, x) {
+		if x.Available(now) && !slices.Contains(ask.Attempted, x.ID) && d.coldShareUsed(now, t, ask.Job.Pool, x) {
 			n++
 		}
 	}
--- a/entry/cold_test.go
+++ b/entry/cold_test.go
@@ -192,8 +192,8 @@
 	}
 }
 
-// TestColdTravels shows that boxes that live on a hub learn which targets are cold.
-func TestColdTravels(t *testing.T) {
+// TestColdInHubView shows that boxes that live on a hub learn which targets are cold.
+func TestColdInHubView(t *testing.T) {
 	hub, spoke := withCold(largeFleet("box-00"), 1, 1), largeFleet("box-05")
 	hub.tables.beginList()
 	spoke.applyHubEntries(start, &spoke.tables, hub.view(start.Add(time.Second), &hub.tables, changelog.Cursor{}).Entries)
--- a/entry/comeback.go
+++ b/entry/comeback.go
@@ -20,7 +20,7 @@
 
 // retryAfter says when a caller should return who was refused with a code.
 func (d *Daemon) retryAfter(code string, job *deliver.Job) time.Duration {
-	now, urgency := d.now(), urgencyOf(job)
+	now, urgency := d.now(), priorityOf(job)
 	switch code {
 	case "crowded", "warming":
 		return d.retryEstimator.MemoryFull(job.Route.Goal, urgency)
@@ -31,7 +31,7 @@
 	case "no_configuration":
 		return d.retryEstimator.DuringOutage(now, noConfiguration, urgency)
 	case "stale":
-		if d.openElsewhere(now) {
+		if d.otherBoxAdmits(now) {
 			return d.retryEstimator.Soon(urgency)
 		}
 		d.retryEstimator.Started(now, noProof)
@@ -42,25 +42,25 @@
 	return d.retryEstimator.Soon(urgency)
 }
 
-// returnAfter is comeBack where the cause may be one whose end is known.
-func (d *Daemon) returnAfter(now time.Time, t *tables, code string, job *deliver.Job) time.Duration {
+// retryAfterRefusal is comeBack where the cause may be one whose end is known.
+func (d *Daemon) retryAfterRefusal(now time.Time, t *tables, code string, job *deliver.Job) time.Duration {
 	if code == codeBackoff {
-		return d.retryEstimator.Ends(t.backoffLeft(now, job.Pool.Name), urgencyOf(job))
+		return d.retryEstimator.Ends(t.backoffLeft(now, job.Pool.Name), priorityOf(job))
 	}
 	return d.retryAfter(code, job)
 }
 
-// urgencyOf returns a job's rank, or the first rank if its route is not known.
-func urgencyOf(job *deliver.Job) int {
+// priorityOf returns a job's rank, or the first rank if its route is not known.
+func priorityOf(job *deliver.Job) int {
 	if job.Route == nil {
 		return 0
 	}
 	return routing.Priority(job.Route, job.Account)
 }
 
-// notePlace notes since when a pool has no target that takes work. That none is
+// notePlacement notes since when a pool has no target that takes work. That none is
 // left beside those that a request was sent to says nothing of the pool.
-func (d *Daemon) notePlace(now time.Time, ask deliver.PlacementRequest, refused *refusal.Refusal) {
+func (d *Daemon) notePlacement(now time.Time, ask deliver.PlacementRequest, refused *refusal.Refusal) {
 	pool := ask.Job.Pool.Name
 	switch {
 	case refused != nil && refused.Code == codeBackoff: // Neither: the end is known by itself.
@@ -98,10 +98,10 @@
 	}
 }
 
-// openElsewhere says that another box admits callers, so that one refused here
+// otherBoxAdmits says that another box admits callers, so that one refused here
 // finds it by returning at once: a box that refuses is not ready, and gets no new
 // connections.
-func (d *Daemon) openElsewhere(now time.Time) bool {
+func (d *Daemon) otherBoxAdmits(now time.Time) bool {
 	at := d.otherReadyAt.Load()
 	return at != nil && now.Sub(*at) < peerLoadTTL
 }
--- a/entry/comeback_test.go
+++ b/entry/comeback_test.go
@@ -11,9 +11,9 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// refusing is a box at a time that a test sets, whose draws are all zero: what it
+// boxWithClock is a box at a time that a test sets, whose draws are all zero: what it
 // tells callers is the least that it would.
-func refusing(now *time.Time) *Daemon {
+func boxWithClock(now *time.Time) *Daemon {
 	d := newDaemon("b1")
 	d.now = func() time.Time { return *now }
 	d.retryEstimator.Draw = func() float64 { return 0 }
@@ -23,8 +23,8 @@
 
 const soonest = 60 * time.Millisecond
 
-// TestComeBackByCause says when refused callers are told to return.
-func TestComeBackByCause(t *testing.T) {
+// TestRetryAfterByCause says when refused callers are told to return.
+func TestRetryAfterByCause(t *testing.T) {
 	tests := []struct {
 		name, code string
 		happen     func(d *Daemon)
@@ -34,42 +34,42 @@
 		{"turned away", "turned_away", func(*Daemon) {}, 0, soonest},
 		{"unreachable", "unreachable", func(*Daemon) {}, 0, soonest},
 		{"crowded: by the route's goal", "crowded", func(*Daemon) {}, 0, 120 * time.Millisecond},
-		{"no proof", "stale", stale, 1200 * time.Millisecond, 1200 * time.Millisecond},
+		{"no proof", "stale", refuseStale, 1200 * time.Millisecond, 1200 * time.Millisecond},
 		{"no proof, the first one refused", "stale", func(*Daemon) {}, 1200 * time.Millisecond, soonest},
 		{"no proof, and one again", "stale", func(d *Daemon) {
-			stale(d)
+			refuseStale(d)
 			d.update(start, operatorRead{start, Operator{}})
 		}, 1200 * time.Millisecond, soonest},
 		{"no proof, and an old one", "stale", func(d *Daemon) {
-			stale(d)
+			refuseStale(d)
 			d.update(start, operatorRead{start.Add(-time.Minute), Operator{}})
 		}, 1200 * time.Millisecond, 1200 * time.Millisecond},
 		{"no proof, another box admits callers", "stale", func(d *Daemon) {
-			stale(d)
+			refuseStale(d)
 			d.update(start.Add(500*time.Millisecond), peerRequest{peer.Message{Kind: peer.KindGossip, From: "b2"}, make(chan peer.Message, 1)})
 		}, 1200 * time.Millisecond, soonest},
 		{"no proof, another box answers that it admits callers", "stale", func(d *Daemon) {
-			stale(d)
+			refuseStale(d)
 			d.tables.members["b2"] = &member{}
 			d.update(start.Add(500*time.Millisecond), peerAnswered{name: "b2", m: peer.Message{Kind: peer.KindGossip}})
 		}, 1200 * time.Millisecond, soonest},
 		{"no proof, another box is shut as well", "stale", func(d *Daemon) {
-			stale(d)
+			refuseStale(d)
 			d.update(start.Add(500*time.Millisecond), peerRequest{peer.Message{Kind: peer.KindGossip, From: "b2", Stale: true}, make(chan peer.Message, 1)})
 		}, 1200 * time.Millisecond, 1200 * time.Millisecond},
 		{"no proof, another box admitted callers long ago", "stale", func(d *Daemon) {
-			stale(d)
+			refuseStale(d)
 			d.update(start, peerRequest{peer.Message{Kind: peer.KindGossip, From: "b2"}, make(chan peer.Message, 1)})
 		}, 1200 * time.Millisecond, 1200 * time.Millisecond},
-		{"no target for a while", "no_target", func(d *Daemon) { asked(d, start) }, 700 * time.Millisecond, 700 * time.Millisecond},
-		{"no target beside those tried", "no_target", func(d *Daemon) { asked(d, start, "a") }, 700 * time.Millisecond, soonest},
+		{"no target for a while", "no_target", func(d *Daemon) { placeOne(d, start) }, 700 * time.Millisecond, 700 * time.Millisecond},
+		{"no target beside those tried", "no_target", func(d *Daemon) { placeOne(d, start, "a") }, 700 * time.Millisecond, soonest},
 		{"no target, and one again", "no_target", func(d *Daemon) {
-			asked(d, start)
+			placeOne(d, start)
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
-			asked(d, start)
+			placeOne(d, start)
 		}, 700 * time.Millisecond, soonest},
 		{"no target, and one again by a hub", "no_target", func(d *Daemon) {
-			asked(d, start)
+			placeOne(d, start)
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 			d.acceptHubPlace(start, &d.tables, deliver.PlacementRequest{Job: job("short", 10)}, &peer.PlacementResponse{Target: "a"})
 		}, 700 * time.Millisecond, soonest},
@@ -80,7 +80,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			now := start
-			d := refusing(&now)
+			d := boxWithClock(&now)
 			tt.happen(d)
 			now = start.Add(tt.passed)
 			j := job("short", 10)
@@ -92,15 +92,15 @@
 	}
 }
 
-// stale has a caller refused for want of a proof, of which the last is old.
-func stale(d *Daemon) {
+// refuseStale has a caller refused for want of a proof, of which the last is old.
+func refuseStale(d *Daemon) {
 	old := start.Add(-time.Minute)
 	d.provedAt.Store(&old)
 	d.retryAfter("stale", job("short", 10))
 }
 
-// asked asks for a place.
-func asked(d *Daemon, now time.Time, tried ...string) error {
+// placeOne asks for a place.
+func placeOne(d *Daemon, now time.Time, tried ...string) error {
 	_, err := d.place(now, &d.tables, deliver.PlacementRequest{Job: job("short", 10), Attempted: tried})
 	return err
 }
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestTellsWhetherShut shows that a box tells others that it refuses callers.
-func TestTellsWhetherShut(t *testing.T) {
+// TestGossipsWhetherStale shows that a box tells others that it refuses callers.
+func TestGossipsWhetherStale(t *testing.T) {
 	tests := []struct {
 		name   string
 		after  time.Duration
@@ -133,7 +133,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			now := start
-			d := refusing(&now)
+			d := boxWithClock(&now)
 			now = start.Add(tt.after)
 			reply := make(chan peer.Message, 1)
 			d.update(now, peerRequest{peer.Message{Kind: peer.KindGossip, From: "b2", Stale: true}, reply})
@@ -151,16 +151,16 @@
 	}
 }
 
-// TestRefusedPlaceComesBack shows that the time goes out with the refusal.
-func TestRefusedPlaceComesBack(t *testing.T) {
+// TestRefusalHasRetryAfter shows that the time goes out with the refusal.
+func TestRefusalHasRetryAfter(t *testing.T) {
 	now := start
-	d := refusing(&now)
-	err := asked(d, now)
+	d := boxWithClock(&now)
+	err := placeOne(d, now)
 	if got := refusal.Of(err, "", 0); got.Code != "no_target" || got.RetryAfter != soonest {
 		t.Errorf("refused %+v", got)
 	}
 	now = now.Add(time.Second)
-	if got := refusal.Of(asked(d, now), "", 0); got.RetryAfter != time.Second {
+	if got := refusal.Of(placeOne(d, now), "", 0); got.RetryAfter != time.Second {
 		t.Errorf("refused %+v", got)
 	}
 }
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -29,28 +29,28 @@
 	if life.StartedAt.IsZero() {
 		return life.ID
 	}
-	return life.ID + lifeMark + strconv.FormatInt(unixMS(life.StartedAt), 10)
+	return life.ID + incarnationMark + strconv.FormatInt(unixMS(life.StartedAt), 10)
 }
 
-// lifeMark stands between a target's ID and when its life began.
-const lifeMark = "@"
+// incarnationMark stands between a target's ID and when its life began.
+const incarnationMark = "@"
 
-// lifeID returns the target's ID.
-func lifeID(life string) string {
-	if at := strings.LastIndex(life, lifeMark); at >= 0 {
+// incarnationTarget returns the target's ID.
+func incarnationTarget(life string) string {
+	if at := strings.LastIndex(life, incarnationMark); at >= 0 {
 		return life[:at]
 	}
 	return life
 }
 
-// lifeOf names the life that a request was placed on.
-func lifeOf(p deliver.Placement) string {
+// placementIncarnation names the life that a request was placed on.
+func placementIncarnation(p deliver.Placement) string {
 	return incarnationKey(fleet.Incarnation{ID: p.Target, StartedAt: p.StartedAt})
 }
 
 // recordLiveness takes from a request's end whether its target lives.
 func (d *Daemon) recordLiveness(now time.Time, t *tables, m attemptEnded) {
-	life := lifeOf(m.Place)
+	life := placementIncarnation(m.Place)
 	if m.Began || m.Verdict == deliver.DidNotRun || m.Verdict == deliver.OtherVersion {
 		t.crashes.Alive(life, m.Place.PlacedAt)
 	}
@@ -59,14 +59,14 @@
 	case m.ConnectionRefused:
 		d.incarnationEnded(now, t, life, "its address refuses connections")
 	case m.Answered:
-		d.answered(now, t, m.Job)
+		d.clearAnswered(now, t, m.Job)
 	case m.CutOff:
 		over = t.crashes.CutOff(now, life, m.Job.Fingerprint())
 	case m.CallerLeft:
 		over = t.crashes.CallerLeft(now, life, m.Job.Fingerprint())
 	}
 	if over {
-		d.reportEnded(now, t, life, []fingerprint.Sum{m.Job.Fingerprint()}, "known before")
+		d.reportCrash(now, t, life, []fingerprint.Sum{m.Job.Fingerprint()}, "known before")
 	}
 }
 
@@ -78,31 +78,31 @@
 		return
 	}
 	d.metrics.endedTargets.Inc()
-	d.reportEnded(now, t, life, sums, foundBy)
+	d.reportCrash(now, t, life, sums, foundBy)
 }
 
-// lifeOver takes over that another box found a target's life to be over: that bears out
+// receiveIncarnationEnded takes over that another box found a target's life to be over: that bears out
 // this box's own doubts, and is told on to boxes that hear of it from here only. A box whose
 // caller left asks the target nothing, and would know by the list alone, 4 s later.
-func (d *Daemon) lifeOver(now time.Time, t *tables, life, from string) {
-	if _, known := t.endedIncarnations[life]; known || len(t.endedIncarnations) >= overMost {
+func (d *Daemon) receiveIncarnationEnded(now time.Time, t *tables, life, from string) {
+	if _, known := t.endedIncarnations[life]; known || len(t.endedIncarnations) >= maxEndedIncarnations {
 		return
 	}
 	t.endedIncarnations[life] = now
 	d.incarnationEnded(now, t, life, from)
 }
 
-// overMost bounds the lives that other boxes found to be over.
-const overMost = 256
+// maxEndedIncarnations bounds the lives that other boxes found to be over.
+const maxEndedIncarnations = 256
 
 // expireEnded forgets them.
 func (t *tables) expireEnded(now time.Time) {
 	maps.DeleteFunc(t.endedIncarnations, func(_ string, at time.Time) bool { return now.Sub(at) > crash.RememberFor })
 }
 
-// reportEnded counts requests that ran on a target when it ended, and has the other boxes
+// reportCrash counts requests that ran on a target when it ended, and has the other boxes
 // told.
-func (d *Daemon) reportEnded(now time.Time, t *tables, life string, sums []fingerprint.Sum, foundBy string) {
+func (d *Daemon) reportCrash(now time.Time, t *tables, life string, sums []fingerprint.Sum, foundBy string) {
 	d.Log.Warn("target ended under requests", "target", life, "requests", len(sums), "found_by", foundBy)
 	for _, sum := range sums {
 		d.blameRequest(now, t, life, sum, d.Settings.Name)
@@ -125,11 +125,11 @@
 func (d *Daemon) probeSuspects(now time.Time, t *tables) []effect {
 	var effects []effect
 	for _, life := range t.crashes.Due(now) {
-		x := t.fleet.Target(lifeID(life))
+		x := t.fleet.Target(incarnationTarget(life))
 		if x == nil || incarnationKey(x.Incarnation()) != life || t.watched[x.ID] != nil || t.probing[x.ID] {
 			continue
 		}
-		if p, ok := d.examination(now, t, x); ok {
+		if p, ok := d.probeFor(now, t, x); ok {
 			t.probing[x.ID] = true
 			effects = append(effects, p)
 		}
@@ -137,8 +137,8 @@
 	return effects
 }
 
-// examination is how a target is asked whether it lives; false if it can't be.
-func (d *Daemon) examination(now time.Time, t *tables, x *fleet.Target) (probe, bool) {
+// probeFor is how a target is asked whether it lives; false if it can't be.
+func (d *Daemon) probeFor(now time.Time, t *tables, x *fleet.Target) (probe, bool) {
 	table := d.current.Load()
 	if table == nil || table.Pools[x.Pool] == nil {
 		return probe{}, false
@@ -159,7 +159,7 @@
 func (d *Daemon) ask(ctx context.Context, p probe) error {
 	if !p.engine {
 		said, err := d.Platform.Healthy(ctx, p.at, p.path, p.target)
-		d.heed(p.asked, p.life, said, "its health")
+		d.recordSignals(p.asked, p.life, said, "its health")
 		return err
 	}
 	report, err := d.Platform.Report(ctx, p.at)
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -58,8 +58,8 @@
 
 func answersAt(ms int, target string) message { return answerBegan{placeAt(ms, target)} }
 
-// code returns the code with which a request is refused a place at once, or an empty text.
-func code(d *Daemon, at time.Time, j *deliver.Job) string {
+// placeCode returns the code with which a request is refused a place at once, or an empty text.
+func placeCode(d *Daemon, at time.Time, j *deliver.Job) string {
 	reply := make(chan placeAnswer, 1)
 	d.placementRequested(at, &d.tables, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: j}, reply: reply})
 	select {
@@ -135,35 +135,35 @@
 			later := start.Add(10 * time.Second)
 			d.tables.crashes.Expire(later)
 			d.update(later, operatorRead{later, Operator{}})
-			if got := code(d, later, jobWithBody("same")) == codeQuarantined; got != tt.want {
+			if got := placeCode(d, later, jobWithBody("same")) == codeQuarantined; got != tt.want {
 				t.Errorf("refused: %v, want %v", got, tt.want)
 			}
-			if got := code(d, later, jobWithBody("another")); got == codeQuarantined {
+			if got := placeCode(d, later, jobWithBody("another")); got == codeQuarantined {
 				t.Error("another request is refused")
 			}
 		})
 	}
 }
 
-// TestDoubtedCount refuses a request at once while three targets may have ended under it,
+// TestSuspectedCrashesCount refuses a request at once while three targets may have ended under it,
 // and serves it again once one of them is heard.
-func TestDoubtedCount(t *testing.T) {
+func TestSuspectedCrashesCount(t *testing.T) {
 	d := engines("b1")
 	for i := range quarantine.Threshold {
 		d.update(start, cutOff(fmt.Sprintf("e%d", i), "same"))
 	}
-	if got := code(d, start, jobWithBody("same")); got != codeQuarantined {
+	if got := placeCode(d, start, jobWithBody("same")); got != codeQuarantined {
 		t.Errorf("refused with %q", got)
 	}
 	d.update(start, answersAt(1, "e1"))
-	if got := code(d, start, jobWithBody("same")); got == codeQuarantined {
+	if got := placeCode(d, start, jobWithBody("same")); got == codeQuarantined {
 		t.Error("refused though one of the targets lives")
 	}
 }
 
-// TestMerelyRan has requests run on target after target as these end, and be answered now
+// TestBystanderIsServed has requests run on target after target as these end, and be answered now
 // and then: they are served on.
-func TestMerelyRan(t *testing.T) {
+func TestBystanderIsServed(t *testing.T) {
 	d := engines("b1")
 	for i := range 30 {
 		target := fmt.Sprintf("e%d", i%8)
@@ -172,24 +172,24 @@
 		if i%2 == 1 {
 			d.update(start, attemptEnded{deliver.AttemptResult{Place: placeAt(1, "e7"), Job: jobWithBody("bystander"), Began: true, Answered: true}})
 		}
-		if got := code(d, start, jobWithBody("bystander")); got == codeQuarantined {
+		if got := placeCode(d, start, jobWithBody("bystander")); got == codeQuarantined {
 			t.Fatalf("refused after %d targets", i+1)
 		}
 	}
 }
 
-// TestCallerLeaves holds a target's end against a request whose caller left right before.
-func TestCallerLeaves(t *testing.T) {
+// TestCallerLeavesBeforeCrash holds a target's end against a request whose caller left right before.
+func TestCallerLeavesBeforeCrash(t *testing.T) {
 	d := engines("b1")
 	for i := range quarantine.Threshold {
 		target := fmt.Sprintf("e%d", i)
 		d.update(start, attemptEnded{deliver.AttemptResult{Place: placeAt(0, target), Job: jobWithBody("same"), CallerLeft: true}})
-		if got := code(d, start, jobWithBody("same")); got == codeQuarantined {
+		if got := placeCode(d, start, jobWithBody("same")); got == codeQuarantined {
 			t.Fatal("refused as callers left")
 		}
 		d.update(start, refusesDial(target))
 	}
-	if got := code(d, start, jobWithBody("same")); got != codeQuarantined {
+	if got := placeCode(d, start, jobWithBody("same")); got != codeQuarantined {
 		t.Errorf("refused with %q", got)
 	}
 }
@@ -202,14 +202,14 @@
 		t.Fatalf("%d effects", len(effects))
 	}
 	e := effects[0].(writeCrashes)
-	d.update(now, crashesWritten{lives: e.lives})
+	d.update(now, crashesWritten{incarnations: e.incarnations})
 	return e.tx.Put
 }
 
-// TestRowsTravel has three boxes find one target each that ended under a request, and a
+// TestCrashRowsReachAllBoxes has three boxes find one target each that ended under a request, and a
 // fourth one refuse it by their rows alone; so does each of them, and one of them when it
 // has started anew.
-func TestRowsTravel(t *testing.T) {
+func TestCrashRowsReachAllBoxes(t *testing.T) {
 	var boxes []*Daemon
 	var rows []table.Row
 	for i, name := range []string{"b1", "b2", "b3"} {
@@ -224,10 +224,10 @@
 	boxes = append(boxes, engines("b4"), engines("b1"))
 	for _, d := range boxes {
 		d.update(start, ownRead{OwnRows{Snapshot: true, Rows: rows}, true})
-		if got := code(d, start, jobWithBody("same")); got != codeQuarantined {
+		if got := placeCode(d, start, jobWithBody("same")); got != codeQuarantined {
 			t.Errorf("%s refuses with %q", d.Settings.Name, got)
 		}
-		if got := code(d, start, jobWithBody("bystander of b1")); got == codeQuarantined {
+		if got := placeCode(d, start, jobWithBody("bystander of b1")); got == codeQuarantined {
 			t.Errorf("%s refuses a request that merely ran there", d.Settings.Name)
 		}
 	}
@@ -237,9 +237,9 @@
 	}
 }
 
-// TestSpoiltRows has other writers' rows stand among the boxes' own.
-func TestSpoiltRows(t *testing.T) {
-	many, err := json.Marshal(crashRow{Sums: slices.Repeat([]string{jobWithBody("same").Fingerprint().String()}, crashSums+1)})
+// TestInvalidCrashRows has other writers' rows stand among the boxes' own.
+func TestInvalidCrashRows(t *testing.T) {
+	many, err := json.Marshal(crashRow{Fingerprints: slices.Repeat([]string{jobWithBody("same").Fingerprint().String()}, maxCrashFingerprints+1)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -253,9 +253,9 @@
 	}
 }
 
-// TestRowsAreWritten writes each row once, again after a failure, and never more than
+// TestCrashRowsAreWritten writes each row once, again after a failure, and never more than
 // there may be; rows of what is refused go last.
-func TestRowsAreWritten(t *testing.T) {
+func TestCrashRowsAreWritten(t *testing.T) {
 	d := engines("b1")
 	d.update(start, cutOff("e0", "same"))
 	d.update(start, refusesDial("e0"))
@@ -263,11 +263,11 @@
 	if again := d.reportCrashes(start, &d.tables); len(again) != 0 {
 		t.Error("two writes at once")
 	}
-	d.update(start, crashesWritten{lives: first.lives, err: errors.New("lost")})
-	if early := d.reportCrashes(start.Add(crashAgain-1), &d.tables); len(early) != 0 {
+	d.update(start, crashesWritten{incarnations: first.incarnations, err: errors.New("lost")})
+	if early := d.reportCrashes(start.Add(crashRetryDelay-1), &d.tables); len(early) != 0 {
 		t.Error("no pause after a failed write")
 	}
-	if rows := rowsOf(t, d, start.Add(crashAgain)); len(rows) != 1 || rows[0].Key != "ended/b1/e0" {
+	if rows := rowsOf(t, d, start.Add(crashRetryDelay)); len(rows) != 1 || rows[0].Key != "ended/b1/e0" {
 		t.Errorf("rows %v", rows)
 	}
 	now := start.Add(time.Second)
@@ -275,28 +275,28 @@
 		d.blameRequest(now, &d.tables, fmt.Sprint("x", i), jobWithBody("same").Fingerprint(), "b2")
 	}
 	gone := 0
-	for i := range 3 * crashRows {
+	for i := range 3 * maxCrashRows {
 		now = now.Add(time.Second)
-		d.reportEnded(now, &d.tables, fmt.Sprint("n", i), []fingerprint.Sum{{byte(i)}}, "test")
+		d.reportCrash(now, &d.tables, fmt.Sprint("n", i), []fingerprint.Sum{{byte(i)}}, "test")
 		e := d.reportCrashes(now, &d.tables)[0].(writeCrashes)
-		d.update(now, crashesWritten{lives: e.lives})
+		d.update(now, crashesWritten{incarnations: e.incarnations})
 		gone += len(e.tx.Delete)
 		if slices.Contains(e.tx.Delete, "ended/b1/e0") {
 			t.Error("the row of what is refused went before others")
 		}
 	}
-	if n := len(d.tables.reports.byIncarnation); n != crashRows || gone != 2*crashRows+1 {
+	if n := len(d.tables.reports.byIncarnation); n != maxCrashRows || gone != 2*maxCrashRows+1 {
 		t.Errorf("%d rows stand, %d went", n, gone)
 	}
 	late := d.reportCrashes(now.Add(quarantine.Retention+time.Second), &d.tables)[0].(writeCrashes)
-	if len(late.tx.Delete) != crashRows-1 || slices.Contains(late.tx.Delete, "ended/b1/e0") {
+	if len(late.tx.Delete) != maxCrashRows-1 || slices.Contains(late.tx.Delete, "ended/b1/e0") {
 		t.Errorf("an hour later %d rows go", len(late.tx.Delete))
 	}
 }
 
-// TestRefusedTravels has a box that lives on a hub refuse what the hub refuses, and serve
+// TestQuarantineInHubView has a box that lives on a hub refuse what the hub refuses, and serve
 // it again once another box has answered it.
-func TestRefusedTravels(t *testing.T) {
+func TestQuarantineInHubView(t *testing.T) {
 	hub, spoke := boxWithEngines("box-00"), boxWithEngines("box-05")
 	sum := jobWithBody("same").Fingerprint()
 	for i := range quarantine.Threshold {
@@ -307,7 +307,7 @@
 	}
 	answer := ask(start)
 	spoke.update(start, peerAnswered{"box-00", start, answer, nil})
-	if got := code(spoke, start, jobWithBody("same")); got != codeQuarantined {
+	if got := placeCode(spoke, start, jobWithBody("same")); got != codeQuarantined {
 		t.Errorf("refused with %q", got)
 	}
 	if again := ask(start); len(answer.View.Quarantined) != 1 || len(again.View.Quarantined) != 0 || again.View.QuarantineVersion != answer.View.QuarantineVersion {
@@ -315,13 +315,13 @@
 	}
 	hub.update(start, attemptEnded{deliver.AttemptResult{Place: placeAt(0, "a"), Job: jobWithBody("same"), Began: true, Answered: true}})
 	spoke.update(start, peerAnswered{"box-00", start, ask(start), nil})
-	if got := code(spoke, start, jobWithBody("same")); got == codeQuarantined {
+	if got := placeCode(spoke, start, jobWithBody("same")); got == codeQuarantined {
 		t.Error("refused though it was answered")
 	}
 }
 
-// TestEndedIsGossiped has boxes tell each other what they cannot write.
-func TestEndedIsGossiped(t *testing.T) {
+// TestCrashesAreGossiped has boxes tell each other what they cannot write.
+func TestCrashesAreGossiped(t *testing.T) {
 	b1, b2 := engines("b1"), engines("b2")
 	b2.tables.members["b1"] = &member{}
 	b1.update(start, cutOff("e0", "same"))
@@ -337,9 +337,9 @@
 	}
 }
 
-// TestOneFindsOut has one box find out that a target ended; another one, where a caller had
+// TestCrashReportBlamesEarlierRequest has one box find out that a target ended; another one, where a caller had
 // left a request there, holds that against the request, and its hub passes the news on.
-func TestOneFindsOut(t *testing.T) {
+func TestCrashReportBlamesEarlierRequest(t *testing.T) {
 	hub, spoke, finder := boxWithEngines("box-00"), boxWithEngines("box-05"), boxWithEngines("box-07")
 	spoke.update(start, attemptEnded{deliver.AttemptResult{Place: placeAt(0, "a"), Job: jobWithBody("same"), CallerLeft: true}})
 	finder.update(start, cutOff("a", "bystander"))
@@ -360,8 +360,8 @@
 	}
 }
 
-// TestExamine asks a target that cut a request off whether it lives, unless its news tell.
-func TestExamine(t *testing.T) {
+// TestProbeSuspects asks a target that cut a request off whether it lives, unless its news tell.
+func TestProbeSuspects(t *testing.T) {
 	tests := []struct {
 		name string
 		box  *Daemon
@@ -393,10 +393,10 @@
 	}
 }
 
-// TestLifeText names lives so that two of one ID differ.
-func TestLifeText(t *testing.T) {
+// TestIncarnationKey names lives so that two of one ID differ.
+func TestIncarnationKey(t *testing.T) {
 	plain, born := fleet.Incarnation{ID: "i-7f"}, fleet.Incarnation{ID: "i-7f", StartedAt: start}
-	if incarnationKey(plain) == incarnationKey(born) || lifeID(incarnationKey(plain)) != "i-7f" || lifeID(incarnationKey(born)) != "i-7f" || strings.Contains(incarnationKey(plain), lifeMark) {
+	if incarnationKey(plain) == incarnationKey(born) || incarnationTarget(incarnationKey(plain)) != "i-7f" || incarnationTarget(incarnationKey(born)) != "i-7f" || strings.Contains(incarnationKey(plain), incarnationMark) {
 		t.Errorf("%q and %q", incarnationKey(plain), incarnationKey(born))
 	}
 }
--- a/entry/crashrow.go
+++ b/entry/crashrow.go
@@ -20,18 +20,18 @@
 const crashPrefix = "ended/"
 
 const (
-	// crashRows bounds the rows of one box, crashSums the requests in each: an engine
+	// maxCrashRows bounds the rows of one box, crashSums the requests in each: an engine
 	// runs 128 at once.
-	crashRows = 32
-	crashSums = 256
-	// crashAgain is the pause after a write that failed. Boxes have 3 s to hear of what
+	maxCrashRows         = 32
+	maxCrashFingerprints = 256
+	// crashRetryDelay is the pause after a write that failed. Boxes have 3 s to hear of what
 	// is told there.
-	crashAgain = 300 * time.Millisecond
+	crashRetryDelay = 300 * time.Millisecond
 )
 
 // crashRow is the value of such a row.
 type crashRow struct {
-	Sums []string `json:"sums"`
+	Fingerprints []string `json:"sums"`
 	// AtMS is when the target ended, in Unix milliseconds, by which the row is dropped
 	// an hour later: seconds make no odds.
 	AtMS int64 `json:"at_ms"`
@@ -51,8 +51,8 @@
 
 // crashReport is one of them.
 type crashReport struct {
-	sums map[fingerprint.Sum]bool
-	at   time.Time
+	fingerprints map[fingerprint.Sum]bool
+	at           time.Time
 	// written says that the row stands as it is here.
 	written bool
 }
@@ -64,12 +64,12 @@
 	}
 	x := r.byIncarnation[life]
 	if x == nil {
-		x = &crashReport{sums: make(map[fingerprint.Sum]bool, len(sums)), at: now}
+		x = &crashReport{fingerprints: make(map[fingerprint.Sum]bool, len(sums)), at: now}
 		r.byIncarnation[life] = x
 	}
 	for _, sum := range sums {
-		if !x.sums[sum] && len(x.sums) < crashSums {
-			x.sums[sum], x.written = true, false
+		if !x.fingerprints[sum] && len(x.fingerprints) < maxCrashFingerprints {
+			x.fingerprints[sum], x.written = true, false
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	weight := make(map[string]int, len(r.byIncarnation))
 	for life, x := range r.byIncarnation {
 		lives = append(lives, life)
-		for sum := range x.sums {
+		for sum := range x.fingerprints {
 			if refused(sum) {
 				weight[life] = 1
 			}
@@ -90,7 +90,7 @@
 	slices.SortFunc(lives, func(a, b string) int {
 		return cmp.Or(cmp.Compare(weight[a], weight[b]), r.byIncarnation[a].at.Compare(r.byIncarnation[b].at))
 	})
-	many := max(len(lives)-crashRows, 0)
+	many := max(len(lives)-maxCrashRows, 0)
 	gone := slices.Clone(lives[:many])
 	for _, life := range lives[many:] {
 		if now.Sub(r.byIncarnation[life].at) > quarantine.Retention && weight[life] == 0 {
@@ -102,14 +102,14 @@
 
 // writeCrashes brings this box's rows into line.
 type writeCrashes struct {
-	tx    table.Transaction
-	lives []string
+	tx           table.Transaction
+	incarnations []string
 }
 
 // crashesWritten tells what came of it.
 type crashesWritten struct {
-	lives []string
-	err   error
+	incarnations []string
+	err          error
 }
 
 // reportCrashes has the rows written that changed, all in one call.
@@ -129,7 +129,7 @@
 	for life, x := range r.byIncarnation {
 		if !x.written {
 			x.written = true
-			e.lives = append(e.lives, life)
+			e.incarnations = append(e.incarnations, life)
 			e.tx.Put = append(e.tx.Put, table.Row{Key: d.crashKey(life), Value: x.encode()})
 		}
 	}
@@ -144,10 +144,10 @@
 
 func (x *crashReport) encode() []byte {
 	row := crashRow{AtMS: x.at.UnixMilli()}
-	for sum := range x.sums {
-		row.Sums = append(row.Sums, sum.String())
+	for sum := range x.fingerprints {
+		row.Fingerprints = append(row.Fingerprints, sum.String())
 	}
-	slices.Sort(row.Sums)
+	slices.Sort(row.Fingerprints)
 	value, err := json.Marshal(row)
 	if err != nil {
 		panic(err) // The row's own type always encodes.
@@ -156,7 +156,7 @@
 }
 
 func (d *Daemon) writeCrashes(ctx context.Context, e writeCrashes) crashesWritten {
-	return crashesWritten{e.lives, d.Platform.Commit(ctx, e.tx)}
+	return crashesWritten{e.incarnations, d.Platform.Commit(ctx, e.tx)}
 }
 
 // crashesWritten has what was not written, or may not have been, written again: the same
@@ -167,27 +167,27 @@
 	if m.err == nil {
 		return
 	}
-	d.Log.Warn("boxes were not told which requests ran on targets that ended; trying again", "targets", len(m.lives), "err", m.err)
-	r.retryAt = now.Add(crashAgain)
-	for _, life := range m.lives {
+	d.Log.Warn("boxes were not told which requests ran on targets that ended; trying again", "targets", len(m.incarnations), "err", m.err)
+	r.retryAt = now.Add(crashRetryDelay)
+	for _, life := range m.incarnations {
 		if x := r.byIncarnation[life]; x != nil {
 			x.written = false
 		}
 	}
 }
 
-// crashRead takes over a row of any box. One of this box's own was written before it
+// applyCrashRow takes over a row of any box. One of this box's own was written before it
 // started anew.
-func (d *Daemon) crashRead(now time.Time, t *tables, key string, value []byte) {
+func (d *Daemon) applyCrashRow(now time.Time, t *tables, key string, value []byte) {
 	box, life, ok := strings.Cut(key, "/")
 	var row crashRow
-	if err := json.Unmarshal(value, &row); !ok || err != nil || len(row.Sums) > crashSums {
-		d.Log.Error("a row of requests that ran on a target when it ended can't be read", "key", key, "requests", len(row.Sums), "err", err)
+	if err := json.Unmarshal(value, &row); !ok || err != nil || len(row.Fingerprints) > maxCrashFingerprints {
+		d.Log.Error("a row of requests that ran on a target when it ended can't be read", "key", key, "requests", len(row.Fingerprints), "err", err)
 		return
 	}
-	d.lifeOver(now, t, life, box)
+	d.receiveIncarnationEnded(now, t, life, box)
 	var sums []fingerprint.Sum
-	for _, text := range row.Sums {
+	for _, text := range row.Fingerprints {
 		sum, ok := fingerprint.Parse(text)
 		if !ok {
 			d.Log.Error("a row holds what is no fingerprint", "key", key, "text", text)
@@ -215,7 +215,7 @@
 			continue
 		}
 		told := peer.CrashReport{Incarnation: life}
-		for sum := range x.sums {
+		for sum := range x.fingerprints {
 			told.Fingerprints = append(told.Fingerprints, sum)
 		}
 		list = append(list, told)
@@ -232,8 +232,8 @@
 // these ended, and of such that were answered after all.
 func (d *Daemon) receiveQuarantine(now time.Time, t *tables, m peer.Message) {
 	for _, told := range m.CrashReports {
-		d.lifeOver(now, t, told.Incarnation, m.From)
-		for _, sum := range told.Fingerprints[:min(len(told.Fingerprints), crashSums)] {
+		d.receiveIncarnationEnded(now, t, told.Incarnation, m.From)
+		for _, sum := range told.Fingerprints[:min(len(told.Fingerprints), maxCrashFingerprints)] {
 			d.blameRequest(now, t, told.Incarnation, sum, m.From)
 		}
 	}
--- a/entry/free.go
+++ b/entry/free.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// freeFor is how long a store may take to act on the order.
-	freeFor = time.Second
-	// freeAtOnce bounds the parts in one order.
-	freeAtOnce = 200
-	// freeMost is how often clearing the stores is tried for one version, and
+	// freeTimeout is how long a store may take to act on the order.
+	freeTimeout = time.Second
+	// freeBatch bounds the parts in one order.
+	freeBatch = 200
+	// maxFreeAttempts is how often clearing the stores is tried for one version, and
 	// freePause the time between: a store that is down comes back empty.
-	freeMost  = 3
-	freePause = time.Second
+	maxFreeAttempts = 3
+	freeRetryDelay  = time.Second
 )
 
 // Part names a kept part under its scope.
@@ -27,15 +27,15 @@
 	Scope, ID string
 }
 
-// toFree says that stores may still keep parts made on older weights.
-func (w *modelRollout) toFree(t *tables) bool {
+// hasStaleParts says that stores may still keep parts made on older weights.
+func (w *modelRollout) hasStaleParts(t *tables) bool {
 	return t.ownRowsKnown && len(t.stores) > 0 && w.clearing.Floor() > 1 && w.freed < w.clearing.Floor()
 }
 
-// freeOld clears the stores of parts made on older weights, once no fetch of
+// freeStale clears the stores of parts made on older weights, once no fetch of
 // them can be under way. Only the lease's holder does.
-func (d *Daemon) freeOld(now time.Time, t *tables, model string, w *modelRollout) []effect {
-	if w.freeing || !w.toFree(t) || !t.clockKnown || t.tableServiceDown || now.Before(w.freeRetryAt) {
+func (d *Daemon) freeStale(now time.Time, t *tables, model string, w *modelRollout) []effect {
+	if w.freeing || !w.hasStaleParts(t) || !t.clockKnown || t.tableServiceDown || now.Before(w.freeRetryAt) {
 		return nil
 	}
 	version := d.freeableBelow(now, w)
@@ -47,7 +47,7 @@
 	for _, s := range t.stores {
 		stores = append(stores, s.Address)
 	}
-	return []effect{freeParts{model, version, stores, d.uptime(now) + t.clock + freeFor}}
+	return []effect{freeParts{model, version, stores, d.uptime(now) + t.clock + freeTimeout}}
 }
 
 // free clears each store; it returns the errors of those that it could not.
@@ -72,9 +72,9 @@
 			old = append(old, Part{c.Scope, c.Part})
 		}
 	}
-	for some := range slices.Chunk(old, freeAtOnce) {
+	for some := range slices.Chunk(old, freeBatch) {
 		if _, _, held := d.lease.Held(); !held {
-			return errNotHeld
+			return errLeaseNotHeld
 		}
 		if err := d.Platform.FreeCache(ctx, at, news.Epoch, e.until, some); err != nil {
 			return err
@@ -100,9 +100,9 @@
 	w.freeing = false
 	if m.err != nil {
 		w.freeAttempts++
-		w.freeRetryAt = now.Add(freePause)
+		w.freeRetryAt = now.Add(freeRetryDelay)
 		d.Log.Warn("a store was not cleared of older parts", "model", m.model, "version", m.version, "tries", w.freeAttempts, "err", m.err)
-		if w.freeAttempts < freeMost {
+		if w.freeAttempts < maxFreeAttempts {
 			return nil
 		}
 	}
@@ -112,5 +112,5 @@
 	if !held || w.announcing {
 		return nil
 	}
-	return []effect{d.tellRollout(now, t, m.model, w, epoch)}
+	return []effect{d.announceRollout(now, t, m.model, w, epoch)}
 }
--- a/entry/free_test.go
+++ b/entry/free_test.go
@@ -52,7 +52,7 @@
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 2), engine("b", 2)}}, false})
 			w.clearing.SetFloor(start.Add(10*time.Second), 2)
 			tt.change(d, start.Add(later-time.Second))
-			if effects := d.freeOld(start.Add(tt.after), &d.tables, "m", w); (len(effects) > 0) != tt.frees {
+			if effects := d.freeStale(start.Add(tt.after), &d.tables, "m", w); (len(effects) > 0) != tt.frees {
 				t.Errorf("effects %v, want some: %v", effects, tt.frees)
 			}
 		})
@@ -98,13 +98,13 @@
 func TestFreedAgain(t *testing.T) {
 	d := newDaemon("b1")
 	w := d.tables.rolloutOf("m")
-	for try := 1; try <= freeMost; try++ {
+	for try := 1; try <= maxFreeAttempts; try++ {
 		w.freeing = true
 		d.update(start, staleFreed{"m", 2, errors.New("no answer")})
 		if w.freeing {
 			t.Fatal("the next try never comes")
 		}
-		if done := w.freed == 2; done != (try == freeMost) {
+		if done := w.freed == 2; done != (try == maxFreeAttempts) {
 			t.Errorf("after %d failures: given up %v", try, done)
 		}
 	}
@@ -150,21 +150,21 @@
 		steps   func(d *Daemon)
 		fetched int
 	}{
-		{"listed before the naming", func(d *Daemon) { list(d, 1); nameVersion(d, 2) }, 500},
-		{"came in behind", func(d *Daemon) { nameVersion(d, 2); list(d, 1) }, 0},
-		{"went and came back behind", func(d *Daemon) { list(d, 1); nameVersion(d, 2); listNone(d); list(d, 1) }, 0},
-		{"came in on the newest", func(d *Daemon) { nameVersion(d, 1); list(d, 1) }, 500},
+		{"listed before the naming", func(d *Daemon) { listEngine(d, 1); nameVersion(d, 2) }, 500},
+		{"came in behind", func(d *Daemon) { nameVersion(d, 2); listEngine(d, 1) }, 0},
+		{"went and came back behind", func(d *Daemon) { listEngine(d, 1); nameVersion(d, 2); listNoEngine(d); listEngine(d, 1) }, 0},
+		{"came in on the newest", func(d *Daemon) { nameVersion(d, 1); listEngine(d, 1) }, 500},
 		{"came in behind and loaded, before the next naming", func(d *Daemon) {
 			nameVersion(d, 1)
-			list(d, 0)
-			list(d, 1)
+			listEngine(d, 0)
+			listEngine(d, 1)
 			nameVersion(d, 2)
 		}, 500},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d, prompt := spokeWithStore()
-			listNone(d)
+			listNoEngine(d)
 			tt.steps(d)
 			d.reconcileSources(start.Add(hublessAfter+time.Millisecond), &d.tables)
 			d.update(start, cacheEventsRead{source: "s", events: CacheEvents{Epoch: 1, Changes: []CacheEvent{{Cached: true, Scope: "m@1", Part: "p", Tokens: 500}}}})
@@ -176,11 +176,11 @@
 	}
 }
 
-func list(d *Daemon, version int64) {
+func listEngine(d *Daemon, version int64) {
 	d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("x", version)}}, false})
 }
 
-func listNone(d *Daemon) {
+func listNoEngine(d *Daemon) {
 	d.update(start, targetsRead{start, Targets{Snapshot: true}, false})
 }
 
--- a/entry/inuse.go
+++ b/entry/inuse.go
@@ -18,19 +18,19 @@
 // same ones, and bring weights to all engines, in use or not.
 
 const (
-	// refreshEvery is the least time between two looks at which engines are in use: while a
+	// refreshInterval is the least time between two looks at which engines are in use: while a
 	// list of 10,000 comes in parts, each costs some milliseconds.
-	refreshEvery = 250 * time.Millisecond
-	// comesFor is how long after an engine came into use boxes may not have been told of it;
+	refreshInterval = 250 * time.Millisecond
+	// recentEntryFor is how long after an engine came into use boxes may not have been told of it;
 	// a hub that places a request there tells of it in its answer.
-	comesFor = 2 * time.Second
-	// steadyFor is how long a pool must not have grown by more than one in steadyGrowth for its
+	recentEntryFor = 2 * time.Second
+	// stableFor is how long a pool must not have grown by more than one in steadyGrowth for its
 	// engines to be followed, steadyMost when they are in any case. While 10,000 engines
 	// come one after the other, the first of their order change all the time, and each costs
 	// every hub a connection.
-	steadyFor    = 1500 * time.Millisecond
-	steadyMost   = 20 * time.Second
-	steadyGrowth = 100
+	stableFor    = 1500 * time.Millisecond
+	maxUnstable  = 20 * time.Second
+	stableGrowth = 100
 )
 
 // inUse are the engines of one pool that are in use.
@@ -40,41 +40,41 @@
 	// the whole pool is in use.
 	members []*fleet.Target
 	since   map[string]time.Time
-	// known is how many engines the pool had last, began when it first had any, grew when it
+	// lastSize is how many engines the pool had last, began when it first had any, grew when it
 	// last grew. followed says that those in use of a large pool are followed.
-	known       int
-	began, grew time.Time
-	followed    bool
+	lastSize          int
+	startedAt, grewAt time.Time
+	watched           bool
 }
 
-// steady says that the engines in use may be followed, as they will mostly stay the same.
-func (u *inUse) steady(now time.Time) bool {
-	if u.members == nil && u.known <= u.set.Size()/2 {
+// stable says that the engines in use may be followed, as they will mostly stay the same.
+func (u *inUse) stable(now time.Time) bool {
+	if u.members == nil && u.lastSize <= u.set.Size()/2 {
 		return true // A small pool's engines stay in use as it grows.
 	}
-	u.followed = u.followed || now.Sub(u.grew) >= steadyFor || now.Sub(u.began) >= steadyMost
-	return u.followed
+	u.watched = u.watched || now.Sub(u.grewAt) >= stableFor || now.Sub(u.startedAt) >= maxUnstable
+	return u.watched
 }
 
-// see notes how many engines a pool has.
-func (u *inUse) see(now time.Time, engines int) {
-	if u.began.IsZero() {
-		u.began = now
+// observe notes how many engines a pool has.
+func (u *inUse) observe(now time.Time, engines int) {
+	if u.startedAt.IsZero() {
+		u.startedAt = now
 	}
-	if engines > u.known+u.known/steadyGrowth {
-		u.grew = now
+	if engines > u.lastSize+u.lastSize/stableGrowth {
+		u.grewAt = now
 	}
-	u.known = engines
+	u.lastSize = engines
 }
 
 // stable says that a pool's engines may be followed.
 func (t *tables) stable(now time.Time, pool string) bool {
 	u := t.inUse[pool]
-	return u == nil || u.steady(now)
+	return u == nil || u.stable(now)
 }
 
-// unsteady says that some pool's engines are not followed yet.
-func (t *tables) unsteady(now time.Time) bool {
+// unstable says that some pool's engines are not followed yet.
+func (t *tables) unstable(now time.Time) bool {
 	for pool := range t.inUse {
 		if !t.stable(now, pool) {
 			return true
@@ -92,8 +92,8 @@
 	return t.fleet.Pool(pool)
 }
 
-// tells says that boxes that take this one's view are told of a target.
-func (t *tables) tells(x *fleet.Target) bool {
+// advertises says that boxes that take this one's view are told of a target.
+func (t *tables) advertises(x *fleet.Target) bool {
 	u := t.inUse[x.Pool]
 	if u == nil || u.members == nil {
 		return true
@@ -121,7 +121,7 @@
 	due := !now.Before(t.due.refresh)
 	if due {
 		t.refreshedList = t.listVersion
-		t.due.refresh = now.Add(refreshEvery)
+		t.due.refresh = now.Add(refreshInterval)
 	}
 	for name, pool := range table.Pools {
 		if pool.Engine != nil && (due || t.outgrown(name)) {
@@ -148,7 +148,7 @@
 	if len(all) > u.set.Size() {
 		u.members = u.set.Members(all, func(x *fleet.Target) bool { return x.Available(now) })
 	}
-	u.see(now, len(all))
+	u.observe(now, len(all))
 	for _, x := range t.engines(pool) {
 		at, used := before[x.ID]
 		if !used {
@@ -188,7 +188,7 @@
 		if pool == nil || pool.Engine == nil || pool.Engine.Capacity <= 0 || u.members == nil {
 			continue
 		}
-		share := d.takenUp(now, t, u.members, pool.Engine.Capacity)
+		share := d.memoryUse(now, t, u.members, pool.Engine.Capacity)
 		if u.set.Resize(now, share, len(u.members) == len(t.fleet.Pool(name))) {
 			d.Log.Info("pool uses another number of engines", "pool", name, "now", u.set.Size(), "taken_up", share)
 			d.refreshPool(now, t, name)
@@ -196,8 +196,8 @@
 	}
 }
 
-// takenUp is the share of engines' memory that all boxes' requests take up.
-func (d *Daemon) takenUp(now time.Time, t *tables, engines []*fleet.Target, capacity int) float64 {
+// memoryUse is the share of engines' memory that all boxes' requests take up.
+func (d *Daemon) memoryUse(now time.Time, t *tables, engines []*fleet.Target, capacity int) float64 {
 	sum := 0
 	for _, x := range engines {
 		tokens, _ := d.load(now, t, x)
@@ -213,7 +213,7 @@
 		return
 	}
 	t.listVersion++
-	if x := t.fleet.Target(id); x != nil && t.tells(x) {
+	if x := t.fleet.Target(id); x != nil && t.advertises(x) {
 		t.changes.Touch(id)
 	}
 }
--- a/entry/inuse_test.go
+++ b/entry/inuse_test.go
@@ -108,9 +108,9 @@
 	}
 }
 
-// TestComeOneByOne has 3,000 engines come into the list within 6 s, as when all start at once: a
+// TestGradualArrival has 3,000 engines come into the list within 6 s, as when all start at once: a
 // hub follows those in use in the end soon after, and half as many more at most before.
-func TestComeOneByOne(t *testing.T) {
+func TestGradualArrival(t *testing.T) {
 	t.Parallel()
 	const engines, part = 3000, 50
 	w := manyEngines(30, 0)
--- a/entry/load.go
+++ b/entry/load.go
@@ -14,7 +14,7 @@
 // gossipLoads is what this box tells of: its own requests, and in a large fleet those
 // of the boxes that tell it.
 func (d *Daemon) gossipLoads(now time.Time, t *tables) []peer.TargetLoad {
-	own := t.ownShares(now)
+	own := t.ownLoads(now)
 	if !t.usesHubs() || d.spoke.Load() {
 		return own
 	}
@@ -25,9 +25,9 @@
 	return slices.Collect(maps.Values(sum))
 }
 
-// ownShares lists what this box's requests take up, and how long the moves took
+// ownLoads lists what this box's requests take up, and how long the moves took
 // that they waited for.
-func (t *tables) ownShares(now time.Time) []peer.TargetLoad {
+func (t *tables) ownLoads(now time.Time) []peer.TargetLoad {
 	var list []peer.TargetLoad
 	t.pace.Each(now, func(source uint64, asked, took time.Duration) {
 		list = append(list, peer.TargetLoad{Target: source, ExpectedMS: int(asked.Milliseconds()), ActualMS: int(took.Milliseconds())})
@@ -71,9 +71,9 @@
 	return others.Tokens + x.Tokens, unread + others.PrefillBacklog
 }
 
-// scatter is by how much first events miss the time reckoned for them, as a rule.
+// firstTokenJitter is by how much first events miss the time reckoned for them, as a rule.
 // A prompt counts as overdue beyond that.
-const scatter = 60 * time.Millisecond
+const firstTokenJitter = 60 * time.Millisecond
 
 // countSent counts a request at its target, and notes when the target should have read
 // its prompt.
@@ -85,7 +85,7 @@
 		return
 	}
 	base, token := t.pace.Prefill()
-	due := now.Add(base + time.Duration(p.PrefillBacklog+p.PrefillTokens)*token + scatter)
+	due := now.Add(base + time.Duration(p.PrefillBacklog+p.PrefillTokens)*token + firstTokenJitter)
 	for _, m := range p.Transfers {
 		due = due.Add(m.Expected)
 	}
--- a/entry/loading.go
+++ b/entry/loading.go
@@ -15,9 +15,9 @@
 // refused for want of memory in place of 5. The questions are 3,000 small calls a day
 // of two rollouts, ten hubs and 99 engines.
 
-// loadUsual is after what time a target that is to load is first asked. The
+// firstLoadPoll is after what time a target that is to load is first asked. The
 // platform's loads take 1.3 s if few enough targets load at once.
-const loadUsual = 1300 * time.Millisecond
+const firstLoadPoll = 1300 * time.Millisecond
 
 // pollLoaded asks a target whether it has loaded.
 type pollLoaded struct {
@@ -61,7 +61,7 @@
 		return
 	}
 	if m.err != nil || m.report.Busy {
-		t.loading[m.target] = now.Add(loadLook)
+		t.loading[m.target] = now.Add(loadPollInterval)
 		return
 	}
 	delete(t.loading, m.target)
--- a/entry/loading_test.go
+++ b/entry/loading_test.go
@@ -8,10 +8,10 @@
 	"github.com/thymewind/thymewind/fleet"
 )
 
-// TestLoadedTargetsAreFound has the box that gives orders announce a load and say
+// TestLoadingTargetsArePolled has the box that gives orders announce a load and say
 // nothing more. The target is asked, and takes work as soon as it does not load.
-func TestLoadedTargetsAreFound(t *testing.T) {
-	look := start.Add(loadUsual)
+func TestLoadingTargetsArePolled(t *testing.T) {
+	look := start.Add(firstLoadPoll)
 	tests := []struct {
 		name    string
 		report  Report
@@ -29,7 +29,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
-			d.rolloutRead(start, &d.tables, "m", []byte(`{"epoch":1,"version":2,"loading":["a"]}`))
+			d.applyRolloutRow(start, &d.tables, "m", []byte(`{"epoch":1,"version":2,"loading":["a"]}`))
 			if n := len(d.pollLoading(look.Add(-time.Millisecond), &d.tables)); n != 0 {
 				t.Fatalf("asked %d times before a load can be over", n)
 			}
@@ -41,27 +41,27 @@
 			if x.Loading(look) == tt.takes || x.Versions["m"] != tt.version {
 				t.Errorf("loads %v, version %d", x.Loading(look), x.Versions["m"])
 			}
-			if again := len(d.pollLoading(look.Add(loadLook), &d.tables)) == 1; again != tt.asked {
+			if again := len(d.pollLoading(look.Add(loadPollInterval), &d.tables)) == 1; again != tt.asked {
 				t.Errorf("asked again %v", again)
 			}
 		})
 	}
 }
 
-// TestOneQuestionAtATime shows that a target whose answer is awaited is not asked
+// TestOnePollAtATime shows that a target whose answer is awaited is not asked
 // again, and that boxes which live on hubs ask none.
-func TestOneQuestionAtATime(t *testing.T) {
-	later := start.Add(2 * loadUsual)
+func TestOnePollAtATime(t *testing.T) {
+	later := start.Add(2 * firstLoadPoll)
 	d := newDaemon("b1")
 	d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
-	d.rolloutRead(start, &d.tables, "m", []byte(`{"epoch":1,"version":2,"loading":["a"]}`))
+	d.applyRolloutRow(start, &d.tables, "m", []byte(`{"epoch":1,"version":2,"loading":["a"]}`))
 	if first, again := len(d.pollLoading(later, &d.tables)), len(d.pollLoading(later, &d.tables)); first != 1 || again != 0 {
 		t.Errorf("asked %d times, then %d", first, again)
 	}
 	spoke := newDaemon("b2")
 	spoke.spoke.Store(true)
 	spoke.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
-	spoke.rolloutRead(start, &spoke.tables, "m", []byte(`{"epoch":1,"version":2,"loading":["a"]}`))
+	spoke.applyRolloutRow(start, &spoke.tables, "m", []byte(`{"epoch":1,"version":2,"loading":["a"]}`))
 	if n := len(spoke.pollLoading(later, &spoke.tables)); n != 0 {
 		t.Errorf("a box behind a hub asked %d times", n)
 	}
--- a/entry/named.go
+++ b/entry/named.go
@@ -24,30 +24,30 @@
 	// once there is a change: its slowest answers take 60 times the usual 4 ms, a
 	// quarter of a second, and this is twice that.
 	feedLag = 500 * time.Millisecond
-	// heldAtLeast is how long a read must have been held, by the service's clock,
+	// minHold is how long a read must have been held, by the service's clock,
 	// before its answer tells of a change that came meanwhile: feedLag, and as much
 	// for the way there. Without it each naming would be dated by the answer
 	// before, up to 1.5 s too early, which older engines then lack for serving.
-	heldAtLeast = 2 * feedLag
-	// unrecordedFor is how long before this box first read a version it is taken
+	minHold = 2 * feedLag
+	// unrecordedAge is how long before this box first read a version it is taken
 	// to have been named if nobody told: the record is written some 0.5 s after
 	// a naming, 2.9 s if the lease's holder ends then.
-	unrecordedFor = 4 * time.Second
-	// toldFor is how many bounds long a naming is told to others: after one it can
+	unrecordedAge = 4 * time.Second
+	// reportBounds is how many bounds long a naming is told to others: after one it can
 	// only be the lowest version allowed.
-	toldFor = 2
-	// unknownFor is how many bounds long a box goes on without a proof of which
+	reportBounds = 2
+	// staleBounds is how many bounds long a box goes on without a proof of which
 	// weights are the newest. Nothing can be named while the table service is away, and
 	// one bound alone is shorter than an outage may last.
-	unknownFor = 2
-	// tellAgain is the pause after the rollout's row could not be written; each
+	staleBounds = 2
+	// announceRetryDelay is the pause after the rollout's row could not be written; each
 	// try has its price.
-	tellAgain = 500 * time.Millisecond
+	announceRetryDelay = 500 * time.Millisecond
 )
 
 // weightsRead takes over which versions the operator named.
 func (d *Daemon) weightsRead(now time.Time, t *tables, m operatorRead) {
-	unnamed := d.clockRead(now, t, m)
+	unnamed := d.readTableClock(now, t, m)
 	for model, version := range m.change.Weights {
 		w := t.rolloutOf(model)
 		if version <= w.newestVersion {
@@ -59,7 +59,7 @@
 		if proved {
 			w.versionLog.Prove(version, at, told)
 		} else {
-			w.versionLog.Assume(version, now.Add(-unrecordedFor))
+			w.versionLog.Assume(version, now.Add(-unrecordedAge))
 		}
 		d.Log.Info("weights named", "model", model, "version", version, "before", before, "at_most_ago", w.age(now, version), "proved", proved)
 	}
@@ -68,12 +68,12 @@
 	}
 }
 
-// clockRead takes over the table service's clock. It returns what that showed at a
+// readTableClock takes over the table service's clock. It returns what that showed at a
 // time at which nothing of what was just read was there yet: at the answer before,
 // or a moment before this one if the read was held that long. A read that was late
 // may find a change that is as old as the answer before. It returns zero if that
 // is not known.
-func (d *Daemon) clockRead(now time.Time, t *tables, m operatorRead) time.Duration {
+func (d *Daemon) readTableClock(now time.Time, t *tables, m operatorRead) time.Duration {
 	before, told := t.lastTableClock, m.change.Clock
 	t.lastTableClock = told
 	if told == 0 {
@@ -86,7 +86,7 @@
 		}
 		return 0
 	}
-	if asked, _ := t.tableClock.Max(m.asked); m.change.Held && before > 0 && told-asked >= heldAtLeast {
+	if asked, _ := t.tableClock.Max(m.asked); m.change.Held && before > 0 && told-asked >= minHold {
 		return max(before, told-feedLag)
 	}
 	return before
@@ -134,8 +134,8 @@
 	return now.Sub(at)
 }
 
-// least returns the lowest version that a request may be sent to.
-func (w *modelRollout) least(now time.Time, within time.Duration) int64 {
+// requiredVersion returns the lowest version that a request may be sent to.
+func (w *modelRollout) requiredVersion(now time.Time, within time.Duration) int64 {
 	if within == 0 {
 		return 0
 	}
@@ -157,13 +157,13 @@
 // nothing to engines, as it can't tell.
 func (d *Daemon) weightsStale(now time.Time) bool {
 	within := d.bounds.Load().WeightsWithin
-	return within > 0 && d.provedAgo(now) >= unknownFor*within
+	return within > 0 && d.provedAgo(now) >= staleBounds*within
 }
 
 // versionsSnapshot lists a model's namings for a box that takes this one's view.
 func (w *modelRollout) versionsSnapshot(now time.Time, within time.Duration) []peer.WeightVersion {
 	var list []peer.WeightVersion
-	for _, n := range w.versionLog.Since(now.Add(-toldFor * within)) {
+	for _, n := range w.versionLog.Since(now.Add(-reportBounds * within)) {
 		list = append(list, peer.WeightVersion{Version: n.Version, AgeMS: now.Sub(n.At).Milliseconds(), Assumed: n.Assumed})
 	}
 	return list
--- a/entry/named_test.go
+++ b/entry/named_test.go
@@ -18,9 +18,9 @@
 // bound is how long a request may begin on replaced weights in these tests.
 const bound = 12 * time.Second
 
-// namesTwo has a daemon with the lease read version 2, which was named 10 s after
+// leaderWithTwoVersions has a daemon with the lease read version 2, which was named 10 s after
 // start, when the table service's clock showed 110 s.
-func namesTwo(t *testing.T, engines ...fleet.Entry) (*Daemon, time.Time) {
+func leaderWithTwoVersions(t *testing.T, engines ...fleet.Entry) (*Daemon, time.Time) {
 	t.Helper()
 	d := newDaemon("b1")
 	now := start
@@ -29,7 +29,7 @@
 	d.update(now, operatorRead{now, Operator{Table: configuration(1), Weights: map[string]int64{"m": 1}, Clock: 100 * time.Second}})
 	d.update(now, targetsRead{now, Targets{Snapshot: true, Listed: engines}, false})
 	now = start.Add(10 * time.Second)
-	d.update(now, operatorRead{now.Add(-heldAtLeast - 10*time.Millisecond), Operator{Weights: map[string]int64{"m": 2}, Clock: 110 * time.Second, Held: true}})
+	d.update(now, operatorRead{now.Add(-minHold - 10*time.Millisecond), Operator{Weights: map[string]int64{"m": 2}, Clock: 110 * time.Second, Held: true}})
 	if err := d.lease.AcquireOrRenew(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -47,11 +47,11 @@
 	return table.Row{}, false
 }
 
-// TestRestartedBoxKnowsTheNaming starts a box 4 s after a naming: it takes the
+// TestRestartedBoxKnowsNaming starts a box 4 s after a naming: it takes the
 // time of that from the rollout's row, whichever it reads first. Without a row it
 // takes the naming for a little older than its own first read.
-func TestRestartedBoxKnowsTheNaming(t *testing.T) {
-	holder, now := namesTwo(t, engine("a", 1))
+func TestRestartedBoxKnowsNaming(t *testing.T) {
+	holder, now := leaderWithTwoVersions(t, engine("a", 1))
 	row, written := rowWritten(holder, now)
 	if !written {
 		t.Fatal("the rollout is not told")
@@ -62,7 +62,7 @@
 	}
 	// The holder's proof is half a second older than the naming.
 	recorded := 10*time.Second - feedLag + bound - overdueMargin
-	assumed := 14*time.Second - unrecordedFor + bound - overdueMargin
+	assumed := 14*time.Second - unrecordedAge + bound - overdueMargin
 	tests := []struct {
 		name string
 		read func(d *Daemon, at time.Time)
@@ -77,10 +77,10 @@
 			d := newDaemon("b2")
 			tt.read(d, start.Add(14*time.Second))
 			w := d.tables.rolloutOf("m")
-			if got := w.least(start.Add(tt.ends-5*time.Millisecond), bound); got > 1 {
+			if got := w.requiredVersion(start.Add(tt.ends-5*time.Millisecond), bound); got > 1 {
 				t.Errorf("version %d is required too early", got)
 			}
-			if got := w.least(start.Add(tt.ends), bound); got != 2 {
+			if got := w.requiredVersion(start.Add(tt.ends), bound); got != 2 {
 				t.Errorf("version %d is required, want 2", got)
 			}
 		})
@@ -99,9 +99,9 @@
 		most time.Duration // How old the naming can be.
 	}{
 		{"answered at once after a gap", 0, true, gap},
-		{"held for a moment after a gap", heldAtLeast / 2, true, gap},
-		{"not held, and slow", heldAtLeast + 10*time.Millisecond, false, gap},
-		{"held", heldAtLeast + 10*time.Millisecond, true, feedLag},
+		{"held for a moment after a gap", minHold / 2, true, gap},
+		{"not held, and slow", minHold + 10*time.Millisecond, false, gap},
+		{"held", minHold + 10*time.Millisecond, true, feedLag},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -116,10 +116,10 @@
 	}
 }
 
-// TestClockJump shows that times told by the table service's clock are not read by
+// TestClockReset shows that times told by the table service's clock are not read by
 // one that began anew, and that the namings are then recorded again.
-func TestClockJump(t *testing.T) {
-	d, now := namesTwo(t, engine("a", 1))
+func TestClockReset(t *testing.T) {
+	d, now := leaderWithTwoVersions(t, engine("a", 1))
 	if _, written := rowWritten(d, now); !written {
 		t.Fatal("the rollout is not told")
 	}
@@ -135,10 +135,10 @@
 	}
 }
 
-// TestLateRowLacksNaming shows that a row which is written late, over a newer one,
+// TestLateRowIsCorrected shows that a row which is written late, over a newer one,
 // is mended.
-func TestLateRowLacksNaming(t *testing.T) {
-	d, now := namesTwo(t, engine("a", 1))
+func TestLateRowIsCorrected(t *testing.T) {
+	d, now := leaderWithTwoVersions(t, engine("a", 1))
 	old, _ := rowWritten(d, now)
 	d.update(now, announced{"m", nil})
 	d.update(now, operatorRead{now, Operator{Weights: map[string]int64{"m": 3}, Clock: 110 * time.Second}})
@@ -152,26 +152,26 @@
 	}
 }
 
-// TestRowIsNotWrittenInARush shows that a row that can't be written is tried again
+// TestFailedRowWriteBacksOff shows that a row that can't be written is tried again
 // after a pause, as each try has its price.
-func TestRowIsNotWrittenInARush(t *testing.T) {
-	d, now := namesTwo(t, engine("a", 1))
+func TestFailedRowWriteBacksOff(t *testing.T) {
+	d, now := leaderWithTwoVersions(t, engine("a", 1))
 	if _, written := rowWritten(d, now); !written {
 		t.Fatal("the rollout is not told")
 	}
 	d.update(now, announced{"m", errors.New("lost")})
-	if _, written := rowWritten(d, now.Add(tellAgain-time.Millisecond)); written {
+	if _, written := rowWritten(d, now.Add(announceRetryDelay-time.Millisecond)); written {
 		t.Error("tried again at once")
 	}
-	if _, written := rowWritten(d, now.Add(tellAgain)); !written {
+	if _, written := rowWritten(d, now.Add(announceRetryDelay)); !written {
 		t.Error("not tried again")
 	}
 }
 
-// TestAssumptionsLast shows that a box that could only assume when a version was
+// TestAssumedNamingIsRecorded shows that a box that could only assume when a version was
 // named records that, so that boxes that start again and again don't assume it
 // anew.
-func TestAssumptionsLast(t *testing.T) {
+func TestAssumedNamingIsRecorded(t *testing.T) {
 	first := func(row *table.Row, at time.Duration) *Daemon {
 		d := newDaemon("b1")
 		d.now = func() time.Time { return start.Add(at) }
@@ -193,15 +193,15 @@
 		t.Fatal("the rollout is not told")
 	}
 	d = first(&row, 8*time.Second)
-	if got := d.tables.rolloutOf("m").least(start.Add(bound-overdueMargin-unrecordedFor), bound); got != 2 {
+	if got := d.tables.rolloutOf("m").requiredVersion(start.Add(bound-overdueMargin-unrecordedAge), bound); got != 2 {
 		t.Errorf("version %d is required, want 2 as the first box assumed", got)
 	}
 }
 
-// TestNamingIsToldBesidesLoads shows that a naming is recorded although no engine
+// TestNamingIsRecordedWithoutOrders shows that a naming is recorded although no engine
 // can be ordered yet, and only once.
-func TestNamingIsToldBesidesLoads(t *testing.T) {
-	d, now := namesTwo(t, engine("a", 1), engine("b", 1), engine("c", 1))
+func TestNamingIsRecordedWithoutOrders(t *testing.T) {
+	d, now := leaderWithTwoVersions(t, engine("a", 1), engine("b", 1), engine("c", 1))
 	row, _ := rowWritten(d, now)
 	d.update(now, announced{"m", nil})
 	if _, again := rowWritten(d, now); again {
@@ -223,9 +223,9 @@
 	}
 }
 
-// TestHubTellsNamings shows that a box that takes a hub's view keeps the same
+// TestNamingsInHubView shows that a box that takes a hub's view keeps the same
 // bound, counted from when it asked.
-func TestHubTellsNamings(t *testing.T) {
+func TestNamingsInHubView(t *testing.T) {
 	hub, spoke := largeFleet("box-00"), largeFleet("box-05")
 	hub.update(start, operatorRead{start, Operator{Table: configuration(1), Weights: map[string]int64{"m": 1}}})
 	hub.update(start, operatorRead{start, Operator{Weights: map[string]int64{"m": 2}}})
@@ -238,7 +238,7 @@
 	if w.newestVersion != 3 {
 		t.Errorf("newest %d, want 3", w.newestVersion)
 	}
-	if got := w.least(start.Add(bound-overdueMargin), bound); got != 2 {
+	if got := w.requiredVersion(start.Add(bound-overdueMargin), bound); got != 2 {
 		t.Errorf("version %d is required, want 2", got)
 	}
 }
@@ -271,16 +271,16 @@
 	}
 }
 
-// TestWeightsUnknown shows that a box that can't know any more which weights are
+// TestWeightsStale shows that a box that can't know any more which weights are
 // the newest sends nothing to engines.
-func TestWeightsUnknown(t *testing.T) {
+func TestWeightsStale(t *testing.T) {
 	tests := []struct {
 		proved time.Duration
 		code   string
 	}{
 		{bound, ""},
-		{unknownFor*bound - time.Millisecond, ""},
-		{unknownFor * bound, "stale"},
+		{staleBounds*bound - time.Millisecond, ""},
+		{staleBounds * bound, "stale"},
 	}
 	for _, tt := range tests {
 		t.Run(fmt.Sprint("proved ", tt.proved, " ago"), func(t *testing.T) {
--- a/entry/note.go
+++ b/entry/note.go
@@ -22,17 +22,17 @@
 	if o.CallerLeft {
 		d.metrics.teardown.WithLabelValues(pool).Observe(o.Teardown.Seconds())
 	}
-	d.metrics.requests.WithLabelValues(pool, strconv.Itoa(o.Status), kind(o)).Inc()
-	d.learnLeast(o)
+	d.metrics.requests.WithLabelValues(pool, strconv.Itoa(o.Status), outcomeKind(o)).Inc()
+	d.learnMinAnswerTime(o)
 	if o.RefusalCode != "" {
 		d.metrics.refusals.WithLabelValues(o.RefusalCode).Inc()
 	}
-	if kind(o) == answered && !d.logLimiter.Allow() {
+	if outcomeKind(o) == outcomeAnswered && !d.logLimiter.Allow() {
 		d.metrics.unlogged.Inc()
 		return
 	}
 	fields := []any{
-		"request", o.Call.ID, "outcome", kind(o), "status", o.Status, "pool", pool, "target", o.Place.Target,
+		"request", o.Call.ID, "outcome", outcomeKind(o), "status", o.Status, "pool", pool, "target", o.Place.Target,
 		"rule", o.Place.Rule, "sent", o.Attempts, "first", o.FirstByte, "took", o.Took, "configuration", d.version(),
 	}
 	if o.Cause != "" {
@@ -50,11 +50,11 @@
 	d.Log.Info("request", fields...)
 }
 
-// answered is the kind of a whole answer.
-const answered = "answered"
+// outcomeAnswered is the kind of a whole answer.
+const outcomeAnswered = "answered"
 
-// kind names an outcome for counters.
-func kind(o deliver.Outcome) string {
+// outcomeKind names an outcome for counters.
+func outcomeKind(o deliver.Outcome) string {
 	switch {
 	case o.CallerLeft:
 		return "caller_left"
@@ -63,7 +63,7 @@
 	case o.Cause != "":
 		return "refused"
 	}
-	return answered
+	return outcomeAnswered
 }
 
 // recordRetry logs and counts one more try.
--- a/entry/notice.go
+++ b/entry/notice.go
@@ -19,9 +19,9 @@
 
 // What targets say of themselves, for counters.
 const (
-	saidLeaving = "leaving"
-	saidBackoff = "backoff"
-	saidLimit   = "limit"
+	signalLeaving = "leaving"
+	signalBackoff = "backoff"
+	signalLimit   = "limit"
 )
 
 // codeBackoff is the refusal's code where all targets want no requests for a while.
@@ -30,15 +30,15 @@
 // signalsHeard tells that a target said something of itself; the book of notices has it.
 type signalsHeard struct{ life fleet.Incarnation }
 
-// lifePlaced is the life that a request was placed on.
-func lifePlaced(p deliver.Placement) fleet.Incarnation {
+// incarnationOf is the life that a request was placed on.
+func incarnationOf(p deliver.Placement) fleet.Incarnation {
 	return fleet.Incarnation{ID: p.Target, StartedAt: p.StartedAt}
 }
 
 // send sends a request to the target placed, unless that said something against it
 // meanwhile, and notes what the answer says of the target.
 func (d *Daemon) send(ctx context.Context, s deliver.Attempt) (*deliver.Reply, error) {
-	life := lifePlaced(s.Place)
+	life := incarnationOf(s.Place)
 	s.Allow = func() error { return d.allow(life, s) }
 	asked := d.now()
 	if d.notices.Limit(life).Active {
@@ -46,7 +46,7 @@
 	}
 	reply, err := d.Platform.Send(ctx, s)
 	if err == nil {
-		d.heed(asked, life, reply.Signals, "request "+s.Job.ID)
+		d.recordSignals(asked, life, reply.Signals, "request "+s.Job.ID)
 	}
 	return reply, err
 }
@@ -55,28 +55,28 @@
 func (d *Daemon) allow(life fleet.Incarnation, s deliver.Attempt) error {
 	now := d.now()
 	err := d.notices.Allow(now, life)
-	if err == nil && d.notices.Limit(life).Active && (!s.Place.QuotaGranted || now.Sub(s.Place.PlacedAt) > grantFor) {
+	if err == nil && d.notices.Limit(life).Active && (!s.Place.QuotaGranted || now.Sub(s.Place.PlacedAt) > grantTTL) {
 		err = notice.ErrLimited
 	}
 	if err == nil {
 		return nil
 	}
-	word := saidBackoff
+	word := signalBackoff
 	switch {
 	case errors.Is(err, notice.ErrLeaving):
-		word = saidLeaving
+		word = signalLeaving
 	case errors.Is(err, notice.ErrLimited):
-		word = saidLimit
+		word = signalLimit
 	}
 	d.metrics.withheld.WithLabelValues(word).Inc()
 	d.Log.Info("request is kept from a target at the last moment", "request", s.Job.ID, "target", life.ID, "said", word, "placed_ago", now.Sub(s.Place.PlacedAt), "rule", s.Place.Rule)
 	return err
 }
 
-// heed notes what the answer to a request sent at asked says of its target. It is for callers
+// recordSignals notes what the answer to a request sent at asked says of its target. It is for callers
 // outside the loop.
-func (d *Daemon) heed(asked time.Time, life fleet.Incarnation, said notice.Signals, from string) {
-	if d.hearNotice(asked, life, said, from) {
+func (d *Daemon) recordSignals(asked time.Time, life fleet.Incarnation, said notice.Signals, from string) {
+	if d.observeSignals(asked, life, said, from) {
 		d.post(signalsHeard{life})
 	}
 }
@@ -87,42 +87,42 @@
 	if !report.StartedAt.IsZero() {
 		life.StartedAt = report.StartedAt
 	}
-	d.heed(asked, life, report.Signals, "its report")
+	d.recordSignals(asked, life, report.Signals, "its report")
 }
 
-// hearNotice puts what an answer says of its target into the book, and says whether any of
+// observeSignals puts what an answer says of its target into the book, and says whether any of
 // it is news.
-func (d *Daemon) hearNotice(asked time.Time, life fleet.Incarnation, said notice.Signals, from string) bool {
+func (d *Daemon) observeSignals(asked time.Time, life fleet.Incarnation, said notice.Signals, from string) bool {
 	now := d.now()
 	news := d.notices.Observe(now, life, said)
 	if news.Leaving {
-		d.metrics.notices.WithLabelValues(saidLeaving).Inc()
+		d.metrics.notices.WithLabelValues(signalLeaving).Inc()
 		d.Log.Info("target says that it leaves", "target", life.ID, "born", life.StartedAt, "told_by", from)
 	}
 	if news.Backoff > 0 {
-		d.metrics.notices.WithLabelValues(saidBackoff).Inc()
+		d.metrics.notices.WithLabelValues(signalBackoff).Inc()
 		d.Log.Info("target wants no requests", "target", life.ID, "born", life.StartedAt, "for", news.Backoff, "told_by", from)
 	}
 	limited := d.notices.ObserveLimit(now, asked, life, said)
 	if limited {
-		d.noteLimit(notice.TargetLimit{Incarnation: life, Limit: d.notices.Limit(life)}, from)
+		d.logLimit(notice.TargetLimit{Incarnation: life, Limit: d.notices.Limit(life)}, from)
 	}
 	return limited || news != (notice.Signals{})
 }
 
-// noteLimit logs and counts that a target's limit began, changed or ended.
-func (d *Daemon) noteLimit(x notice.TargetLimit, from string) {
+// logLimit logs and counts that a target's limit began, changed or ended.
+func (d *Daemon) logLimit(x notice.TargetLimit, from string) {
 	if !x.Limit.Active {
 		d.Log.Info("target limits its requests no more", "target", x.Incarnation.ID, "born", x.Incarnation.StartedAt, "told_by", from)
 		return
 	}
-	d.metrics.notices.WithLabelValues(saidLimit).Inc()
+	d.metrics.notices.WithLabelValues(signalLimit).Inc()
 	d.Log.Info("target limits the requests of all boxes", "target", x.Incarnation.ID, "born", x.Incarnation.StartedAt, "per_second", x.Limit.PerSecond, "told_by", from)
 }
 
 // signalsFromEvents does so in the loop, with what a target's news say.
 func (d *Daemon) signalsFromEvents(now time.Time, t *tables, x *fleet.Target, said notice.Signals) {
-	if d.hearNotice(now, x.Incarnation(), said, "its news") {
+	if d.observeSignals(now, x.Incarnation(), said, "its news") {
 		d.signalsHeard(now, t, x.Incarnation())
 	}
 }
@@ -143,7 +143,7 @@
 	d.notices.Touch(now, x.Incarnation())
 	x.Leaving = x.Leaving || d.notices.Leaving(x.Incarnation())
 	x.BackoffUntil = d.notices.BackoffUntil(x.Incarnation())
-	limitSet(x, d.notices.Limit(x.Incarnation()))
+	setLimit(x, d.notices.Limit(x.Incarnation()))
 	return x.Leaving && !before
 }
 
--- a/entry/notice_test.go
+++ b/entry/notice_test.go
@@ -18,12 +18,12 @@
 )
 
 var (
-	leaving = notice.Signals{Leaving: true}
-	resting = notice.Signals{Backoff: 3 * time.Second}
+	leaving        = notice.Signals{Leaving: true}
+	signalsBackoff = notice.Signals{Backoff: 3 * time.Second}
 )
 
-// knows makes a daemon know engines.
-func knows(d *Daemon, ids ...string) *Daemon {
+// withEngines makes a daemon know engines.
+func withEngines(d *Daemon, ids ...string) *Daemon {
 	d.now = func() time.Time { return start }
 	var list []fleet.Entry
 	for _, id := range ids {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestTargetsWordCloses says which targets get requests after one said something.
-func TestTargetsWordCloses(t *testing.T) {
+// TestSignalsExcludeTarget says which targets get requests after one said something.
+func TestSignalsExcludeTarget(t *testing.T) {
 	later := fleet.Entry{ID: "a", Pool: "models", Versions: map[string]int64{"m": 1}, StartedAt: start.Add(time.Second)}
 	tests := []struct {
 		name   string
@@ -65,15 +65,15 @@
 	}{
 		{"nothing", func(*Daemon) {}, 0, "[a b]"},
 		{"it leaves", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, leaving) }, time.Hour / 2, "[b]"},
-		{"it wants no requests", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, resting) }, 2 * time.Second, "[b]"},
-		{"that is over", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, resting) }, 3 * time.Second, "[a b]"},
+		{"it wants no requests", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, 2 * time.Second, "[b]"},
+		{"that is over", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, 3 * time.Second, "[a b]"},
 		{"its news say that it leaves", func(d *Daemon) {
 			d.tables.watched["a"] = func() {}
 			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Signals: leaving}, asked: start})
 		}, 0, "[b]"},
 		{"its news are refused, with a time", func(d *Daemon) {
 			d.tables.watched["a"] = func() {}
-			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Signals: resting}, asked: start, err: errors.New("503")})
+			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Signals: signalsBackoff}, asked: start, err: errors.New("503")})
 		}, 2500 * time.Millisecond, "[b]"},
 		{"it leaves, goes from the list, and an old list names it", func(d *Daemon) {
 			sendSignals(d, start, fleet.Incarnation{ID: "a"}, leaving)
@@ -88,7 +88,7 @@
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{engine("a", 1)}}, false})
 		}, 0, "[b]"},
 		{"it wants no requests, and a list names it anew", func(d *Daemon) {
-			sendSignals(d, start, fleet.Incarnation{ID: "a"}, resting)
+			sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff)
 			d.update(start, targetsRead{start, Targets{Gone: []string{"a"}}, false})
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{engine("a", 1)}}, false})
 		}, time.Second, "[b]"},
@@ -114,7 +114,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := knows(newDaemon("b1"), "a", "b")
+			d := withEngines(newDaemon("b1"), "a", "b")
 			tt.happen(d)
 			now := start.Add(tt.after)
 			proved := now
@@ -126,9 +126,9 @@
 	}
 }
 
-// TestAllWantNone says what callers are told when all targets want no requests: the truth
+// TestAllInBackoff says what callers are told when all targets want no requests: the truth
 // about when the first one takes some again, within bounds.
-func TestAllWantNone(t *testing.T) {
+func TestAllInBackoff(t *testing.T) {
 	tests := []struct {
 		name   string
 		spans  [2]time.Duration
@@ -140,7 +140,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := knows(newDaemon("b1"), "a", "b")
+			d := withEngines(newDaemon("b1"), "a", "b")
 			for i, id := range []string{"a", "b"} {
 				sendSignals(d, start, fleet.Incarnation{ID: id}, notice.Signals{Backoff: tt.spans[i]})
 			}
@@ -155,12 +155,12 @@
 	}
 }
 
-// TestHubPlacesAgainstWord has a hub that heard nothing place for a box that did, and a hub
+// TestHubMissesSignal has a hub that heard nothing place for a box that did, and a hub
 // that wants left alone by a target place there for others.
-func TestHubPlacesAgainstWord(t *testing.T) {
-	for _, said := range []notice.Signals{leaving, resting} {
+func TestHubMissesSignal(t *testing.T) {
+	for _, said := range []notice.Signals{leaving, signalsBackoff} {
 		t.Run(fmt.Sprintf("%+v", said), func(t *testing.T) {
-			d := knows(largeFleet("box-05"), "a", "b")
+			d := withEngines(largeFleet("box-05"), "a", "b")
 			sendSignals(d, start, fleet.Incarnation{ID: "a"}, said)
 			if _, ok := d.acceptHubPlace(start, &d.tables, deliver.PlacementRequest{Job: job("long", 1000)}, &peer.PlacementResponse{Target: "a", Version: 1}); ok {
 				t.Error("the hub's place is taken")
@@ -168,17 +168,17 @@
 			reply := make(chan placeAnswer, 1)
 			effects := d.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: job("long", 1000)}, reply: reply})
 			ask := effects[0].(askHub).ask
-			if want := short(d.tables.fleet.Target("a")); len(ask.Excluded) != 1 || ask.Excluded[0] != want {
+			if want := shortID(d.tables.fleet.Target("a")); len(ask.Excluded) != 1 || ask.Excluded[0] != want {
 				t.Fatalf("told the hub of %v, want %v", ask.Excluded, want)
 			}
-			hub := knows(largeFleet("box-00"), "a", "b")
+			hub := withEngines(largeFleet("box-00"), "a", "b")
 			hub.tables.hubWarm = true
 			for range 20 {
 				if placed := hub.placeForPeer(start, &hub.tables, peer.Message{From: "box-05", PlacementRequest: &ask}); placed.Target != "b" {
 					t.Fatalf("the hub places on %q", placed.Target)
 				}
 			}
-			ask.Excluded = append(ask.Excluded, short(hub.tables.fleet.Target("b")))
+			ask.Excluded = append(ask.Excluded, shortID(hub.tables.fleet.Target("b")))
 			if placed := hub.placeForPeer(start, &hub.tables, peer.Message{From: "box-05", PlacementRequest: &ask}); placed.Refused != codeBackoff {
 				t.Errorf("the hub refuses as %q", placed.Refused)
 			}
@@ -186,9 +186,9 @@
 	}
 }
 
-// TestClosedAtHub has a hub know no targets but those that the asking box told it are
+// TestAllExcludedAtHub has a hub know no targets but those that the asking box told it are
 // closed: the box refuses for its own reason, and asks on if it knows of another target.
-func TestClosedAtHub(t *testing.T) {
+func TestAllExcludedAtHub(t *testing.T) {
 	tests := []struct {
 		name   string
 		happen func(d *Daemon)
@@ -196,19 +196,19 @@
 		want   string
 	}{
 		{"they want no requests", func(d *Daemon) {
-			sendSignals(d, start, fleet.Incarnation{ID: "a"}, resting)
-			sendSignals(d, start, fleet.Incarnation{ID: "b"}, resting)
+			sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff)
+			sendSignals(d, start, fleet.Incarnation{ID: "b"}, signalsBackoff)
 		}, nil, codeBackoff},
 		{"they leave", func(d *Daemon) {
 			sendSignals(d, start, fleet.Incarnation{ID: "a"}, leaving)
 			sendSignals(d, start, fleet.Incarnation{ID: "b"}, leaving)
 		}, nil, "no_target"},
-		{"one is open", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, resting) }, nil, ""},
-		{"one is open and was tried", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, resting) }, []string{"b"}, codeBackoff},
+		{"one is open", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, nil, ""},
+		{"one is open and was tried", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, []string{"b"}, codeBackoff},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := knows(largeFleet("box-05"), "a", "b")
+			d := withEngines(largeFleet("box-05"), "a", "b")
 			tt.happen(d)
 			answer, done := d.acceptHubPlace(start, &d.tables, deliver.PlacementRequest{Job: job("long", 1000), Attempted: tt.tried}, &peer.PlacementResponse{Refused: codeBackoff})
 			if done != (tt.want != "") {
@@ -221,12 +221,12 @@
 	}
 }
 
-// TestHubsOwnBackoff has a target want no requests from a hub: other boxes' requests are
+// TestHubBackoffIsItsOwn has a target want no requests from a hub: other boxes' requests are
 // placed there all the same.
-func TestHubsOwnBackoff(t *testing.T) {
-	hub := knows(largeFleet("box-00"), "a")
+func TestHubBackoffIsItsOwn(t *testing.T) {
+	hub := withEngines(largeFleet("box-00"), "a")
 	hub.tables.hubWarm = true
-	sendSignals(hub, start, fleet.Incarnation{ID: "a"}, resting)
+	sendSignals(hub, start, fleet.Incarnation{ID: "a"}, signalsBackoff)
 	ask := peer.PlacementRequest{Request: "r", Pool: "models", Model: "m", Tokens: 1000, MaxMemoryShare: 1, TypicalTokens: 1000}
 	if placed := hub.placeForPeer(start, &hub.tables, peer.Message{From: "box-05", PlacementRequest: &ask}); placed.Target != "a" {
 		t.Errorf("placed on %q, refused as %q", placed.Target, placed.Refused)
@@ -236,8 +236,8 @@
 	}
 }
 
-// TestAllowedAtLast asks right before a request leaves, however long ago it was placed.
-func TestAllowedAtLast(t *testing.T) {
+// TestAllowBeforeSend asks right before a request leaves, however long ago it was placed.
+func TestAllowBeforeSend(t *testing.T) {
 	tests := []struct {
 		name string
 		life fleet.Incarnation
@@ -246,12 +246,12 @@
 	}{
 		{"nothing", fleet.Incarnation{ID: "a"}, notice.Signals{}, nil},
 		{"it leaves", fleet.Incarnation{ID: "a"}, leaving, notice.ErrLeaving},
-		{"it wants no requests", fleet.Incarnation{ID: "a"}, resting, notice.ErrBackoff},
+		{"it wants no requests", fleet.Incarnation{ID: "a"}, signalsBackoff, notice.ErrBackoff},
 		{"another leaves", fleet.Incarnation{ID: "b"}, leaving, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := knows(newDaemon("b1"), "a", "b")
+			d := withEngines(newDaemon("b1"), "a", "b")
 			asked := errors.New("not asked")
 			d.Platform.Send = func(_ context.Context, s deliver.Attempt) (*deliver.Reply, error) {
 				d.notices.Observe(start, tt.life, tt.said) // While the request waits for its connection.
@@ -268,12 +268,12 @@
 	}
 }
 
-// TestAnswersReachTheLoop has a request's answer say something of its target: the next
+// TestSignalsReachLoop has a request's answer say something of its target: the next
 // request is not even placed there, so that none is tried there in vain.
-func TestAnswersReachTheLoop(t *testing.T) {
-	for _, said := range []notice.Signals{leaving, resting} {
+func TestSignalsReachLoop(t *testing.T) {
+	for _, said := range []notice.Signals{leaving, signalsBackoff} {
 		t.Run(fmt.Sprintf("%+v", said), func(t *testing.T) {
-			d := knows(newDaemon("b1"), "a", "b")
+			d := withEngines(newDaemon("b1"), "a", "b")
 			d.Platform.Send = func(context.Context, deliver.Attempt) (*deliver.Reply, error) {
 				return &deliver.Reply{Status: 200, Signals: said}, nil
 			}
--- a/entry/order.go
+++ b/entry/order.go
@@ -12,17 +12,17 @@
 	"github.com/thymewind/thymewind/fleet"
 )
 
-// errNotHeld says that this box must not give orders any more.
-var errNotHeld = trace.AccessDenied("the lease is not held")
+// errLeaseNotHeld says that this box must not give orders any more.
+var errLeaseNotHeld = trace.AccessDenied("the lease is not held")
 
 const (
-	// unreachableTries is how many looks in a row may fail to reach a target before
+	// maxUnreachablePolls is how many looks in a row may fail to reach a target before
 	// its place among those that load goes to another: a process that crashed is
 	// back after some seconds, under another ID, and a lost packet costs one look.
-	unreachableTries = 3
-	// orderAgain is how long a target that did not load waits for its next order,
+	maxUnreachablePolls = 3
+	// orderRetryDelay is how long a target that did not load waits for its next order,
 	// so that others come first.
-	orderAgain = time.Second
+	orderRetryDelay = time.Second
 )
 
 // errUnreachable says that a target that was to load could not be reached.
@@ -55,10 +55,10 @@
 		}
 		if !errors.Is(err, exchange.ErrNotSent) {
 			unreachable = 0
-		} else if unreachable++; unreachable == unreachableTries {
+		} else if unreachable++; unreachable == maxUnreachablePolls {
 			return errUnreachable
 		}
-		d.sleep(ctx, loadLook)
+		d.sleep(ctx, loadPollInterval)
 		if ctx.Err() != nil {
 			return trace.LimitExceeded("the target does not have the version after %v", maxLoadTime)
 		}
@@ -69,14 +69,14 @@
 func (d *Daemon) order(ctx context.Context, e sendOrder) error {
 	epoch, until, held := d.lease.Held()
 	if !held || epoch != e.order.Epoch {
-		return errNotHeld
+		return errLeaseNotHeld
 	}
 	ctx, cancel := context.WithTimeout(ctx, until.Sub(d.now()))
 	defer cancel()
 	e.order.Until = until
 	asked := d.now()
 	said, err := d.Platform.Order(ctx, e.at, e.order)
-	d.heed(asked, e.life, said, "an order")
+	d.recordSignals(asked, e.life, said, "an order")
 	return err
 }
 
@@ -97,7 +97,7 @@
 	x.LoadingUntil = time.Time{}
 	t.touch(m.target)
 	if m.err != nil {
-		w.barredUntil[m.target] = now.Add(orderAgain)
+		w.barredUntil[m.target] = now.Add(orderRetryDelay)
 		d.Log.Warn("target did not load weights", "target", m.target, "version", m.version, "err", m.err)
 		return nil
 	}
@@ -114,24 +114,24 @@
 		before := x.Versions[model]
 		x.Versions[model] = max(before, m.Version)
 		if m.Version == 0 {
-			shun(x, now.Add(loadShy))
+			excludeUntil(x, now.Add(turnedAwayPause))
 		}
 		d.Log.Info("target has other weights", "target", x.ID, "request", m.Job.ID, "thought", before, "told", m.Version)
 	case deliver.OtherReplica:
 		d.dropReplaced(now, t, x.Incarnation(), "request "+m.Job.ID)
 	case deliver.DidNotRun:
 		if w := t.rolloutOf(model); w.newestVersion > x.Versions[model] {
-			shun(x, now.Add(loadShy))
+			excludeUntil(x, now.Add(turnedAwayPause))
 		}
 	}
 }
 
-// shun keeps requests from a target until a time, or until it has loaded if that is
+// excludeUntil keeps requests from a target until a time, or until it has loaded if that is
 // later: a request that it turned away as it began to load says less than the order.
 // Cutting the load short had each box that met this send work there every 0.3 s, for
 // nothing: of 508 requests that 99 engines turned away in two rollouts 175 are left,
 // with targets that are asked whether they have loaded (askLoading).
-func shun(x *fleet.Target, until time.Time) {
+func excludeUntil(x *fleet.Target, until time.Time) {
 	if x.LoadingUntil.Before(until) {
 		x.LoadingUntil = until
 	}
--- a/entry/overdue_test.go
+++ b/entry/overdue_test.go
@@ -9,7 +9,7 @@
 	"github.com/thymewind/thymewind/fleet"
 )
 
-// TestEachNamingHasItsBound names two versions one after the other and asks on
+// TestEachVersionHasItsBound names two versions one after the other and asks on
 // which weights a request may begin.
 //
 // Requests were seen to begin on weights 12.4 s after a newer version was named,
@@ -19,7 +19,7 @@
 // clock. The logs proved it: the box had heard of the second version within a
 // millisecond, and knew which weights the engine had. Each naming now has a time
 // of its own.
-func TestEachNamingHasItsBound(t *testing.T) {
+func TestEachVersionHasItsBound(t *testing.T) {
 	const between = 6600 * time.Millisecond
 	tests := []struct {
 		after   time.Duration // Since the second version was named.
--- a/entry/pace.go
+++ b/entry/pace.go
@@ -14,7 +14,7 @@
 	if x := t.fleet.Incarnation(fleet.Incarnation{ID: p.Target, StartedAt: p.StartedAt}); x != nil {
 		x.Began(now, p.PrefillTokens)
 	}
-	t.crashes.Alive(lifeOf(p), p.PlacedAt)
+	t.crashes.Alive(placementIncarnation(p), p.PlacedAt)
 	t.overdue.Done(placement.Hash(p.Target), p.PlacedAt)
 	if p.Scope != "" {
 		t.pace.Observe(now, throughput.Sample{Took: now.Sub(p.PlacedAt), Tokens: p.PrefillBacklog + p.PrefillTokens, Transfers: p.Transfers})
@@ -38,15 +38,15 @@
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// slowStretch is from which stretch on a source is logged as slow. Nothing else
+// slowFactor is from which stretch on a source is logged as slow. Nothing else
 // depends on it.
-const slowStretch = 3
+const slowFactor = 3
 
 // logSlowStores logs the stores that have turned slow, and those that are well again.
 func (d *Daemon) logSlowStores(now time.Time, t *tables) {
 	for _, s := range t.stores {
 		stretch := t.stretch(now, s.Name)
-		slow := stretch >= slowStretch
+		slow := stretch >= slowFactor
 		if slow == t.slowLogged[s.Name] {
 			continue
 		}
--- a/entry/pace_test.go
+++ b/entry/pace_test.go
@@ -51,7 +51,7 @@
 			if got := d.tables.stretch(now, "large"); got < tt.least || got > tt.most {
 				t.Errorf("stretch %.1f, want %.1f to %.1f", got, tt.least, tt.most)
 			}
-			if tells := len(d.tables.ownShares(now)) > 0; tells != tt.tells {
+			if tells := len(d.tables.ownLoads(now)) > 0; tells != tt.tells {
 				t.Errorf("tells of it: %v", tells)
 			}
 		})
--- a/entry/place.go
+++ b/entry/place.go
@@ -31,13 +31,13 @@
 	select {
 	case d.messages <- placementRequest{ctx: ctx, ask: ask, reply: reply}:
 	case <-ctx.Done():
-		return deliver.Placement{}, d.timeUp(ask.Job)
+		return deliver.Placement{}, d.timeoutRefusal(ask.Job)
 	}
 	select {
 	case answer := <-reply: // At once, or after two calls to hubs at most, which end with ctx.
 		return answer.place, answer.err
 	case <-d.ended:
-		return deliver.Placement{}, d.timeUp(ask.Job)
+		return deliver.Placement{}, d.timeoutRefusal(ask.Job)
 	}
 }
 
@@ -63,24 +63,24 @@
 // connections to it went silent lately.
 func (d *Daemon) looksDead(now time.Time, t *tables, id string) bool {
 	x := t.fleet.Target(id)
-	if x == nil || x.Ejected(now) || d.saysNothing(now, t, x) {
+	if x == nil || x.Ejected(now) || d.isSilent(now, t, x) {
 		return true
 	}
 	at, silent := t.silences[x.Address]
 	return silent && now.Sub(at) < silenceFor
 }
 
-// saysNothing says that nothing came from a target for longer than a live one keeps
+// isSilent says that nothing came from a target for longer than a live one keeps
 // silent. An engine may have requests wait for seconds and tells by its news that it
 // lives, which only a box that follows them hears.
-func (d *Daemon) saysNothing(now time.Time, t *tables, x *fleet.Target) bool {
+func (d *Daemon) isSilent(now time.Time, t *tables, x *fleet.Target) bool {
 	if table := d.current.Load(); table == nil || table.Pools[x.Pool] == nil || table.Pools[x.Pool].Engine == nil {
 		return x.Silent(now, leastrequest.SilenceTimeout)
 	}
 	return t.watched[x.ID] != nil && x.Silent(now, affinity.SilenceTimeout)
 }
 
-func (d *Daemon) timeUp(job *deliver.Job) error {
+func (d *Daemon) timeoutRefusal(job *deliver.Job) error {
 	return refusal.New(refusal.DidNotRun, 503, "timeout", "the time was up, or the caller left, before the request was placed").After(d.retryAfter("timeout", job))
 }
 
@@ -94,9 +94,9 @@
 		choose = d.placeModel
 	}
 	place, refused := choose(now, t, ask)
-	d.notePlace(now, ask, refused)
+	d.notePlacement(now, ask, refused)
 	if refused != nil {
-		return place, refused.After(d.returnAfter(now, t, refused.Code, ask.Job))
+		return place, refused.After(d.retryAfterRefusal(now, t, refused.Code, ask.Job))
 	}
 	t.countSent(now, place)
 	t.prefillBacklog.Place(now, placement.Hash(place.Target), place.PrefillTokens)
@@ -114,7 +114,7 @@
 		return deliver.Placement{}, refused
 	}
 	var x *fleet.Target
-	for _, passed := range d.turns(now, t, ask) {
+	for _, passed := range d.softwareFilters(now, t, ask) {
 		if chosen, ok := d.services.Choose(now, t.fleet.Pool(ask.Job.Pool.Name), d.skip(now, t, ask, either(closed, passed))); ok {
 			x = chosen
 			break
@@ -123,14 +123,14 @@
 	if x == nil {
 		return deliver.Placement{}, d.refuseNone(now, t, ask, closed)
 	}
-	t.takeTurn(ask, x)
-	d.takeCold(now, t, ask.Job.Pool, x)
+	t.countExposure(ask, x)
+	d.countCold(now, t, ask.Job.Pool, x)
 	return deliver.Placement{Target: x.ID, StartedAt: x.StartedAt, Address: x.Address, PlacedAt: now, Rule: "nearest", QuotaGranted: d.takeQuota(now, t, x)}, nil
 }
 
 func (d *Daemon) refuseNone(now time.Time, t *tables, ask deliver.PlacementRequest, closed func(*fleet.Target) bool) *refusal.Refusal {
 	pool := ask.Job.Pool
-	if cold := d.heldBack(now, t, ask); cold > 0 {
+	if cold := d.countColdExcluded(now, t, ask); cold > 0 {
 		return refusal.New(refusal.DidNotRun, 503, "warming", "no target of %s takes work now but %d that are cold and have got what they bear", pool.Name, cold)
 	}
 	if refused := d.refuseLimited(now, t, ask, closed); refused != nil {
@@ -150,7 +150,7 @@
 			return refusal.New(refusal.DidNotRun, 503, "old_weights", "the engines of %s that take work have weights older than version %d", request.Job.Pool.Name, ask.MinVersion)
 		}
 	}
-	return d.refuseNone(now, t, request, from.closed)
+	return d.refuseNone(now, t, request, from.excluded)
 }
 
 // skip passes over targets that were tried before, over those closed to the box that
@@ -160,7 +160,7 @@
 	regions := allowedRegions(ask.Job)
 	return func(id string) bool {
 		x := t.fleet.Target(id)
-		return !t.inRegions(regions, x.Domain) || slices.Contains(ask.Attempted, id) || closed(x) || d.overCold(now, t, ask.Job.Pool, x) || !d.withinQuota(now, t, x)
+		return !t.inRegions(regions, x.Domain) || slices.Contains(ask.Attempted, id) || closed(x) || d.coldShareUsed(now, t, ask.Job.Pool, x) || !d.withinQuota(now, t, x)
 	}
 }
 
@@ -177,10 +177,10 @@
 // sender is the box that sends a request, as far as its place depends on that.
 type sender struct {
 	domain string
-	room   admissionLimit
-	// linked says to which targets it has a connection that rests, closed which of them
+	limit  admissionLimit
+	// hasIdleConnection says to which targets it has a connection that rests, closed which of them
 	// must get no request from it.
-	linked, closed func(*fleet.Target) bool
+	hasIdleConnection, excluded func(*fleet.Target) bool
 }
 
 func (d *Daemon) placeModel(now time.Time, t *tables, ask deliver.PlacementRequest) (deliver.Placement, *refusal.Refusal) {
@@ -191,12 +191,12 @@
 func (d *Daemon) chooseEngine(now time.Time, t *tables, ask deliver.PlacementRequest, from sender) (deliver.Placement, *refusal.Refusal) {
 	var place deliver.Placement
 	var refused *refusal.Refusal
-	for _, passed := range d.turns(now, t, ask) {
+	for _, passed := range d.softwareFilters(now, t, ask) {
 		among := from
-		among.closed = either(from.closed, passed)
+		among.excluded = either(from.excluded, passed)
 		place, refused = d.planEngine(now, t, ask, among)
 		if refused == nil {
-			t.takeTurn(ask, t.fleet.Target(place.Target))
+			t.countExposure(ask, t.fleet.Target(place.Target))
 			return place, nil
 		}
 	}
@@ -214,10 +214,10 @@
 	regions := allowedRegions(job)
 	question := affinity.Request{
 		DomainAllowed: func(domain string) bool { return t.inRegions(regions, domain) },
-		Domain:        d.preferredDomain(from.domain), Home: home(job), Tokens: job.PromptTokens + job.MaxOutputTokens, Capacity: job.Pool.Engine.Capacity, Parts: partsOf(job), Model: job.Model, NewestVersion: w.newestVersion, Skip: d.skip(now, t, ask, from.closed),
-		MinVersion: w.least(now, d.bounds.Load().WeightsWithin), Goal: job.Route.Goal, HasIdleConnection: from.linked,
+		Domain:        d.preferredDomain(from.domain), Home: home(job), Tokens: job.PromptTokens + job.MaxOutputTokens, Capacity: job.Pool.Engine.Capacity, Parts: partsOf(job), Model: job.Model, NewestVersion: w.newestVersion, Skip: d.skip(now, t, ask, from.excluded),
+		MinVersion: w.requiredVersion(now, d.bounds.Load().WeightsWithin), Goal: job.Route.Goal, HasIdleConnection: from.hasIdleConnection,
 		Full: func(taken int) bool {
-			return !from.room.admits(taken, job.PromptTokens+job.MaxOutputTokens, job.Pool.Engine.Capacity)
+			return !from.limit.admits(taken, job.PromptTokens+job.MaxOutputTokens, job.Pool.Engine.Capacity)
 		},
 		Keys: func(version int64) []directory.Key {
 			if keys[version] == nil {
@@ -232,10 +232,10 @@
 	if !ok {
 		return deliver.Placement{}, d.refuseEngine(now, t, ask, question, targets, from)
 	}
-	if refused := d.refuseCrowded(now, t, choice.Target, question, from.room); refused != nil {
+	if refused := d.refuseMemoryFull(now, t, choice.Target, question, from.limit); refused != nil {
 		return deliver.Placement{}, refused
 	}
-	d.takeCold(now, t, job.Pool, choice.Target)
+	d.countCold(now, t, job.Pool, choice.Target)
 	place := deliver.Placement{
 		Target: choice.Target.ID, StartedAt: choice.Target.StartedAt, Address: choice.Target.Address, Version: choice.Version,
 		Scope: scope(choice.Version, job), PrefillTokens: choice.PrefillTokens, Tokens: job.PromptTokens + job.MaxOutputTokens, Rule: choice.Rule,
@@ -258,12 +258,12 @@
 			place.Saved += p.Tokens
 		}
 	}
-	expect(now, t, job.Parts, choice)
+	expectCached(now, t, job.Parts, choice)
 	return place, nil
 }
 
-// expect notes what the engine and the stores will keep.
-func expect(now time.Time, t *tables, parts []deliver.Part, choice affinity.Choice) {
+// expectCached notes what the engine and the stores will keep.
+func expectCached(now time.Time, t *tables, parts []deliver.Part, choice affinity.Choice) {
 	until := now.Add(expectFor)
 	for i, key := range choice.Keys {
 		t.directory.Expect(choice.Target.ID, key, parts[i].Tokens, until)
--- a/entry/placehub.go
+++ b/entry/placehub.go
@@ -45,13 +45,13 @@
 // left, or whose time is up, is not counted at any target and costs no hub's work.
 func (d *Daemon) placementRequested(now time.Time, t *tables, m placementRequest) []effect {
 	if m.ctx.Err() != nil {
-		m.reply <- placeAnswer{err: d.timeUp(m.ask.Job)}
+		m.reply <- placeAnswer{err: d.timeoutRefusal(m.ask.Job)}
 		return nil
 	}
 	if effects, done := d.refuseOrTry(now, t, m); done {
 		return effects
 	}
-	if refused := d.refuseForGood(t, m.ask.Job); refused != nil {
+	if refused := d.refuseImpossible(t, m.ask.Job); refused != nil {
 		m.reply <- placeAnswer{err: refused}
 		return nil
 	}
@@ -96,10 +96,10 @@
 func (d *Daemon) targetHints(now time.Time, targets []*fleet.Target) (linked, closed []uint32) {
 	for _, x := range targets {
 		if d.hasIdleConnection(x) {
-			linked = append(linked, short(x))
+			linked = append(linked, shortID(x))
 		}
 		if x.InBackoff(now) || x.Leaving {
-			closed = append(closed, short(x))
+			closed = append(closed, shortID(x))
 		}
 	}
 	return linked, closed
@@ -125,7 +125,7 @@
 	} else {
 		t.members[m.hub].misses = 0
 		t.hubHeardAt = now
-		if answer, ok := d.acceptHubPlace(now, t, m.m.ask, m.placed); ok && !moreParts(m) {
+		if answer, ok := d.acceptHubPlace(now, t, m.m.ask, m.placed); ok && !otherHubHasQuota(m) {
 			m.m.reply <- answer
 			return nil
 		}
@@ -137,9 +137,9 @@
 	return d.placementRequested(now, t, m.m)
 }
 
-// moreParts says that a hub has nothing left of limited targets' rates, and that another one,
+// otherHubHasQuota says that a hub has nothing left of limited targets' rates, and that another one,
 // which has a part of its own, can be asked.
-func moreParts(m hubPlaced) bool {
+func otherHubHasQuota(m hubPlaced) bool {
 	return m.placed.Refused == codeLimited && len(m.m.askedHubs)+1 < hubAsks
 }
 
@@ -161,26 +161,26 @@
 func (d *Daemon) acceptHubPlace(now time.Time, t *tables, request deliver.PlacementRequest, p *peer.PlacementResponse) (placeAnswer, bool) {
 	job := request.Job
 	if p.Refused == codeBackoff {
-		return d.closedAtHub(now, t, request)
+		return d.allExcludedAtHub(now, t, request)
 	}
 	if p.Refused != "" {
 		refused := refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, p.Refused, "%s", p.Reason)
-		d.notePlace(now, request, refused)
-		return placeAnswer{err: refused.After(d.returnAfter(now, t, p.Refused, job))}, true
+		d.notePlacement(now, request, refused)
+		return placeAnswer{err: refused.After(d.retryAfterRefusal(now, t, p.Refused, job))}, true
 	}
 	if p.Entry != nil && t.fleet.Target(p.Target) == nil {
 		d.applyHubEntry(now, t, *p.Entry)
 	}
 	x := t.fleet.Target(p.Target)
-	if x == nil || !x.Available(now) || x.Ejected(now) || x.InBackoff(now) || x.Limited && !p.QuotaGranted || d.closedTo(now, t, x) || !t.inRegions(allowedRegions(job), x.Domain) {
+	if x == nil || !x.Available(now) || x.Ejected(now) || x.InBackoff(now) || x.Limited && !p.QuotaGranted || d.excludedBySoftware(now, t, x) || !t.inRegions(allowedRegions(job), x.Domain) {
 		return placeAnswer{}, false
 	}
 	w := t.rolloutOf(job.Model)
 	within := d.bounds.Load().WeightsWithin
-	if job.Pool.Engine != nil && p.Version < w.least(now, within) {
+	if job.Pool.Engine != nil && p.Version < w.requiredVersion(now, within) {
 		return placeAnswer{}, false
 	}
-	fetch, save, err := moves(p)
+	fetch, save, err := transferAddresses(p)
 	if err != nil {
 		d.Log.Error("a hub's place can't be used", "request", job.ID, "target", p.Target, "err", err)
 		return placeAnswer{}, false
@@ -196,13 +196,13 @@
 		place.Transfers = append(place.Transfers, throughput.Transfer{Source: m.Source, Expected: time.Duration(m.ExpectedUS) * time.Microsecond})
 	}
 	t.countSent(now, place)
-	d.notePlace(now, request, nil)
+	d.notePlacement(now, request, nil)
 	return placeAnswer{place: place}, true
 }
 
-// closedAtHub refuses a request for which a hub knows no targets but those that this box
+// allExcludedAtHub refuses a request for which a hub knows no targets but those that this box
 // told it are closed. If this box knows others, the hub's list is old: another is asked.
-func (d *Daemon) closedAtHub(now time.Time, t *tables, request deliver.PlacementRequest) (placeAnswer, bool) {
+func (d *Daemon) allExcludedAtHub(now time.Time, t *tables, request deliver.PlacementRequest) (placeAnswer, bool) {
 	fits := func(x *fleet.Target) bool {
 		return x.Available(now) && !x.InBackoff(now) && !slices.Contains(request.Attempted, x.ID)
 	}
@@ -210,21 +210,21 @@
 		return placeAnswer{}, false
 	}
 	refused := d.refuseNone(now, t, request, backsOff(now))
-	d.notePlace(now, request, refused)
-	return placeAnswer{err: refused.After(d.returnAfter(now, t, refused.Code, request.Job))}, true
+	d.notePlacement(now, request, refused)
+	return placeAnswer{err: refused.After(d.retryAfterRefusal(now, t, refused.Code, request.Job))}, true
 }
 
-// moves returns from where and to where a hub has parts moved.
-func moves(p *peer.PlacementResponse) (fetch, save []netip.AddrPort, err error) {
-	if fetch, err = parse(p.Fetch); err != nil {
+// transferAddresses returns from where and to where a hub has parts moved.
+func transferAddresses(p *peer.PlacementResponse) (fetch, save []netip.AddrPort, err error) {
+	if fetch, err = parseAddresses(p.Fetch); err != nil {
 		return nil, nil, err
 	}
-	save, err = parse(p.Save)
+	save, err = parseAddresses(p.Save)
 	return fetch, save, err
 }
 
-// parse reads addresses; an empty text means none.
-func parse(list []string) ([]netip.AddrPort, error) {
+// parseAddresses reads addresses; an empty text means none.
+func parseAddresses(list []string) ([]netip.AddrPort, error) {
 	if len(list) == 0 {
 		return nil, nil
 	}
@@ -247,5 +247,5 @@
 	return d.Platform.HasIdleConnection == nil || d.Platform.HasIdleConnection(x.Address)
 }
 
-// short names a target among those of its pool, in four bytes.
-func short(x *fleet.Target) uint32 { return uint32(placement.Hash(x.ID)) }
+// shortID names a target among those of its pool, in four bytes.
+func shortID(x *fleet.Target) uint32 { return uint32(placement.Hash(x.ID)) }
--- a/entry/placepeer.go
+++ b/entry/placepeer.go
@@ -44,37 +44,37 @@
 	for _, p := range m.PlacementRequest.Parts {
 		job.Parts = append(job.Parts, deliver.Part{ID: p.ID, Tokens: p.Tokens})
 	}
-	ask, closed := deliver.PlacementRequest{Job: job, Attempted: m.PlacementRequest.Tried}, among(m.PlacementRequest.Excluded)
+	ask, closed := deliver.PlacementRequest{Job: job, Attempted: m.PlacementRequest.Tried}, namedIn(m.PlacementRequest.Excluded)
 	var place deliver.Placement
 	var refused *refusal.Refusal
 	if job.Pool.Engine == nil {
 		place, refused = d.choosePlain(now, t, ask, closed)
 	} else {
-		place, refused = d.chooseEngine(now, t, ask, sender{t.domainOf(m.From), roomOf(m.PlacementRequest), among(m.PlacementRequest.IdleConnections), closed})
+		place, refused = d.chooseEngine(now, t, ask, sender{t.domainOf(m.From), peerAdmissionLimit(m.PlacementRequest), namedIn(m.PlacementRequest.IdleConnections), closed})
 	}
 	if refused != nil {
 		return &peer.PlacementResponse{Refused: refused.Code, Reason: refused.Reason}
 	}
-	t.charge(m.From, place)
+	t.countForPeer(m.From, place)
 	t.prefillBacklog.Place(now, placement.Hash(place.Target), place.PrefillTokens)
 	var moves []peer.Transfer
 	for _, m := range place.Transfers {
 		moves = append(moves, peer.Transfer{Source: m.Source, ExpectedUS: m.Expected.Microseconds()})
 	}
 	return &peer.PlacementResponse{
-		Entry:  t.comes(now, place.Target),
-		Target: place.Target, Version: place.Version, Fetch: format(place.Fetch), Save: format(place.Save),
+		Entry:  t.recentEntry(now, place.Target),
+		Target: place.Target, Version: place.Version, Fetch: formatAddresses(place.Fetch), Save: formatAddresses(place.Save),
 		UntilMS: place.FetchUntil.Milliseconds(), CachedTokens: place.Kept, FetchedTokens: place.Fetched, SavedTokens: place.Saved,
 		PrefillTokens: place.PrefillTokens, Rule: place.Rule, PrefillBacklog: place.PrefillBacklog, Transfers: moves, QuotaGranted: place.QuotaGranted,
 	}
 }
 
-// comes is the entry of a target that came into use so lately that other boxes may not know
+// recentEntry is the entry of a target that came into use so lately that other boxes may not know
 // of it, or nil.
-func (t *tables) comes(now time.Time, id string) *peer.Entry {
+func (t *tables) recentEntry(now time.Time, id string) *peer.Entry {
 	x := t.fleet.Target(id)
 	u := t.inUse[x.Pool]
-	if u == nil || u.members == nil || !x.LapsedAt.IsZero() || now.Sub(u.since[id]) > comesFor {
+	if u == nil || u.members == nil || !x.LapsedAt.IsZero() || now.Sub(u.since[id]) > recentEntryFor {
 		return nil
 	}
 	entry := entryOf(now, x)
@@ -96,7 +96,7 @@
 	if t.hubWarm {
 		return true
 	}
-	if t.unsteady(d.now()) {
+	if t.unstable(d.now()) {
 		return false
 	}
 	heard := 0
@@ -112,18 +112,18 @@
 	return t.hubWarm
 }
 
-// charge counts a request that was just placed for another box, until that box
+// countForPeer counts a request that was just placed for another box, until that box
 // tells of it itself.
-func (t *tables) charge(box string, place deliver.Placement) {
+func (t *tables) countForPeer(box string, place deliver.Placement) {
 	t.othersUsage.Add(box, peer.TargetLoad{Target: placement.Hash(place.Target), Tokens: place.Tokens})
 }
 
-// among says which targets another box named.
-func among(list []uint32) func(*fleet.Target) bool {
-	return func(x *fleet.Target) bool { return slices.Contains(list, short(x)) }
+// namedIn says which targets another box named.
+func namedIn(list []uint32) func(*fleet.Target) bool {
+	return func(x *fleet.Target) bool { return slices.Contains(list, shortID(x)) }
 }
 
-func format(list []netip.AddrPort) []string {
+func formatAddresses(list []netip.AddrPort) []string {
 	if list == nil {
 		return nil
 	}
--- a/entry/purse.go
+++ b/entry/purse.go
@@ -14,11 +14,11 @@
 // that hears no hub has what it is drawn for (drawnBurst).
 
 const (
-	// purseShare is the part of what all boxes may save up that hubs hold together; drawnShare
+	// hubRetryShare is the part of what all boxes may save up that hubs hold together; drawnShare
 	// is that of boxes that hear none.
-	purseShare = 0.45
-	// retryWithin bounds the call for a retry: the request waits for it.
-	retryWithin = 50 * time.Millisecond
+	hubRetryShare = 0.45
+	// retryCallTimeout bounds the call for a retry: the request waits for it.
+	retryCallTimeout = 50 * time.Millisecond
 )
 
 // retryBudgetSource is who keeps this box's retries.
@@ -37,7 +37,7 @@
 	case !t.hasUnregistered(now) || float64(t.boxCount(now)) <= all:
 		d.retryBudget.Store(nil)
 	case !d.spoke.Load():
-		d.sharedRetryBudget.SetBurst(purseShare * all / float64(max(len(t.hubs()), 1)))
+		d.sharedRetryBudget.SetBurst(hubRetryShare * all / float64(max(len(t.hubs()), 1)))
 		d.retryBudget.Store(&retryBudgetSource{local: true})
 	case hub != nil && !d.hubless(now, t):
 		d.sharedRetryBudget.SetBurst(1) // Until the next gossip.
@@ -65,7 +65,7 @@
 	case l.local:
 		return d.sharedRetryBudget.Spend(pool)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), retryWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), retryCallTimeout)
 	defer cancel()
 	answer, err := d.peers.Call(ctx, l.hub, peer.Message{Kind: peer.KindRetry, From: d.Settings.Name, RetryPool: pool})
 	if err != nil {
--- a/entry/purse_test.go
+++ b/entry/purse_test.go
@@ -8,10 +8,10 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// TestRetriesAtHubs has a fleet of more boxes than may each save up a retry serve some requests a
+// TestRetryBudgetAtHubs has a fleet of more boxes than may each save up a retry serve some requests a
 // second, of which one in seven has to be tried again: hubs have a retry for nearly each, and all
 // that they hold stays within what all may save up. Without hubs nearly none has one.
-func TestRetriesAtHubs(t *testing.T) {
+func TestRetryBudgetAtHubs(t *testing.T) {
 	t.Parallel()
 	const boxes, domains, extra = 120, 7, 160
 	for _, hubs := range []bool{true, false} {
@@ -67,8 +67,8 @@
 	return false
 }
 
-// TestLender says who keeps a box's retries.
-func TestLender(t *testing.T) {
+// TestRetryBudgetSource says who keeps a box's retries.
+func TestRetryBudgetSource(t *testing.T) {
 	tests := []struct {
 		name  string
 		box   string
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -35,8 +35,8 @@
 	return t.quarantine.Refuses(now, sum, t.crashes.Suspects(sum))
 }
 
-// answered notes that a request was answered whole, so that nothing speaks against it.
-func (d *Daemon) answered(now time.Time, t *tables, job *deliver.Job) {
+// clearAnswered notes that a request was answered whole, so that nothing speaks against it.
+func (d *Daemon) clearAnswered(now time.Time, t *tables, job *deliver.Job) {
 	if t.quarantine.Len() == 0 {
 		return
 	}
@@ -87,14 +87,14 @@
 // have that set.
 func (t *tables) addQuarantine(v *peer.View, have uint64) {
 	refused := t.quarantine.Refused()
-	v.QuarantineVersion = setOf(refused)
+	v.QuarantineVersion = quarantineVersion(refused)
 	if v.QuarantineVersion != have {
 		v.Quarantined = refused
 	}
 }
 
-// setOf numbers a set of fingerprints, the same on every box; zero is the empty one.
-func setOf(list []fingerprint.Sum) uint64 {
+// quarantineVersion numbers a set of fingerprints, the same on every box; zero is the empty one.
+func quarantineVersion(list []fingerprint.Sum) uint64 {
 	var set uint64
 	for _, sum := range list {
 		set ^= xxhash.Sum64(sum[:])
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -20,17 +20,17 @@
 // is placed, and asked for again right before it leaves.
 
 const (
-	// grantFor is for how long a placed request may leave on the part that was taken for it.
+	// grantTTL is for how long a placed request may leave on the part that was taken for it.
 	// What waits for longer would leave together with the parts of the time since.
-	grantFor = time.Second
-	// silentHolder is after how long without a word from a box its part goes to others.
-	silentHolder = 5 * time.Second
-	// toldLimits bounds the limits told in one message, at some 40 bytes each.
-	toldLimits = 64
-	// limitNewsFor is for how long news of a limit are told in each message: some rounds, as
+	grantTTL = time.Second
+	// holderTimeout is after how long without a word from a box its part goes to others.
+	holderTimeout = 5 * time.Second
+	// maxLimitsPerMessage bounds the limits told in one message, at some 40 bytes each.
+	maxLimitsPerMessage = 64
+	// newLimitRepeat is for how long news of a limit are told in each message: some rounds, as
 	// calls fail. All limits are told each limitsEvery, for boxes that missed the news.
-	limitNewsFor = time.Second
-	limitsEvery  = 2 * time.Second
+	newLimitRepeat    = time.Second
+	allLimitsInterval = 2 * time.Second
 )
 
 // codeLimited is the refusal's code where the targets that would take a request have got what
@@ -54,9 +54,9 @@
 // targetQuota is what this box may send to a target that limits requests.
 type targetQuota struct {
 	bucket quota.Bucket
-	// part is this box's of rate, as divided at a time.
-	part, rate float64
-	divided    time.Time
+	// share is this box's of rate, as divided at a time.
+	share, rate float64
+	dividedAt   time.Time
 }
 
 // bucket holds what this box may send to a target that limits requests, as of now.
@@ -66,36 +66,36 @@
 		l = &targetQuota{}
 		t.quotas[x.Incarnation()] = l
 	}
-	if l.rate != x.Rate || now.Sub(l.divided) >= tick {
-		l.part, l.rate, l.divided = d.part(now, t, x), x.Rate, now
+	if l.rate != x.Rate || now.Sub(l.dividedAt) >= tick {
+		l.share, l.rate, l.dividedAt = d.rateShare(now, t, x), x.Rate, now
 	}
-	l.bucket.Refill(now, l.part)
+	l.bucket.Refill(now, l.share)
 	return &l.bucket
 }
 
-// part is this box's of a target's rate, in requests a second. A box that does not know the
+// rateShare is this box's of a target's rate, in requests a second. A box that does not know the
 // others, or lives on a hub, has none.
-func (d *Daemon) part(now time.Time, t *tables, x *fleet.Target) float64 {
+func (d *Daemon) rateShare(now time.Time, t *tables, x *fleet.Target) float64 {
 	if !t.membersKnown || d.spoke.Load() {
 		return 0
 	}
-	return quota.Share(x.Rate, placement.Hash(x.ID), d.Settings.Name, t.holders(now, d.Settings.Name))
+	return quota.Share(x.Rate, placement.Hash(x.ID), d.Settings.Name, t.quotaHolders(now, d.Settings.Name))
 }
 
-// holders lists the boxes that share the rates: those that exchange soft state with each other
+// quotaHolders lists the boxes that share the rates: those that exchange soft state with each other
 // and were heard of lately, or can't be, and this one.
-func (t *tables) holders(now time.Time, self string) []string {
+func (t *tables) quotaHolders(now time.Time, self string) []string {
 	var list []string
 	for _, name := range t.hubs() {
-		if m := t.members[name]; name == self || !m.address.IsValid() || now.Sub(m.heardAt) < silentHolder {
+		if m := t.members[name]; name == self || !m.address.IsValid() || now.Sub(m.heardAt) < holderTimeout {
 			list = append(list, name)
 		}
 	}
 	return list
 }
 
-// limitSet takes over a target's limit, for choosing.
-func limitSet(x *fleet.Target, limit notice.Limit) {
+// setLimit takes over a target's limit, for choosing.
+func setLimit(x *fleet.Target, limit notice.Limit) {
 	x.Limited, x.Rate = limit.Active, limit.PerSecond
 }
 
@@ -103,14 +103,14 @@
 func (d *Daemon) limitsFor(now time.Time, m *member) []peer.RateLimit {
 	all := m == nil || !now.Before(m.limitsDue)
 	if all && m != nil {
-		m.limitsDue = now.Add(limitsEvery)
+		m.limitsDue = now.Add(allLimitsInterval)
 	}
 	var list []peer.RateLimit
 	for _, x := range d.notices.Limits() {
-		if len(list) == toldLimits {
+		if len(list) == maxLimitsPerMessage {
 			break
 		}
-		if !all && now.Sub(x.Since) > limitNewsFor {
+		if !all && now.Sub(x.Since) > newLimitRepeat {
 			continue
 		}
 		list = append(list, peer.NewRateLimit(now, x))
@@ -130,7 +130,7 @@
 			continue // What this box hears itself is of the life that its list names.
 		}
 		if d.notices.SetLimit(now, x) {
-			d.noteLimit(x, m.From)
+			d.logLimit(x, m.From)
 		}
 		d.signalsHeard(now, t, x.Incarnation)
 	}
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -37,42 +37,42 @@
 	return most, int(rateFactor*rate*rateWindow.Seconds()) + rateExtra
 }
 
-// rated is a fleet whose targets of a pool name a rate in each answer.
-type rated struct {
+// ratedFleet is a fleet whose targets of a pool name a rate in each answer.
+type ratedFleet struct {
 	*emulator
 	pool string
 	rate float64
 	// limited are the targets that do.
 	limited map[string]bool
-	// waits are the requests that wait for their place, by box.
-	waits []waiting
-	// came is when requests reached targets, from is when the limits count.
-	came   map[string][]time.Time
-	from   time.Time
-	served int
-	codes  map[string]int
-	turn   int
+	// pending are the requests that wait for their place, by box.
+	pending []pendingRequest
+	// arrivals is when requests reached targets, from is when the limits count.
+	arrivals map[string][]time.Time
+	from     time.Time
+	served   int
+	codes    map[string]int
+	turn     int
 }
 
-// waiting is a request that waits for its place.
-type waiting struct {
+// pendingRequest is a request that waits for its place.
+type pendingRequest struct {
 	box   *Daemon
 	reply chan placeAnswer
 	asked time.Time
 }
 
-// press has some of the boxes send a request each, and passes on what was placed.
-func (w *rated) press(requests int) {
+// sendRequests has some of the boxes send a request each, and passes on what was placed.
+func (w *ratedFleet) sendRequests(requests int) {
 	for range requests {
 		w.turn += 7
 		d := w.boxes[w.turn%len(w.boxes)]
 		j := job("short", 100)
 		j.Pool = configuration(1).Pools[w.pool]
 		reply := make(chan placeAnswer, 1)
-		w.waits = append(w.waits, waiting{d, reply, w.now})
+		w.pending = append(w.pending, pendingRequest{d, reply, w.now})
 		w.perform(d, d.update(w.now, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: j}, reply: reply}))
 	}
-	w.waits = slices.DeleteFunc(w.waits, func(x waiting) bool {
+	w.pending = slices.DeleteFunc(w.pending, func(x pendingRequest) bool {
 		select {
 		case answer := <-x.reply:
 			w.answered(x, answer)
@@ -84,19 +84,19 @@
 }
 
 // answered sends a request that was placed, and has its box hear the answer.
-func (w *rated) answered(x waiting, answer placeAnswer) {
+func (w *ratedFleet) answered(x pendingRequest, answer placeAnswer) {
 	if answer.err != nil {
 		w.codes[refusal.Of(answer.err, "", 0).Code]++
 		return
 	}
-	life := lifePlaced(answer.place)
+	life := incarnationOf(answer.place)
 	if err := x.box.allow(life, deliver.Attempt{Job: job("short", 100), Place: answer.place}); err != nil {
 		w.codes[err.Error()]++
 		return
 	}
 	w.served++
 	if w.now.After(w.from) {
-		w.came[life.ID] = append(w.came[life.ID], w.now)
+		w.arrivals[life.ID] = append(w.arrivals[life.ID], w.now)
 	}
 	said := notice.Signals{Unlimited: true}
 	if w.limited[life.ID] {
@@ -106,7 +106,7 @@
 	w.after(100*time.Millisecond, func() {
 		x.box.update(w.now, answerBegan{answer.place})
 		x.box.attemptEnded(w.now, &x.box.tables, attemptEnded{deliver.AttemptResult{Place: answer.place, Job: job("short", 100), Began: true, Answered: true}})
-		if x.box.hearNotice(asked, life, said, "an answer") {
+		if x.box.observeSignals(asked, life, said, "an answer") {
 			x.box.update(w.now, signalsHeard{life})
 		}
 	})
@@ -136,9 +136,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			w := &rated{
+			w := &ratedFleet{
 				emulator: emulate(tt.boxes, tt.domains, configuration(1)), pool: tt.pool, rate: tt.rate,
-				limited: make(map[string]bool), came: make(map[string][]time.Time), codes: make(map[string]int),
+				limited: make(map[string]bool), arrivals: make(map[string][]time.Time), codes: make(map[string]int),
 			}
 			for i := range 8 {
 				e := engineAt(i)
@@ -155,13 +155,13 @@
 			pressed := 0
 			w.advance(span*time.Second, func() {
 				pressed += 10
-				w.press(10) // 200 a second.
+				w.sendRequests(10) // 200 a second.
 			})
 			for id := range w.limited {
 				if !w.limited[id] {
 					continue
 				}
-				if most, allowed := overRate(w.came[id], tt.rate); most > allowed {
+				if most, allowed := overRate(w.arrivals[id], tt.rate); most > allowed {
 					t.Errorf("%d requests reach %s in 4 s, %d are allowed", most, id, allowed)
 				}
 			}
@@ -177,23 +177,23 @@
 	}
 }
 
-// limits has a box hear that a target names a rate.
-func limits(d *Daemon, now time.Time, id string, rate float64) {
+// setRateLimit has a box hear that a target names a rate.
+func setRateLimit(d *Daemon, now time.Time, id string, rate float64) {
 	d.notices.ObserveLimit(now, now, fleet.Incarnation{ID: id}, notice.Signals{Limited: true, Rate: rate})
 	d.update(now, signalsHeard{fleet.Incarnation{ID: id}})
 }
 
-// alone is a box that is the only one, with two engines.
-func alone() *Daemon {
-	d := knows(newDaemon("b1"), "a", "b")
+// singleBox is a box that is the only one, with two engines.
+func singleBox() *Daemon {
+	d := withEngines(newDaemon("b1"), "a", "b")
 	d.tables.membersKnown = true
 	d.tables.members["b1"] = &member{domain: "a", share: 1}
 	return d
 }
 
-// TestLimitAtLast guards against requests that leave for a target which named its limit after
+// TestLimitBeforeSend guards against requests that leave for a target which named its limit after
 // they were placed, or that leave long after their part was taken.
-func TestLimitAtLast(t *testing.T) {
+func TestLimitBeforeSend(t *testing.T) {
 	tests := []struct {
 		name    string
 		granted bool
@@ -204,15 +204,15 @@
 		{"no limit", false, time.Minute, false, nil},
 		{"placed before the limit", false, 0, true, notice.ErrLimited},
 		{"placed within it", true, 0, true, nil},
-		{"placed within it, long ago", true, grantFor + 1, true, notice.ErrLimited},
+		{"placed within it, long ago", true, grantTTL + 1, true, notice.ErrLimited},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := alone()
+			d := singleBox()
 			now := start.Add(tt.waited)
 			d.now = func() time.Time { return now }
 			if tt.limited {
-				limits(d, start, "a", 3)
+				setRateLimit(d, start, "a", 3)
 			}
 			s := deliver.Attempt{Job: job("long", 1000), Place: deliver.Placement{Target: "a", PlacedAt: start, QuotaGranted: tt.granted}}
 			if err := d.allow(fleet.Incarnation{ID: "a"}, s); !errors.Is(err, tt.want) || (err == nil) != (tt.want == nil) {
@@ -222,15 +222,15 @@
 	}
 }
 
-// TestLimitCloses guards against placing on a target that has got what it takes a second, and
+// TestLimitExcludesTarget guards against placing on a target that has got what it takes a second, and
 // says what callers are told when all have.
-func TestLimitCloses(t *testing.T) {
-	d := alone()
-	limits(d, start, "a", 2)
+func TestLimitExcludesTarget(t *testing.T) {
+	d := singleBox()
+	setRateLimit(d, start, "a", 2)
 	if got, _ := placedOn(d, start); fmt.Sprint(got) != "[b]" {
 		t.Errorf("placed at once on %v", got)
 	}
-	limits(d, start, "b", 2)
+	setRateLimit(d, start, "b", 2)
 	_, refused := placedOn(d, start)
 	if refused.Code != codeLimited || refused.Outcome != refusal.DidNotRun || refused.RetryAfter <= 0 {
 		t.Errorf("refused as %q, %v, come back after %v", refused.Code, refused.Outcome, refused.RetryAfter)
@@ -247,15 +247,15 @@
 	}
 }
 
-// TestQuestionsWithinLimit guards against questions for the health of a silent target beyond
+// TestProbesWithinLimit guards against questions for the health of a silent target beyond
 // the rate that it names.
-func TestQuestionsWithinLimit(t *testing.T) {
-	d := alone()
+func TestProbesWithinLimit(t *testing.T) {
+	d := singleBox()
 	table := configuration(1)
 	table.Pools["orders"].HealthPath = "/health"
 	d.current.Store(table)
 	d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{{ID: "s", Pool: "orders"}}}, false})
-	limits(d, start, "s", 0.5)
+	setRateLimit(d, start, "s", 0.5)
 	x := d.tables.fleet.Target("s")
 	x.Sent(start, 0, 0)
 	asked := 0
@@ -271,9 +271,9 @@
 	}
 }
 
-// TestLimitTravels guards against boxes that don't know of a limit, or of its end, which
+// TestLimitGossip guards against boxes that don't know of a limit, or of its end, which
 // another box heard of.
-func TestLimitTravels(t *testing.T) {
+func TestLimitGossip(t *testing.T) {
 	tests := []struct {
 		name    string
 		told    []peer.RateLimit
@@ -289,7 +289,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := alone()
+			d := singleBox()
 			d.peerRequest(start.Add(time.Second), &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", RateLimits: tt.told})
 			if x := d.tables.fleet.Target("a"); x.Limited != tt.limited || x.Rate != tt.rate {
 				t.Errorf("limited %v to %v", x.Limited, x.Rate)
@@ -298,17 +298,17 @@
 	}
 }
 
-// TestLimitOfUnlistedLife guards against a limit that another box told of a target's next life,
+// TestLimitOfUnlistedIncarnation guards against a limit that another box told of a target's next life,
 // which this box's list does not name yet, and which made what that target said to this box
 // count as an earlier life's.
-func TestLimitOfUnlistedLife(t *testing.T) {
-	d := alone()
+func TestLimitOfUnlistedIncarnation(t *testing.T) {
+	d := singleBox()
 	listed := engine("a", 1)
 	listed.StartedAt = start.Add(-time.Minute)
 	d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{listed}}, false})
 	told := peer.RateLimit{Target: "a", StartedMS: start.UnixMilli(), Active: true, PerSecond: 3}
 	d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", RateLimits: []peer.RateLimit{told}})
-	sendSignals(d, start, fleet.Incarnation{ID: "a", StartedAt: listed.StartedAt}, resting)
+	sendSignals(d, start, fleet.Incarnation{ID: "a", StartedAt: listed.StartedAt}, signalsBackoff)
 	if got, _ := placedOn(d, start.Add(time.Second)); fmt.Sprint(got) != "[b]" {
 		t.Errorf("placed on %v in the time for which a wants none", got)
 	}
@@ -319,17 +319,17 @@
 	}
 }
 
-// TestLimitsTold guards against messages that tell all limits all the time.
-func TestLimitsTold(t *testing.T) {
-	d := alone()
+// TestLimitsRepeated guards against messages that tell all limits all the time.
+func TestLimitsRepeated(t *testing.T) {
+	d := singleBox()
 	other := &member{}
-	for i := range toldLimits + 10 {
-		limits(d, start, fmt.Sprint("x", i), 3)
+	for i := range maxLimitsPerMessage + 10 {
+		setRateLimit(d, start, fmt.Sprint("x", i), 3)
 	}
 	for _, tt := range []struct {
 		after time.Duration
 		want  int
-	}{{0, toldLimits}, {limitNewsFor, toldLimits}, {limitNewsFor + 1, 0}, {limitsEvery, toldLimits}, {limitsEvery + 1, 0}} {
+	}{{0, maxLimitsPerMessage}, {newLimitRepeat, maxLimitsPerMessage}, {newLimitRepeat + 1, 0}, {allLimitsInterval, maxLimitsPerMessage}, {allLimitsInterval + 1, 0}} {
 		if got := len(d.limitsFor(start.Add(tt.after), other)); got != tt.want {
 			t.Errorf("after %v: %d are told, want %d", tt.after, got, tt.want)
 		}
--- a/entry/refuse.go
+++ b/entry/refuse.go
@@ -10,10 +10,10 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// refuseForGood returns why no target will ever run a request under this
+// refuseImpossible returns why no target will ever run a request under this
 // configuration, or nil. Its caller was told before that the engines are crowded,
 // and came back for the same.
-func (d *Daemon) refuseForGood(t *tables, job *deliver.Job) *refusal.Refusal {
+func (d *Daemon) refuseImpossible(t *tables, job *deliver.Job) *refusal.Refusal {
 	if refused := d.refuseRegion(t, job); refused != nil {
 		return refused
 	}
@@ -26,7 +26,7 @@
 		return d.refusePermanently(job, "over_memory", "the request takes up %d tokens, and an engine of %s has %d", tokens, job.Pool.Name, engine.Capacity)
 	}
 	unknown := job.Model != "" && len(engine.Models) > 0 && !slices.Contains(engine.Models, job.Model)
-	if unknown && !slices.ContainsFunc(t.fleet.Pool(job.Pool.Name), func(x *fleet.Target) bool { return has(x, job.Model) }) {
+	if unknown && !slices.ContainsFunc(t.fleet.Pool(job.Pool.Name), func(x *fleet.Target) bool { return servesModel(x, job.Model) }) {
 		return d.refusePermanently(job, "no_model", "no engine of %s serves the model %q", job.Pool.Name, job.Model)
 	}
 	return nil
@@ -36,24 +36,24 @@
 	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, code, format, args...).After(d.retryAfter(code, job))
 }
 
-// has says that a target lists a model, in whatever version.
-func has(x *fleet.Target, model string) bool {
+// servesModel says that a target lists a model, in whatever version.
+func servesModel(x *fleet.Target, model string) bool {
 	_, listed := x.Versions[model]
 	return listed
 }
 
 // minAnswerTime is the time in which no request like a job's was answered lately.
 func (d *Daemon) minAnswerTime(now time.Time, job *deliver.Job) (time.Duration, bool) {
-	return d.minAnswerTimes.Min(now, alike(job))
+	return d.minAnswerTimes.Min(now, answerTimeKey(job))
 }
 
-// learnLeast learns from a whole answer, except of streams that were taken up, as
+// learnMinAnswerTime learns from a whole answer, except of streams that were taken up, as
 // they need less time.
-func (d *Daemon) learnLeast(o deliver.Outcome) {
-	if o.Job != nil && o.Status == http.StatusOK && kind(o) == answered && o.Call.LastEventID == "" {
-		d.minAnswerTimes.Observe(d.now(), alike(o.Job), o.Took)
+func (d *Daemon) learnMinAnswerTime(o deliver.Outcome) {
+	if o.Job != nil && o.Status == http.StatusOK && outcomeKind(o) == outcomeAnswered && o.Call.LastEventID == "" {
+		d.minAnswerTimes.Observe(d.now(), answerTimeKey(o.Job), o.Took)
 	}
 }
 
-// alike names the requests that are expected to take about as long.
-func alike(job *deliver.Job) string { return job.Route.Name + " at " + job.Pool.Name }
+// answerTimeKey names the requests that are expected to take about as long.
+func answerTimeKey(job *deliver.Job) string { return job.Route.Name + " at " + job.Pool.Name }
--- a/entry/refuse_test.go
+++ b/entry/refuse_test.go
@@ -12,9 +12,9 @@
 	"github.com/thymewind/thymewind/retryafter"
 )
 
-// TestRefusedForGood shows that a request that no target can ever run is refused as
+// TestRefusedPermanently shows that a request that no target can ever run is refused as
 // such on arrival, without asking a hub, and all others are placed.
-func TestRefusedForGood(t *testing.T) {
+func TestRefusedPermanently(t *testing.T) {
 	tests := []struct {
 		name          string
 		model         string
@@ -33,7 +33,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			now := start
-			d := refusing(&now)
+			d := boxWithClock(&now)
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{{ID: "a", Pool: "models", Versions: tt.versions}}}, false})
 			j := job("short", 0)
 			j.Model, j.PromptTokens, j.MaxOutputTokens = tt.model, tt.input, tt.output
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestNoHubIsAsked shows that no hub is asked for what none can place.
-func TestNoHubIsAsked(t *testing.T) {
+// TestImpossibleRequestAsksNoHub shows that no hub is asked for what none can place.
+func TestImpossibleRequestAsksNoHub(t *testing.T) {
 	d := largeFleet("box-05")
 	d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
 	for _, tokens := range []int{200000, 10} {
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestLeastIsLearnt shows which ends of requests tell how quickly their like can be
+// TestMinAnswerTimeLearned shows which ends of requests tell how quickly their like can be
 // served, and that refusals are counted by their code.
-func TestLeastIsLearnt(t *testing.T) {
+func TestMinAnswerTimeLearned(t *testing.T) {
 	took := 100 * time.Millisecond
 	tests := []struct {
 		name    string
@@ -88,7 +88,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			now := start
-			d := refusing(&now)
+			d := boxWithClock(&now)
 			o := tt.outcome
 			o.Job = job("short", 10)
 			if o.Call == nil {
--- a/entry/restored_canary_test.go
+++ b/entry/restored_canary_test.go
@@ -33,22 +33,22 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			w := newCanaryWorld(3, 70)
-			w.answer = w.badIn(tt.percent, false, 0, "")
+			w := newCanaryFleet(3, 70)
+			w.answer = w.badAnswers(tt.percent, false, 0, "")
 			w.ask("v2")
 			w.advance(tt.copied, w.serve)
 			copied, lost := w.rows.Copy(), w.version
 			w.advance(tt.restored-tt.copied, w.serve)
 			w.restore(min(w.version-lost+5, w.version-1), copied)
-			w.advance(tryFor-tt.restored+6*time.Second, w.serve)
+			w.advance(rolloutTime-tt.restored+6*time.Second, w.serve)
 			if w.last() != tt.want {
 				t.Errorf("told %v, want %v at the end", w.canaryReports["orders"], tt.want)
 			}
 			if tt.percent > 0 && float64(w.tried) > 0.1*float64(w.sent)+50 {
 				t.Errorf("a bad version got %d of %d requests", w.tried, w.sent)
 			}
-			if w.late > 0 || w.olderLate > 0 {
-				t.Errorf("%d requests came too late to the new version, %d to the older one after it was completed", w.late, w.olderLate)
+			if w.late > 0 || w.olderAfterCompletion > 0 {
+				t.Errorf("%d requests came too late to the new version, %d to the older one after it was completed", w.late, w.olderAfterCompletion)
 			}
 			for _, d := range w.boxes {
 				if c := d.tables.canaryOf("orders"); c == nil || c.state != tt.want || slices.Contains(c.barred, "v2") {
@@ -62,10 +62,10 @@
 	}
 }
 
-// TestCanaryAskedAgain guards against a version that is stopped, as a restored table service
+// TestCanarySpecRewritten guards against a version that is stopped, as a restored table service
 // lacks the ask for it until the operator has written that again.
-func TestCanaryAskedAgain(t *testing.T) {
-	ask := canary.Rollout{Pool: "orders", Version: "v2", Order: 50, Timeout: tryFor}
+func TestCanarySpecRewritten(t *testing.T) {
+	ask := canary.Rollout{Pool: "orders", Version: "v2", Order: 50, Timeout: rolloutTime}
 	again := ask
 	again.Order = canary.OrderAt(revision.Revision{Restores: 1, Number: 41})
 	tests := []struct {
@@ -86,8 +86,8 @@
 			d.update(start, operatorRead{start, Operator{Snapshot: true, Canaries: map[string]*canary.Rollout{}, Known: revision.Revision{Restores: 1, Number: 40}}})
 			d.update(start, operatorRead{start, Operator{Canaries: tt.then, Known: revision.Revision{Restores: 1, Number: 41}}})
 			d.sweep(start.Add(tt.after), &d.tables)
-			if c := d.tables.canaryOf("orders"); c.stopped != tt.stopped || c.ask.Version != "v2" {
-				t.Errorf("stopped %v, ask %+v", c.stopped, c.ask)
+			if c := d.tables.canaryOf("orders"); c.stopped != tt.stopped || c.spec.Version != "v2" {
+				t.Errorf("stopped %v, ask %+v", c.stopped, c.spec)
 			}
 		})
 	}
--- a/entry/rolloutrow.go
+++ b/entry/rolloutrow.go
@@ -33,9 +33,9 @@
 	Freed int64 `json:"freed"`
 }
 
-// bar keeps targets that an earlier holder ordered lately from orders: all of them, if a restore
+// barRecentlyOrdered keeps targets that an earlier holder ordered lately from orders: all of them, if a restore
 // of the table service may have lost the row that names them.
-func (d *Daemon) bar(now time.Time, t *tables, rows []table.Row) {
+func (d *Daemon) barRecentlyOrdered(now time.Time, t *tables, rows []table.Row) {
 	apart := d.bounds.Load().Takeover + handoverMargin
 	until := now.Add(apart)
 	for _, w := range t.weights {
@@ -46,7 +46,7 @@
 		if !ok {
 			continue
 		}
-		d.rolloutRead(now, t, model, row.Value)
+		d.applyRolloutRow(now, t, model, row.Value)
 		var last rolloutRow
 		if json.Unmarshal(row.Value, &last) != nil {
 			continue // rolloutRead logged it.
@@ -60,17 +60,17 @@
 	}
 }
 
-// tellRollout makes the effect that writes the rollout's row.
-func (d *Daemon) tellRollout(now time.Time, t *tables, model string, w *modelRollout, epoch uint64) effect {
+// announceRollout makes the effect that writes the rollout's row.
+func (d *Daemon) announceRollout(now time.Time, t *tables, model string, w *modelRollout, epoch uint64) effect {
 	w.announcing = true
 	for _, id := range w.planned {
 		w.orderedAt[id] = now
 	}
-	maps.DeleteFunc(w.orderedAt, func(_ string, at time.Time) bool { return now.Sub(at) > recentFor })
+	maps.DeleteFunc(w.orderedAt, func(_ string, at time.Time) bool { return now.Sub(at) > recentOrderFor })
 	row := rolloutRow{
 		Epoch: epoch, Version: w.newestVersion, Loading: slices.Concat(slices.Sorted(maps.Keys(w.ordered)), w.planned),
 		Recent: slices.Sorted(maps.Keys(w.orderedAt)), Freed: w.freed,
-		Namings: w.versionLog.Rows(now.Add(-toldFor*d.bounds.Load().WeightsWithin), &t.tableClock),
+		Namings: w.versionLog.Rows(now.Add(-reportBounds*d.bounds.Load().WeightsWithin), &t.tableClock),
 	}
 	for _, id := range t.fleet.IDs() {
 		if t.fleet.Target(id).Versions[model] == w.newestVersion {
@@ -90,7 +90,7 @@
 	w := t.rolloutOf(m.model)
 	w.announcing = false
 	if m.err != nil {
-		w.announceRetryAt = now.Add(tellAgain)
+		w.announceRetryAt = now.Add(announceRetryDelay)
 		d.Log.Warn("rollout not announced", "model", m.model, "err", m.err)
 	} else {
 		w.versionLog.Written()
@@ -129,16 +129,16 @@
 			d.applyMemberRow(t, name, row.Value)
 		}
 		if key, ok := strings.CutPrefix(row.Key, crashPrefix); ok {
-			d.crashRead(now, t, key, row.Value)
+			d.applyCrashRow(now, t, key, row.Value)
 		}
 		if pool, ok := strings.CutPrefix(row.Key, canaryPrefix); ok {
-			d.canaryRead(now, t, pool, row.Value, row.At())
+			d.applyCanaryRow(now, t, pool, row.Value, row.At())
 		}
 		if row.Key == credentialKey {
 			d.applyCredential(row.Value)
 		}
 		if model, ok := strings.CutPrefix(row.Key, rolloutPrefix); ok {
-			d.rolloutRead(now, t, model, row.Value)
+			d.applyRolloutRow(now, t, model, row.Value)
 		}
 	}
 	if len(t.members) > known {
@@ -155,7 +155,7 @@
 	return append(effects, d.reconcileSources(now, t)...)
 }
 
-func (d *Daemon) rolloutRead(now time.Time, t *tables, model string, value []byte) {
+func (d *Daemon) applyRolloutRow(now time.Time, t *tables, model string, value []byte) {
 	var row rolloutRow
 	if err := json.Unmarshal(value, &row); err != nil {
 		d.Log.Error("the rollout's row can't be read", "model", model, "err", err)
@@ -179,7 +179,7 @@
 	for _, id := range row.Loading {
 		if x := t.fleet.Target(id); x != nil && x.Versions[model] < row.Version && !w.ordered[id] {
 			x.LoadingUntil = now.Add(maxLoadTime)
-			t.loading[id] = now.Add(loadUsual)
+			t.loading[id] = now.Add(firstLoadPoll)
 			t.touch(id)
 		}
 	}
--- a/entry/trial.go
+++ b/entry/trial.go
@@ -19,16 +19,16 @@
 // The platform bears three sendings of a request that does take targets down, later than
 // 3 s after the third of these; one is left for what boxes did not find out.
 const (
-	// trials is how often a request is tried in all.
-	trials = 2
-	// firstTrial is when, after a box refused it first: by then most answers to those that
+	// maxTrials is how often a request is tried in all.
+	maxTrials = 2
+	// firstTrialDelay is when, after a box refused it first: by then most answers to those that
 	// were under way elsewhere have come, and targets that were lost are back. One costs
 	// what runs on a target, some 20 requests.
-	firstTrial = 10 * time.Second
-	// nextTrial is the time to the second one.
-	nextTrial = 10 * time.Minute
-	// trialFor bounds the two calls of a claim; its caller waits.
-	trialFor = time.Second
+	firstTrialDelay = 10 * time.Second
+	// nextTrialDelay is the time to the second one.
+	nextTrialDelay = 10 * time.Minute
+	// claimTimeout bounds the two calls of a claim; its caller waits.
+	claimTimeout = time.Second
 )
 
 // trialPrefix begins the keys of the rows that count a request's trials.
@@ -73,20 +73,20 @@
 func (t *tables) trialDue(now time.Time, sum fingerprint.Sum) bool {
 	at, known := t.nextTrial[sum]
 	if !known {
-		t.nextTrial[sum] = now.Add(firstTrial)
+		t.nextTrial[sum] = now.Add(firstTrialDelay)
 		return false
 	}
 	if now.Before(at) || t.crashes.Suspects(sum) > 0 {
 		return false
 	}
-	t.nextTrial[sum] = now.Add(nextTrial)
+	t.nextTrial[sum] = now.Add(nextTrialDelay)
 	return true
 }
 
 // claimTrial reads how often the request was tried and counts once more, unless another box
 // does so meanwhile. A claim whose answer is lost is none: one trial less is made.
 func (d *Daemon) claimTrial(ctx context.Context, e claimTrial) trialClaimed {
-	ctx, cancel := context.WithTimeout(ctx, trialFor)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	key := trialPrefix + e.sum.String()
 	var last trialRow
@@ -98,7 +98,7 @@
 		return trialClaimed{e, false, err}
 	}
 	now := d.now()
-	if last.Count >= trials || last.Count > 0 && now.Sub(time.UnixMilli(last.AtMS)) < nextTrial {
+	if last.Count >= maxTrials || last.Count > 0 && now.Sub(time.UnixMilli(last.AtMS)) < nextTrialDelay {
 		return trialClaimed{e, false, nil}
 	}
 	value, err := json.Marshal(trialRow{last.Count + 1, now.UnixMilli()})
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -27,8 +27,8 @@
 	return codeOf(answer.err)
 }
 
-// quarantining are two boxes with one table service that refuse a request.
-func quarantining() []*Daemon {
+// quarantiningBoxes are two boxes with one table service that refuse a request.
+func quarantiningBoxes() []*Daemon {
 	boxes := []*Daemon{engines("b1"), engines("b2")}
 	boxes[1].Platform = boxes[0].Platform
 	for _, d := range boxes {
@@ -42,9 +42,9 @@
 // TestTrials counts how often a request that takes targets down is sent once it is refused,
 // however often it comes and at which box.
 func TestTrials(t *testing.T) {
-	boxes := quarantining()
+	boxes := quarantiningBoxes()
 	var sent []time.Duration
-	for now := start; now.Before(start.Add(3 * nextTrial)); now = now.Add(time.Second) {
+	for now := start; now.Before(start.Add(3 * nextTrialDelay)); now = now.Add(time.Second) {
 		for _, d := range boxes {
 			d.noteProof(now)
 			if codeWithTrial(t, d, now, jobWithBody("same")) != codeQuarantined {
@@ -52,18 +52,18 @@
 			}
 		}
 	}
-	if len(sent) != trials || sent[0] != firstTrial || sent[1] < nextTrial {
+	if len(sent) != maxTrials || sent[0] != firstTrialDelay || sent[1] < nextTrialDelay {
 		t.Errorf("sent after %v", sent)
 	}
 }
 
-// TestPopular refuses a request that merely ran on three targets as these were lost, until
+// TestTrialLiftsQuarantine refuses a request that merely ran on three targets as these were lost, until
 // a trial was answered; then all boxes serve it.
-func TestPopular(t *testing.T) {
-	boxes := quarantining()
+func TestTrialLiftsQuarantine(t *testing.T) {
+	boxes := quarantiningBoxes()
 	now := start
 	for codeWithTrial(t, boxes[0], now, jobWithBody("same")) == codeQuarantined {
-		if now = now.Add(100 * time.Millisecond); now.After(start.Add(2 * firstTrial)) {
+		if now = now.Add(100 * time.Millisecond); now.After(start.Add(2 * firstTrialDelay)) {
 			t.Fatal("never tried")
 		}
 	}
@@ -84,9 +84,9 @@
 	}
 }
 
-// TestTrialUnsure makes no trial while the table service can't count it, nor by a row that
+// TestNoTrialWithoutCount makes no trial while the table service can't count it, nor by a row that
 // can't be read.
-func TestTrialUnsure(t *testing.T) {
+func TestNoTrialWithoutCount(t *testing.T) {
 	failing := errors.New("away")
 	tests := []struct {
 		name   string
@@ -99,14 +99,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := quarantining()[0]
+			d := quarantiningBoxes()[0]
 			if tt.read != nil {
 				d.Platform.Read = tt.read
 			}
 			if tt.commit != nil {
 				d.Platform.Commit = tt.commit
 			}
-			for _, after := range []time.Duration{0, firstTrial, 2 * firstTrial} {
+			for _, after := range []time.Duration{0, firstTrialDelay, 2 * firstTrialDelay} {
 				if code := codeWithTrial(t, d, start.Add(after), jobWithBody("same")); code != codeQuarantined {
 					t.Errorf("after %v: %q", after, code)
 				}
--- a/entry/used_test.go
+++ b/entry/used_test.go
@@ -8,10 +8,10 @@
 	"github.com/thymewind/thymewind/fleet"
 )
 
-// TestUsedGoes has a target go from the list, be replaced, or start again under its ID while a
+// TestLoadEndsWithTarget has a target go from the list, be replaced, or start again under its ID while a
 // request of this box runs there: nothing more is told of what that took up, and what the next
 // life takes up counts from nothing.
-func TestUsedGoes(t *testing.T) {
+func TestLoadEndsWithTarget(t *testing.T) {
 	born := start.Add(-time.Hour)
 	tests := []struct {
 		name string
@@ -34,11 +34,11 @@
 			e.StartedAt = born
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{e}}, false})
 			d.tables.countSent(start, deliver.Placement{Target: "a", StartedAt: born, PlacedAt: start, Tokens: 500})
-			if got := d.tables.ownShares(start); len(got) != 1 || got[0].Tokens != 500 {
+			if got := d.tables.ownLoads(start); len(got) != 1 || got[0].Tokens != 500 {
 				t.Fatalf("told %+v while it runs", got)
 			}
 			tt.goes(d)
-			if got := d.tables.ownShares(start); len(got) != 0 {
+			if got := d.tables.ownLoads(start); len(got) != 0 {
 				t.Errorf("told %+v after that", got)
 			}
 		})
--- a/entry/weights.go
+++ b/entry/weights.go
@@ -14,24 +14,24 @@
 	// maxLoadTime is how long a target is taken to load, at most. A load takes
 	// 1.3 s after the target's runs have ended.
 	maxLoadTime = 6 * time.Second
-	// loadLook is how often a loading target is asked whether it is done.
-	loadLook = 200 * time.Millisecond
-	// loadShy is how long a target that turned a request away during a rollout
+	// loadPollInterval is how often a loading target is asked whether it is done.
+	loadPollInterval = 200 * time.Millisecond
+	// turnedAwayPause is how long a target that turned a request away during a rollout
 	// gets no other.
-	loadShy = 300 * time.Millisecond
-	// leaseEvery is how often a box without the lease looks at it while there
+	turnedAwayPause = 300 * time.Millisecond
+	// leaseRetryInterval is how often a box without the lease looks at it while there
 	// is work to do.
-	leaseEvery = 300 * time.Millisecond
-	// leaseSpread spreads the boxes' first looks.
-	leaseSpread = 200 * time.Millisecond
+	leaseRetryInterval = 300 * time.Millisecond
+	// leaseRetryJitter spreads the boxes' first looks.
+	leaseRetryJitter = 200 * time.Millisecond
 	// concurrentLoads targets, or the share of all, load at the same time; with more,
 	// each load takes longer and the others are crowded. The platform's pools of
 	// 9, 90 and 112 engines load 2, 18 and 22 at their full speed.
 	concurrentLoads     = 2
 	concurrentLoadShare = 0.2
-	// recentFor is how long an order counts as recent, and holdSlack is added
+	// recentOrderFor is how long an order counts as recent, and holdSlack is added
 	// to the platform's bound between two holders' orders to one target.
-	recentFor      = 5 * time.Second
+	recentOrderFor = 5 * time.Second
 	handoverMargin = 300 * time.Millisecond
 )
 
@@ -42,7 +42,7 @@
 	work := false
 	for _, model := range slices.Sorted(maps.Keys(t.weights)) {
 		w := t.weights[model]
-		if at := (scan{t.listVersion, w.newestVersion}); t.listVersion != 0 && at == w.upToDateScan && !w.toFree(t) {
+		if at := (scan{t.listVersion, w.newestVersion}); t.listVersion != 0 && at == w.upToDateScan && !w.hasStaleParts(t) {
 			w.clearing.SetFloor(now, w.minVersion)
 			continue
 		}
@@ -50,7 +50,7 @@
 		least := rollout.Least(replicas)
 		w.clearing.SetFloor(now, least)
 		behind := rollout.Behind(w.newestVersion, replicas) > 0
-		if !behind && !w.toFree(t) {
+		if !behind && !w.hasStaleParts(t) {
 			w.upToDateScan, w.minVersion = scan{t.listVersion, w.newestVersion}, least
 			continue
 		}
@@ -59,9 +59,9 @@
 		if !held || w.announcing || !t.mayOrder(epoch) || now.Before(w.announceRetryAt) {
 			continue
 		}
-		effects = append(effects, d.freeOld(now, t, model, w)...)
+		effects = append(effects, d.freeStale(now, t, model, w)...)
 		if w.planned = d.plan.Next(w.newestVersion, replicas); len(w.planned) > 0 || behind && w.versionLog.Missing(w.newestVersion, &t.tableClock) {
-			effects = append(effects, d.tellRollout(now, t, model, w, epoch))
+			effects = append(effects, d.announceRollout(now, t, model, w, epoch))
 		}
 	}
 	if work {
@@ -111,9 +111,9 @@
 	epoch, _, held := d.lease.Held()
 	if held && epoch != t.readEpoch && m.read {
 		t.readEpoch = epoch
-		d.bar(now, t, m.rows)
+		d.barRecentlyOrdered(now, t, m.rows)
 	}
-	t.due.lease = now.Add(leaseEvery + d.jitter(leaseSpread))
+	t.due.lease = now.Add(leaseRetryInterval + d.jitter(leaseRetryJitter))
 	if held {
 		t.due.lease = now
 	}
