--- a/entry/weights_test.go
+++ b/entry/weights_test.go
@@ -37,7 +37,7 @@
 	}
 	last := table.Row{Key: rolloutPrefix + "m", Value: []byte(`{"epoch":0,"version":2,"loading":["a"],"recent":["a"]}`)}
 	d.update(now, leaseStepped{read: true, rows: []table.Row{last}})
-	if got := ordered(t, d, now); got != "b c " {
+	if got := orderedTargets(t, d, now); got != "b c " {
 		t.Errorf("ordered %q, want all but a, which another box ordered", got)
 	}
 	if !d.tables.fleet.Target("b").Loading(now) {
@@ -45,7 +45,7 @@
 	}
 	d.update(now, orderEnded{"b", "m", 2, nil})
 	d.update(now, orderEnded{"c", "m", 2, nil})
-	if got := ordered(t, d, now); got != "" {
+	if got := orderedTargets(t, d, now); got != "" {
 		t.Errorf("ordered %q too early", got)
 	}
 	now = now.Add(d.bounds.Load().Takeover + handoverMargin + time.Millisecond)
@@ -55,13 +55,13 @@
 	}
 	epoch, _, _ := d.lease.Held()
 	d.tables.readEpoch = epoch
-	if got := ordered(t, d, now); got != "a " {
+	if got := orderedTargets(t, d, now); got != "a " {
 		t.Errorf("ordered %q, want a", got)
 	}
 }
 
-// ordered runs the rollout and returns the targets that get orders.
-func ordered(t *testing.T, d *Daemon, now time.Time) string {
+// orderedTargets runs the rollout and returns the targets that get orders.
+func orderedTargets(t *testing.T, d *Daemon, now time.Time) string {
 	t.Helper()
 	got := ""
 	for _, e := range d.rollWeights(now, &d.tables) {
@@ -76,9 +76,9 @@
 	return got
 }
 
-// TestNotAnnounced shows that no order goes out that a successor would not know
+// TestNoOrderWithoutRow shows that no order goes out that a successor would not know
 // of.
-func TestNotAnnounced(t *testing.T) {
+func TestNoOrderWithoutRow(t *testing.T) {
 	d := newDaemon("b1")
 	d.tables.rolloutOf("m").planned = []string{"a"}
 	if effects := d.update(start, announced{"m", errors.New("lost")}); len(effects) != 0 {
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestLearn takes what targets say of their weights.
-func TestLearn(t *testing.T) {
+// TestLearnVersion takes what targets say of their weights.
+func TestLearnVersion(t *testing.T) {
 	tests := []struct {
 		name    string
 		ended   deliver.AttemptResult
@@ -138,10 +138,10 @@
 	}
 }
 
-// TestOrderToAnother has an order meet another replica at the target's address.
+// TestOrderToReplacedTarget has an order meet another replica at the target's address.
 // The target is gone for good, so that its place among those that load is free
 // for the next one at once and not after loadLongest.
-func TestOrderToAnother(t *testing.T) {
+func TestOrderToReplacedTarget(t *testing.T) {
 	d := newDaemon("b1")
 	d.now = func() time.Time { return start }
 	d.lease.Now = d.now
@@ -152,7 +152,7 @@
 	}
 	epoch, _, _ := d.lease.Held()
 	d.tables.readEpoch = epoch
-	if got := ordered(t, d, start); got != "a b " {
+	if got := orderedTargets(t, d, start); got != "a b " {
 		t.Fatalf("ordered %q", got)
 	}
 	orders := 0
@@ -169,15 +169,15 @@
 	if d.tables.fleet.Target("a") != nil {
 		t.Error("the target is still there")
 	}
-	if got := ordered(t, d, start); got != "c " {
+	if got := orderedTargets(t, d, start); got != "c " {
 		t.Errorf("ordered %q, want c", got)
 	}
 }
 
-// TestOrderToNobody has an engine that can't be reached hold its place among those
+// TestOrderToUnreachableTarget has an engine that can't be reached hold its place among those
 // that load for a few looks only. In an outage of one engine the rollout would
 // otherwise stand still for 6 s at each try.
-func TestOrderToNobody(t *testing.T) {
+func TestOrderToUnreachableTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDaemon("b1")
 		looks := 0
@@ -186,16 +186,16 @@
 			return Report{}, fmt.Errorf("%w: refused", exchange.ErrNotSent)
 		}
 		err := d.loadWeights(context.Background(), sendOrder{order: rollout.Order{Target: "a", Model: "m", Version: 2}})
-		if !errors.Is(err, errUnreachable) || looks != unreachableTries {
+		if !errors.Is(err, errUnreachable) || looks != maxUnreachablePolls {
 			t.Errorf("%d looks, %v", looks, err)
 		}
 		d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 		d.update(start, operatorRead{start, Operator{Table: configuration(1), Weights: map[string]int64{"m": 2}}})
 		d.update(start, orderEnded{"a", "m", 2, err})
 		w := d.tables.rolloutOf("m")
-		for _, after := range []time.Duration{0, orderAgain} {
+		for _, after := range []time.Duration{0, orderRetryDelay} {
 			replicas := d.replicas(start.Add(after), &d.tables, "m", w)
-			if barred := replicas[0].Barred; barred != (after < orderAgain) {
+			if barred := replicas[0].Barred; barred != (after < orderRetryDelay) {
 				t.Errorf("after %v: barred %v", after, barred)
 			}
 		}
