--- a/entry/admit_test.go
+++ b/entry/admission_test.go
@@ -12,7 +12,7 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// TestAdmission shows that the least urgent kind leaves room for the others.
+// TestAdmission checks that requests of the lowest priority leave room for the others.
 func TestAdmission(t *testing.T) {
 	tests := []struct {
 		name, route string
@@ -20,9 +20,9 @@
 		admitted    bool
 	}{
 		{"room for all", "long", 50000, true},
-		{"nearly full, least urgent", "long", 90000, false},
-		{"nearly full, urgent", "short", 90000, true},
-		{"over full, urgent", "short", 140000, false},
+		{"nearly full, lowest priority", "long", 90000, false},
+		{"nearly full, high priority", "short", 90000, true},
+		{"over full, high priority", "short", 140000, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -47,8 +47,8 @@
 	}
 }
 
-// withMemoryUsed returns a box that knows one engine, of whose memory another box's
-// requests take up some tokens.
+// withMemoryUsed returns a box that knows one engine, some tokens of whose memory are used by
+// another box's requests.
 func withMemoryUsed(tokens int) *Daemon {
 	d := newDaemon("b1")
 	d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
@@ -58,8 +58,8 @@
 	return d
 }
 
-// TestAdmissionBySize shows that a long prompt is admitted where its route's
-// usual one is, as long as it fits at all.
+// TestAdmissionBySize checks that a long prompt is admitted where its route's typical prompt
+// is, as long as it fits.
 func TestAdmissionBySize(t *testing.T) {
 	const usual = 10000
 	tests := []struct {
@@ -67,11 +67,11 @@
 		taken, asked int
 		admitted     bool
 	}{
-		{"a usual one, room for it", 80000, usual, true},
-		{"a long one, room for a usual one", 80000, 30000, true},
-		{"a usual one, no room for it", 83000, usual, false},
-		{"a short one, no room for a usual one", 83000, 1000, false},
-		{"a long one that does not fit", 80000, 40000, false},
+		{"typical, fits", 80000, usual, true},
+		{"long, a typical one fits", 80000, 30000, true},
+		{"typical, does not fit", 83000, usual, false},
+		{"short, a typical one does not fit", 83000, 1000, false},
+		{"long, does not fit", 80000, 40000, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -87,40 +87,41 @@
 	}
 }
 
-// TestTypicalTokens shows that what requests take up as a rule is learnt by route, and
-// that a hub admits by what the asking box learnt.
+// TestTypicalTokens checks that typical request sizes are learned by route, and that a hub
+// admits by the bound that the asking box sent.
 func TestTypicalTokens(t *testing.T) {
 	d := newDaemon("b1")
 	if got := d.tables.learnTypicalTokens(job("long", 8000)); got != 8000 {
-		t.Errorf("the first one: %d", got)
+		t.Errorf("typical size after the first request: %d", got)
 	}
 	for range 200 {
 		d.tables.learnTypicalTokens(job("short", 1000))
 		d.tables.learnTypicalTokens(job("long", 12000))
 	}
 	if got := d.tables.learnTypicalTokens(job("long", 12000)); got < 11500 || got > 12000 {
-		t.Errorf("the long route's: %d", got)
+		t.Errorf("typical size of the long route: %d", got)
 	}
 	if got := d.tables.learnTypicalTokens(job("short", 1000)); got != 1000 {
-		t.Errorf("the short route's: %d", got)
+		t.Errorf("typical size of the short route: %d", got)
 	}
 	if got := peerAdmissionLimit(&peer.PlacementRequest{MaxMemoryShare: 0.9, TypicalTokens: 700}); got != (admissionLimit{0.9, 700}) {
-		t.Errorf("a hub's: %+v", got)
+		t.Errorf("bound at a hub: %+v", got)
 	}
 }
 
-// TestAdmissionWhileLate shows that the least urgent get less room while answers
-// are late, the others as much as ever, and both get it back.
+// TestAdmissionWhileLate checks that requests of the lowest priority get less room while
+// answers are late, the others as much as before, and that this ends when answers are in time
+// again.
 func TestAdmissionWhileLate(t *testing.T) {
 	tests := []struct {
 		name, route string
 		late        []bool
 		admitted    bool
 	}{
-		{"answers in time, least urgent", "long", []bool{false}, true},
-		{"answers late, least urgent", "long", []bool{true}, false},
-		{"answers late, urgent", "short", []bool{true}, true},
-		{"answers in time again, least urgent", "long", []bool{true, false}, true},
+		{"answers in time, lowest priority", "long", []bool{false}, true},
+		{"answers late, lowest priority", "long", []bool{true}, false},
+		{"answers late, high priority", "short", []bool{true}, true},
+		{"answers in time again, lowest priority", "long", []bool{true, false}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -140,16 +141,16 @@
 	}
 }
 
-// TestCongestedService has a service answer quickly, then with its queues full: a part of
-// the requests is refused before it is sent, those sent before are not, and others' pools
-// are not touched.
+// TestCongestedService has a service answer quickly, then with full queues. A share of the
+// requests is refused before it is sent; requests sent before, and those to other pools, are
+// not.
 func TestCongestedService(t *testing.T) {
 	tests := []struct {
 		name  string
 		took  time.Duration
 		goal  time.Duration
 		tried []string
-		// least and most are how many of 200 are refused.
+		// least and most bound how many of 200 are refused.
 		least, most int
 	}{
 		{"quick", 40 * time.Millisecond, 150 * time.Millisecond, nil, 0, 0},
--- a/entry/cold.go
+++ b/entry/cold.go
@@ -12,13 +12,13 @@
 	"github.com/thymewind/thymewind/slowstart"
 )
 
-// placersTTL is how long the list of the boxes that place requests is used. It changes
-// when boxes join, and ranking 200 boxes for each placing would take longer than that.
+// placersTTL is how long the list of the boxes that place requests is cached. The list changes
+// when boxes join; ranking 200 boxes for each request would take longer than placing it.
 const placersTTL = time.Second
 
-// cold says that a target of a pool is cold, or may be: by what it says of itself, as
-// its news broke off and it may have started again, or, without news, as it could not be
-// reached a moment ago.
+// cold reports whether a target of a pool is cold or may be: because it said so, because its
+// cache events broke off and it may have restarted, or, for a target without cache events,
+// because it was unreachable a moment ago.
 func cold(now time.Time, pool *routing.Pool, x *fleet.Target) bool {
 	if pool.ColdRate <= 0 {
 		return false
@@ -26,7 +26,7 @@
 	return x.Cold(now) || pool.Engine == nil && x.Recovering(now, pool.ColdFor)
 }
 
-// coldShareUsed says that a target is cold and has got what this box may send it.
+// coldShareUsed reports whether a target is cold and this box has sent it its share.
 func (d *Daemon) coldShareUsed(now time.Time, t *tables, pool *routing.Pool, x *fleet.Target) bool {
 	if x == nil || !cold(now, pool, x) {
 		return false
@@ -35,8 +35,8 @@
 	return !t.gate.Allow(now, target, d.coldShare(now, t, pool, target))
 }
 
-// coldShare is how many requests this box may send to a cold target in a window. A box
-// that does not know the others sends none.
+// coldShare is how many requests this box may send to a cold target in a window. A box that
+// does not know the others may send none.
 func (d *Daemon) coldShare(now time.Time, t *tables, pool *routing.Pool, target uint64) int {
 	if !t.membersKnown {
 		return 0
@@ -46,8 +46,8 @@
 	return slowstart.Share(most, target, d.Settings.Name, t.placing(now, pool))
 }
 
-// placing lists the boxes that place requests for a pool: all, but the hubs only where
-// there are hubs and the pool is of engines, or nobody knows all boxes.
+// placing lists the boxes that place requests for a pool: all of them, or only the hubs if the
+// fleet has hubs and the pool is of engines or no box knows all others.
 func (t *tables) placing(now time.Time, pool *routing.Pool) []string {
 	if pool.Engine == nil && !t.hasUnregistered(now) {
 		return slices.Collect(maps.Keys(t.members))
@@ -58,7 +58,7 @@
 	return t.placers
 }
 
-// countCold counts a request that goes to a target, if that is cold.
+// countCold counts a request sent to a target, if the target is cold.
 func (d *Daemon) countCold(now time.Time, t *tables, pool *routing.Pool, x *fleet.Target) {
 	if cold(now, pool, x) {
 		t.gate.Take(now, placement.Hash(x.ID))
@@ -76,7 +76,7 @@
 	return n
 }
 
-// coldTargets counts the targets that are cold, or may be.
+// coldTargets counts the targets that are cold or may be.
 func (t *tables) coldTargets(now time.Time, table *routing.Table) int {
 	if table == nil {
 		return 0
@@ -92,9 +92,9 @@
 	return n
 }
 
-// assumeCold takes the targets of a domain that was evacuated for cold: they may have
-// turned cold shortly before the end, and their entries tell that up to a heartbeat and
-// the list's lag later.
+// assumeCold treats the targets of a domain whose evacuation has ended as cold. They may have
+// restarted shortly before the end, and their entries show that only after up to a heartbeat
+// plus the lag of the list.
 func (d *Daemon) assumeCold(now time.Time, t *tables, domain string) {
 	table := d.current.Load()
 	if table == nil {
--- a/entry/cold_test.go
+++ b/entry/cold_test.go
@@ -15,11 +15,12 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// coldRate is what a cold engine bears in these tests, as on the platform's pool of 60.
+// coldRate is the rate that a cold engine takes in these tests, as in the platform's pool of
+// 60.
 const coldRate = 18
 
-// withCold gives a box engines of which some are cold for 3 s, and a configuration by
-// which that counts.
+// withCold gives a box engines of which some are cold for 3 s, and a configuration in which
+// that matters.
 func withCold(d *Daemon, warm, coldOnes int) *Daemon {
 	table := configuration(1)
 	for _, p := range table.Pools {
@@ -60,16 +61,16 @@
 	return byTarget, refused
 }
 
-// TestColdDomainReturns is the load of a domain whose engines return together, cold and
-// empty: each of four hubs has 120 requests for them in one second, which with the
-// cheapest engine for each would all go to the cold ones.
+// TestColdDomainReturns has a domain's engines return together, cold and empty. Each of four
+// hubs places 120 requests in one second, which would all go to the cold engines if the
+// cheapest one took each.
 func TestColdDomainReturns(t *testing.T) {
 	sum := make(map[string]int)
 	warm := 0
 	for _, name := range []string{"box-00", "box-01", "box-10", "box-11"} {
 		d := withCold(largeFleet(name), 4, 2)
 		for _, id := range []string{"i-00", "i-01", "i-02", "i-03"} {
-			d.tables.fleet.Target(id).Tokens = 5000 // Requests that run.
+			d.tables.fleet.Target(id).Tokens = 5000 // Requests in flight.
 		}
 		for ms := 0; ms < 1000; ms += 10 {
 			got, refused := placed(d, start.Add(time.Duration(ms)*time.Millisecond), 1)
@@ -98,7 +99,7 @@
 	}
 }
 
-// TestCold lists what makes an engine cold, and who may send to one.
+// TestCold lists what makes an engine cold, and which boxes may send to a cold one.
 func TestCold(t *testing.T) {
 	told := errors.New("reset")
 	tests := []struct {
@@ -109,24 +110,24 @@
 		want int
 	}{
 		{"a hub's share", "box-00", nil, 0, 6},
-		{"warm by the time told", "box-00", nil, 3 * time.Second, 40},
-		{"an entry that tells a longer time", "box-00", func(d *Daemon) {
+		{"warm after the time given", "box-00", nil, 3 * time.Second, 40},
+		{"an entry with a longer time", "box-00", func(d *Daemon) {
 			e := engine("i-00", 1)
 			e.Cold = 5 * time.Second
 			d.listTarget(start, &d.tables, e)
 		}, 4 * time.Second, 6},
-		{"an entry that tells none", "box-00", func(d *Daemon) { d.listTarget(start, &d.tables, engine("i-00", 1)) }, 0, 40},
+		{"an entry without a time", "box-00", func(d *Daemon) { d.listTarget(start, &d.tables, engine("i-00", 1)) }, 0, 40},
 		{"a box that is no hub", "box-05", nil, 0, 0},
 		{"a box that is asked as a hub", "box-05", func(d *Daemon) {
 			d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "box-06"})
 			d.updateRole(start, &d.tables)
 		}, 0, 0},
 		{"a box that does not know the others", "box-00", func(d *Daemon) { d.tables.membersKnown = false }, 0, 0},
-		{"news that broke off", "box-00", func(d *Daemon) {
+		{"cache events that broke off", "box-00", func(d *Daemon) {
 			d.tables.watched["i-00"] = func() {}
 			d.cacheEventsRead(start.Add(time.Second), &d.tables, cacheEventsRead{source: "i-00", err: told})
 		}, 9 * time.Second, 6},
-		{"news that go on", "box-00", func(d *Daemon) {
+		{"cache events that go on", "box-00", func(d *Daemon) {
 			d.tables.watched["i-00"] = func() {}
 			d.cacheEventsRead(start.Add(time.Second), &d.tables, cacheEventsRead{source: "i-00", events: CacheEvents{Epoch: 1}})
 			d.cacheEventsRead(start.Add(time.Second), &d.tables, cacheEventsRead{source: "i-00", err: told})
@@ -158,8 +159,8 @@
 	}
 }
 
-// TestColdService has a service's only target start again, as told by its entry and as
-// found out by requests that failed: boxes that share it keep to their shares.
+// TestColdService has a service's only target restart, as shown by its entry or by failed
+// requests. Boxes that share it keep to their shares.
 func TestColdService(t *testing.T) {
 	tests := []struct {
 		name string
@@ -192,7 +193,7 @@
 	}
 }
 
-// TestColdInHubView shows that boxes that live on a hub learn which targets are cold.
+// TestColdInHubView checks that spokes learn which targets are cold.
 func TestColdInHubView(t *testing.T) {
 	hub, spoke := withCold(largeFleet("box-00"), 1, 1), largeFleet("box-05")
 	hub.tables.beginList()
--- a/entry/congest.go
+++ b/entry/congestion.go
@@ -8,7 +8,7 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// congestion returns the times of a plain service's answers.
+// congestion returns the gauge of a plain service's response times.
 func (t *tables) congestion(pool string) *congestion.Gauge {
 	g := t.congestionByPool[pool]
 	if g == nil {
@@ -18,8 +18,8 @@
 	return g
 }
 
-// refuseCongested refuses a part of the requests to a service whose answers queue, or
-// returns nil. One that was sent before has cost its wait and goes on.
+// refuseCongested refuses a share of the requests to a service whose answers queue, or returns
+// nil. A request that was sent before goes on, as it has already waited.
 func (d *Daemon) refuseCongested(t *tables, ask deliver.PlacementRequest) *refusal.Refusal {
 	job := ask.Job
 	g := t.congestion(job.Pool.Name)
@@ -29,8 +29,7 @@
 	return refusal.New(refusal.DidNotRun, 503, "congested", "answers of %s take %v, as they queue, of a goal of %v", job.Pool.Name, g.Mean().Round(time.Millisecond), job.Route.Goal)
 }
 
-// logCongestion logs the services that have become congested, and those that are not
-// any more.
+// logCongestion logs when services become congested and when they recover.
 func (d *Daemon) logCongestion(t *tables) {
 	table := d.current.Load()
 	if table == nil {
@@ -42,6 +41,6 @@
 			continue
 		}
 		t.congestionLogged[pool] = now
-		d.Log.Info("service's answers queue", "pool", pool, "congested", now, "mean", g.Mean(), "refused_share", g.ShedShare(table.Goal(pool)))
+		d.Log.Info("service congestion changed", "pool", pool, "congested", now, "mean", g.Mean(), "refused_share", g.ShedShare(table.Goal(pool)))
 	}
 }
--- a/entry/inuse.go
+++ b/entry/inuse.go
@@ -12,51 +12,51 @@
 	"github.com/thymewind/thymewind/workingset"
 )
 
-// Where far more engines stand than the work needs, a hub uses some of them (workingset): only
-// their news are followed, only they are weighed for a request, and only they are told to the
-// boxes that live on the hub. The others are a list that hubs alone hold. All hubs work out the
-// same ones, and bring weights to all engines, in use or not.
+// Where a pool has far more engines than the load needs, hubs use a working set of them
+// (package workingset). Only the engines in use are watched, considered for requests, and
+// listed for spokes; the others are known to hubs alone. All hubs compute the same set. Weights
+// are rolled out to all engines, in use or not.
 
 const (
-	// refreshInterval is the least time between two looks at which engines are in use: while a
-	// list of 10,000 comes in parts, each costs some milliseconds.
+	// refreshInterval is the least interval between two computations of the engines in use.
+	// Each takes some milliseconds, and a list of 10,000 arrives in parts.
 	refreshInterval = 250 * time.Millisecond
-	// recentEntryFor is how long after an engine came into use boxes may not have been told of it;
-	// a hub that places a request there tells of it in its answer.
+	// recentEntryFor is how long boxes may not know of an engine that came into use. A hub that
+	// places a request there sends its entry along.
 	recentEntryFor = 2 * time.Second
-	// stableFor is how long a pool must not have grown by more than one in steadyGrowth for its
-	// engines to be followed, steadyMost when they are in any case. While 10,000 engines
-	// come one after the other, the first of their order change all the time, and each costs
-	// every hub a connection.
+	// stableFor is how long a pool must not have grown by more than one in stableGrowth before
+	// its engines are watched; after maxUnstable they are watched in any case. While 10,000
+	// engines arrive one after the other, those first in the order keep changing, and each
+	// change costs every hub a connection.
 	stableFor    = 1500 * time.Millisecond
 	maxUnstable  = 20 * time.Second
 	stableGrowth = 100
 )
 
-// inUse are the engines of one pool that are in use.
+// inUse is the set of a pool's engines in use.
 type inUse struct {
 	set workingset.Set
-	// members are the engines in use, since their IDs with when each came into use; nil if
-	// the whole pool is in use.
+	// members are the engines in use, nil if the whole pool is; since maps their IDs to when
+	// each came into use.
 	members []*fleet.Target
 	since   map[string]time.Time
-	// lastSize is how many engines the pool had last, began when it first had any, grew when it
-	// last grew. followed says that those in use of a large pool are followed.
+	// lastSize is the pool's last number of engines, startedAt when it first had any, grewAt
+	// when it last grew. watched is true once the engines in use of a large pool are watched.
 	lastSize          int
 	startedAt, grewAt time.Time
 	watched           bool
 }
 
-// stable says that the engines in use may be followed, as they will mostly stay the same.
+// stable reports whether the engines in use may be watched, as the set has mostly settled.
 func (u *inUse) stable(now time.Time) bool {
 	if u.members == nil && u.lastSize <= u.set.Size()/2 {
-		return true // A small pool's engines stay in use as it grows.
+		return true // The engines of a small pool stay in use as it grows.
 	}
 	u.watched = u.watched || now.Sub(u.grewAt) >= stableFor || now.Sub(u.startedAt) >= maxUnstable
 	return u.watched
 }
 
-// observe notes how many engines a pool has.
+// observe notes the number of engines in a pool.
 func (u *inUse) observe(now time.Time, engines int) {
 	if u.startedAt.IsZero() {
 		u.startedAt = now
@@ -67,13 +67,13 @@
 	u.lastSize = engines
 }
 
-// stable says that a pool's engines may be followed.
+// stable reports whether a pool's engines may be watched.
 func (t *tables) stable(now time.Time, pool string) bool {
 	u := t.inUse[pool]
 	return u == nil || u.stable(now)
 }
 
-// unstable says that some pool's engines are not followed yet.
+// unstable reports whether the engines of any pool are not watched yet.
 func (t *tables) unstable(now time.Time) bool {
 	for pool := range t.inUse {
 		if !t.stable(now, pool) {
@@ -83,8 +83,8 @@
 	return false
 }
 
-// engines returns the engines of a pool that are in use, in the order of their IDs. The caller
-// must not change the list.
+// engines returns the engines of a pool that are in use, sorted by ID. The caller must not
+// change the list.
 func (t *tables) engines(pool string) []*fleet.Target {
 	if u := t.inUse[pool]; u != nil && u.members != nil {
 		return u.members
@@ -92,7 +92,7 @@
 	return t.fleet.Pool(pool)
 }
 
-// advertises says that boxes that take this one's view are told of a target.
+// advertises reports whether a target is listed for boxes that use this one's view.
 func (t *tables) advertises(x *fleet.Target) bool {
 	u := t.inUse[x.Pool]
 	if u == nil || u.members == nil {
@@ -102,7 +102,7 @@
 	return used
 }
 
-// updateInUse works out anew which engines are in use, if the list changed.
+// updateInUse recomputes the engines in use if the list changed.
 func (d *Daemon) updateInUse(now time.Time, t *tables) []effect {
 	if t.refreshedList == t.listVersion {
 		return nil
@@ -111,8 +111,8 @@
 	return d.reconcileSources(now, t)
 }
 
-// refreshInUse does so each refreshEvery at most, but at once for a pool that has become too large
-// to be in use as a whole.
+// refreshInUse recomputes the engines in use at most once per refreshInterval, but at once for
+// a pool that has grown too large to be used as a whole.
 func (d *Daemon) refreshInUse(now time.Time, t *tables) {
 	table := d.current.Load()
 	if table == nil {
@@ -130,7 +130,7 @@
 	}
 }
 
-// outgrown says that a pool is in use as a whole and too large for that.
+// outgrown reports whether a pool is used as a whole and is too large for that.
 func (t *tables) outgrown(pool string) bool {
 	u := t.inUse[pool]
 	return u == nil || u.members == nil && len(t.fleet.Pool(pool)) > u.set.Size()
@@ -165,7 +165,7 @@
 	}
 }
 
-// withdraw has boxes told no more of the engines that are not in use.
+// withdraw removes the engines that are not in use from the list for other boxes.
 func (t *tables) withdraw(pool string, u *inUse) {
 	if t.changes == nil || u.members == nil {
 		return
@@ -177,7 +177,8 @@
 	}
 }
 
-// resizeInUse has pools use more engines before these fill, and fewer after.
+// resizeInUse has pools use more engines before those in use are full, and fewer when the load
+// falls.
 func (d *Daemon) resizeInUse(now time.Time, t *tables) {
 	table := d.current.Load()
 	if table == nil {
@@ -196,7 +197,7 @@
 	}
 }
 
-// memoryUse is the share of engines' memory that all boxes' requests take up.
+// memoryUse is the share of the engines' memory that all boxes' requests use.
 func (d *Daemon) memoryUse(now time.Time, t *tables, engines []*fleet.Target, capacity int) float64 {
 	sum := 0
 	for _, x := range engines {
@@ -206,8 +207,8 @@
 	return float64(sum) / float64(capacity*max(len(engines), 1))
 }
 
-// touch notes that a target came or changed, for boxes that take this one's view. A list that
-// was never read has no number.
+// touch notes that a target was added or changed, for boxes that use this one's view. A list
+// that was never read has no number.
 func (t *tables) touch(id string) {
 	if t.listVersion == 0 {
 		return
@@ -218,7 +219,7 @@
 	}
 }
 
-// untouch notes that a target went.
+// untouch notes that a target was removed.
 func (t *tables) untouch(id string) {
 	if t.listVersion == 0 {
 		return
@@ -227,8 +228,8 @@
 	t.changes.Remove(id)
 }
 
-// beginList begins the list that other boxes take from here: with a drawn number, so that a
-// hub that starts again never gives another list the same one.
+// beginList starts the list that other boxes take from here. It begins at a random number, so
+// that a restarted hub never gives another list the same number.
 func (t *tables) beginList() {
 	t.listVersion = rand.Uint64()>>1 + 1
 	t.changes = changelog.New[string](t.listVersion)
@@ -237,7 +238,7 @@
 	}
 }
 
-// entryOf is a target as boxes are told of it.
+// entryOf is a target's entry for other boxes.
 func entryOf(now time.Time, x *fleet.Target) peer.Entry {
 	return peer.Entry{
 		ID: x.ID, Pool: x.Pool, Address: x.Address.String(), Domain: x.Domain, Slots: x.Slots,
@@ -246,7 +247,7 @@
 	}
 }
 
-// differs says that boxes have to be told of a target anew.
+// differs reports whether an entry has to be sent to other boxes again.
 func differs(a, b peer.Entry) bool {
 	return a.Address != b.Address || a.Domain != b.Domain || a.Slots != b.Slots || a.Leaving != b.Leaving || a.Loading != b.Loading ||
 		a.StartedMS != b.StartedMS || a.Lapsed != b.Lapsed || (a.ColdMS > 0) != (b.ColdMS > 0) || !maps.Equal(a.Versions, b.Versions)
--- a/entry/inuse_test.go
+++ b/entry/inuse_test.go
@@ -20,7 +20,7 @@
 	return e
 }
 
-// manyEngines is a fleet with far more engines than the work needs.
+// manyEngines is a fleet with far more engines than the load needs.
 func manyEngines(boxes, engines int) *emulator {
 	w := emulate(boxes, 3, configuration(1))
 	var list []fleet.Entry
@@ -34,7 +34,7 @@
 	return w
 }
 
-// ids lists targets.
+// ids lists the targets' IDs.
 func ids(targets []*fleet.Target) []string {
 	list := make([]string, len(targets))
 	for i, x := range targets {
@@ -43,7 +43,7 @@
 	return list
 }
 
-// sent sums up the bytes that hubs have sent.
+// sent is the number of bytes that hubs have sent.
 func (w *emulator) sent() int {
 	sum := 0
 	for _, d := range w.boxes {
@@ -54,16 +54,16 @@
 	return sum
 }
 
-// agree says whether all boxes have the same engines in use.
+// agree reports whether all boxes have the same engines in use.
 func (w *emulator) agree() bool {
 	first := ids(w.boxes[0].tables.engines("models"))
 	return !slices.ContainsFunc(w.boxes, func(d *Daemon) bool { return !slices.Equal(ids(d.tables.engines("models")), first) })
 }
 
-// TestManyEngines has 2,000 engines stand before 90 boxes with little to do, while a part of
-// them is replaced all the time: hubs follow some of them, all boxes come to have the same in
-// use, what boxes are told stays within the 6 KB a second that control may cost, and an engine
-// that leaves is known to all within a second.
+// TestManyEngines has 2,000 engines serve 90 boxes with little load, while some engines are
+// replaced all the time. Hubs watch only a part of them, all boxes converge to the same set in
+// use, what boxes are sent stays within the 6 KB a second allowed for control traffic, and all
+// boxes learn of a leaving engine within a second.
 func TestManyEngines(t *testing.T) {
 	t.Parallel()
 	const boxes, engines, spokeBytes = 90, 2000, 6000
@@ -75,7 +75,7 @@
 	}
 	for name, cost := range w.cost {
 		if cost.followed > len(inUse) {
-			t.Errorf("%s follows %d sources, %d are in use", name, cost.followed, len(inUse))
+			t.Errorf("%s watches %d sources, %d are in use", name, cost.followed, len(inUse))
 		}
 	}
 	for _, d := range w.boxes {
@@ -91,9 +91,9 @@
 		w.advance(time.Second, nil)
 	}
 	if each := (w.sent() - before) / length / boxes; each > spokeBytes {
-		t.Errorf("%d bytes a second are told to each box, %d are allowed", each, spokeBytes)
+		t.Errorf("%d bytes a second are sent to each box, %d are allowed", each, spokeBytes)
 	} else {
-		t.Logf("%d bytes a second are told to each box", each)
+		t.Logf("%d bytes a second are sent to each box", each)
 	}
 	if !w.agree() {
 		t.Error("boxes have other engines in use")
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestGradualArrival has 3,000 engines come into the list within 6 s, as when all start at once: a
-// hub follows those in use in the end soon after, and half as many more at most before.
+// TestGradualArrival has 3,000 engines join within 6 s, as when all start at once. Soon after
+// that a hub has watched the final set in use, and at most half as many engines before.
 func TestGradualArrival(t *testing.T) {
 	t.Parallel()
 	const engines, part = 3000, 50
@@ -128,13 +128,13 @@
 	for _, d := range w.boxes {
 		followed := w.cost[d.Settings.Name].followed
 		if !d.spoke.Load() && (followed < inUse || followed > inUse*3/2) {
-			t.Errorf("%s has followed %d engines, %d are in use", d.Settings.Name, followed, inUse)
+			t.Errorf("%s has watched %d engines, %d are in use", d.Settings.Name, followed, inUse)
 		}
 	}
 }
 
-// TestHalfCrash has half of the engines in use end at once: requests are placed by hubs on the
-// others at once, and after their entries went on ones that boxes were not told of before.
+// TestHalfCrash has half of the engines in use end at once. Hubs place requests on the others
+// at once, and, once the entries are gone, on engines that were not listed for spokes before.
 func TestHalfCrash(t *testing.T) {
 	t.Parallel()
 	w := manyEngines(30, 1500)
--- a/entry/load.go
+++ b/entry/load.go
@@ -11,8 +11,8 @@
 	"github.com/thymewind/thymewind/placement"
 )
 
-// gossipLoads is what this box tells of: its own requests, and in a large fleet those
-// of the boxes that tell it.
+// gossipLoads is the load that this box reports: that of its own requests and, on a hub of a
+// large fleet, that of the boxes that report to it.
 func (d *Daemon) gossipLoads(now time.Time, t *tables) []peer.TargetLoad {
 	own := t.ownLoads(now)
 	if !t.usesHubs() || d.spoke.Load() {
@@ -25,7 +25,7 @@
 	return slices.Collect(maps.Values(sum))
 }
 
-// ownLoads lists what this box's requests take up, and how long the moves took
+// ownLoads lists what this box's requests use at each target, and how long the transfers took
 // that they waited for.
 func (t *tables) ownLoads(now time.Time) []peer.TargetLoad {
 	var list []peer.TargetLoad
@@ -33,50 +33,50 @@
 		list = append(list, peer.TargetLoad{Target: source, ExpectedMS: int(asked.Milliseconds()), ActualMS: int(took.Milliseconds())})
 	})
 	for id, x := range t.targetsInUse {
-		share := peer.TargetLoad{Target: placement.Hash(id), Tokens: x.Tokens}
-		share.PrefillBacklog = t.overdue.Tokens(now, share.Target)
-		if share.IsZero() {
-			delete(t.targetsInUse, id) // The next request there brings it back.
+		load := peer.TargetLoad{Target: placement.Hash(id), Tokens: x.Tokens}
+		load.PrefillBacklog = t.overdue.Tokens(now, load.Target)
+		if load.IsZero() {
+			delete(t.targetsInUse, id) // The next request there adds it again.
 			continue
 		}
-		list = append(list, share)
+		list = append(list, load)
 	}
 	return list
 }
 
-// receiveLoads takes over what another box's requests take up.
+// receiveLoads applies the load that another box reported.
 func (t *tables) receiveLoads(now time.Time, name string, list []peer.TargetLoad) {
 	if t.members[name] != nil {
 		t.othersUsage.Set(now, name, list)
 	}
 }
 
-// receivePrefill takes over what another box had targets read.
+// receivePrefill applies what another box has sent to targets for prefill.
 func (t *tables) receivePrefill(now time.Time, name string, list []peer.PrefillTotal) {
 	if t.members[name] != nil {
 		t.prefillBacklog.Merge(now, name, list)
 	}
 }
 
-// load is what all boxes' requests take up at a target: memory, and the prompt
-// tokens that it is still to read. A box that hears no other takes each of them to
-// use as much as itself, spread over all targets.
-func (d *Daemon) load(now time.Time, t *tables, x *fleet.Target) (tokens, unread int) {
+// load is what all boxes' requests use at a target: memory, and the prompt tokens that it has
+// yet to prefill. A box that hears no other assumes that each of them loads the targets as much
+// as itself, spread over all targets.
+func (d *Daemon) load(now time.Time, t *tables, x *fleet.Target) (tokens, prefill int) {
 	target := placement.Hash(x.ID)
-	unread = t.prefillBacklog.PrefillBacklog(now, target) + t.overdue.Tokens(now, target)
+	prefill = t.prefillBacklog.PrefillBacklog(now, target) + t.overdue.Tokens(now, target)
 	if t.othersUsage.Boxes() == 0 {
-		return x.Tokens + t.usual.Tokens, unread + t.usual.PrefillBacklog
+		return x.Tokens + t.usual.Tokens, prefill + t.usual.PrefillBacklog
 	}
 	others := t.othersUsage.Of(target)
-	return others.Tokens + x.Tokens, unread + others.PrefillBacklog
+	return others.Tokens + x.Tokens, prefill + others.PrefillBacklog
 }
 
-// firstTokenJitter is by how much first events miss the time reckoned for them, as a rule.
-// A prompt counts as overdue beyond that.
+// firstTokenJitter is the usual error of the predicted time to first token. A prompt is overdue
+// once it is later than that.
 const firstTokenJitter = 60 * time.Millisecond
 
-// countSent counts a request at its target, and notes when the target should have read
-// its prompt.
+// countSent counts a request at its target and notes when the target should have prefilled its
+// prompt.
 func (t *tables) countSent(now time.Time, p deliver.Placement) {
 	x := t.fleet.Target(p.Target)
 	x.Sent(now, p.PrefillTokens, p.Tokens)
@@ -92,8 +92,8 @@
 	t.overdue.Add(placement.Hash(p.Target), p.PlacedAt, due, p.PrefillTokens)
 }
 
-// presumedOthers is what other boxes' requests take up at each of some targets, if each
-// box uses as much as this one.
+// presumedOthers is the load of other boxes at each of some targets, assuming that each box
+// loads them as much as this one.
 func (t *tables) presumedOthers(now time.Time, targets []*fleet.Target) peer.TargetLoad {
 	var own peer.TargetLoad
 	for _, x := range targets {
--- a/entry/used_test.go
+++ b/entry/load_test.go
@@ -8,9 +8,9 @@
 	"github.com/thymewind/thymewind/fleet"
 )
 
-// TestLoadEndsWithTarget has a target go from the list, be replaced, or start again under its ID while a
-// request of this box runs there: nothing more is told of what that took up, and what the next
-// life takes up counts from nothing.
+// TestLoadEndsWithTarget has a target leave the list, be replaced, or restart under its ID
+// while a request of this box runs there. Its load is reported no more, and that of the next
+// incarnation starts at zero.
 func TestLoadEndsWithTarget(t *testing.T) {
 	born := start.Add(-time.Hour)
 	tests := []struct {
@@ -21,7 +21,7 @@
 		{"replaced", func(d *Daemon) {
 			d.dropReplaced(start, &d.tables, fleet.Incarnation{ID: "a", StartedAt: born}, "a test")
 		}},
-		{"started again", func(d *Daemon) {
+		{"restarted", func(d *Daemon) {
 			e := engine("a", 1)
 			e.StartedAt = start
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{e}}, false})
@@ -35,11 +35,11 @@
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{e}}, false})
 			d.tables.countSent(start, deliver.Placement{Target: "a", StartedAt: born, PlacedAt: start, Tokens: 500})
 			if got := d.tables.ownLoads(start); len(got) != 1 || got[0].Tokens != 500 {
-				t.Fatalf("told %+v while it runs", got)
+				t.Fatalf("reported %+v while the request runs", got)
 			}
 			tt.goes(d)
 			if got := d.tables.ownLoads(start); len(got) != 0 {
-				t.Errorf("told %+v after that", got)
+				t.Errorf("reported %+v after that", got)
 			}
 		})
 	}
--- a/entry/loading.go
+++ b/entry/loading.go
@@ -7,35 +7,34 @@
 	"github.com/thymewind/thymewind/fleet"
 )
 
-// The box that gives orders says which targets it is about to order. When each of
-// them has loaded it tells nobody until it orders the next, and never if it is cut
-// off or killed meanwhile. So every box that places requests asks them itself. Without
-// that they stay out for loadLongest: 40 of 99 engines stood still for 3 s, on a day
-// whose giver was cut off behind its first orders, and 9 in 100 long prompts were
-// refused for want of memory in place of 5. The questions are 3,000 small calls a day
-// of two rollouts, ten hubs and 99 engines.
+// The box that orders loads announces the targets before it orders them, but announces that
+// they have loaded only together with its next orders, and never if it is cut off or killed. So
+// every box that places requests polls the loading targets itself. Otherwise they stay out of
+// use for maxLoadTime: in a rollout whose leader was cut off after its first orders, 40 of 99
+// engines idled for 3 s and 9 in 100 long prompts were refused for lack of memory instead of 5.
+// Polling costs 3,000 small calls for two rollouts with ten hubs and 99 engines.
 
-// firstLoadPoll is after what time a target that is to load is first asked. The
-// platform's loads take 1.3 s if few enough targets load at once.
+// firstLoadPoll is the delay before a loading target is first polled. The platform's loads take
+// 1.3 s if few enough targets load at once.
 const firstLoadPoll = 1300 * time.Millisecond
 
-// pollLoaded asks a target whether it has loaded.
+// pollLoaded polls a target for whether it has loaded.
 type pollLoaded struct {
 	target string
 	at     netip.AddrPort
-	// life is the target's when it was asked.
+	// life is the target's incarnation when it was polled.
 	life fleet.Incarnation
 }
 
-// loadPolled is what it said.
+// loadPolled is the answer.
 type loadPolled struct {
 	target string
 	report Report
 	err    error
 }
 
-// pollLoading asks the targets that load by another box's order, if this box places
-// requests by its own knowledge.
+// pollLoading polls the targets that load by another box's order, if this box places requests
+// by its own knowledge.
 func (d *Daemon) pollLoading(now time.Time, t *tables) []effect {
 	var effects []effect
 	for id, due := range t.loading {
@@ -53,8 +52,8 @@
 	return effects
 }
 
-// loadPolled takes a target back that does not load. One that says nothing, or
-// that it is busy, is asked again.
+// loadPolled takes a target that is not loading back into use. One that does not answer, or is
+// busy, is polled again.
 func (d *Daemon) loadPolled(now time.Time, t *tables, m loadPolled) {
 	x := t.fleet.Target(m.target)
 	if _, asked := t.loading[m.target]; !asked || x == nil {
@@ -66,7 +65,7 @@
 	}
 	delete(t.loading, m.target)
 	if !x.StartedAt.IsZero() && !m.report.StartedAt.IsZero() && !m.report.StartedAt.Equal(x.StartedAt) {
-		return // It tells of another life; the list tells which is the later.
+		return // The report is from another incarnation; the list tells which one is the later.
 	}
 	for model, version := range m.report.Versions {
 		x.Versions[model] = max(x.Versions[model], version)
--- a/entry/place.go
+++ b/entry/place.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// expectFor is how long a part that was sent somewhere is expected there
-	// without being told of.
+	// expectFor is how long a prompt part sent to an engine or a store is assumed to be cached
+	// there before its cache events confirm it.
 	expectFor = 1500 * time.Millisecond
 )
 
@@ -34,7 +34,7 @@
 		return deliver.Placement{}, d.timeoutRefusal(ask.Job)
 	}
 	select {
-	case answer := <-reply: // At once, or after two calls to hubs at most, which end with ctx.
+	case answer := <-reply: // Immediately, or after at most two calls to hubs, which end with ctx.
 		return answer.place, answer.err
 	case <-d.ended:
 		return deliver.Placement{}, d.timeoutRefusal(ask.Job)
@@ -54,13 +54,13 @@
 	return false
 }
 
-// silenceFor is how long a connection to a target that was found silent counts
-// against requests that wait on other connections there: some rounds of the wait
-// after which such a request asks whether its target looks dead, 0.4 to 1.5 s.
+// silenceFor is how long a connection that was found silent counts against requests that wait
+// on other connections to the same target. A waiting request asks after each 0.4 to 1.5 s
+// whether its target looks dead; this spans several such rounds.
 const silenceFor = 3 * time.Second
 
-// looksDead says that a target is gone, can't be reached, says nothing, or that
-// connections to it went silent lately.
+// looksDead reports whether a target is gone, unreachable or silent, or had a connection that
+// was found silent within silenceFor.
 func (d *Daemon) looksDead(now time.Time, t *tables, id string) bool {
 	x := t.fleet.Target(id)
 	if x == nil || x.Ejected(now) || d.isSilent(now, t, x) {
@@ -70,9 +70,9 @@
 	return silent && now.Sub(at) < silenceFor
 }
 
-// isSilent says that nothing came from a target for longer than a live one keeps
-// silent. An engine may have requests wait for seconds and tells by its news that it
-// lives, which only a box that follows them hears.
+// isSilent reports whether a target has been silent for longer than a live one is. An engine
+// may queue requests for seconds; its cache events show that it is alive, but only a box that
+// watches it receives them.
 func (d *Daemon) isSilent(now time.Time, t *tables, x *fleet.Target) bool {
 	if table := d.current.Load(); table == nil || table.Pools[x.Pool] == nil || table.Pools[x.Pool].Engine == nil {
 		return x.Silent(now, leastrequest.SilenceTimeout)
@@ -107,43 +107,43 @@
 	return d.choosePlain(now, t, ask, backsOff(now))
 }
 
-// choosePlain chooses a target of a plain service, but none that is closed to the box that
-// sends the request.
-func (d *Daemon) choosePlain(now time.Time, t *tables, ask deliver.PlacementRequest, closed func(*fleet.Target) bool) (deliver.Placement, *refusal.Refusal) {
+// choosePlain chooses a target of a plain service, except those excluded for the box that sends
+// the request.
+func (d *Daemon) choosePlain(now time.Time, t *tables, ask deliver.PlacementRequest, excluded func(*fleet.Target) bool) (deliver.Placement, *refusal.Refusal) {
 	if refused := d.refuseCongested(t, ask); refused != nil {
 		return deliver.Placement{}, refused
 	}
 	var x *fleet.Target
-	for _, passed := range d.softwareFilters(now, t, ask) {
-		if chosen, ok := d.services.Choose(now, t.fleet.Pool(ask.Job.Pool.Name), d.skip(now, t, ask, either(closed, passed))); ok {
+	for _, filter := range d.softwareFilters(now, t, ask) {
+		if chosen, ok := d.services.Choose(now, t.fleet.Pool(ask.Job.Pool.Name), d.skip(now, t, ask, either(excluded, filter))); ok {
 			x = chosen
 			break
 		}
 	}
 	if x == nil {
-		return deliver.Placement{}, d.refuseNone(now, t, ask, closed)
+		return deliver.Placement{}, d.refuseNone(now, t, ask, excluded)
 	}
 	t.countExposure(ask, x)
 	d.countCold(now, t, ask.Job.Pool, x)
 	return deliver.Placement{Target: x.ID, StartedAt: x.StartedAt, Address: x.Address, PlacedAt: now, Rule: "nearest", QuotaGranted: d.takeQuota(now, t, x)}, nil
 }
 
-func (d *Daemon) refuseNone(now time.Time, t *tables, ask deliver.PlacementRequest, closed func(*fleet.Target) bool) *refusal.Refusal {
+func (d *Daemon) refuseNone(now time.Time, t *tables, ask deliver.PlacementRequest, excluded func(*fleet.Target) bool) *refusal.Refusal {
 	pool := ask.Job.Pool
 	if cold := d.countColdExcluded(now, t, ask); cold > 0 {
 		return refusal.New(refusal.DidNotRun, 503, "warming", "no target of %s takes work now but %d that are cold and have got what they bear", pool.Name, cold)
 	}
-	if refused := d.refuseLimited(now, t, ask, closed); refused != nil {
+	if refused := d.refuseLimited(now, t, ask, excluded); refused != nil {
 		return refused
 	}
-	if refused := refuseBackoff(now, t, ask, closed); refused != nil {
+	if refused := refuseBackoff(now, t, ask, excluded); refused != nil {
 		return refused
 	}
 	return refusal.New(refusal.DidNotRun, 503, "no_target", "no target of %s takes work now", pool.Name)
 }
 
-// refuseEngine refuses a request that no engine takes, and says whether that is
-// for the weights' sake.
+// refuseEngine refuses a request that no engine takes, with a code of its own if an available
+// engine has weights that are too old.
 func (d *Daemon) refuseEngine(now time.Time, t *tables, request deliver.PlacementRequest, ask affinity.Request, targets []*fleet.Target, from sender) *refusal.Refusal {
 	for _, x := range targets {
 		if x.Available(now) && x.Versions[ask.Model] < ask.MinVersion {
@@ -153,33 +153,34 @@
 	return d.refuseNone(now, t, request, from.excluded)
 }
 
-// skip passes over targets that were tried before, over those closed to the box that
-// sends the request, and over such that are cold or limit requests and have got what this box
-// may send them.
-func (d *Daemon) skip(now time.Time, t *tables, ask deliver.PlacementRequest, closed func(*fleet.Target) bool) func(id string) bool {
+// skip returns a filter for the targets that can't be chosen: those outside the allowed
+// regions, those tried before, those excluded for that box, and cold or rate-limited ones to
+// which this box has sent its share.
+func (d *Daemon) skip(now time.Time, t *tables, ask deliver.PlacementRequest, excluded func(*fleet.Target) bool) func(id string) bool {
 	regions := allowedRegions(ask.Job)
 	return func(id string) bool {
 		x := t.fleet.Target(id)
-		return !t.inRegions(regions, x.Domain) || slices.Contains(ask.Attempted, id) || closed(x) || d.coldShareUsed(now, t, ask.Job.Pool, x) || !d.withinQuota(now, t, x)
+		return !t.inRegions(regions, x.Domain) || slices.Contains(ask.Attempted, id) || excluded(x) || d.coldShareUsed(now, t, ask.Job.Pool, x) || !d.withinQuota(now, t, x)
 	}
 }
 
-// either says that one of two reasons stands against a target.
+// either returns a filter for targets that match a or b.
 func either(a, b func(*fleet.Target) bool) func(*fleet.Target) bool {
 	return func(x *fleet.Target) bool { return a(x) || b(x) }
 }
 
-// backsOff says which targets want no requests from this box.
+// backsOff returns a filter for the targets that asked this box for a backoff.
 func backsOff(now time.Time) func(*fleet.Target) bool {
 	return func(x *fleet.Target) bool { return x.InBackoff(now) }
 }
 
-// sender is the box that sends a request, as far as its place depends on that.
+// sender describes the box that sends a request, as far as the choice of a target depends on
+// it.
 type sender struct {
 	domain string
 	limit  admissionLimit
-	// hasIdleConnection says to which targets it has a connection that rests, closed which of them
-	// must get no request from it.
+	// hasIdleConnection reports whether the box has an idle connection to a target, excluded
+	// whether it must send no request there.
 	hasIdleConnection, excluded func(*fleet.Target) bool
 }
 
@@ -187,14 +188,14 @@
 	return d.chooseEngine(now, t, ask, sender{d.Settings.Domain, d.admissionLimit(t, ask.Job), d.hasIdleConnection, backsOff(now)})
 }
 
-// chooseEngine chooses an engine, on the software whose turn it is.
+// chooseEngine chooses an engine, trying the software versions in the order of softwareFilters.
 func (d *Daemon) chooseEngine(now time.Time, t *tables, ask deliver.PlacementRequest, from sender) (deliver.Placement, *refusal.Refusal) {
 	var place deliver.Placement
 	var refused *refusal.Refusal
-	for _, passed := range d.softwareFilters(now, t, ask) {
-		among := from
-		among.excluded = either(from.excluded, passed)
-		place, refused = d.planEngine(now, t, ask, among)
+	for _, filter := range d.softwareFilters(now, t, ask) {
+		filtered := from
+		filtered.excluded = either(from.excluded, filter)
+		place, refused = d.planEngine(now, t, ask, filtered)
 		if refused == nil {
 			t.countExposure(ask, t.fleet.Target(place.Target))
 			return place, nil
@@ -203,7 +204,7 @@
 	return place, refused
 }
 
-// planEngine chooses an engine and plans the moves of kept parts.
+// planEngine chooses an engine and plans the transfers of cached prompt parts.
 func (d *Daemon) planEngine(now time.Time, t *tables, ask deliver.PlacementRequest, from sender) (deliver.Placement, *refusal.Refusal) {
 	job := ask.Job
 	if d.weightsStale(now) {
@@ -262,7 +263,7 @@
 	return place, nil
 }
 
-// expectCached notes what the engine and the stores will keep.
+// expectCached notes which parts the engine and the stores will cache.
 func expectCached(now time.Time, t *tables, parts []deliver.Part, choice affinity.Choice) {
 	until := now.Add(expectFor)
 	for i, key := range choice.Keys {
@@ -286,8 +287,8 @@
 	return list
 }
 
-// home ranks the engines for a prompt: by the longest beginning that other
-// prompts may share.
+// home is the key by which the engines are ranked for a prompt (rendezvous hashing): its
+// longest prefix that other prompts may share.
 func home(job *deliver.Job) uint64 {
 	if len(job.Parts) == 0 {
 		return xxhash.Sum64String(job.ID)
@@ -303,8 +304,8 @@
 	return list
 }
 
-// scope separates kept parts: memory made on other weights, or by a walled
-// account, is never found under it.
+// scope returns the namespace of cached parts. Parts computed with other weights, or for an
+// isolated account, are never found under it.
 func scope(version int64, job *deliver.Job) string {
 	text := job.Model + "@" + strconv.FormatInt(version, 10)
 	if job.Account != nil && job.Account.Isolated {
--- a/entry/placehub.go
+++ b/entry/placehub.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// placeFor is how long a hub may take to place a request; it needs a
-	// millisecond, and weak boxes some ten to read the answer.
+	// placeFor bounds a hub's call for a place. The hub takes about 1 ms, and a weak box some
+	// 10 ms to read the answer.
 	placeFor = 100 * time.Millisecond
-	// hubAsks is how many hubs are asked to place a request before this box
-	// does so alone. Alone it knows of no kept part, so the whole prompt is read:
-	// a prompt of 12,000 tokens then costs more than it earns.
+	// hubAsks is how many hubs are asked to place a request before this box places it alone.
+	// Alone it knows of no cached part, so the engine prefills the whole prompt: for 12,000
+	// tokens that costs more than the request earns.
 	hubAsks = 2
 )
 
@@ -41,8 +41,8 @@
 	err    error
 }
 
-// placementRequested has a hub place the request, or places it here. One whose caller
-// left, or whose time is up, is not counted at any target and costs no hub's work.
+// placementRequested has a hub place the request, or places it here. A request whose caller
+// left or whose deadline has passed is not counted at any target and costs no hub any work.
 func (d *Daemon) placementRequested(now time.Time, t *tables, m placementRequest) []effect {
 	if m.ctx.Err() != nil {
 		m.reply <- placeAnswer{err: d.timeoutRefusal(m.ask.Job)}
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// placeRemotely hands a model request to the hub, if this box has one, and any request for
-// which only targets are left that limit requests.
+// placeRemotely hands a model request to a hub, if this box is a spoke, and any request for
+// which only rate-limited targets are left.
 func (d *Daemon) placeRemotely(now time.Time, t *tables, m placementRequest) ([]effect, bool) {
 	if !d.spoke.Load() || m.ask.Job.Pool.Engine == nil && !t.onlyLimited(now, m.ask) || len(m.askedHubs) >= hubAsks || d.weightsStale(now) {
 		return nil, false
@@ -91,18 +91,18 @@
 	return []effect{askHub{hub, t.members[hub].address, m, ask}}, true
 }
 
-// targetHints lists the targets to which this box has a connection that rests, and those
-// to which it must send nothing, of which the hub may not know, or that it may itself use.
-func (d *Daemon) targetHints(now time.Time, targets []*fleet.Target) (linked, closed []uint32) {
+// targetHints lists the targets to which this box has an idle connection, and those to which it
+// must send nothing: the hub may not know of the latter, or may use them itself.
+func (d *Daemon) targetHints(now time.Time, targets []*fleet.Target) (idle, excluded []uint32) {
 	for _, x := range targets {
 		if d.hasIdleConnection(x) {
-			linked = append(linked, shortID(x))
+			idle = append(idle, shortID(x))
 		}
 		if x.InBackoff(now) || x.Leaving {
-			closed = append(closed, shortID(x))
+			excluded = append(excluded, shortID(x))
 		}
 	}
-	return linked, closed
+	return idle, excluded
 }
 
 func (d *Daemon) askHub(ctx context.Context, e askHub) hubPlaced {
@@ -113,9 +113,9 @@
 	return hubPlaced{e.hub, e.m, answer.PlacementResponse, err}
 }
 
-// hubPlaced passes the hub's place on, if this box knows nothing against it.
-// Otherwise another hub is asked, or this box places the request alone. A call
-// that ended with its request says nothing against the hub.
+// hubPlaced passes on the place that the hub chose, unless this box knows of a reason against
+// it. Then another hub is asked, or this box places the request alone. A call that ended with
+// its request does not count as a failure of the hub.
 func (d *Daemon) hubPlaced(now time.Time, t *tables, m hubPlaced) []effect {
 	if m.m.ctx.Err() != nil {
 		return d.placementRequested(now, t, m.m)
@@ -137,8 +137,8 @@
 	return d.placementRequested(now, t, m.m)
 }
 
-// otherHubHasQuota says that a hub has nothing left of limited targets' rates, and that another one,
-// which has a part of its own, can be asked.
+// otherHubHasQuota reports whether the hub has used up its share of the rate-limited targets'
+// quotas while another hub, which has a share of its own, can still be asked.
 func otherHubHasQuota(m hubPlaced) bool {
 	return m.placed.Refused == codeLimited && len(m.m.askedHubs)+1 < hubAsks
 }
@@ -156,8 +156,8 @@
 	d.Log.Warn("hub does not answer", "hub", hub, "err", err)
 }
 
-// acceptHubPlace turns a hub's answer into this box's, unless this box knows something
-// against the target.
+// acceptHubPlace converts a hub's answer to a place, unless this box knows of a reason against
+// the target.
 func (d *Daemon) acceptHubPlace(now time.Time, t *tables, request deliver.PlacementRequest, p *peer.PlacementResponse) (placeAnswer, bool) {
 	job := request.Job
 	if p.Refused == codeBackoff {
@@ -182,7 +182,7 @@
 	}
 	fetch, save, err := transferAddresses(p)
 	if err != nil {
-		d.Log.Error("a hub's place can't be used", "request", job.ID, "target", p.Target, "err", err)
+		d.Log.Error("place chosen by a hub is invalid", "request", job.ID, "target", p.Target, "err", err)
 		return placeAnswer{}, false
 	}
 	place := deliver.Placement{
@@ -200,8 +200,8 @@
 	return placeAnswer{place: place}, true
 }
 
-// allExcludedAtHub refuses a request for which a hub knows no targets but those that this box
-// told it are closed. If this box knows others, the hub's list is old: another is asked.
+// allExcludedAtHub refuses a request for which the hub knows only targets that this box named
+// as excluded. If this box knows of others, the hub's list is stale and another hub is asked.
 func (d *Daemon) allExcludedAtHub(now time.Time, t *tables, request deliver.PlacementRequest) (placeAnswer, bool) {
 	fits := func(x *fleet.Target) bool {
 		return x.Available(now) && !x.InBackoff(now) && !slices.Contains(request.Attempted, x.ID)
@@ -214,7 +214,7 @@
 	return placeAnswer{err: refused.After(d.retryAfterRefusal(now, t, refused.Code, request.Job))}, true
 }
 
-// transferAddresses returns from where and to where a hub has parts moved.
+// transferAddresses returns the sources and destinations of the transfers that a hub planned.
 func transferAddresses(p *peer.PlacementResponse) (fetch, save []netip.AddrPort, err error) {
 	if fetch, err = parseAddresses(p.Fetch); err != nil {
 		return nil, nil, err
@@ -223,7 +223,7 @@
 	return fetch, save, err
 }
 
-// parseAddresses reads addresses; an empty text means none.
+// parseAddresses reads addresses; an empty string means none.
 func parseAddresses(list []string) ([]netip.AddrPort, error) {
 	if len(list) == 0 {
 		return nil, nil
@@ -242,10 +242,10 @@
 	return out, nil
 }
 
-// hasIdleConnection says that this box has a connection to a target that rests.
+// hasIdleConnection reports whether this box has an idle connection to a target.
 func (d *Daemon) hasIdleConnection(x *fleet.Target) bool {
 	return d.Platform.HasIdleConnection == nil || d.Platform.HasIdleConnection(x.Address)
 }
 
-// shortID names a target among those of its pool, in four bytes.
+// shortID is a four-byte ID of a target among those of its pool.
 func shortID(x *fleet.Target) uint32 { return uint32(placement.Hash(x.ID)) }
--- a/entry/placepeer.go
+++ b/entry/placepeer.go
@@ -13,14 +13,14 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// This file is the hub's side of placing: placehub.go is that of the boxes that ask it.
+// This file is the hub's side of placing; placehub.go is the side of the boxes that ask it.
 
-// warmShare is the share of the sources of kept parts that a hub must have heard of once
-// before it places requests for others.
+// warmShare is the share of the sources of cached parts that a hub must have heard from at
+// least once before it places requests for others.
 const warmShare = 0.8
 
-// placeForPeer places another box's request, by all that this box knows. It
-// returns nil if that is too little.
+// placeForPeer places another box's request by what this box knows. It returns nil if it knows
+// too little.
 func (d *Daemon) placeForPeer(now time.Time, t *tables, m peer.Message) *peer.PlacementResponse {
 	t.lastHubRequest = now
 	table := d.current.Load()
@@ -44,33 +44,33 @@
 	for _, p := range m.PlacementRequest.Parts {
 		job.Parts = append(job.Parts, deliver.Part{ID: p.ID, Tokens: p.Tokens})
 	}
-	ask, closed := deliver.PlacementRequest{Job: job, Attempted: m.PlacementRequest.Tried}, namedIn(m.PlacementRequest.Excluded)
+	ask, excluded := deliver.PlacementRequest{Job: job, Attempted: m.PlacementRequest.Tried}, namedIn(m.PlacementRequest.Excluded)
 	var place deliver.Placement
 	var refused *refusal.Refusal
 	if job.Pool.Engine == nil {
-		place, refused = d.choosePlain(now, t, ask, closed)
+		place, refused = d.choosePlain(now, t, ask, excluded)
 	} else {
-		place, refused = d.chooseEngine(now, t, ask, sender{t.domainOf(m.From), peerAdmissionLimit(m.PlacementRequest), namedIn(m.PlacementRequest.IdleConnections), closed})
+		place, refused = d.chooseEngine(now, t, ask, sender{t.domainOf(m.From), peerAdmissionLimit(m.PlacementRequest), namedIn(m.PlacementRequest.IdleConnections), excluded})
 	}
 	if refused != nil {
 		return &peer.PlacementResponse{Refused: refused.Code, Reason: refused.Reason}
 	}
 	t.countForPeer(m.From, place)
 	t.prefillBacklog.Place(now, placement.Hash(place.Target), place.PrefillTokens)
-	var moves []peer.Transfer
+	var transfers []peer.Transfer
 	for _, m := range place.Transfers {
-		moves = append(moves, peer.Transfer{Source: m.Source, ExpectedUS: m.Expected.Microseconds()})
+		transfers = append(transfers, peer.Transfer{Source: m.Source, ExpectedUS: m.Expected.Microseconds()})
 	}
 	return &peer.PlacementResponse{
 		Entry:  t.recentEntry(now, place.Target),
 		Target: place.Target, Version: place.Version, Fetch: formatAddresses(place.Fetch), Save: formatAddresses(place.Save),
 		UntilMS: place.FetchUntil.Milliseconds(), CachedTokens: place.Kept, FetchedTokens: place.Fetched, SavedTokens: place.Saved,
-		PrefillTokens: place.PrefillTokens, Rule: place.Rule, PrefillBacklog: place.PrefillBacklog, Transfers: moves, QuotaGranted: place.QuotaGranted,
+		PrefillTokens: place.PrefillTokens, Rule: place.Rule, PrefillBacklog: place.PrefillBacklog, Transfers: transfers, QuotaGranted: place.QuotaGranted,
 	}
 }
 
-// recentEntry is the entry of a target that came into use so lately that other boxes may not know
-// of it, or nil.
+// recentEntry returns the entry of a target that came into use within recentEntryFor, as other
+// boxes may not know of it yet; otherwise nil.
 func (t *tables) recentEntry(now time.Time, id string) *peer.Entry {
 	x := t.fleet.Target(id)
 	u := t.inUse[x.Pool]
@@ -81,8 +81,7 @@
 	return &entry
 }
 
-// domainOf returns the failure domain of a box, or an empty text if it is not
-// known.
+// domainOf returns the failure domain of a box, or an empty string if it is not known.
 func (t *tables) domainOf(box string) string {
 	if m := t.members[box]; m != nil {
 		return m.domain
@@ -90,8 +89,8 @@
 	return ""
 }
 
-// knowsCache says that most sources of kept parts were heard of since this box follows
-// them. Sources that end later make no odds.
+// knowsCache reports whether most sources of cached parts have been heard from since this box
+// began to watch them. It stays true when sources end later.
 func (d *Daemon) knowsCache(t *tables) bool {
 	if t.hubWarm {
 		return true
@@ -112,13 +111,12 @@
 	return t.hubWarm
 }
 
-// countForPeer counts a request that was just placed for another box, until that box
-// tells of it itself.
+// countForPeer counts a request placed for another box until that box reports it itself.
 func (t *tables) countForPeer(box string, place deliver.Placement) {
 	t.othersUsage.Add(box, peer.TargetLoad{Target: placement.Hash(place.Target), Tokens: place.Tokens})
 }
 
-// namedIn says which targets another box named.
+// namedIn returns a filter for the targets that another box named.
 func namedIn(list []uint32) func(*fleet.Target) bool {
 	return func(x *fleet.Target) bool { return slices.Contains(list, shortID(x)) }
 }
--- a/entry/refuse.go
+++ b/entry/refuse.go
@@ -10,9 +10,8 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// refuseImpossible returns why no target will ever run a request under this
-// configuration, or nil. Its caller was told before that the engines are crowded,
-// and came back for the same.
+// refuseImpossible returns why no target can run a request under this configuration, or nil.
+// Refusing it as crowded would have its caller come back in vain.
 func (d *Daemon) refuseImpossible(t *tables, job *deliver.Job) *refusal.Refusal {
 	if refused := d.refuseRegion(t, job); refused != nil {
 		return refused
@@ -36,24 +35,24 @@
 	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, code, format, args...).After(d.retryAfter(code, job))
 }
 
-// servesModel says that a target lists a model, in whatever version.
+// servesModel reports whether a target lists a model, in any version.
 func servesModel(x *fleet.Target, model string) bool {
 	_, listed := x.Versions[model]
 	return listed
 }
 
-// minAnswerTime is the time in which no request like a job's was answered lately.
+// minAnswerTime is the time in which no similar request was answered lately, if that is known.
 func (d *Daemon) minAnswerTime(now time.Time, job *deliver.Job) (time.Duration, bool) {
 	return d.minAnswerTimes.Min(now, answerTimeKey(job))
 }
 
-// learnMinAnswerTime learns from a whole answer, except of streams that were taken up, as
-// they need less time.
+// learnMinAnswerTime learns from a complete answer, except of resumed streams, as these need
+// less time.
 func (d *Daemon) learnMinAnswerTime(o deliver.Outcome) {
 	if o.Job != nil && o.Status == http.StatusOK && outcomeKind(o) == outcomeAnswered && o.Call.LastEventID == "" {
 		d.minAnswerTimes.Observe(d.now(), answerTimeKey(o.Job), o.Took)
 	}
 }
 
-// answerTimeKey names the requests that are expected to take about as long.
+// answerTimeKey is the key shared by requests that are expected to take about as long.
 func answerTimeKey(job *deliver.Job) string { return job.Route.Name + " at " + job.Pool.Name }
--- a/entry/refuse_test.go
+++ b/entry/refuse_test.go
@@ -12,8 +12,8 @@
 	"github.com/thymewind/thymewind/retryafter"
 )
 
-// TestRefusedPermanently shows that a request that no target can ever run is refused as
-// such on arrival, without asking a hub, and all others are placed.
+// TestRefusedPermanently checks that a request that no target can run is refused permanently on
+// arrival, without asking a hub, and that all others are placed.
 func TestRefusedPermanently(t *testing.T) {
 	tests := []struct {
 		name          string
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestImpossibleRequestAsksNoHub shows that no hub is asked for what none can place.
+// TestImpossibleRequestAsksNoHub checks that no hub is asked for a request that none can place.
 func TestImpossibleRequestAsksNoHub(t *testing.T) {
 	d := largeFleet("box-05")
 	d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
@@ -67,7 +67,7 @@
 	}
 }
 
-// TestMinAnswerTimeLearned shows which ends of requests tell how quickly their like can be
+// TestMinAnswerTimeLearned checks which outcomes teach how quickly similar requests can be
 // served, and that refusals are counted by their code.
 func TestMinAnswerTimeLearned(t *testing.T) {
 	took := 100 * time.Millisecond
@@ -77,13 +77,13 @@
 		outcome deliver.Outcome
 		known   bool
 	}{
-		{"whole answers", minlatency.MinSamples, deliver.Outcome{Status: 200, Took: took}, true},
-		{"few whole answers", minlatency.MinSamples - 1, deliver.Outcome{Status: 200, Took: took}, false},
+		{"complete answers", minlatency.MinSamples, deliver.Outcome{Status: 200, Took: took}, true},
+		{"few complete answers", minlatency.MinSamples - 1, deliver.Outcome{Status: 200, Took: took}, false},
 		{"a target's failures", minlatency.MinSamples, deliver.Outcome{Status: 500, Took: took}, false},
 		{"broken off", minlatency.MinSamples, deliver.Outcome{Status: 200, Aborted: true, Took: took}, false},
 		{"callers that left", minlatency.MinSamples, deliver.Outcome{Status: 200, CallerLeft: true, Took: took}, false},
 		{"refused", minlatency.MinSamples, deliver.Outcome{Status: 503, Cause: "crowded", RefusalCode: "crowded", Took: took}, false},
-		{"streams taken up", minlatency.MinSamples, deliver.Outcome{Call: &deliver.Call{LastEventID: "7"}, Status: 200, Took: took}, false},
+		{"resumed streams", minlatency.MinSamples, deliver.Outcome{Call: &deliver.Call{LastEventID: "7"}, Status: 200, Took: took}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -98,7 +98,7 @@
 				d.recordOutcome(o)
 			}
 			if least, known := d.server.MinAnswerTime(now, o.Job); known != tt.known || known && least >= took {
-				t.Errorf("least %v, %v", least, known)
+				t.Errorf("minimum answer time %v, known %v", least, known)
 			}
 			if _, known := d.server.MinAnswerTime(now, job("long", 10)); known {
 				t.Error("another route's is known")
--- a/entry/pace.go
+++ b/entry/throughput.go
@@ -9,7 +9,7 @@
 	"github.com/thymewind/thymewind/throughput"
 )
 
-// answerBegan learns from how soon an answer began.
+// answerBegan learns from the time to first byte of an answer.
 func (d *Daemon) answerBegan(now time.Time, t *tables, p deliver.Placement) {
 	if x := t.fleet.Incarnation(fleet.Incarnation{ID: p.Target, StartedAt: p.StartedAt}); x != nil {
 		x.Began(now, p.PrefillTokens)
@@ -21,14 +21,14 @@
 	}
 }
 
-// readingToken is how long an engine takes to read one token, as learnt.
+// readingToken is the learned prefill time of an engine per token.
 func (d *Daemon) readingToken() time.Duration {
 	_, token := d.tables.pace.Prefill()
 	return token
 }
 
-// stretch is by how much moves from a source take longer than they should, by
-// what all boxes' requests saw.
+// stretch is the factor by which transfers from a source take longer than planned, as observed
+// by all boxes.
 func (t *tables) stretch(now time.Time, source string) float64 {
 	name := placement.Hash(source)
 	asked, took := t.pace.Transferred(now, name)
@@ -38,19 +38,18 @@
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// slowFactor is from which stretch on a source is logged as slow. Nothing else
-// depends on it.
+// slowFactor is the factor from which a store is logged as slow. It is used for nothing else.
 const slowFactor = 3
 
-// logSlowStores logs the stores that have turned slow, and those that are well again.
+// logSlowStores logs when stores become slow and when they recover.
 func (d *Daemon) logSlowStores(now time.Time, t *tables) {
 	for _, s := range t.stores {
-		stretch := t.stretch(now, s.Name)
-		slow := stretch >= slowFactor
+		slowdown := t.stretch(now, s.Name)
+		slow := slowdown >= slowFactor
 		if slow == t.slowLogged[s.Name] {
 			continue
 		}
 		t.slowLogged[s.Name] = slow
-		d.Log.Info("store's moves", "store", s.Name, "slow", slow, "stretch", stretch, "boxes", t.othersUsage.Boxes()+1)
+		d.Log.Info("store's moves", "store", s.Name, "slow", slow, "stretch", slowdown, "boxes", t.othersUsage.Boxes()+1)
 	}
 }
--- a/entry/pace_test.go
+++ b/entry/throughput_test.go
@@ -11,8 +11,8 @@
 	"github.com/thymewind/thymewind/throughput"
 )
 
-// TestSlowSource shows that a box learns from its own requests and from other
-// boxes that moves from a source take long, and tells what it saw itself.
+// TestSlowSource checks that a box learns from its own requests and from other boxes that
+// transfers from a source are slow, and reports what it observed itself.
 func TestSlowSource(t *testing.T) {
 	const move, took = 80 * time.Millisecond, 800 * time.Millisecond
 	source := placement.Hash("large")
@@ -30,11 +30,11 @@
 	}{
 		{"nothing was seen", func(*Daemon) {}, 1, 1, false},
 		{"own requests waited", own, 5, 20, true},
-		{"another box's did", func(d *Daemon) {
+		{"another box's requests waited", func(d *Daemon) {
 			d.tables.members["b2"] = &member{}
 			d.tables.receiveLoads(start, "b2", []peer.TargetLoad{{Target: source, ExpectedMS: 400, ActualMS: 4000}})
 		}, 5, 20, false},
-		{"own ones waited, many of another box's did not", func(d *Daemon) {
+		{"own requests waited, many of another box's did not", func(d *Daemon) {
 			own(d)
 			d.tables.members["b2"] = &member{}
 			d.tables.receiveLoads(start, "b2", []peer.TargetLoad{{Target: source, ExpectedMS: 8000, ActualMS: 8000}})
@@ -49,10 +49,10 @@
 			tt.see(d)
 			now := start.Add(took)
 			if got := d.tables.stretch(now, "large"); got < tt.least || got > tt.most {
-				t.Errorf("stretch %.1f, want %.1f to %.1f", got, tt.least, tt.most)
+				t.Errorf("slowdown %.1f, want %.1f to %.1f", got, tt.least, tt.most)
 			}
 			if tells := len(d.tables.ownLoads(now)) > 0; tells != tt.tells {
-				t.Errorf("tells of it: %v", tells)
+				t.Errorf("reports it: %v", tells)
 			}
 		})
 	}
