--- a/entry/burst.go
+++ b/entry/burst.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// burstBoxes is how many boxes share the retries that may be saved up at least:
-// boxes may join before the others know them.
+// burstBoxes is the least number of boxes among which saved-up retries are divided, as boxes
+// may join before the others know of them.
 const burstBoxes = 10
 
-// retryBurst is how many retries this box may save up, so that all boxes together stay
-// within the platform's bound whatever each has saved: a share of it or, where
-// that is less than one, one for as many boxes as the bound has room for. A box
-// that does not know the others yet saves one.
+// retryBurst is how many retries this box may save up, so that all boxes together stay within
+// the platform's bound whatever each has saved. It is an equal share of the bound. Where that
+// is less than one, as many boxes as the bound allows get one each and the others none. A box
+// that does not know the others yet gets one.
 func (d *Daemon) retryBurst(now time.Time, t *tables) float64 {
 	all := d.bounds.Load().RetryExtra * retryUse
 	boxes := t.boxCount(now)
 	switch {
 	case d.unlisted.Load() && t.hubBoxes == 0:
-		return 0 // Others may have saved up all that there is.
+		return 0 // Other boxes may have saved up the whole bound.
 	case len(t.members) == 0:
 		return min(1, all)
 	}
--- a/entry/burst_test.go
+++ b/entry/burst_test.go
@@ -12,7 +12,7 @@
 	"github.com/thymewind/thymewind/retry"
 )
 
-// What all boxes do in a phase of a history, step by step.
+// What all boxes do in each step of a phase.
 const (
 	requestOnce = iota
 	requestMany
@@ -22,7 +22,7 @@
 	actions
 )
 
-// The histories' platform: a window is some steps long.
+// The platform's retry budget; a window is a number of steps.
 const (
 	window     = 10
 	phases     = 6
@@ -35,7 +35,7 @@
 
 func phaseOf(n int) phase { return phase{n % actions, 1 + n/actions} }
 
-// fleetOf returns one daemon for each box of a fleet whose boxes know each other.
+// fleetOf returns the daemons of a fleet of boxes that know each other.
 func fleetOf(t *testing.T, boxes int) []*Daemon {
 	t.Helper()
 	list := make([]*Daemon, boxes)
@@ -67,8 +67,8 @@
 	return requests, retried
 }
 
-// withinBudget says that whatever boxes have saved up, in each window all of them
-// together retry no more often than their requests in it allow, and the extra.
+// withinBudget holds if all boxes together, whatever they have saved up, retry no more often in
+// any window than the window's requests and the extra allow.
 func withinBudget(t *testing.T, burst func(*Daemon) float64) gopter.Prop {
 	sizes := []int{1, 6, 28, 29, 85, 330}
 	bursts := make(map[int][]float64)
@@ -115,24 +115,25 @@
 	return total
 }
 
-// TestRetriesOverAllBoxes shows that boxes keep the platform's bound together,
-// each by itself.
+// TestRetriesOverAllBoxes checks that boxes keep the platform's bound together, each on its
+// own.
 func TestRetriesOverAllBoxes(t *testing.T) {
 	proof.Holds(t, withinBudget(t, func(d *Daemon) float64 { return d.retryBurst(start, &d.tables) }))
 }
 
-// TestRetriesOverAllBoxesNeedBoxCount has each box save up as much as ten
-// boxes may.
+// TestRetriesOverAllBoxesNeedBoxCount has each box save up as much as one of ten boxes may, and
+// must break the bound.
 func TestRetriesOverAllBoxesNeedBoxCount(t *testing.T) {
 	proof.Breaks(t, withinBudget(t, func(*Daemon) float64 { return retryExtra * retryUse / burstBoxes }))
 }
 
-// TestRetriesOverAllBoxesNeedRank has each of many boxes save up one.
+// TestRetriesOverAllBoxesNeedRank has each of many boxes save up one retry, and must break the
+// bound.
 func TestRetriesOverAllBoxesNeedRank(t *testing.T) {
 	proof.Breaks(t, withinBudget(t, func(d *Daemon) float64 { return max(1, d.retryBurst(start, &d.tables)) }))
 }
 
-// TestBurst says how many retries a box may save up.
+// TestBurst checks how many retries a box may save up.
 func TestBurst(t *testing.T) {
 	const all = retryExtra * retryUse
 	tests := []struct {
--- a/entry/note.go
+++ b/entry/outcome.go
@@ -50,10 +50,10 @@
 	d.Log.Info("request", fields...)
 }
 
-// outcomeAnswered is the kind of a whole answer.
+// outcomeAnswered is the kind of a complete answer.
 const outcomeAnswered = "answered"
 
-// outcomeKind names an outcome for counters.
+// outcomeKind is the outcome's label in counters and logs.
 func outcomeKind(o deliver.Outcome) string {
 	switch {
 	case o.CallerLeft:
@@ -66,7 +66,7 @@
 	return outcomeAnswered
 }
 
-// recordRetry logs and counts one more try.
+// recordRetry logs and counts a retry.
 func (d *Daemon) recordRetry(r deliver.Retry) {
 	d.metrics.retries.WithLabelValues(r.Job.Pool.Name).Inc()
 	d.Log.Info("another try", "request", r.Job.ID, "after", r.Place.Target, "cause", r.Cause, "resumed_behind", r.Resumed, "fingerprint", r.Job.Fingerprint())
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -14,35 +14,36 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// A target in need names how many requests a second it takes of all boxes together. Boxes tell
-// each other of that and divide the rate by quota; in a fleet with hubs the hubs have all of it
-// and send for the boxes that live on them what they place. A request's part is taken where it
-// is placed, and asked for again right before it leaves.
+// A target under overload names a rate limit in requests a second for all boxes together. Boxes
+// tell each other the limit and divide it by package quota. In a fleet with hubs the hubs share
+// the whole limit, as they place the requests for the other boxes. A request takes a token
+// where it is placed, and that is checked again right before it is sent.
 
 const (
-	// grantTTL is for how long a placed request may leave on the part that was taken for it.
-	// What waits for longer would leave together with the parts of the time since.
+	// grantTTL is how long a placed request may be sent on the token taken for it. Sent any
+	// later it would add to the tokens of the time since.
 	grantTTL = time.Second
-	// holderTimeout is after how long without a word from a box its part goes to others.
+	// holderTimeout is how long a box may be silent before its share goes to the others.
 	holderTimeout = 5 * time.Second
-	// maxLimitsPerMessage bounds the limits told in one message, at some 40 bytes each.
+	// maxLimitsPerMessage bounds the limits in one message, at some 40 bytes each.
 	maxLimitsPerMessage = 64
-	// newLimitRepeat is for how long news of a limit are told in each message: some rounds, as
-	// calls fail. All limits are told each limitsEvery, for boxes that missed the news.
+	// newLimitRepeat is how long a new limit is repeated in each message: for some rounds, as
+	// calls fail. All limits are sent every allLimitsInterval, for boxes that missed those
+	// messages.
 	newLimitRepeat    = time.Second
 	allLimitsInterval = 2 * time.Second
 )
 
-// codeLimited is the refusal's code where the targets that would take a request have got what
-// they take a second.
+// codeLimited is the refusal's code where all targets that would take a request have reached
+// their rate limits.
 const codeLimited = "limited"
 
-// withinQuota says that a target limits no requests, or that this box may send one now.
+// withinQuota reports whether a target has no rate limit or this box may send it a request now.
 func (d *Daemon) withinQuota(now time.Time, t *tables, x *fleet.Target) bool {
 	return !x.Limited || d.bucket(now, t, x).Ready()
 }
 
-// takeQuota counts a request that goes to a target, and says whether that limits requests.
+// takeQuota counts a request sent to a target and reports whether the target has a rate limit.
 func (d *Daemon) takeQuota(now time.Time, t *tables, x *fleet.Target) bool {
 	if !x.Limited {
 		return false
@@ -51,15 +52,15 @@
 	return true
 }
 
-// targetQuota is what this box may send to a target that limits requests.
+// targetQuota is this box's quota at a target with a rate limit.
 type targetQuota struct {
 	bucket quota.Bucket
-	// share is this box's of rate, as divided at a time.
+	// share is this box's share of rate, as computed at dividedAt.
 	share, rate float64
 	dividedAt   time.Time
 }
 
-// bucket holds what this box may send to a target that limits requests, as of now.
+// bucket returns this box's token bucket for a target with a rate limit, refilled up to now.
 func (d *Daemon) bucket(now time.Time, t *tables, x *fleet.Target) *quota.Bucket {
 	l := t.quotas[x.Incarnation()]
 	if l == nil {
@@ -73,8 +74,8 @@
 	return &l.bucket
 }
 
-// rateShare is this box's of a target's rate, in requests a second. A box that does not know the
-// others, or lives on a hub, has none.
+// rateShare is this box's share of a target's rate limit, in requests a second. A box that does
+// not know the others, or is a spoke, has none.
 func (d *Daemon) rateShare(now time.Time, t *tables, x *fleet.Target) float64 {
 	if !t.membersKnown || d.spoke.Load() {
 		return 0
@@ -82,8 +83,8 @@
 	return quota.Share(x.Rate, placement.Hash(x.ID), d.Settings.Name, t.quotaHolders(now, d.Settings.Name))
 }
 
-// quotaHolders lists the boxes that share the rates: those that exchange soft state with each other
-// and were heard of lately, or can't be, and this one.
+// quotaHolders lists the boxes that share the rate limits: this one and those that exchange
+// soft state with it, except boxes that can be called and have been silent for holderTimeout.
 func (t *tables) quotaHolders(now time.Time, self string) []string {
 	var list []string
 	for _, name := range t.hubs() {
@@ -94,12 +95,12 @@
 	return list
 }
 
-// setLimit takes over a target's limit, for choosing.
+// setLimit sets a target's rate limit.
 func setLimit(x *fleet.Target, limit notice.Limit) {
 	x.Limited, x.Rate = limit.Active, limit.PerSecond
 }
 
-// limitsFor lists the limits that another box is told now; nil is a box not known.
+// limitsFor lists the rate limits to send to another box now; m is nil for an unknown box.
 func (d *Daemon) limitsFor(now time.Time, m *member) []peer.RateLimit {
 	all := m == nil || !now.Before(m.limitsDue)
 	if all && m != nil {
@@ -118,16 +119,16 @@
 	return list
 }
 
-// receiveLimits takes over the limits that another box knows, as of a time.
+// receiveLimits applies the rate limits that another box sent, as of a time.
 func (d *Daemon) receiveLimits(now, asOf time.Time, t *tables, m peer.Message) {
 	for _, l := range m.RateLimits {
 		x, err := l.Decode(asOf)
 		if err != nil {
-			d.Log.Warn("a box's word of a limit can't be used", "from", m.From, "err", err)
+			d.Log.Warn("rate limit received from a box is invalid", "from", m.From, "err", err)
 			continue
 		}
 		if t.fleet.Incarnation(x.Incarnation) == nil {
-			continue // What this box hears itself is of the life that its list names.
+			continue // What this box hears itself refers to the incarnation in its list.
 		}
 		if d.notices.SetLimit(now, x) {
 			d.logLimit(x, m.From)
@@ -136,20 +137,20 @@
 	}
 }
 
-// expireQuotas forgets what was sent to targets that limit requests no more.
+// expireQuotas drops the quotas of targets that have no rate limit any more.
 func (d *Daemon) expireQuotas(t *tables) {
-	for life := range t.quotas {
-		if x := t.fleet.Incarnation(life); x == nil || !x.Limited {
-			delete(t.quotas, life)
+	for incarnation := range t.quotas {
+		if x := t.fleet.Incarnation(incarnation); x == nil || !x.Limited {
+			delete(t.quotas, incarnation)
 		}
 	}
 }
 
-// refuseLimited returns the refusal of a request for which some targets would have room if they
-// did not limit requests; nil if there are none.
-func (d *Daemon) refuseLimited(now time.Time, t *tables, ask deliver.PlacementRequest, closed func(*fleet.Target) bool) *refusal.Refusal {
+// refuseLimited refuses a request for which some targets would have room but for their rate
+// limits; it returns nil if there are none.
+func (d *Daemon) refuseLimited(now time.Time, t *tables, ask deliver.PlacementRequest, excluded func(*fleet.Target) bool) *refusal.Refusal {
 	spent := func(x *fleet.Target) bool {
-		return x.Available(now) && !closed(x) && !slices.Contains(ask.Attempted, x.ID) && !d.withinQuota(now, t, x)
+		return x.Available(now) && !excluded(x) && !slices.Contains(ask.Attempted, x.ID) && !d.withinQuota(now, t, x)
 	}
 	if !slices.ContainsFunc(t.fleet.Pool(ask.Job.Pool.Name), spent) {
 		return nil
@@ -157,8 +158,8 @@
 	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, codeLimited, "the targets of %s that take work have got the requests that they take a second", ask.Job.Pool.Name)
 }
 
-// onlyLimited says that all targets left for a request limit requests, so that a hub, which
-// has a part of their rates, has to place it.
+// onlyLimited reports whether all targets left for a request have rate limits, so that a hub,
+// which has a share of them, has to place it.
 func (t *tables) onlyLimited(now time.Time, ask deliver.PlacementRequest) bool {
 	limited := false
 	for _, x := range t.fleet.Pool(ask.Job.Pool.Name) {
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -16,15 +16,15 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// What the platform allows a target that names a rate: in any window so many times what that
-// comes to, and some more.
+// What the platform allows for a target that names a rate: in any window this factor times the
+// rate, and some extra.
 const (
 	rateWindow = 4 * time.Second
 	rateFactor = 1.5
 	rateExtra  = 5
 )
 
-// overRate returns the most arrivals in a window, and how many a rate allows.
+// overRate returns the most arrivals in a window, and how many the rate allows.
 func overRate(came []time.Time, rate float64) (most, allowed int) {
 	slices.SortFunc(came, func(a, b time.Time) int { return cmp.Compare(a.UnixNano(), b.UnixNano()) })
 	first := 0
@@ -37,16 +37,16 @@
 	return most, int(rateFactor*rate*rateWindow.Seconds()) + rateExtra
 }
 
-// ratedFleet is a fleet whose targets of a pool name a rate in each answer.
+// ratedFleet is a fleet in which targets of a pool name a rate limit in each answer.
 type ratedFleet struct {
 	*emulator
 	pool string
 	rate float64
-	// limited are the targets that do.
+	// limited are the targets that do so.
 	limited map[string]bool
-	// pending are the requests that wait for their place, by box.
+	// pending are the requests that wait for their place.
 	pending []pendingRequest
-	// arrivals is when requests reached targets, from is when the limits count.
+	// arrivals is when requests reached each target; those after from are checked.
 	arrivals map[string][]time.Time
 	from     time.Time
 	served   int
@@ -61,7 +61,7 @@
 	asked time.Time
 }
 
-// sendRequests has some of the boxes send a request each, and passes on what was placed.
+// sendRequests has some boxes send a request each, and handles those that were placed.
 func (w *ratedFleet) sendRequests(requests int) {
 	for range requests {
 		w.turn += 7
@@ -83,44 +83,44 @@
 	})
 }
 
-// answered sends a request that was placed, and has its box hear the answer.
+// answered sends a request that was placed, and has its box receive the answer.
 func (w *ratedFleet) answered(x pendingRequest, answer placeAnswer) {
 	if answer.err != nil {
 		w.codes[refusal.Of(answer.err, "", 0).Code]++
 		return
 	}
-	life := incarnationOf(answer.place)
-	if err := x.box.allow(life, deliver.Attempt{Job: job("short", 100), Place: answer.place}); err != nil {
+	incarnation := incarnationOf(answer.place)
+	if err := x.box.allow(incarnation, deliver.Attempt{Job: job("short", 100), Place: answer.place}); err != nil {
 		w.codes[err.Error()]++
 		return
 	}
 	w.served++
 	if w.now.After(w.from) {
-		w.arrivals[life.ID] = append(w.arrivals[life.ID], w.now)
+		w.arrivals[incarnation.ID] = append(w.arrivals[incarnation.ID], w.now)
 	}
 	said := notice.Signals{Unlimited: true}
-	if w.limited[life.ID] {
+	if w.limited[incarnation.ID] {
 		said = notice.Signals{Limited: true, Rate: w.rate}
 	}
 	asked := w.now
 	w.after(100*time.Millisecond, func() {
 		x.box.update(w.now, answerBegan{answer.place})
 		x.box.attemptEnded(w.now, &x.box.tables, attemptEnded{deliver.AttemptResult{Place: answer.place, Job: job("short", 100), Began: true, Answered: true}})
-		if x.box.observeSignals(asked, life, said, "an answer") {
-			x.box.update(w.now, signalsHeard{life})
+		if x.box.observeSignals(asked, incarnation, said, "an answer") {
+			x.box.update(w.now, signalsHeard{incarnation})
 		}
 	})
 }
 
-// TestLimitInFleets guards against boxes of a fleet with hubs that together send a target more
-// than the rate it names for all of them, or leave that unused while callers are refused.
+// TestLimitInFleets guards against boxes of a fleet with hubs that together exceed the rate
+// limit of a target, or leave it unused while callers are refused.
 func TestLimitInFleets(t *testing.T) {
 	tests := []struct {
 		name           string
 		boxes, domains int
 		pool           string
 		rate           float64
-		// limited are how many of eight targets name a rate.
+		// limited is how many of eight targets name a rate.
 		limited int
 	}{
 		{"a small fleet", 6, 3, "orders", 3, 2},
@@ -177,13 +177,13 @@
 	}
 }
 
-// setRateLimit has a box hear that a target names a rate.
+// setRateLimit has a box learn that a target names a rate limit.
 func setRateLimit(d *Daemon, now time.Time, id string, rate float64) {
 	d.notices.ObserveLimit(now, now, fleet.Incarnation{ID: id}, notice.Signals{Limited: true, Rate: rate})
 	d.update(now, signalsHeard{fleet.Incarnation{ID: id}})
 }
 
-// singleBox is a box that is the only one, with two engines.
+// singleBox is a box without others, with two engines.
 func singleBox() *Daemon {
 	d := withEngines(newDaemon("b1"), "a", "b")
 	d.tables.membersKnown = true
@@ -191,8 +191,8 @@
 	return d
 }
 
-// TestLimitBeforeSend guards against requests that leave for a target which named its limit after
-// they were placed, or that leave long after their part was taken.
+// TestLimitBeforeSend guards against requests that are sent to a target which named its rate
+// limit after they were placed, or long after their token was taken.
 func TestLimitBeforeSend(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -222,8 +222,8 @@
 	}
 }
 
-// TestLimitExcludesTarget guards against placing on a target that has got what it takes a second, and
-// says what callers are told when all have.
+// TestLimitExcludesTarget guards against placing on a target whose rate limit is reached, and
+// checks the refusal when that holds for all.
 func TestLimitExcludesTarget(t *testing.T) {
 	d := singleBox()
 	setRateLimit(d, start, "a", 2)
@@ -233,7 +233,7 @@
 	setRateLimit(d, start, "b", 2)
 	_, refused := placedOn(d, start)
 	if refused.Code != codeLimited || refused.Outcome != refusal.DidNotRun || refused.RetryAfter <= 0 {
-		t.Errorf("refused as %q, %v, come back after %v", refused.Code, refused.Outcome, refused.RetryAfter)
+		t.Errorf("refused as %q, %v, retry after %v", refused.Code, refused.Outcome, refused.RetryAfter)
 	}
 	later := start.Add(time.Second)
 	d.provedAt.Store(&later)
@@ -247,8 +247,7 @@
 	}
 }
 
-// TestProbesWithinLimit guards against questions for the health of a silent target beyond
-// the rate that it names.
+// TestProbesWithinLimit guards against health probes of a silent target beyond its rate limit.
 func TestProbesWithinLimit(t *testing.T) {
 	d := singleBox()
 	table := configuration(1)
@@ -267,12 +266,12 @@
 		}
 	}
 	if asked == 0 || asked > 10 {
-		t.Errorf("asked %d times in 20 s at 0.5 a second", asked)
+		t.Errorf("probed %d times in 20 s at 0.5 a second", asked)
 	}
 }
 
-// TestLimitGossip guards against boxes that don't know of a limit, or of its end, which
-// another box heard of.
+// TestLimitGossip guards against boxes that don't learn of a limit, or of its end, from another
+// box.
 func TestLimitGossip(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -283,9 +282,9 @@
 		{"a limit", []peer.RateLimit{{Target: "a", Active: true, PerSecond: 3}}, true, 3},
 		{"its end", []peer.RateLimit{{Target: "a", Active: true, PerSecond: 3, AgeMS: 50}, {Target: "a", AgeMS: 20}}, false, 0},
 		{"an end from before", []peer.RateLimit{{Target: "a", Active: true, PerSecond: 3, AgeMS: 20}, {Target: "a", AgeMS: 50}}, true, 3},
-		{"of another life", []peer.RateLimit{{Target: "c", Active: true, PerSecond: 3}}, false, 0},
-		{"an odd rate", []peer.RateLimit{{Target: "a", Active: true, PerSecond: -3}}, false, 0},
-		{"of a time to come", []peer.RateLimit{{Target: "a", Active: true, PerSecond: 3, AgeMS: -5}}, false, 0},
+		{"of another incarnation", []peer.RateLimit{{Target: "c", Active: true, PerSecond: 3}}, false, 0},
+		{"an invalid rate", []peer.RateLimit{{Target: "a", Active: true, PerSecond: -3}}, false, 0},
+		{"of a future time", []peer.RateLimit{{Target: "a", Active: true, PerSecond: 3, AgeMS: -5}}, false, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -298,9 +297,9 @@
 	}
 }
 
-// TestLimitOfUnlistedIncarnation guards against a limit that another box told of a target's next life,
-// which this box's list does not name yet, and which made what that target said to this box
-// count as an earlier life's.
+// TestLimitOfUnlistedIncarnation guards against a limit told of a target's next incarnation,
+// not yet in this box's list, that makes what the target said to this box count as an earlier
+// incarnation's.
 func TestLimitOfUnlistedIncarnation(t *testing.T) {
 	d := singleBox()
 	listed := engine("a", 1)
@@ -310,16 +309,16 @@
 	d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", RateLimits: []peer.RateLimit{told}})
 	sendSignals(d, start, fleet.Incarnation{ID: "a", StartedAt: listed.StartedAt}, signalsBackoff)
 	if got, _ := placedOn(d, start.Add(time.Second)); fmt.Sprint(got) != "[b]" {
-		t.Errorf("placed on %v in the time for which a wants none", got)
+		t.Errorf("placed on %v during the backoff that a asked for", got)
 	}
 	d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{{ID: "a", Pool: "models", Versions: map[string]int64{"m": 1}, StartedAt: start}}}, false})
 	d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", RateLimits: []peer.RateLimit{told}})
 	if x := d.tables.fleet.Target("a"); !x.Limited {
-		t.Error("the limit is not known once the list names that life")
+		t.Error("the limit is not known once the list has that incarnation")
 	}
 }
 
-// TestLimitsRepeated guards against messages that tell all limits all the time.
+// TestLimitsRepeated guards against messages that repeat all limits all the time.
 func TestLimitsRepeated(t *testing.T) {
 	d := singleBox()
 	other := &member{}
@@ -331,7 +330,7 @@
 		want  int
 	}{{0, maxLimitsPerMessage}, {newLimitRepeat, maxLimitsPerMessage}, {newLimitRepeat + 1, 0}, {allLimitsInterval, maxLimitsPerMessage}, {allLimitsInterval + 1, 0}} {
 		if got := len(d.limitsFor(start.Add(tt.after), other)); got != tt.want {
-			t.Errorf("after %v: %d are told, want %d", tt.after, got, tt.want)
+			t.Errorf("after %v: %d are sent, want %d", tt.after, got, tt.want)
 		}
 	}
 }
--- a/entry/comeback.go
+++ b/entry/retryafter.go
@@ -10,39 +10,38 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// What keeps callers from being served for a while. Of a pool, noTarget and its
-// name.
+// Causes for which callers are refused for a while. The pool's name follows noTarget.
 const (
 	noProof         = "no proof of the configuration"
 	noConfiguration = "no configuration"
 	noTarget        = "no target of "
 )
 
-// retryAfter says when a caller should return who was refused with a code.
+// retryAfter is the time after which a caller refused with a code should return.
 func (d *Daemon) retryAfter(code string, job *deliver.Job) time.Duration {
-	now, urgency := d.now(), priorityOf(job)
+	now, priority := d.now(), priorityOf(job)
 	switch code {
 	case "crowded", "warming":
-		return d.retryEstimator.MemoryFull(job.Route.Goal, urgency)
+		return d.retryEstimator.MemoryFull(job.Route.Goal, priority)
 	case "congested", codeLimited:
-		return d.retryEstimator.Congested(urgency)
+		return d.retryEstimator.Congested(priority)
 	case "no_target", "old_weights":
-		return d.retryEstimator.DuringOutage(now, noTarget+job.Pool.Name, urgency)
+		return d.retryEstimator.DuringOutage(now, noTarget+job.Pool.Name, priority)
 	case "no_configuration":
-		return d.retryEstimator.DuringOutage(now, noConfiguration, urgency)
+		return d.retryEstimator.DuringOutage(now, noConfiguration, priority)
 	case "stale":
 		if d.otherBoxAdmits(now) {
-			return d.retryEstimator.Soon(urgency)
+			return d.retryEstimator.Soon(priority)
 		}
 		d.retryEstimator.Started(now, noProof)
-		return d.retryEstimator.DuringOutage(now, noProof, urgency)
+		return d.retryEstimator.DuringOutage(now, noProof, priority)
 	case "no_time", "no_model", "over_memory", codeQuarantined, codeRegion:
 		return retryafter.MaxOutage
 	}
-	return d.retryEstimator.Soon(urgency)
+	return d.retryEstimator.Soon(priority)
 }
 
-// retryAfterRefusal is comeBack where the cause may be one whose end is known.
+// retryAfterRefusal is retryAfter, but uses the known end of a backoff.
 func (d *Daemon) retryAfterRefusal(now time.Time, t *tables, code string, job *deliver.Job) time.Duration {
 	if code == codeBackoff {
 		return d.retryEstimator.Ends(t.backoffLeft(now, job.Pool.Name), priorityOf(job))
@@ -50,7 +49,7 @@
 	return d.retryAfter(code, job)
 }
 
-// priorityOf returns a job's rank, or the first rank if its route is not known.
+// priorityOf returns a job's priority rank, or the first rank if its route is not known.
 func priorityOf(job *deliver.Job) int {
 	if job.Route == nil {
 		return 0
@@ -58,24 +57,24 @@
 	return routing.Priority(job.Route, job.Account)
 }
 
-// notePlacement notes since when a pool has no target that takes work. That none is
-// left beside those that a request was sent to says nothing of the pool.
+// notePlacement notes since when a pool has had no target that takes work. A request for which
+// no target is left besides those that it was sent to says nothing about the pool.
 func (d *Daemon) notePlacement(now time.Time, ask deliver.PlacementRequest, refused *refusal.Refusal) {
 	pool := ask.Job.Pool.Name
 	switch {
-	case refused != nil && refused.Code == codeBackoff: // Neither: the end is known by itself.
+	case refused != nil && refused.Code == codeBackoff: // Neither case applies: the end of a backoff is known by itself.
 	case refused == nil || refused.Code != "no_target" && refused.Code != "old_weights":
 		if lasted := d.retryEstimator.Ended(now, noTarget+pool); lasted > 0 {
-			d.Log.Info("pool has targets again", "pool", pool, "without_for", lasted)
+			d.Log.Info("pool has usable targets again", "pool", pool, "without_for", lasted)
 		}
 	case len(ask.Attempted) == 0:
 		d.retryEstimator.Started(now, noTarget+pool)
 	}
 }
 
-// logAdmitting notes that callers who need a key are admitted again. How long they
-// were refused counts, not the outage of the table service behind it: it begins
-// seconds later.
+// logAdmitting notes that callers who need a key are admitted again. What counts is how long
+// they were refused, not the outage of the table service that caused it, as refusals begin
+// seconds after the outage.
 func (d *Daemon) logAdmitting(now time.Time) {
 	if !d.keysFresh(now) {
 		return
@@ -85,22 +84,21 @@
 	}
 }
 
-// refusesKeyed says that this box refuses callers who need a key.
+// refusesKeyed reports whether this box refuses callers who need a key.
 func (d *Daemon) refusesKeyed(now time.Time) bool {
 	return d.current.Load() == nil || !d.keysFresh(now)
 }
 
-// receiveAdmitting notes that another box admits callers. One that is shut as well says
-// nothing of the others.
+// receiveAdmitting notes that another box admits callers. A box that refuses them too says
+// nothing about the others.
 func (d *Daemon) receiveAdmitting(now time.Time, m peer.Message) {
 	if !m.Stale {
 		d.otherReadyAt.Store(&now)
 	}
 }
 
-// otherBoxAdmits says that another box admits callers, so that one refused here
-// finds it by returning at once: a box that refuses is not ready, and gets no new
-// connections.
+// otherBoxAdmits reports whether another box admits callers. A caller refused here reaches it
+// by returning at once, as a box that refuses is not ready and gets no new connections.
 func (d *Daemon) otherBoxAdmits(now time.Time) bool {
 	at := d.otherReadyAt.Load()
 	return at != nil && now.Sub(*at) < peerLoadTTL
--- a/entry/comeback_test.go
+++ b/entry/retryafter_test.go
@@ -11,8 +11,8 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// boxWithClock is a box at a time that a test sets, whose draws are all zero: what it
-// tells callers is the least that it would.
+// boxWithClock is a box with a clock that the test sets and random draws of zero, so that it
+// gives the shortest times to come back.
 func boxWithClock(now *time.Time) *Daemon {
 	d := newDaemon("b1")
 	d.now = func() time.Time { return *now }
@@ -23,7 +23,7 @@
 
 const soonest = 60 * time.Millisecond
 
-// TestRetryAfterByCause says when refused callers are told to return.
+// TestRetryAfterByCause checks when refused callers are told to return.
 func TestRetryAfterByCause(t *testing.T) {
 	tests := []struct {
 		name, code string
@@ -53,7 +53,7 @@
 			d.tables.members["b2"] = &member{}
 			d.update(start.Add(500*time.Millisecond), peerAnswered{name: "b2", m: peer.Message{Kind: peer.KindGossip}})
 		}, 1200 * time.Millisecond, soonest},
-		{"no proof, another box is shut as well", "stale", func(d *Daemon) {
+		{"no proof, another box refuses callers as well", "stale", func(d *Daemon) {
 			refuseStale(d)
 			d.update(start.Add(500*time.Millisecond), peerRequest{peer.Message{Kind: peer.KindGossip, From: "b2", Stale: true}, make(chan peer.Message, 1)})
 		}, 1200 * time.Millisecond, 1200 * time.Millisecond},
@@ -86,13 +86,13 @@
 			j := job("short", 10)
 			j.Route.Goal = 1200 * time.Millisecond
 			if got := d.retryAfter(tt.code, j); got != tt.want {
-				t.Errorf("come back after %v, want %v", got, tt.want)
+				t.Errorf("retry after %v, want %v", got, tt.want)
 			}
 		})
 	}
 }
 
-// refuseStale has a caller refused for want of a proof, of which the last is old.
+// refuseStale has a caller refused as the last proof of the configuration is too old.
 func refuseStale(d *Daemon) {
 	old := start.Add(-time.Minute)
 	d.provedAt.Store(&old)
@@ -105,22 +105,22 @@
 	return err
 }
 
-// TestNoConfigurationYet shows that a box without a configuration expects to be
-// without one for as long again, and that its callers' routes need not be known.
+// TestNoConfigurationYet checks that a box without a configuration expects to stay without one
+// for as long again, and that the route of a refused call need not be known.
 func TestNoConfigurationYet(t *testing.T) {
 	d := newDaemon("b1")
 	d.retryEstimator.Draw = func() float64 { return 0 }
 	d.now = func() time.Time { return d.startedAt.Add(900 * time.Millisecond) }
 	if got := d.retryAfter("no_configuration", &deliver.Job{Call: &deliver.Call{}}); got != 900*time.Millisecond {
-		t.Errorf("come back after %v", got)
+		t.Errorf("retry after %v", got)
 	}
 	d.update(d.now(), operatorRead{d.now(), Operator{Table: configuration(1)}})
 	if got := d.retryAfter("no_configuration", &deliver.Job{Call: &deliver.Call{}}); got != soonest {
-		t.Errorf("come back after %v though there is a configuration", got)
+		t.Errorf("retry after %v though there is a configuration", got)
 	}
 }
 
-// TestGossipsWhetherStale shows that a box tells others that it refuses callers.
+// TestGossipsWhetherStale checks that a box tells others whether it refuses callers.
 func TestGossipsWhetherStale(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -138,7 +138,7 @@
 			reply := make(chan peer.Message, 1)
 			d.update(now, peerRequest{peer.Message{Kind: peer.KindGossip, From: "b2", Stale: true}, reply})
 			if got := <-reply; got.Stale != tt.closed {
-				t.Errorf("answers that it is shut: %v", got.Stale)
+				t.Errorf("answers that it refuses callers: %v", got.Stale)
 			}
 			credential := "c"
 			d.credential.Store(&credential)
@@ -151,7 +151,7 @@
 	}
 }
 
-// TestRefusalHasRetryAfter shows that the time goes out with the refusal.
+// TestRefusalHasRetryAfter checks that a refusal carries the time to come back.
 func TestRefusalHasRetryAfter(t *testing.T) {
 	now := start
 	d := boxWithClock(&now)
--- a/entry/purse.go
+++ b/entry/retrybudget.go
@@ -8,28 +8,29 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// In a fleet of more boxes than may each save up a retry, hubs keep the retries: boxes pay in
-// what their requests earn, with their gossip, and ask for one where a request has to be tried
-// again: parts below one would leave most requests without a retry while the fleet has many. A box
-// that hears no hub has what it is drawn for (drawnBurst).
+// In a fleet with more boxes than retries that may be saved up, hubs keep the retry budget.
+// Boxes send with their gossip what their requests earned, and ask for a retry when they need
+// one. Shares below one retry a box would leave most requests without a retry while the fleet
+// has many. Of the boxes that hear no hub, a random few may save up one (sampledBurst).
 
 const (
-	// hubRetryShare is the part of what all boxes may save up that hubs hold together; drawnShare
-	// is that of boxes that hear none.
+	// hubRetryShare is the share of the fleet's saved-up retries that all hubs hold together;
+	// sampledShare is that of boxes that hear no hub.
 	hubRetryShare = 0.45
-	// retryCallTimeout bounds the call for a retry: the request waits for it.
+	// retryCallTimeout bounds the call for a retry, as the request waits for it.
 	retryCallTimeout = 50 * time.Millisecond
 )
 
-// retryBudgetSource is who keeps this box's retries.
+// retryBudgetSource says who keeps this box's retries.
 type retryBudgetSource struct {
-	// local says that this box is a hub and keeps them itself; at is where another is asked.
+	// local is true if this box is a hub and keeps them itself; hub is the hub to ask
+	// otherwise.
 	local bool
 	hub   netip.AddrPort
 }
 
-// chooseRetryBudget notes who keeps this box's retries: nobody, unless there are too many boxes for
-// each to save up one, and a hub.
+// chooseRetryBudget notes who keeps this box's retries. That is nobody unless there are more
+// boxes than may save up one retry each, and a hub.
 func (d *Daemon) chooseRetryBudget(now time.Time, t *tables) {
 	all := d.bounds.Load().RetryExtra * retryUse
 	hub := t.members[t.hub]
@@ -47,7 +48,7 @@
 	}
 }
 
-// earn notes a request, which earns a part of a retry.
+// earn notes a request, which earns a fraction of a retry.
 func (d *Daemon) earn(pool string) {
 	if d.retryBudget.Load() == nil {
 		d.budget.Deposit(pool)
@@ -56,7 +57,7 @@
 	d.sharedRetryBudget.Deposit(pool, d.budget.Share)
 }
 
-// spend takes a retry, or returns false if there is none.
+// spend takes a retry from the budget; it returns false if there is none.
 func (d *Daemon) spend(pool string) bool {
 	l := d.retryBudget.Load()
 	switch {
@@ -75,7 +76,7 @@
 	return answer.RetryGranted
 }
 
-// refund gives back a retry that was taken and never made.
+// refund returns a retry that was taken and not made.
 func (d *Daemon) refund(pool string) {
 	if d.retryBudget.Load() == nil {
 		d.budget.Refund(pool)
@@ -84,7 +85,8 @@
 	d.sharedRetryBudget.Deposit(pool, 1)
 }
 
-// takeCredits is what this box's requests earned since it last told a hub; nil unless a hub keeps it.
+// takeCredits returns what this box's requests earned since the last gossip with its hub; nil
+// unless a hub keeps the budget.
 func (d *Daemon) takeCredits() map[string]float64 {
 	if l := d.retryBudget.Load(); l == nil || l.local {
 		return nil
@@ -92,7 +94,7 @@
 	return d.sharedRetryBudget.Drain()
 }
 
-// receiveCredits puts in what another box's requests earned.
+// receiveCredits adds what another box's requests earned.
 func (d *Daemon) receiveCredits(m peer.Message) {
 	if l := d.retryBudget.Load(); l == nil || !l.local {
 		return
--- a/entry/purse_test.go
+++ b/entry/retrybudget_test.go
@@ -8,9 +8,9 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// TestRetryBudgetAtHubs has a fleet of more boxes than may each save up a retry serve some requests a
-// second, of which one in seven has to be tried again: hubs have a retry for nearly each, and all
-// that they hold stays within what all may save up. Without hubs nearly none has one.
+// TestRetryBudgetAtHubs has a fleet with more boxes than may save up one retry each serve
+// requests, one in seven of which needs a retry. With hubs nearly all get one, and what the
+// hubs hold stays within the fleet's bound. Without hubs nearly none gets one.
 func TestRetryBudgetAtHubs(t *testing.T) {
 	t.Parallel()
 	const boxes, domains, extra = 120, 7, 160
@@ -67,13 +67,14 @@
 	return false
 }
 
-// TestRetryBudgetSource says who keeps a box's retries.
+// TestRetryBudgetSource checks who keeps a box's retries.
 func TestRetryBudgetSource(t *testing.T) {
 	tests := []struct {
 		name  string
 		box   string
 		extra float64
-		// told is how many boxes there are, rowless how many of them have no row, as a hub told.
+		// told is the number of boxes and rowless that of boxes without a row, both as told by
+		// a hub.
 		told, rowless int
 		hub           string
 		lender        *retryBudgetSource
--- a/entry/notice_test.go
+++ b/entry/signals_test.go
@@ -34,14 +34,14 @@
 	return d
 }
 
-// sendSignals has a target say something of itself, as its answers do.
-func sendSignals(d *Daemon, now time.Time, life fleet.Incarnation, said notice.Signals) {
-	d.notices.Observe(now, life, said)
-	d.update(now, signalsHeard{life})
+// sendSignals has a target send signals, as its answers do.
+func sendSignals(d *Daemon, now time.Time, incarnation fleet.Incarnation, said notice.Signals) {
+	d.notices.Observe(now, incarnation, said)
+	d.update(now, signalsHeard{incarnation})
 }
 
-// placedOn lists the targets on which a box places requests one after the other, each
-// tried once, until it refuses; and the refusal.
+// placedOn lists the targets on which a box places requests one after the other, each once,
+// until it refuses; and that refusal.
 func placedOn(d *Daemon, now time.Time) ([]string, *refusal.Refusal) {
 	var tried []string
 	for {
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestSignalsExcludeTarget says which targets get requests after one said something.
+// TestSignalsExcludeTarget checks which targets get requests after one sent signals.
 func TestSignalsExcludeTarget(t *testing.T) {
 	later := fleet.Entry{ID: "a", Pool: "models", Versions: map[string]int64{"m": 1}, StartedAt: start.Add(time.Second)}
 	tests := []struct {
@@ -65,38 +65,38 @@
 	}{
 		{"nothing", func(*Daemon) {}, 0, "[a b]"},
 		{"it leaves", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, leaving) }, time.Hour / 2, "[b]"},
-		{"it wants no requests", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, 2 * time.Second, "[b]"},
-		{"that is over", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, 3 * time.Second, "[a b]"},
-		{"its news say that it leaves", func(d *Daemon) {
+		{"it asks for a backoff", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, 2 * time.Second, "[b]"},
+		{"its backoff is over", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, 3 * time.Second, "[a b]"},
+		{"its cache events say that it leaves", func(d *Daemon) {
 			d.tables.watched["a"] = func() {}
 			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Signals: leaving}, asked: start})
 		}, 0, "[b]"},
-		{"its news are refused, with a time", func(d *Daemon) {
+		{"its cache events are refused, with a backoff", func(d *Daemon) {
 			d.tables.watched["a"] = func() {}
 			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Signals: signalsBackoff}, asked: start, err: errors.New("503")})
 		}, 2500 * time.Millisecond, "[b]"},
-		{"it leaves, goes from the list, and an old list names it", func(d *Daemon) {
+		{"it leaves, goes from the list, and a stale list has it", func(d *Daemon) {
 			sendSignals(d, start, fleet.Incarnation{ID: "a"}, leaving)
 			d.update(start, targetsRead{start, Targets{Gone: []string{"a"}}, false})
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{engine("a", 1)}}, false})
 		}, 0, "[b]"},
-		{"the list says that it leaves, it goes, and an old list names it as ready", func(d *Daemon) {
+		{"the list says that it leaves, it goes, and a stale list has it as ready", func(d *Daemon) {
 			gone := engine("a", 1)
 			gone.Leaving = true
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{gone}}, false})
 			d.update(start, targetsRead{start, Targets{Gone: []string{"a"}}, false})
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{engine("a", 1)}}, false})
 		}, 0, "[b]"},
-		{"it wants no requests, and a list names it anew", func(d *Daemon) {
+		{"it asks for a backoff, and a list adds it again", func(d *Daemon) {
 			sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff)
 			d.update(start, targetsRead{start, Targets{Gone: []string{"a"}}, false})
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{engine("a", 1)}}, false})
 		}, time.Second, "[b]"},
-		{"it left, and a later life has its ID", func(d *Daemon) {
+		{"it left, and a later incarnation has its ID", func(d *Daemon) {
 			d.notices.Observe(start, fleet.Incarnation{ID: "a", StartedAt: start.Add(-time.Hour)}, notice.Signals{Leaving: true, Backoff: time.Minute})
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{later}}, false})
 		}, 0, "[a b]"},
-		{"its report says that it leaves, and a later life has its ID", func(d *Daemon) {
+		{"its report says that it leaves, and a later incarnation has its ID", func(d *Daemon) {
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{{ID: "a", Pool: "models", Versions: map[string]int64{"m": 1}, StartedAt: start}}}, false})
 			d.Platform.Report = func(context.Context, netip.AddrPort) (Report, error) { return Report{Signals: leaving}, nil }
 			d.do(context.Background(), pollLoaded{"a", netip.AddrPort{}, d.tables.fleet.Target("a").Incarnation()})
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestAllInBackoff says what callers are told when all targets want no requests: the truth
-// about when the first one takes some again, within bounds.
+// TestAllInBackoff checks when callers are told to come back if all targets asked for a
+// backoff: when the first backoff ends, within bounds.
 func TestAllInBackoff(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -149,21 +149,21 @@
 				t.Error("the pool counts as one without targets")
 			}
 			if refused.Code != codeBackoff || refused.Outcome != refusal.DidNotRun || refused.RetryAfter < tt.from || refused.RetryAfter > tt.within {
-				t.Errorf("refused as %q, %v, come back after %v", refused.Code, refused.Outcome, refused.RetryAfter)
+				t.Errorf("refused as %q, %v, retry after %v", refused.Code, refused.Outcome, refused.RetryAfter)
 			}
 		})
 	}
 }
 
-// TestHubMissesSignal has a hub that heard nothing place for a box that did, and a hub
-// that wants left alone by a target place there for others.
+// TestHubMissesSignal has a hub that heard nothing place for a box that was asked for a
+// backoff, and a hub that was itself asked for one place there for others.
 func TestHubMissesSignal(t *testing.T) {
 	for _, said := range []notice.Signals{leaving, signalsBackoff} {
 		t.Run(fmt.Sprintf("%+v", said), func(t *testing.T) {
 			d := withEngines(largeFleet("box-05"), "a", "b")
 			sendSignals(d, start, fleet.Incarnation{ID: "a"}, said)
 			if _, ok := d.acceptHubPlace(start, &d.tables, deliver.PlacementRequest{Job: job("long", 1000)}, &peer.PlacementResponse{Target: "a", Version: 1}); ok {
-				t.Error("the hub's place is taken")
+				t.Error("the hub's place is accepted")
 			}
 			reply := make(chan placeAnswer, 1)
 			effects := d.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: job("long", 1000)}, reply: reply})
@@ -186,8 +186,8 @@
 	}
 }
 
-// TestAllExcludedAtHub has a hub know no targets but those that the asking box told it are
-// closed: the box refuses for its own reason, and asks on if it knows of another target.
+// TestAllExcludedAtHub has a hub know only targets that the asking box named as excluded. The
+// box refuses for its own reason, or asks on if it knows of another target.
 func TestAllExcludedAtHub(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -195,7 +195,7 @@
 		tried  []string
 		want   string
 	}{
-		{"they want no requests", func(d *Daemon) {
+		{"they ask for a backoff", func(d *Daemon) {
 			sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff)
 			sendSignals(d, start, fleet.Incarnation{ID: "b"}, signalsBackoff)
 		}, nil, codeBackoff},
@@ -203,8 +203,8 @@
 			sendSignals(d, start, fleet.Incarnation{ID: "a"}, leaving)
 			sendSignals(d, start, fleet.Incarnation{ID: "b"}, leaving)
 		}, nil, "no_target"},
-		{"one is open", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, nil, ""},
-		{"one is open and was tried", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, []string{"b"}, codeBackoff},
+		{"one is available", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, nil, ""},
+		{"one is available and was tried", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, []string{"b"}, codeBackoff},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -215,14 +215,14 @@
 				t.Fatalf("refused: %v", done)
 			}
 			if got := refusal.Of(answer.err, "", 0); done && (got.Code != tt.want || got.RetryAfter == 0) {
-				t.Errorf("refused as %q, come back after %v", got.Code, got.RetryAfter)
+				t.Errorf("refused as %q, retry after %v", got.Code, got.RetryAfter)
 			}
 		})
 	}
 }
 
-// TestHubBackoffIsItsOwn has a target want no requests from a hub: other boxes' requests are
-// placed there all the same.
+// TestHubBackoffIsItsOwn has a target ask a hub for a backoff. The hub still places other
+// boxes' requests there.
 func TestHubBackoffIsItsOwn(t *testing.T) {
 	hub := withEngines(largeFleet("box-00"), "a")
 	hub.tables.hubWarm = true
@@ -236,7 +236,8 @@
 	}
 }
 
-// TestAllowBeforeSend asks right before a request leaves, however long ago it was placed.
+// TestAllowBeforeSend checks that requests are allowed right before they are sent, however long
+// ago they were placed.
 func TestAllowBeforeSend(t *testing.T) {
 	tests := []struct {
 		name string
@@ -246,7 +247,7 @@
 	}{
 		{"nothing", fleet.Incarnation{ID: "a"}, notice.Signals{}, nil},
 		{"it leaves", fleet.Incarnation{ID: "a"}, leaving, notice.ErrLeaving},
-		{"it wants no requests", fleet.Incarnation{ID: "a"}, signalsBackoff, notice.ErrBackoff},
+		{"it asks for a backoff", fleet.Incarnation{ID: "a"}, signalsBackoff, notice.ErrBackoff},
 		{"another leaves", fleet.Incarnation{ID: "b"}, leaving, nil},
 	}
 	for _, tt := range tests {
@@ -268,8 +269,8 @@
 	}
 }
 
-// TestSignalsReachLoop has a request's answer say something of its target: the next
-// request is not even placed there, so that none is tried there in vain.
+// TestSignalsReachLoop has an answer carry signals of its target. The next request is not
+// placed there, so that no attempt is wasted.
 func TestSignalsReachLoop(t *testing.T) {
 	for _, said := range []notice.Signals{leaving, signalsBackoff} {
 		t.Run(fmt.Sprintf("%+v", said), func(t *testing.T) {
@@ -284,7 +285,7 @@
 			case m := <-d.messages:
 				d.update(start, m)
 			default:
-				t.Fatal("the loop is not told")
+				t.Fatal("the loop gets no message")
 			}
 			if got, _ := placedOn(d, start); fmt.Sprint(got) != "[b]" {
 				t.Errorf("placed on %v", got)
