--- a/entry/canary.go
+++ b/entry/canary.go
@@ -13,69 +13,70 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// The operator may ask for a pool's requests to move to another version of its software,
-// whose targets start beside the older ones. Each box sends that version a share of its own
-// requests (exposure), counts how its answers compare with the older version's, and tells
-// hubs (canaryseen.go). Every hub judges all that it heard (canary), stops by itself when the
-// version is bad, and has the boxes that live on it stop. What has to be agreed, how far the
-// version has come, is one row in the table service, which is changed only as it was read
-// (canaryrow.go). docs/design/canaries.md weighs the other ways.
+// The operator may ask for a pool's requests to move to another version of its software, whose
+// targets start beside the older ones. Each box sends the canary version a share of its own
+// requests (package exposure), compares its answers with the older version's, and reports the
+// counts to hubs (canarysamples.go). Every hub judges all counts that it received (package
+// canary), stops sending to a bad version by itself, and has its spokes do the same. Only the
+// stage of the rollout has to be agreed: it is one row in the table service, which is changed
+// by compare-and-swap (canaryrow.go). docs/design/canaries.md compares the alternatives.
 
-// canaryRollout is a version of a pool's software that is tried out, as this box sees it.
+// canaryRollout is the rollout of a canary version as this box sees it.
 type canaryRollout struct {
 	spec canary.Rollout
-	// state, until and barred are as the row says, of which the revision was read.
+	// state, deadline and barred are from the row, revision is the row's.
 	state    canary.State
 	revision revision.Revision
-	// deadline is when it has to be decided, on the table service's clock; zero if the row does
+	// deadline is when the decision is due, on the table service's clock; zero if the row does
 	// not tell.
 	deadline time.Duration
 	barred   []string
-	// stopped says that nothing goes to the version whatever the row says: it is bad, by
-	// what this box or its hub saw, or the operator took the ask back.
+	// stopped means that the version gets no requests whatever the row says: this box or its
+	// hub saw that it is bad, or the operator withdrew the rollout.
 	stopped bool
-	// specKnownAt is when this box heard of what is asked for, since when of the state.
+	// specKnownAt is when this box learned of the spec, stateSince when of the state.
 	specKnownAt, stateSince time.Time
 	gate                    *exposure.Gate
 	judge                   *canary.Judge
-	// ownCounts is what this box saw, by route.
+	// ownCounts are this box's counts by route.
 	ownCounts map[string]canary.Counts
-	// peerCounts is what other boxes told, with when that last changed.
+	// peerCounts are the counts that other boxes sent, with when they last changed.
 	peerCounts map[sampleKey]peerSample
-	// writing says that the row is being changed, telling that the operator is being told.
+	// writing is true while the row is written, reporting while the state is reported to the
+	// operator.
 	writing, reporting bool
-	// reported says that this box told the operator of toldState, rowTold that the row says that
-	// the operator was told of the end.
+	// reported means that this box reported reportedState to the operator, rowReported that the
+	// row says that the final state was reported.
 	reported, rowReported bool
-	// rowLost says that a restore lost the row.
+	// rowLost means that a restore lost the row.
 	rowLost       bool
 	reportedState canary.State
-	// retryAt is when a change that failed is tried again.
+	// retryAt is when a failed write or report is retried.
 	retryAt time.Time
-	// specLostAt is when a restored table service was read that lacks what the operator asked for;
-	// zero if it does not.
+	// specLostAt is when a restored table service was read that lacks the spec; zero if the
+	// spec is there.
 	specLostAt time.Time
 }
 
-// canaryOf returns what is tried out in a pool, or nil.
+// canaryOf returns the canary rollout in a pool, or nil.
 func (t *tables) canaryOf(pool string) *canaryRollout { return t.canaries[pool] }
 
-// applyCanaryAsks takes over what the operator asks for.
+// applyCanaryAsks applies the rollouts that the operator asks for.
 func (d *Daemon) applyCanaryAsks(now time.Time, t *tables, m operatorRead) {
 	asked := m.change.Canaries
 	for _, pool := range slices.Sorted(maps.Keys(asked)) {
-		if ask := asked[pool]; ask != nil {
-			d.startCanary(now, t, *ask, "the operator")
+		if spec := asked[pool]; spec != nil {
+			d.startCanary(now, t, *spec, "the operator")
 		}
 	}
 	for pool, c := range t.canaries {
-		ask, told := asked[pool]
+		spec, told := asked[pool]
 		lost := m.change.Snapshot && asked != nil && !told
 		switch {
-		case told && ask != nil:
+		case told && spec != nil:
 			c.specLostAt = time.Time{}
 		case lost && m.change.Known.Restores > t.operatorKnown.Restores:
-			d.Log.Warn("a restore lost what version is to be tried out; the operator has the time to ask again", "pool", pool, "version", c.spec.Version, "for", operatorRewriteGrace)
+			d.Log.Warn("a restore lost the spec of a canary version; it is kept until the operator can write it again", "pool", pool, "version", c.spec.Version, "for", operatorRewriteGrace)
 			c.specLostAt = now
 		case told || lost && c.specLostAt.IsZero():
 			d.stopCanary(now, c, "the operator took it back")
@@ -83,8 +84,8 @@
 	}
 }
 
-// stopLostCanaries stops trying versions for which the operator did not ask again after a restore
-// lost that.
+// stopLostCanaries stops the rollouts whose spec a restore lost and the operator did not write
+// again in time.
 func (d *Daemon) stopLostCanaries(now time.Time, t *tables) {
 	for _, c := range t.canaries {
 		if !c.specLostAt.IsZero() && now.Sub(c.specLostAt) >= operatorRewriteGrace {
@@ -94,34 +95,34 @@
 	}
 }
 
-// startCanary begins to try a version out, if that is news. An earlier one that was not
-// completed gets nothing any more.
-func (d *Daemon) startCanary(now time.Time, t *tables, ask canary.Rollout, from string) *canaryRollout {
-	before := t.canaries[ask.Pool]
-	if before != nil && ask.Same(before.spec) {
-		before.spec.Order, before.spec.Timeout = max(before.spec.Order, ask.Order), max(before.spec.Timeout, ask.Timeout)
+// startCanary starts a canary rollout if its spec is new. An earlier version that was not
+// completed gets no more requests.
+func (d *Daemon) startCanary(now time.Time, t *tables, spec canary.Rollout, from string) *canaryRollout {
+	before := t.canaries[spec.Pool]
+	if before != nil && spec.Same(before.spec) {
+		before.spec.Order, before.spec.Timeout = max(before.spec.Order, spec.Order), max(before.spec.Timeout, spec.Timeout)
 		return before
 	}
-	if before != nil && before.spec.Order >= ask.Order {
+	if before != nil && before.spec.Order >= spec.Order {
 		return before
 	}
 	c := &canaryRollout{
-		spec: ask, specKnownAt: now, stateSince: now, gate: exposure.New(d.bounds.Load().TriedShare), judge: canary.NewJudge(),
+		spec: spec, specKnownAt: now, stateSince: now, gate: exposure.New(d.bounds.Load().TriedShare), judge: canary.NewJudge(),
 		ownCounts: make(map[string]canary.Counts), peerCounts: make(map[sampleKey]peerSample),
 	}
 	if before != nil {
 		c.revision, c.barred = before.revision, before.bars()
 	}
-	t.canaries[ask.Pool] = c
-	if ask.Version == "" {
-		d.Log.Error("what version is to be tried out can't be read; targets that come now get nothing", "pool", ask.Pool, "order", ask.Order)
+	t.canaries[spec.Pool] = c
+	if spec.Version == "" {
+		d.Log.Error("the canary version in the operator's spec is invalid; new targets get no requests", "pool", spec.Pool, "order", spec.Order)
 	}
-	d.Log.Info("a version is tried out", "pool", ask.Pool, "version", ask.Version, "order", ask.Order, "within", ask.Timeout, "older", t.fleet.Software(ask.Pool), "barred", c.barred, "told_by", from)
+	d.Log.Info("a version is tried out", "pool", spec.Pool, "version", spec.Version, "order", spec.Order, "within", spec.Timeout, "older", t.fleet.Software(spec.Pool), "barred", c.barred, "told_by", from)
 	d.metrics.canaries.WithLabelValues("tried").Inc()
 	return c
 }
 
-// bars lists the versions that get nothing once this one is followed by another.
+// bars lists the versions that get no requests once another rollout follows this one.
 func (c *canaryRollout) bars() []string {
 	list := slices.Clone(c.barred)
 	if c.state != canary.Completed && c.spec.Version != "" && !slices.Contains(list, c.spec.Version) {
@@ -130,7 +131,7 @@
 	return list
 }
 
-// stopCanary sends nothing more to the version, unless it was completed before.
+// stopCanary sends no more requests to the version, unless the rollout has ended.
 func (d *Daemon) stopCanary(now time.Time, c *canaryRollout, why string) {
 	if c.stopped || c.state.Ended() {
 		return
@@ -140,7 +141,7 @@
 	d.metrics.canaries.WithLabelValues("stopped").Inc()
 }
 
-// setCanaryState takes over how far the version has come.
+// setCanaryState moves the rollout on to a later state.
 func (d *Daemon) setCanaryState(now time.Time, c *canaryRollout, state canary.State, from string) {
 	if state <= c.state {
 		return
@@ -155,8 +156,8 @@
 	}
 }
 
-// isCanary says that a target runs the version that is tried out. If that can't be read, it is
-// each one that came after that was asked for.
+// isCanary reports whether a target runs the canary version. If that version could not be read,
+// each target listed after the spec was read counts.
 func (c *canaryRollout) isCanary(x *fleet.Target) bool {
 	if c.spec.Version == "" {
 		return x.ListedAt.After(c.specKnownAt)
@@ -164,12 +165,12 @@
 	return x.Software == c.spec.Version
 }
 
-// olderExcludedFor is how long older targets get nothing after a version was completed: they stop at
-// once, and their entries go within seconds. From then on other software is of another ask,
-// or of the operator's own doing.
+// olderExcludedFor is how long older targets get no requests after a version was completed:
+// they stop at once, and their entries are gone within seconds. Software that differs after
+// that belongs to another rollout or was started by the operator.
 const olderExcludedFor = 30 * time.Second
 
-// receiving says which of the versions get requests at all.
+// receiving reports which of the versions get requests at all.
 func (c *canaryRollout) receiving(now time.Time) (fresh, older bool) {
 	switch {
 	case c.state == canary.Completed:
@@ -182,7 +183,7 @@
 	return true, true
 }
 
-// excludedBySoftware says that a target gets no request because of its software.
+// excludedBySoftware reports whether a target gets no requests because of its software.
 func (d *Daemon) excludedBySoftware(now time.Time, t *tables, x *fleet.Target) bool {
 	c := t.canaryOf(x.Pool)
 	if c == nil {
@@ -195,9 +196,9 @@
 	return !older || slices.Contains(c.barred, x.Software)
 }
 
-// mayBeUnknownCanary says that a target may run a version that is to be tried out, as its pool has
-// several, and what the operator asks for was last read before it came. What is asked for
-// stands there before such targets start.
+// mayBeUnknownCanary reports whether a target may run a canary version that this box has not
+// learned of: its pool has several versions, and the last proof of the operator's rows is from
+// before the target was listed. The operator writes the spec before such targets start.
 func (d *Daemon) mayBeUnknownCanary(t *tables, x *fleet.Target) bool {
 	if !t.fleet.MixedSoftware(x.Pool) || x.Software == t.fleet.Software(x.Pool) {
 		return false
@@ -206,30 +207,29 @@
 	return proved == nil || proved.Before(x.ListedAt)
 }
 
-// softwareFilters lists what to pass over for a request, in the order in which that is tried: a
-// request that may go to the version that is tried out goes there, if any of its targets
-// takes it.
+// softwareFilters lists the filters to try for a request, in order. A request within the canary
+// version's share goes to one of its targets, if any takes it.
 func (d *Daemon) softwareFilters(now time.Time, t *tables, ask deliver.PlacementRequest) []func(*fleet.Target) bool {
-	closed := func(x *fleet.Target) bool { return d.excludedBySoftware(now, t, x) }
+	excluded := func(x *fleet.Target) bool { return d.excludedBySoftware(now, t, x) }
 	c := t.canaryOf(ask.Job.Pool.Name)
 	if c == nil || c.state != canary.Trying {
-		return []func(*fleet.Target) bool{closed}
+		return []func(*fleet.Target) bool{excluded}
 	}
-	older := func(x *fleet.Target) bool { return c.isCanary(x) || closed(x) }
+	older := func(x *fleet.Target) bool { return c.isCanary(x) || excluded(x) }
 	if fresh, _ := c.receiving(now); !fresh || !c.gate.Allow(ask.Job.Route.Name) {
 		return []func(*fleet.Target) bool{older}
 	}
-	return []func(*fleet.Target) bool{func(x *fleet.Target) bool { return !c.isCanary(x) || closed(x) }, older}
+	return []func(*fleet.Target) bool{func(x *fleet.Target) bool { return !c.isCanary(x) || excluded(x) }, older}
 }
 
-// countExposure counts a request that was placed.
+// countExposure counts a placed request.
 func (t *tables) countExposure(ask deliver.PlacementRequest, x *fleet.Target) {
 	if c := t.canaryOf(x.Pool); c != nil && c.state == canary.Trying {
 		c.gate.Record(ask.Job.Route.Name, c.isCanary(x))
 	}
 }
 
-// canarySnapshot lists what is tried out for boxes that take this one's view.
+// canarySnapshot lists the canary rollouts for boxes that use this one's view.
 func (t *tables) canarySnapshot() []peer.Canary {
 	var list []peer.Canary
 	for _, pool := range slices.Sorted(maps.Keys(t.canaries)) {
@@ -239,12 +239,12 @@
 	return list
 }
 
-// applyHubCanaries takes over what is tried out, as a hub sees it.
+// applyHubCanaries applies the canary rollouts in a hub's view.
 func (d *Daemon) applyHubCanaries(now time.Time, t *tables, hub string, list []peer.Canary) {
 	for _, told := range list {
 		c := d.startCanary(now, t, canary.Rollout{Pool: told.Pool, Version: told.Version, Order: told.Order}, hub)
 		if !c.spec.Same(canary.Rollout{Pool: told.Pool, Version: told.Version, Order: told.Order}) {
-			continue // The hub has not heard of the newer one.
+			continue // The hub has not learned of the newer one.
 		}
 		for _, version := range told.Barred {
 			if !slices.Contains(c.barred, version) {
--- a/entry/canary_test.go
+++ b/entry/canary_test.go
@@ -19,23 +19,24 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// canaryFleet is a fleet whose plain service is asked to move to another version.
+// canaryFleet is a fleet whose plain service is to move to another version.
 type canaryFleet struct {
 	*emulator
 	dice *rand.Rand
-	// answer says how the new version answers, with how many it has given so far.
+	// answer returns how the new version answers, given how many answers it has given so far.
 	answer func(route string, given int) (failed bool, slower float64)
-	// sent and tried count what reached the service and the new version since what was
-	// asked for; bad are its bad answers, fiftieth when the fiftieth came, and late what
-	// reached it behind the platform's bound for that.
+	// sent and tried count the requests that reached the service and the new version since the
+	// rollout was asked for. bad counts the new version's bad answers, fiftieth is when the
+	// fiftieth came, and late counts the requests that reached it after the platform's bound
+	// for that.
 	sent, tried, bad, late int
 	fiftieth               time.Time
-	// olderAfterCompletion are requests that reached the older version once it was completed.
+	// olderAfterCompletion counts requests that reached the older version after completion.
 	olderAfterCompletion int
 	asked                bool
 }
 
-// rolloutTime is how long it may take, the platform's own example.
+// rolloutTime is the rollout's time, as in the platform's own example.
 const rolloutTime = 12 * time.Second
 
 func serviceAt(id, software string, i int) fleet.Entry {
@@ -113,7 +114,7 @@
 	return failed, time.Duration(float64(took) * slower)
 }
 
-// last is what the operator was told last.
+// last is the last state that was reported to the operator.
 func (w *canaryFleet) last() canary.State {
 	if states := w.canaryReports["orders"]; len(states) > 0 {
 		return states[len(states)-1]
@@ -121,7 +122,7 @@
 	return canary.Trying
 }
 
-// badAnswers answers with a share of failures, and such that take four times as long.
+// badAnswers returns answers of which a share fail, or take four times as long.
 func (w *canaryFleet) badAnswers(percent int, slow bool, from int, only string) func(string, int) (bool, float64) {
 	return func(route string, given int) (bool, float64) {
 		if given < from || only != "" && route != only || w.dice.IntN(100) >= percent {
@@ -134,9 +135,9 @@
 	}
 }
 
-// TestCanary has a version asked for that is good, or bad in one of the ways that the pages
-// name: it is completed or taken back within the time given, it gets no more than its share,
-// and nothing later than the platform's bound after its fiftieth bad answer.
+// TestCanary checks a good version and each documented kind of bad one: it is completed or
+// rolled back in time, gets no more than its share of requests, and none later than the
+// platform's bound after its fiftieth bad answer.
 func TestCanary(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
@@ -172,7 +173,7 @@
 	}
 }
 
-// faults are what may befall the fleet meanwhile.
+// faults are the faults that may occur meanwhile.
 var faults = []struct {
 	name string
 	do   func(w *canaryFleet)
@@ -181,7 +182,7 @@
 	{"the holder dies", func(w *canaryFleet) { w.dead[w.holder()] = true }},
 	{"the holder is cut off from the table service", func(w *canaryFleet) { w.tableServiceDown[w.holder()] = true }},
 	{"hubs die", func(w *canaryFleet) { w.dead["box-0000"], w.dead["box-0001"] = true, true }},
-	{"boxes start again", func(w *canaryFleet) {
+	{"boxes restart", func(w *canaryFleet) {
 		for i := 20; i < 40; i++ {
 			w.restart(i)
 		}
@@ -193,7 +194,7 @@
 	{"an older target goes", func(w *canaryFleet) { w.removeTargets("old-0") }},
 }
 
-// holder is the box that holds the lease, or the first.
+// holder is the box that holds the lease, or the first box.
 func (w *canaryFleet) holder() string {
 	for _, d := range w.boxes {
 		if _, _, held := d.lease.Held(); held {
@@ -203,7 +204,7 @@
 	return "box-0000"
 }
 
-// restart has a box forget all.
+// restart replaces a box by one without any state.
 func (w *canaryFleet) restart(i int) {
 	old := w.boxes[i]
 	d := w.add(old.Settings.Name, old.Settings.Domain, false)
@@ -212,10 +213,10 @@
 	w.join(d)
 }
 
-// TestCanaryWithFaults draws what the version is like, what happens and when, over 70 boxes:
-// a bad version never gets more than its share, nor anything later than the bound after its
-// fiftieth bad answer, a good one is never taken back for what befalls boxes, and nothing
-// goes to the older one once the operator was told that it may stop.
+// TestCanaryWithFaults draws the version's quality, a fault and its time, over 70 boxes. A bad
+// version never gets more than its share, nor anything after the bound following its fiftieth
+// bad answer. A good one is never rolled back because of a fault of boxes. The older version
+// gets nothing once completion was reported to the operator.
 func TestCanaryWithFaults(t *testing.T) {
 	t.Parallel()
 	parameters := gopter.DefaultTestParametersWithSeed(7)
@@ -227,7 +228,7 @@
 		w.ask("v2")
 		w.advance(time.Duration(after)*time.Second, w.serve)
 		faults[trouble].do(w)
-		w.advance(rolloutTime+time.Second, w.serve) // Asked for again, it has as long again.
+		w.advance(rolloutTime+time.Second, w.serve) // Asking again starts the time anew.
 		ok := w.late == 0 && w.olderAfterCompletion == 0 && w.last().Ended()
 		if percent > 0 {
 			ok = ok && float64(w.tried) <= 0.1*float64(w.sent)+50 && w.last() == canary.RolledBack
@@ -240,9 +241,9 @@
 	properties.TestingRun(t)
 }
 
-// TestExposureOverBoxes guards against boxes that together send a version more than its share:
-// until it is completed it gets no more at any moment, also where it is good, or bad so seldom
-// that this is found late. Its last case takes the share away, and must be found.
+// TestExposureOverBoxes guards against boxes that together send a version more than its share.
+// Until it is completed it gets no more at any time, also if it is good, or so seldom bad that
+// this is found late. The last case removes the share, and the check must fail.
 func TestExposureOverBoxes(t *testing.T) {
 	t.Parallel()
 	const share, extra = 0.1, 50
@@ -282,7 +283,7 @@
 	}
 }
 
-// TestCanaryParts shows that each part is needed: without it the checks of TestCanary fail.
+// TestCanaryParts checks that each part is needed: without it the checks of TestCanary fail.
 func TestCanaryParts(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
--- a/entry/canaryrow.go
+++ b/entry/canaryrow.go
@@ -14,21 +14,22 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// canaryPrefix begins the keys of the rows that say how far the versions that are tried out
-// have come; the pool stands behind it. A row is changed only as it was read: of two boxes
-// that take themselves for the holder of the lease one changes it.
+// canaryPrefix begins the keys of the rows that hold the stage of canary rollouts; the pool's
+// name follows. A row is changed by compare-and-swap: of two boxes that both believe that they
+// hold the lease, only one changes it.
 const canaryPrefix = "canary/"
 
 const (
-	// completeAt is the part of the time asked for after which a version that is no worse
-	// begins to be completed: one that turns bad later is found until then.
+	// completeAt is the share of the rollout's time after which a version that is no worse
+	// begins to be completed. One that turns bad later is still found within that time.
 	completeAt = 0.65
-	// completionDelay is how long boxes have to hear that all requests go to the new version:
-	// hubs read the row within 0.3 s, and boxes their view each 0.15 s.
+	// completionDelay is the time for all boxes to learn that all requests go to the new
+	// version: hubs read the row within 0.3 s, and other boxes take a hub's view every 0.15 s.
 	completionDelay = 1500 * time.Millisecond
-	// decisionMargin is how long before the end it is decided, for the calls that this takes.
+	// decisionMargin is how long before the deadline the decision is made, for the calls that
+	// it takes.
 	decisionMargin = time.Second
-	// canaryRetryDelay is the pause after a change that failed.
+	// canaryRetryDelay is the pause after a failed write or report.
 	canaryRetryDelay = 300 * time.Millisecond
 )
 
@@ -37,42 +38,42 @@
 	Order   uint64       `json:"order"`
 	Version string       `json:"version"`
 	State   canary.State `json:"state"`
-	// DeadlineMS is when it has to be decided, on the table service's clock.
+	// DeadlineMS is when the decision is due, on the table service's clock.
 	DeadlineMS int64 `json:"until_ms"`
-	// Barred are versions that were tried and not taken.
+	// Barred are versions that were tried and rejected.
 	Barred []string `json:"barred,omitempty"`
-	// Reported says that the operator was told of a state that changes no more.
+	// Reported means that the final state was reported to the operator.
 	Reported bool `json:"told,omitempty"`
 }
 
-// writeCanary changes a row as it was read.
+// writeCanary writes a row if it is unchanged since it was read.
 type writeCanary struct {
 	pool     string
 	row      canaryRow
 	revision revision.Revision
 }
 
-// canaryWritten tells what came of it; current is the row as it stands, if it was another.
+// canaryWritten is the result; current is the row as it now stands.
 type canaryWritten struct {
 	writeCanary
 	current table.Row
 	err     error
 }
 
-// reportCanary tells the operator.
+// reportCanary reports the rollout's state to the operator.
 type reportCanary struct {
 	spec  canary.Rollout
 	state canary.State
 }
 
-// canaryReported tells what came of it.
+// canaryReported is the result.
 type canaryReported struct {
 	reportCanary
 	err error
 }
 
-// judgeCanaries decides on what is tried out, if this box holds the lease, and tries to get
-// the lease while there is something to decide.
+// judgeCanaries decides on canary rollouts if this box holds the lease, and tries to get the
+// lease while there is something to decide.
 func (d *Daemon) judgeCanaries(now time.Time, t *tables) []effect {
 	var effects []effect
 	work := false
@@ -92,20 +93,20 @@
 	return effects
 }
 
-// markRowLost notes that a restore of the table service lost the row, so that the next change makes
-// it anew, and one is due.
+// markRowLost notes that a restore of the table service lost the row, so that the next write
+// creates it anew, and that such a write is due.
 func (c *canaryRollout) markRowLost(restores uint64) {
 	c.revision = revision.Revision{Restores: restores}
 	c.rowLost, c.rowReported = true, false
 }
 
-// finished says that nothing is left to decide or to tell.
+// finished reports whether nothing is left to decide or to report.
 func (c *canaryRollout) finished() bool { return c.state.Ended() && c.rowReported }
 
-// stateReported says that the operator was told of the state as it is, by this box.
+// stateReported reports whether this box reported the current state to the operator.
 func (c *canaryRollout) stateReported() bool { return c.reported && c.reportedState == c.state }
 
-// advanceCanary has the row written as it should be, and the operator told of it as it is.
+// advanceCanary writes the row that is due and reports the current state to the operator.
 func (d *Daemon) advanceCanary(now time.Time, t *tables, c *canaryRollout) []effect {
 	if now.Before(c.retryAt) {
 		return nil
@@ -124,7 +125,7 @@
 	return effects
 }
 
-// nextCanaryRow returns the row that should stand, and whether that is another one.
+// nextCanaryRow returns the row as it should be, and whether it has to be written.
 func (d *Daemon) nextCanaryRow(now time.Time, t *tables, c *canaryRollout) (canaryRow, bool) {
 	clock, known := t.tableClock.Max(now)
 	row := canaryRow{Order: c.spec.Order, Version: c.spec.Version, State: c.state, DeadlineMS: c.deadline.Milliseconds(), Barred: c.barred}
@@ -147,8 +148,8 @@
 	return row, row.State != c.state || c.rowLost
 }
 
-// afterTrying is the state by the time that is left. A version that is not shown to be no
-// worse by then is taken back: the older one serves, and the operator may ask again.
+// afterTrying is the state by the time left. A version not shown to be no worse by the deadline
+// is rolled back: the older one serves, and the operator may ask again.
 func (c *canaryRollout) afterTrying(clock time.Duration) canary.State {
 	left := c.deadline - clock
 	switch {
@@ -160,8 +161,8 @@
 	return canary.Trying
 }
 
-// mayComplete says that boxes have heard that nothing goes to the older version, and that
-// nothing runs there any more, or that time is up.
+// mayComplete reports whether boxes have learned that the older version gets no requests, and
+// none is in flight there any more or time is up.
 func (d *Daemon) mayComplete(now time.Time, clock time.Duration, t *tables, c *canaryRollout) bool {
 	if now.Sub(c.stateSince) < completionDelay {
 		return false
@@ -185,34 +186,34 @@
 	return canaryWritten{e, current, err}
 }
 
-// canaryWritten takes over the row as it stands after a change.
+// canaryWritten applies the row as it stands after a write.
 func (d *Daemon) canaryWritten(now time.Time, t *tables, m canaryWritten) {
 	if c := t.canaryOf(m.pool); c != nil {
 		c.writing = false
 		c.retryAt = now.Add(canaryRetryDelay)
 	}
 	if m.err != nil {
-		d.Log.Warn("how far a version has come was not written", "pool", m.pool, "state", m.row.State, "err", m.err)
+		d.Log.Warn("canary rollout's state was not written", "pool", m.pool, "state", m.row.State, "err", m.err)
 	}
 	if m.current.Value != nil {
 		d.applyCanaryRow(now, t, m.pool, m.current.Value, m.current.At())
 	}
 }
 
-// applyCanaryRow takes over a row.
+// applyCanaryRow applies a row.
 func (d *Daemon) applyCanaryRow(now time.Time, t *tables, pool string, value []byte, changed revision.Revision) {
 	var row canaryRow
 	if err := json.Unmarshal(value, &row); err != nil {
-		d.Log.Error("the row of a version that is tried out can't be read", "pool", pool, "err", err)
+		d.Log.Error("canary rollout's row is invalid", "pool", pool, "err", err)
 		return
 	}
-	ask := canary.Rollout{Pool: pool, Version: row.Version, Order: row.Order}
-	c := d.startCanary(now, t, ask, "its row")
+	spec := canary.Rollout{Pool: pool, Version: row.Version, Order: row.Order}
+	c := d.startCanary(now, t, spec, "its row")
 	if c.revision.After(changed) {
 		return
 	}
 	c.revision, c.rowLost = changed, false
-	if !c.spec.Same(ask) {
+	if !c.spec.Same(spec) {
 		c.barred = union(c.barred, row.bars())
 		return
 	}
@@ -222,7 +223,7 @@
 	d.setCanaryState(now, c, row.State, "its row")
 }
 
-// bars lists the versions that get nothing by an earlier row.
+// bars lists the versions that get no requests once another rollout follows this row's.
 func (r canaryRow) bars() []string {
 	if r.State == canary.Completed || r.Version == "" {
 		return r.Barred
@@ -230,7 +231,7 @@
 	return append(slices.Clone(r.Barred), r.Version)
 }
 
-// union returns the texts of two lists, each once.
+// union returns the strings of two lists, sorted and without duplicates.
 func union(a, b []string) []string {
 	all := slices.Concat(a, b)
 	slices.Sort(all)
@@ -241,7 +242,7 @@
 	return canaryReported{e, d.Platform.ReportCanary(ctx, e.spec, e.state)}
 }
 
-// canaryReported notes that the operator was told.
+// canaryReported notes that the state was reported to the operator.
 func (d *Daemon) canaryReported(now time.Time, t *tables, m canaryReported) {
 	c := t.canaryOf(m.spec.Pool)
 	if c == nil || !c.spec.Same(m.spec) {
@@ -250,7 +251,7 @@
 	c.reporting = false
 	if m.err != nil {
 		c.retryAt = now.Add(canaryRetryDelay)
-		d.Log.Warn("the operator was not told how far a version has come", "pool", m.spec.Pool, "state", m.state, "err", m.err)
+		d.Log.Warn("canary rollout's state was not reported to the operator", "pool", m.spec.Pool, "state", m.state, "err", m.err)
 		return
 	}
 	c.reported, c.reportedState = true, m.state
--- a/entry/canaryseen.go
+++ b/entry/canarysamples.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// canaryGossipEvery is how often hubs tell each other what boxes saw of versions that are tried
-	// out. Boxes tell their hub each spokeEvery.
+	// canaryGossipEvery is how often hubs exchange the boxes' counts. Boxes send theirs to
+	// their hub every spokeGossipInterval.
 	canaryGossipEvery = 500 * time.Millisecond
-	// inFlightTTL is how long what a box told of requests under way counts.
+	// inFlightTTL is how long a box's report of requests in flight counts.
 	inFlightTTL = 2 * time.Second
 )
 
-// sampleKey is one route at one box.
+// sampleKey is a route at a box.
 type sampleKey struct{ box, route string }
 
-// peerSample is what was told of it, when that was last heard, and when it last changed.
+// peerSample holds the counts received for a route at a box, when they were last received, and
+// when they last changed.
 type peerSample struct {
 	sample                peer.CanarySample
 	receivedAt, changedAt time.Time
 }
 
-// countCanarySample counts the end of a request in a pool in which a version is tried out.
+// countCanarySample counts the end of a request in a pool with a canary rollout.
 func (d *Daemon) countCanarySample(now time.Time, t *tables, x *fleet.Target, m attemptEnded) {
 	if m.CallerLeft || m.Verdict == deliver.OtherVersion || m.Verdict == deliver.OtherReplica {
 		return
@@ -59,8 +60,8 @@
 	d.stopIfBad(now, c)
 }
 
-// usualAnswerTime is how long the older version's answers take, of requests that are alike. It is
-// learnt all the time, to be known when a version is tried out.
+// usualAnswerTime is how long the older version's answers to similar requests take. It is
+// learned at all times, to be known when a canary rollout begins.
 func (t *tables) usualAnswerTime(alike string) *outlier.Detector {
 	took := t.answerTimes[alike]
 	if took == nil {
@@ -70,14 +71,15 @@
 	return took
 }
 
-// stopIfBad stops what is tried out as soon as what this box knows speaks against it.
+// stopIfBad stops a canary version as soon as the counts known to this box show that it is bad.
 func (d *Daemon) stopIfBad(now time.Time, c *canaryRollout) {
 	if c.judge.Bad() {
 		d.stopCanary(now, c, "its answers are worse than the older version's")
 	}
 }
 
-// canarySamplesFor lists what to tell a box in a call: a hub tells another one only now and then.
+// canarySamplesFor lists the counts to send in a call to a box: a hub sends them to another one
+// only every canaryGossipEvery.
 func (d *Daemon) canarySamplesFor(now time.Time, t *tables, m *member) []peer.CanarySample {
 	if len(t.canaries) == 0 {
 		return nil
@@ -92,8 +94,8 @@
 	return d.canarySamples(t, now.Add(-2*canaryGossipEvery), true)
 }
 
-// canarySamples lists what boxes saw: what this one did and, for another hub, what others told
-// this one since a time.
+// canarySamples lists this box's counts and, for another hub, those that others sent since a
+// time.
 func (d *Daemon) canarySamples(t *tables, since time.Time, others bool) []peer.CanarySample {
 	var list []peer.CanarySample
 	for pool, c := range t.canaries {
@@ -113,16 +115,16 @@
 	return list
 }
 
-// ownCanarySamples is what this box saw, and under no route how many requests the older version has
-// under way for it.
+// ownCanarySamples lists this box's counts and, under no route, its number of requests in
+// flight on the older version.
 func (d *Daemon) ownCanarySamples(t *tables, pool string, c *canaryRollout) []peer.CanarySample {
-	runs := peer.CanarySample{Box: d.Settings.Name, Pool: pool, Order: c.spec.Order}
+	inFlight := peer.CanarySample{Box: d.Settings.Name, Pool: pool, Order: c.spec.Order}
 	for _, x := range t.fleet.Pool(pool) {
 		if !c.isCanary(x) {
-			runs.BaselineInFlight += x.InFlight
+			inFlight.BaselineInFlight += x.InFlight
 		}
 	}
-	list := []peer.CanarySample{runs}
+	list := []peer.CanarySample{inFlight}
 	for route, n := range c.ownCounts {
 		list = append(list, peer.CanarySample{
 			Box: d.Settings.Name, Pool: pool, Route: route, Order: c.spec.Order,
@@ -132,7 +134,7 @@
 	return list
 }
 
-// receiveCanarySamples takes over what boxes saw.
+// receiveCanarySamples applies the counts that other boxes sent.
 func (d *Daemon) receiveCanarySamples(now time.Time, t *tables, list []peer.CanarySample) {
 	for _, s := range list {
 		c := t.canaryOf(s.Pool)
@@ -151,7 +153,8 @@
 	}
 }
 
-// baselineInFlight sums up the requests that the older version has under way, as boxes told lately.
+// baselineInFlight is the number of requests in flight on the older version, by the boxes'
+// recent reports.
 func (d *Daemon) baselineInFlight(now time.Time, t *tables, c *canaryRollout) int {
 	n := d.ownCanarySamples(t, c.spec.Pool, c)[0].BaselineInFlight
 	for at, of := range c.peerCounts {
--- a/entry/free.go
+++ b/entry/free.go
@@ -16,24 +16,24 @@
 	freeTimeout = time.Second
 	// freeBatch bounds the parts in one order.
 	freeBatch = 200
-	// maxFreeAttempts is how often clearing the stores is tried for one version, and
-	// freePause the time between: a store that is down comes back empty.
+	// maxFreeAttempts is the maximum number of attempts to clear the stores for one version,
+	// freeRetryDelay the time between them. A store that is down comes back empty.
 	maxFreeAttempts = 3
 	freeRetryDelay  = time.Second
 )
 
-// Part names a kept part under its scope.
+// Part names a cached prompt part within its scope.
 type Part struct {
 	Scope, ID string
 }
 
-// hasStaleParts says that stores may still keep parts made on older weights.
+// hasStaleParts reports whether stores may still hold parts computed with older weights.
 func (w *modelRollout) hasStaleParts(t *tables) bool {
 	return t.ownRowsKnown && len(t.stores) > 0 && w.clearing.Floor() > 1 && w.freed < w.clearing.Floor()
 }
 
-// freeStale clears the stores of parts made on older weights, once no fetch of
-// them can be under way. Only the lease's holder does.
+// freeStale clears the stores of parts computed with older weights, once no fetch of them can
+// be in flight. Only the lease's holder does so.
 func (d *Daemon) freeStale(now time.Time, t *tables, model string, w *modelRollout) []effect {
 	if w.freeing || !w.hasStaleParts(t) || !t.clockKnown || t.tableServiceDown || now.Before(w.freeRetryAt) {
 		return nil
@@ -50,7 +50,7 @@
 	return []effect{freeParts{model, version, stores, d.uptime(now) + t.clock + freeTimeout}}
 }
 
-// free clears each store; it returns the errors of those that it could not.
+// free clears all stores and returns the errors of those that could not be cleared.
 func (d *Daemon) free(ctx context.Context, e freeParts) error {
 	var failed []error
 	for _, at := range e.stores {
@@ -62,12 +62,12 @@
 }
 
 func (d *Daemon) freeStore(ctx context.Context, e freeParts, at netip.AddrPort) error {
-	news, err := d.Platform.ListCache(ctx, at)
+	cached, err := d.Platform.ListCache(ctx, at)
 	if err != nil {
 		return err
 	}
 	var old []Part
-	for _, c := range slices.Concat(news.Changes, news.Partial) {
+	for _, c := range slices.Concat(cached.Changes, cached.Partial) {
 		if outdated(c.Scope, e.model, e.version) {
 			old = append(old, Part{c.Scope, c.Part})
 		}
@@ -76,15 +76,15 @@
 		if _, _, held := d.lease.Held(); !held {
 			return errLeaseNotHeld
 		}
-		if err := d.Platform.FreeCache(ctx, at, news.Epoch, e.until, some); err != nil {
+		if err := d.Platform.FreeCache(ctx, at, cached.Epoch, e.until, some); err != nil {
 			return err
 		}
 	}
-	d.Log.Info("store cleared of parts made on older weights", "store", at, "model", e.model, "version", e.version, "freed", len(old), "kept", len(news.Changes))
+	d.Log.Info("store cleared of parts made on older weights", "store", at, "model", e.model, "version", e.version, "freed", len(old), "kept", len(cached.Changes))
 	return nil
 }
 
-// outdated says whether a scope is of the model under a version below one.
+// outdated reports whether a scope belongs to the model at a version below the given one.
 func outdated(scope, model string, version int64) bool {
 	rest, ok := strings.CutPrefix(scope, model+"@")
 	if !ok {
@@ -101,7 +101,7 @@
 	if m.err != nil {
 		w.freeAttempts++
 		w.freeRetryAt = now.Add(freeRetryDelay)
-		d.Log.Warn("a store was not cleared of older parts", "model", m.model, "version", m.version, "tries", w.freeAttempts, "err", m.err)
+		d.Log.Warn("a store was not cleared of parts made on older weights", "model", m.model, "version", m.version, "tries", w.freeAttempts, "err", m.err)
 		if w.freeAttempts < maxFreeAttempts {
 			return nil
 		}
--- a/entry/free_test.go
+++ b/entry/free_test.go
@@ -12,11 +12,11 @@
 	"github.com/thymewind/thymewind/reclaim"
 )
 
-// TestFreeing shows when parts made on older weights may be freed: not before
-// each fetch has ended, and only with a list that lacks nothing.
+// TestFreeing checks when parts computed with older weights may be freed: not before every
+// fetch has ended, and only if the list of targets is complete.
 func TestFreeing(t *testing.T) {
 	const (
-		// later is when no fetch on older weights can run any more, soon is right
+		// later is when no fetch on older weights can be in flight any more, soon is right
 		// after the last engine got the newer ones.
 		soon  = 10*time.Second + time.Millisecond
 		later = 20 * time.Second
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestFreeingDuringRollout shows that parts of a version that no engine has any
-// more go while a still newer one is brought to the engines.
+// TestFreeingDuringRollout checks that parts of a version that no engine has any more are freed
+// while a still newer one is rolled out.
 func TestFreeingDuringRollout(t *testing.T) {
 	d := newDaemon("b1")
 	now := start
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestFreedAgain tries to clear a store again that did not answer, some times.
+// TestFreedAgain checks that clearing a store that did not answer is retried a few times.
 func TestFreedAgain(t *testing.T) {
 	d := newDaemon("b1")
 	w := d.tables.rolloutOf("m")
@@ -102,18 +102,19 @@
 		w.freeing = true
 		d.update(start, staleFreed{"m", 2, errors.New("no answer")})
 		if w.freeing {
-			t.Fatal("the next try never comes")
+			t.Fatal("the next attempt never comes")
 		}
 		if done := w.freed == 2; done != (try == maxFreeAttempts) {
 			t.Errorf("after %d failures: given up %v", try, done)
 		}
 	}
 	if w.freeAttempts != 0 || !w.freeRetryAt.After(start) {
-		t.Errorf("%d tries, again at %v", w.freeAttempts, w.freeRetryAt)
+		t.Errorf("%d attempts, next at %v", w.freeAttempts, w.freeRetryAt)
 	}
 }
 
-// TestFetchOfOldParts bounds a fetch by what this box knows of the weights.
+// TestFetchOfOldParts checks that the deadline of a fetch follows from what this box knows of
+// the weights.
 func TestFetchOfOldParts(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -140,10 +141,9 @@
 	}
 }
 
-// TestNoFetchByLateEngine has an engine come in with older weights while the
-// stores are cleared of parts made on them: nobody could wait for its fetches,
-// so none is ordered. One that was listed before the naming holds the clearing
-// back, and fetches.
+// TestNoFetchByLateEngine has an engine join with older weights while the stores are cleared of
+// parts computed with them. Nobody waits for its fetches, so none is ordered. An engine listed
+// before the naming delays the clearing, and fetches.
 func TestNoFetchByLateEngine(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -151,10 +151,10 @@
 		fetched int
 	}{
 		{"listed before the naming", func(d *Daemon) { listEngine(d, 1); nameVersion(d, 2) }, 500},
-		{"came in behind", func(d *Daemon) { nameVersion(d, 2); listEngine(d, 1) }, 0},
-		{"went and came back behind", func(d *Daemon) { listEngine(d, 1); nameVersion(d, 2); listNoEngine(d); listEngine(d, 1) }, 0},
-		{"came in on the newest", func(d *Daemon) { nameVersion(d, 1); listEngine(d, 1) }, 500},
-		{"came in behind and loaded, before the next naming", func(d *Daemon) {
+		{"joined with older weights", func(d *Daemon) { nameVersion(d, 2); listEngine(d, 1) }, 0},
+		{"left and joined again with older weights", func(d *Daemon) { listEngine(d, 1); nameVersion(d, 2); listNoEngine(d); listEngine(d, 1) }, 0},
+		{"joined with the newest weights", func(d *Daemon) { nameVersion(d, 1); listEngine(d, 1) }, 500},
+		{"joined with older weights and loaded, before the next naming", func(d *Daemon) {
 			nameVersion(d, 1)
 			listEngine(d, 0)
 			listEngine(d, 1)
--- a/entry/order.go
+++ b/entry/order.go
@@ -12,20 +12,20 @@
 	"github.com/thymewind/thymewind/fleet"
 )
 
-// errLeaseNotHeld says that this box must not give orders any more.
+// errLeaseNotHeld means that this box must not give orders any more.
 var errLeaseNotHeld = trace.AccessDenied("the lease is not held")
 
 const (
-	// maxUnreachablePolls is how many looks in a row may fail to reach a target before
-	// its place among those that load goes to another: a process that crashed is
-	// back after some seconds, under another ID, and a lost packet costs one look.
+	// maxUnreachablePolls is how many polls in a row may fail to reach a target before another
+	// target takes its place among those that load. A process that crashed is back after some
+	// seconds under another ID, while a lost packet costs one poll.
 	maxUnreachablePolls = 3
-	// orderRetryDelay is how long a target that did not load waits for its next order,
-	// so that others come first.
+	// orderRetryDelay is how long a target that did not load waits for its next order, so that
+	// others come first.
 	orderRetryDelay = time.Second
 )
 
-// errUnreachable says that a target that was to load could not be reached.
+// errUnreachable means that a target to be loaded could not be reached.
 var errUnreachable = errors.New("the target can't be reached")
 
 // loadWeights has one target load weights and waits until it has them.
@@ -60,12 +60,12 @@
 		}
 		d.sleep(ctx, loadPollInterval)
 		if ctx.Err() != nil {
-			return trace.LimitExceeded("the target does not have the version after %v", maxLoadTime)
+			return trace.LimitExceeded("target did not load the version within %v", maxLoadTime)
 		}
 	}
 }
 
-// order sends one order, if the lease is held right before.
+// order sends one order, if the lease is still held immediately before.
 func (d *Daemon) order(ctx context.Context, e sendOrder) error {
 	epoch, until, held := d.lease.Held()
 	if !held || epoch != e.order.Epoch {
@@ -75,14 +75,14 @@
 	defer cancel()
 	e.order.Until = until
 	asked := d.now()
-	said, err := d.Platform.Order(ctx, e.at, e.order)
-	d.recordSignals(asked, e.life, said, "an order")
+	signals, err := d.Platform.Order(ctx, e.at, e.order)
+	d.recordSignals(asked, e.life, signals, "an order")
 	return err
 }
 
-// orderEnded frees the order's place among those that load. A target that was
-// replaced must not hold it until loadLongest is over: with two places a rollout
-// would stand still for half of that.
+// orderEnded frees the order's place among those that load. A target that was replaced must not
+// hold it until maxLoadTime is over: with two places the rollout would run at half speed for
+// that time.
 func (d *Daemon) orderEnded(now time.Time, t *tables, m orderEnded) []effect {
 	w := t.rolloutOf(m.model)
 	delete(w.ordered, m.target)
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// learnVersion takes from a target's refusal what it says of its weights.
+// learnVersion takes a target's weight version from the refusal of a request.
 func (d *Daemon) learnVersion(now time.Time, t *tables, x *fleet.Target, m attemptEnded) {
 	model := m.Job.Model
 	switch m.Verdict {
@@ -127,10 +127,10 @@
 }
 
 // excludeUntil keeps requests from a target until a time, or until it has loaded if that is
-// later: a request that it turned away as it began to load says less than the order.
-// Cutting the load short had each box that met this send work there every 0.3 s, for
-// nothing: of 508 requests that 99 engines turned away in two rollouts 175 are left,
-// with targets that are asked whether they have loaded (askLoading).
+// later: a request turned away at the start of a load says less than the order. Ending the load
+// early would have each box that met such a refusal send work there every 0.3 s in vain.
+// Keeping it, together with polling the loading targets (pollLoading), reduced the requests
+// turned away by 99 engines in two rollouts from 508 to 175.
 func excludeUntil(x *fleet.Target, until time.Time) {
 	if x.LoadingUntil.Before(until) {
 		x.LoadingUntil = until
--- a/entry/restored_canary_test.go
+++ b/entry/restored_canary_test.go
@@ -10,15 +10,15 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// TestCanaryAfterRestore guards against a version that is tried out being begun anew, or barred
-// by its own older row, once a restore lost its row and its ask was written again.
+// TestCanaryAfterRestore guards against a canary rollout that starts anew, or rejects its
+// version by its own older row, after a restore lost the row and the spec was written again.
 func TestCanaryAfterRestore(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		name    string
 		percent int
-		// copied and restored are when, after the ask, the copy is taken and the table service
-		// comes back from it.
+		// copied and restored are when the copy is taken and when the table service comes back
+		// from it, after the rollout was asked for.
 		copied, restored time.Duration
 		want             canary.State
 	}{
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestCanarySpecRewritten guards against a version that is stopped, as a restored table service
-// lacks the ask for it until the operator has written that again.
+// TestCanarySpecRewritten guards against a rollout that stops because a restored table service
+// lacks its spec until the operator has written it again.
 func TestCanarySpecRewritten(t *testing.T) {
 	ask := canary.Rollout{Pool: "orders", Version: "v2", Order: 50, Timeout: rolloutTime}
 	again := ask
@@ -87,7 +87,7 @@
 			d.update(start, operatorRead{start, Operator{Canaries: tt.then, Known: revision.Revision{Restores: 1, Number: 41}}})
 			d.sweep(start.Add(tt.after), &d.tables)
 			if c := d.tables.canaryOf("orders"); c.stopped != tt.stopped || c.spec.Version != "v2" {
-				t.Errorf("stopped %v, ask %+v", c.stopped, c.spec)
+				t.Errorf("stopped %v, spec %+v", c.stopped, c.spec)
 			}
 		})
 	}
--- a/entry/rolloutrow.go
+++ b/entry/rolloutrow.go
@@ -12,29 +12,29 @@
 	"github.com/thymewind/thymewind/versionlog"
 )
 
-// rolloutPrefix begins the keys of the rows that tell a rollout's state.
+// rolloutPrefix begins the keys of the rows that hold a rollout's state.
 const rolloutPrefix = "rollout/"
 
-// rolloutRow is what the holder of the lease tells the other boxes. It is
-// written before any order that it names is given.
+// rolloutRow is what the holder of the lease tells the other boxes. It is written before any
+// order that it names is sent.
 type rolloutRow struct {
-	// Epoch is the lease's; a row with a lower one than was read is old.
+	// Epoch is the lease's; a row with a lower epoch than one already read is stale.
 	Epoch   uint64 `json:"epoch"`
 	Version int64  `json:"version"`
-	// Loading are the targets that load now, Done those that have the version.
+	// Loading are the targets that are loading, Done those that have the version.
 	Loading []string `json:"loading"`
 	Done    []string `json:"done"`
-	// Recent are the targets that were ordered anything lately. A successor
-	// leaves them alone for a while.
+	// Recent are the targets that were sent any order lately. A successor sends them none for a
+	// while.
 	Recent []string `json:"recent"`
-	// Namings are the versions named lately, and when.
+	// Namings are the versions named lately and when each was named.
 	Namings []versionlog.Row `json:"namings,omitempty"`
-	// Freed is the version for which the stores were cleared of older parts.
+	// Freed is the version up to which the stores were cleared of older parts.
 	Freed int64 `json:"freed"`
 }
 
-// barRecentlyOrdered keeps targets that an earlier holder ordered lately from orders: all of them, if a restore
-// of the table service may have lost the row that names them.
+// barRecentlyOrdered blocks orders to the targets that an earlier holder ordered lately, or to
+// all targets if a restore of the table service may have lost the row that names them.
 func (d *Daemon) barRecentlyOrdered(now time.Time, t *tables, rows []table.Row) {
 	apart := d.bounds.Load().Takeover + handoverMargin
 	until := now.Add(apart)
@@ -49,7 +49,7 @@
 		d.applyRolloutRow(now, t, model, row.Value)
 		var last rolloutRow
 		if json.Unmarshal(row.Value, &last) != nil {
-			continue // rolloutRead logged it.
+			continue // Logged by applyRolloutRow.
 		}
 		if last.Epoch >= d.lease.FirstEpoch() {
 			t.rolloutOf(model).allBarredUntil = time.Time{}
@@ -84,14 +84,14 @@
 	return announce{model, table.Row{Key: rolloutPrefix + model, Value: value}}
 }
 
-// announced sends the orders that were announced. Without the row no order
-// goes out, as a successor could not know of it.
+// announced sends the orders that were announced. If the row was not written, no order is sent,
+// as a successor could not know of it.
 func (d *Daemon) announced(now time.Time, t *tables, m announced) []effect {
 	w := t.rolloutOf(m.model)
 	w.announcing = false
 	if m.err != nil {
 		w.announceRetryAt = now.Add(announceRetryDelay)
-		d.Log.Warn("rollout not announced", "model", m.model, "err", m.err)
+		d.Log.Warn("rollout's row was not written, so no order is sent", "model", m.model, "err", m.err)
 	} else {
 		w.versionLog.Written()
 	}
@@ -118,7 +118,7 @@
 	return effects
 }
 
-// ownRead takes over what the boxes tell each other through the table service.
+// ownRead applies the rows that boxes of this system wrote to the table service.
 func (d *Daemon) ownRead(now time.Time, t *tables, m ownRead) []effect {
 	d.noteRestore(now, t, m.change.Known)
 	t.ownRowsKnown = true
@@ -142,7 +142,7 @@
 		}
 	}
 	if len(t.members) > known {
-		d.Log.Info("boxes known", "boxes", len(t.members), "before", known)
+		d.Log.Info("more boxes are known", "boxes", len(t.members), "before", known)
 		d.budget.SetBurst(d.retryBurst(now, t))
 	}
 	if t.membersKnown || !m.settled && !d.surelySpoke(now, t) {
@@ -158,13 +158,13 @@
 func (d *Daemon) applyRolloutRow(now time.Time, t *tables, model string, value []byte) {
 	var row rolloutRow
 	if err := json.Unmarshal(value, &row); err != nil {
-		d.Log.Error("the rollout's row can't be read", "model", model, "err", err)
+		d.Log.Error("rollout's row is invalid", "model", model, "err", err)
 		return
 	}
 	w := t.rolloutOf(model)
 	w.versionLog.Read(now, &t.tableClock, row.Namings)
 	if row.Epoch < w.epoch {
-		return // Written late, over a newer one.
+		return // A late write over a newer row.
 	}
 	w.epoch, w.freed = row.Epoch, max(w.freed, row.Freed)
 	for _, id := range row.Done {
--- a/entry/overdue_test.go
+++ b/entry/weightbound_test.go
@@ -9,16 +9,11 @@
 	"github.com/thymewind/thymewind/fleet"
 )
 
-// TestEachVersionHasItsBound names two versions one after the other and asks on
-// which weights a request may begin.
-//
-// Requests were seen to begin on weights 12.4 s after a newer version was named,
-// though 12 s are allowed. A still newer version had come 6.6 s after that one
-// while engines crashed and came back with the old weights. Boxes kept one time,
-// that of the newest naming, so the third version restarted the second one's
-// clock. The logs proved it: the box had heard of the second version within a
-// millisecond, and knew which weights the engine had. Each naming now has a time
-// of its own.
+// TestEachVersionHasItsBound names two versions one after the other and checks on which weights
+// a request may begin. It guards against a third version that restarts the bound of the second.
+// That happened with one time for the newest naming only: a request began on weights 12.4 s
+// after a newer version was named, with a bound of 12 s, as a still newer version had come
+// 6.6 s after that one while engines crashed and came back with the old weights.
 func TestEachVersionHasItsBound(t *testing.T) {
 	const between = 6600 * time.Millisecond
 	tests := []struct {
--- a/entry/weights.go
+++ b/entry/weights.go
@@ -9,34 +9,34 @@
 	"github.com/thymewind/thymewind/rollout"
 )
 
-// How weights are brought to the engines.
+// Parameters of weight rollouts.
 const (
-	// maxLoadTime is how long a target is taken to load, at most. A load takes
-	// 1.3 s after the target's runs have ended.
+	// maxLoadTime is the maximum time for which a target is taken to be loading. A load takes
+	// 1.3 s once the target's running requests have ended.
 	maxLoadTime = 6 * time.Second
-	// loadPollInterval is how often a loading target is asked whether it is done.
+	// loadPollInterval is the interval at which a loading target is polled.
 	loadPollInterval = 200 * time.Millisecond
-	// turnedAwayPause is how long a target that turned a request away during a rollout
-	// gets no other.
+	// turnedAwayPause is how long a target that turned a request away during a rollout gets no
+	// other.
 	turnedAwayPause = 300 * time.Millisecond
-	// leaseRetryInterval is how often a box without the lease looks at it while there
-	// is work to do.
+	// leaseRetryInterval is the interval at which a box without the lease tries to get it while
+	// there is work to do.
 	leaseRetryInterval = 300 * time.Millisecond
-	// leaseRetryJitter spreads the boxes' first looks.
+	// leaseRetryJitter is the jitter of that interval.
 	leaseRetryJitter = 200 * time.Millisecond
-	// concurrentLoads targets, or the share of all, load at the same time; with more,
-	// each load takes longer and the others are crowded. The platform's pools of
-	// 9, 90 and 112 engines load 2, 18 and 22 at their full speed.
+	// concurrentLoads targets, or concurrentLoadShare of all if that is more, load at the same
+	// time. More would slow each load down and crowd the other engines. The platform's pools of
+	// 9, 90 and 112 engines load 2, 18 and 22 at full speed.
 	concurrentLoads     = 2
 	concurrentLoadShare = 0.2
-	// recentOrderFor is how long an order counts as recent, and holdSlack is added
-	// to the platform's bound between two holders' orders to one target.
+	// recentOrderFor is how long an order counts as recent. handoverMargin is added to the
+	// platform's bound between two lease holders' orders to one target.
 	recentOrderFor = 5 * time.Second
 	handoverMargin = 300 * time.Millisecond
 )
 
-// rollWeights keeps all engines on the newest weights, if this box holds the
-// lease, and tries to get the lease while there is work to do.
+// rollWeights keeps all engines on the newest weights if this box holds the lease, and tries to
+// get the lease while there is work to do.
 func (d *Daemon) rollWeights(now time.Time, t *tables) []effect {
 	var effects []effect
 	work := false
@@ -70,7 +70,7 @@
 	return effects
 }
 
-// mayOrder says that the rows of the lease's earlier holder were read.
+// mayOrder reports whether the rows of the lease's previous holder were read.
 func (t *tables) mayOrder(epoch uint64) bool { return t.readEpoch == epoch }
 
 // replicas lists the engines that serve a model.
--- a/entry/weights_test.go
+++ b/entry/weights_test.go
@@ -17,8 +17,8 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// TestWeightsOrders follows a rollout by one box: only with the lease, two at a
-// time, none that another holder ordered a moment ago.
+// TestWeightsOrders goes through a rollout by one box: orders only with the lease, two at a
+// time, and none to a target that another holder ordered recently.
 func TestWeightsOrders(t *testing.T) {
 	d := newDaemon("b1")
 	now := start
@@ -76,8 +76,7 @@
 	return got
 }
 
-// TestNoOrderWithoutRow shows that no order goes out that a successor would not know
-// of.
+// TestNoOrderWithoutRow checks that no order is sent of which a successor would not know.
 func TestNoOrderWithoutRow(t *testing.T) {
 	d := newDaemon("b1")
 	d.tables.rolloutOf("m").planned = []string{"a"}
@@ -86,8 +85,7 @@
 	}
 }
 
-// TestLateRow shows that a row of an earlier holder, written late, is not
-// taken over.
+// TestLateRow checks that a late row of an earlier holder is ignored.
 func TestLateRow(t *testing.T) {
 	d := newDaemon("b1")
 	d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
@@ -105,7 +103,7 @@
 	}
 }
 
-// TestLearnVersion takes what targets say of their weights.
+// TestLearnVersion checks what is learned from targets' refusals about their weights.
 func TestLearnVersion(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -138,9 +136,9 @@
 	}
 }
 
-// TestOrderToReplacedTarget has an order meet another replica at the target's address.
-// The target is gone for good, so that its place among those that load is free
-// for the next one at once and not after loadLongest.
+// TestOrderToReplacedTarget has an order meet another replica at the target's address. The
+// target is gone for good, so its place among those that load is free for the next one at once
+// and not after maxLoadTime.
 func TestOrderToReplacedTarget(t *testing.T) {
 	d := newDaemon("b1")
 	d.now = func() time.Time { return start }
@@ -174,20 +172,20 @@
 	}
 }
 
-// TestOrderToUnreachableTarget has an engine that can't be reached hold its place among those
-// that load for a few looks only. In an outage of one engine the rollout would
-// otherwise stand still for 6 s at each try.
+// TestOrderToUnreachableTarget checks that an unreachable engine holds its place among those
+// that load for a few polls only. Otherwise an outage of one engine would stop the rollout for
+// 6 s at each attempt.
 func TestOrderToUnreachableTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDaemon("b1")
-		looks := 0
+		polls := 0
 		d.Platform.Report = func(context.Context, netip.AddrPort) (Report, error) {
-			looks++
+			polls++
 			return Report{}, fmt.Errorf("%w: refused", exchange.ErrNotSent)
 		}
 		err := d.loadWeights(context.Background(), sendOrder{order: rollout.Order{Target: "a", Model: "m", Version: 2}})
-		if !errors.Is(err, errUnreachable) || looks != maxUnreachablePolls {
-			t.Errorf("%d looks, %v", looks, err)
+		if !errors.Is(err, errUnreachable) || polls != maxUnreachablePolls {
+			t.Errorf("%d polls, %v", polls, err)
 		}
 		d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 		d.update(start, operatorRead{start, Operator{Table: configuration(1), Weights: map[string]int64{"m": 2}}})
@@ -202,8 +200,8 @@
 	})
 }
 
-// TestTurnedAwayWhileLoading has a target that was ordered to load turn a request away.
-// It stays out until it has loaded: the refusal says no more than the order.
+// TestTurnedAwayWhileLoading has a target that is loading turn a request away. It stays out
+// until it has loaded, as the refusal says no more than the order did.
 func TestTurnedAwayWhileLoading(t *testing.T) {
 	for _, verdict := range []int{deliver.DidNotRun, deliver.OtherVersion} {
 		d := newDaemon("b1")
--- a/entry/named.go
+++ b/entry/weightversions.go
@@ -8,44 +8,43 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// A request may begin on weights that were replaced only for a bound after the
-// newer version was named, and each version counts for itself. The bound is
-// kept by every box on its own, with times that survive the box: when a version
-// was not named yet is written beside the rollout, by the table service's clock.
+// A request may begin on replaced weights only within a bound after the newer version was
+// named. The bound counts for each version by itself, and every box keeps it on its own. The
+// times survive restarts of boxes: a time at which each version had not been named yet is
+// written to the rollout's row, on the table service's clock.
 const (
-	// overdueMargin is how long before the bound no request is sent to older
-	// weights any more: one that waits for its turn at a busy engine has that
-	// long to begin.
+	// overdueMargin is how long before the bound requests are no longer sent to older weights.
+	// A request that queues at a busy engine has that long to begin.
 	overdueMargin = 1500 * time.Millisecond
-	// beginMargin is how long before the bound a request that has not begun on
-	// older weights is broken off; it covers the way to the engine.
+	// beginMargin is how long before the bound a request that has not begun on older weights is
+	// cancelled. It covers the network latency to the engine.
 	beginMargin = 250 * time.Millisecond
-	// feedLag is how long the table service takes at most to answer a held read
-	// once there is a change: its slowest answers take 60 times the usual 4 ms, a
-	// quarter of a second, and this is twice that.
+	// feedLag is the maximum latency of the table service's answer to a held read once there is
+	// a change. Its slowest answers take 60 times the usual 4 ms, a quarter of a second; this
+	// is twice that.
 	feedLag = 500 * time.Millisecond
-	// minHold is how long a read must have been held, by the service's clock,
-	// before its answer tells of a change that came meanwhile: feedLag, and as much
-	// for the way there. Without it each naming would be dated by the answer
-	// before, up to 1.5 s too early, which older engines then lack for serving.
+	// minHold is how long a read must have been held, on the service's clock, for its answer to
+	// show that the change came meanwhile: feedLag, and as much for the request's way. Without
+	// it each naming would be dated by the answer before, up to 1.5 s too early, which would
+	// shorten the time for which engines with older weights may serve.
 	minHold = 2 * feedLag
-	// unrecordedAge is how long before this box first read a version it is taken
-	// to have been named if nobody told: the record is written some 0.5 s after
-	// a naming, 2.9 s if the lease's holder ends then.
+	// unrecordedAge is how long before this box first read a version it is assumed to have been
+	// named if there is no record. A record is written some 0.5 s after a naming, 2.9 s if the
+	// lease's holder ends then.
 	unrecordedAge = 4 * time.Second
-	// reportBounds is how many bounds long a naming is told to others: after one it can
-	// only be the lowest version allowed.
+	// reportBounds is for how many bounds other boxes are told of a naming. After one bound it
+	// can only be the lowest version allowed.
 	reportBounds = 2
-	// staleBounds is how many bounds long a box goes on without a proof of which
-	// weights are the newest. Nothing can be named while the table service is away, and
-	// one bound alone is shorter than an outage may last.
+	// staleBounds is for how many bounds a box goes on without a proof of which weights are the
+	// newest. Nothing can be named while the table service is away, and an outage may last
+	// longer than one bound.
 	staleBounds = 2
-	// announceRetryDelay is the pause after the rollout's row could not be written; each
-	// try has its price.
+	// announceRetryDelay is the pause after a failed write of the rollout's row, as each
+	// attempt is charged for.
 	announceRetryDelay = 500 * time.Millisecond
 )
 
-// weightsRead takes over which versions the operator named.
+// weightsRead applies the versions that the operator named.
 func (d *Daemon) weightsRead(now time.Time, t *tables, m operatorRead) {
 	unnamed := d.readTableClock(now, t, m)
 	for model, version := range m.change.Weights {
@@ -68,11 +67,10 @@
 	}
 }
 
-// readTableClock takes over the table service's clock. It returns what that showed at a
-// time at which nothing of what was just read was there yet: at the answer before,
-// or a moment before this one if the read was held that long. A read that was late
-// may find a change that is as old as the answer before. It returns zero if that
-// is not known.
+// readTableClock reads the table service's clock. It returns a time on that clock at which none
+// of the changes just read had been made: that of the answer before, or feedLag before this one
+// if the read was held for long enough. The answer to a late read may show changes as old as
+// the answer before. It returns zero if no such time is known.
 func (d *Daemon) readTableClock(now time.Time, t *tables, m operatorRead) time.Duration {
 	before, told := t.lastTableClock, m.change.Clock
 	t.lastTableClock = told
@@ -80,7 +78,7 @@
 		return 0
 	}
 	if !t.tableClock.Observe(m.asked, now, told) {
-		d.Log.Warn("the table service's clock jumped", "told", told, "before", before)
+		d.Log.Warn("the table service's clock was reset", "told", told, "before", before)
 		for _, w := range t.weights {
 			w.versionLog.ForgetClock()
 		}
@@ -92,10 +90,9 @@
 	return before
 }
 
-// unnamedAt returns a time at which the operator had not named yet what was just
-// read, or false if this is the first read; told is the table service's clock at
-// such a time, or zero. It returns what that clock showed at the time returned; zero if
-// that is a later proof by another hub.
+// unnamedAt returns a time at which the operator had not yet named what was just read; false if
+// this is the first read. told is such a time on the table service's clock, or zero. The second
+// result is the same time on that clock, or zero if it comes from a later proof by another hub.
 func (d *Daemon) unnamedAt(t *tables, told time.Duration) (time.Time, time.Duration, bool) {
 	proved := d.provedAt.Load()
 	if proved == nil {
@@ -110,13 +107,13 @@
 	return *proved, told, true
 }
 
-// name takes a newer version over, which this box heard of at a time.
+// name sets a newer version, of which this box learned at a time.
 func (w *modelRollout) name(at time.Time, version int64) {
 	w.newestVersion = version
 	w.clearing.AddVersion(at, version)
 }
 
-// age returns for how long a version, or a newer one, can have been named at most.
+// age returns the longest time for which a version, or a newer one, can have been named.
 func (w *modelRollout) age(now time.Time, version int64) time.Duration {
 	at, known := w.versionLog.ReplacedAt(version - 1)
 	if !known {
@@ -125,7 +122,7 @@
 	return now.Sub(at)
 }
 
-// replacedFor returns for how long a version can have been replaced by a newer one.
+// replacedFor returns the longest time for which a version can have been replaced.
 func (w *modelRollout) replacedFor(now time.Time, version int64) time.Duration {
 	at, known := w.versionLog.ReplacedAt(version)
 	if !known {
@@ -134,7 +131,7 @@
 	return now.Sub(at)
 }
 
-// requiredVersion returns the lowest version that a request may be sent to.
+// requiredVersion returns the lowest version to which a request may be sent.
 func (w *modelRollout) requiredVersion(now time.Time, within time.Duration) int64 {
 	if within == 0 {
 		return 0
@@ -142,8 +139,8 @@
 	return w.versionLog.Required(now, within-overdueMargin)
 }
 
-// beginBy returns when a request must have begun on a version; zero if no newer one
-// is known.
+// beginBy returns the deadline for a request to begin on a version; zero if no newer version is
+// known.
 func (w *modelRollout) beginBy(version int64, within time.Duration) time.Time {
 	at, replaced := w.versionLog.ReplacedAt(version)
 	if within == 0 || !replaced {
@@ -152,15 +149,14 @@
 	return at.Add(within - beginMargin)
 }
 
-// weightsStale says that this box's last proof of what the operator wrote is so
-// old that any version that it knows may have been replaced for long. It then sends
-// nothing to engines, as it can't tell.
+// weightsStale reports whether this box's last proof of the operator's rows is so old that any
+// version it knows may have been replaced for too long. It then sends nothing to engines.
 func (d *Daemon) weightsStale(now time.Time) bool {
 	within := d.bounds.Load().WeightsWithin
 	return within > 0 && d.provedAgo(now) >= staleBounds*within
 }
 
-// versionsSnapshot lists a model's namings for a box that takes this one's view.
+// versionsSnapshot lists a model's namings for a box that uses this one's view.
 func (w *modelRollout) versionsSnapshot(now time.Time, within time.Duration) []peer.WeightVersion {
 	var list []peer.WeightVersion
 	for _, n := range w.versionLog.Since(now.Add(-reportBounds * within)) {
@@ -169,8 +165,8 @@
 	return list
 }
 
-// applyHubVersions takes a hub's namings over; the ages count from when they were
-// asked for, as the answer was made later.
+// applyHubVersions applies a hub's namings. Their ages count from when they were asked for, as
+// the answer was made later.
 func (d *Daemon) applyHubVersions(now time.Time, t *tables, hub string, asked time.Time, v *peer.View) {
 	for _, model := range slices.Sorted(maps.Keys(v.WeightVersions)) {
 		w := t.rolloutOf(model)
--- a/entry/named_test.go
+++ b/entry/weightversions_test.go
@@ -47,14 +47,14 @@
 	return table.Row{}, false
 }
 
-// TestRestartedBoxKnowsNaming starts a box 4 s after a naming: it takes the
-// time of that from the rollout's row, whichever it reads first. Without a row it
-// takes the naming for a little older than its own first read.
+// TestRestartedBoxKnowsNaming starts a box 4 s after a naming. It takes the time of the naming
+// from the rollout's row, whichever is read first. Without a row it assumes that the naming is
+// a little older than its own first read.
 func TestRestartedBoxKnowsNaming(t *testing.T) {
 	holder, now := leaderWithTwoVersions(t, engine("a", 1))
 	row, written := rowWritten(holder, now)
 	if !written {
-		t.Fatal("the rollout is not told")
+		t.Fatal("the rollout's row is not written")
 	}
 	own := ownRead{change: OwnRows{Rows: []table.Row{row}}}
 	operator := func(at time.Time) message {
@@ -87,9 +87,8 @@
 	}
 }
 
-// TestLateRead names a version right after an answer. The next answer may be a
-// late one that found it there already: the naming is then as old as the answer
-// before. Only an answer that was held says more.
+// TestLateRead names a version right after an answer. If the next read was late, the naming may
+// be as old as the answer before; only a read that was held shows more.
 func TestLateRead(t *testing.T) {
 	const gap = 4 * time.Second
 	tests := []struct {
@@ -116,12 +115,12 @@
 	}
 }
 
-// TestClockReset shows that times told by the table service's clock are not read by
-// one that began anew, and that the namings are then recorded again.
+// TestClockReset checks that times on the table service's clock are not used after that clock
+// was reset, and that the namings are then recorded again.
 func TestClockReset(t *testing.T) {
 	d, now := leaderWithTwoVersions(t, engine("a", 1))
 	if _, written := rowWritten(d, now); !written {
-		t.Fatal("the rollout is not told")
+		t.Fatal("the rollout's row is not written")
 	}
 	d.update(now, announced{"m", nil})
 	now = now.Add(5 * time.Second)
@@ -135,15 +134,14 @@
 	}
 }
 
-// TestLateRowIsCorrected shows that a row which is written late, over a newer one,
-// is mended.
+// TestLateRowIsCorrected checks that a row written late over a newer one is corrected.
 func TestLateRowIsCorrected(t *testing.T) {
 	d, now := leaderWithTwoVersions(t, engine("a", 1))
 	old, _ := rowWritten(d, now)
 	d.update(now, announced{"m", nil})
 	d.update(now, operatorRead{now, Operator{Weights: map[string]int64{"m": 3}, Clock: 110 * time.Second}})
 	if _, written := rowWritten(d, now); !written {
-		t.Fatal("version 3 is not told")
+		t.Fatal("version 3 is not written")
 	}
 	d.update(now, announced{"m", nil})
 	d.update(now, ownRead{change: OwnRows{Rows: []table.Row{old}}})
@@ -152,12 +150,12 @@
 	}
 }
 
-// TestFailedRowWriteBacksOff shows that a row that can't be written is tried again
-// after a pause, as each try has its price.
+// TestFailedRowWriteBacksOff checks that a failed write of the row is retried only after a
+// pause, as each attempt is charged for.
 func TestFailedRowWriteBacksOff(t *testing.T) {
 	d, now := leaderWithTwoVersions(t, engine("a", 1))
 	if _, written := rowWritten(d, now); !written {
-		t.Fatal("the rollout is not told")
+		t.Fatal("the rollout's row is not written")
 	}
 	d.update(now, announced{"m", errors.New("lost")})
 	if _, written := rowWritten(d, now.Add(announceRetryDelay-time.Millisecond)); written {
@@ -168,9 +166,8 @@
 	}
 }
 
-// TestAssumedNamingIsRecorded shows that a box that could only assume when a version was
-// named records that, so that boxes that start again and again don't assume it
-// anew.
+// TestAssumedNamingIsRecorded checks that a box that could only assume when a version was named
+// records that, so that boxes that restart repeatedly don't assume a new time.
 func TestAssumedNamingIsRecorded(t *testing.T) {
 	first := func(row *table.Row, at time.Duration) *Daemon {
 		d := newDaemon("b1")
@@ -190,7 +187,7 @@
 	d.tables.readEpoch, _, _ = d.lease.Held()
 	row, written := rowWritten(d, start)
 	if !written {
-		t.Fatal("the rollout is not told")
+		t.Fatal("the rollout's row is not written")
 	}
 	d = first(&row, 8*time.Second)
 	if got := d.tables.rolloutOf("m").requiredVersion(start.Add(bound-overdueMargin-unrecordedAge), bound); got != 2 {
@@ -198,8 +195,8 @@
 	}
 }
 
-// TestNamingIsRecordedWithoutOrders shows that a naming is recorded although no engine
-// can be ordered yet, and only once.
+// TestNamingIsRecordedWithoutOrders checks that a naming is recorded even if no engine can be
+// ordered yet, and only once.
 func TestNamingIsRecordedWithoutOrders(t *testing.T) {
 	d, now := leaderWithTwoVersions(t, engine("a", 1), engine("b", 1), engine("c", 1))
 	row, _ := rowWritten(d, now)
@@ -215,7 +212,7 @@
 	}
 	newest := told.Namings[len(told.Namings)-1]
 	if newest.Version != 3 || newest.Assumed || newest.AtMS != 110000 {
-		t.Errorf("told %+v", newest)
+		t.Errorf("recorded %+v", newest)
 	}
 	d.update(now, announced{"m", nil})
 	if _, again := rowWritten(d, now); again {
@@ -223,8 +220,8 @@
 	}
 }
 
-// TestNamingsInHubView shows that a box that takes a hub's view keeps the same
-// bound, counted from when it asked.
+// TestNamingsInHubView checks that a box that uses a hub's view keeps the same bound, counted
+// from when it asked.
 func TestNamingsInHubView(t *testing.T) {
 	hub, spoke := largeFleet("box-00"), largeFleet("box-05")
 	hub.update(start, operatorRead{start, Operator{Table: configuration(1), Weights: map[string]int64{"m": 1}}})
@@ -243,8 +240,8 @@
 	}
 }
 
-// TestHubsPlaceOnOldWeights has a hub that lacks a naming place a request: the box
-// that sends it keeps the bound.
+// TestHubsPlaceOnOldWeights has a hub that lacks a naming place a request. The box that sends
+// it keeps the bound.
 func TestHubsPlaceOnOldWeights(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -271,8 +268,8 @@
 	}
 }
 
-// TestWeightsStale shows that a box that can't know any more which weights are
-// the newest sends nothing to engines.
+// TestWeightsStale checks that a box that can't know which weights are the newest sends nothing
+// to engines.
 func TestWeightsStale(t *testing.T) {
 	tests := []struct {
 		proved time.Duration
@@ -295,7 +292,7 @@
 	}
 }
 
-// refusedFor returns a refusal's code, or an empty text for none.
+// refusedFor returns a refusal's code, or an empty string for none.
 func refusedFor(err error) string {
 	if err == nil {
 		return ""
