--- a/entry/crash.go
+++ b/entry/crash.go
@@ -17,116 +17,115 @@
 	"github.com/thymewind/thymewind/quarantine"
 )
 
-// A request may take down each target that begins to run it, and come again, with another
-// ID, at any box. What it did to its targets therefore counts for all that ask for the
-// same, over all boxes: each tells in rows of its own which requests ran on targets that
-// ended (crashrow.go), and refuses what quarantine.Threshold targets ended under. Of 12
-// targets 6 end in place of all: three for each of two boxes to which it comes each 5 ms,
-// before either has heard of the other's (TestCrashingRequest).
+// A request may crash each target that begins to run it, and come again, with another ID, at
+// any box. Crashes are therefore counted by the request's fingerprint and over all boxes: each
+// box writes rows that tell which requests ran on targets that ended (crashrow.go), and refuses
+// a request under which quarantine.Threshold targets ended. With 12 targets and a request that
+// reaches two boxes every 5 ms, 6 targets end instead of all: three for each box, before either
+// has heard of the other's (TestCrashingRequest).
 
-// incarnationKey names a target's life among boxes.
-func incarnationKey(life fleet.Incarnation) string {
-	if life.StartedAt.IsZero() {
-		return life.ID
+// incarnationKey is the ID of a target's incarnation in messages and rows.
+func incarnationKey(incarnation fleet.Incarnation) string {
+	if incarnation.StartedAt.IsZero() {
+		return incarnation.ID
 	}
-	return life.ID + incarnationMark + strconv.FormatInt(unixMS(life.StartedAt), 10)
+	return incarnation.ID + incarnationMark + strconv.FormatInt(unixMS(incarnation.StartedAt), 10)
 }
 
-// incarnationMark stands between a target's ID and when its life began.
+// incarnationMark separates a target's ID from the start time of its incarnation.
 const incarnationMark = "@"
 
 // incarnationTarget returns the target's ID.
-func incarnationTarget(life string) string {
-	if at := strings.LastIndex(life, incarnationMark); at >= 0 {
-		return life[:at]
+func incarnationTarget(incarnation string) string {
+	if at := strings.LastIndex(incarnation, incarnationMark); at >= 0 {
+		return incarnation[:at]
 	}
-	return life
+	return incarnation
 }
 
-// placementIncarnation names the life that a request was placed on.
+// placementIncarnation is the ID of the incarnation on which a request was placed.
 func placementIncarnation(p deliver.Placement) string {
 	return incarnationKey(fleet.Incarnation{ID: p.Target, StartedAt: p.StartedAt})
 }
 
-// recordLiveness takes from a request's end whether its target lives.
+// recordLiveness learns from a request's end whether its target is alive.
 func (d *Daemon) recordLiveness(now time.Time, t *tables, m attemptEnded) {
-	life := placementIncarnation(m.Place)
+	incarnation := placementIncarnation(m.Place)
 	if m.Began || m.Verdict == deliver.DidNotRun || m.Verdict == deliver.OtherVersion {
-		t.crashes.Alive(life, m.Place.PlacedAt)
+		t.crashes.Alive(incarnation, m.Place.PlacedAt)
 	}
 	over := false
 	switch {
 	case m.ConnectionRefused:
-		d.incarnationEnded(now, t, life, "its address refuses connections")
+		d.incarnationEnded(now, t, incarnation, "its address refuses connections")
 	case m.Answered:
 		d.clearAnswered(now, t, m.Job)
 	case m.CutOff:
-		over = t.crashes.CutOff(now, life, m.Job.Fingerprint())
+		over = t.crashes.CutOff(now, incarnation, m.Job.Fingerprint())
 	case m.CallerLeft:
-		over = t.crashes.CallerLeft(now, life, m.Job.Fingerprint())
+		over = t.crashes.CallerLeft(now, incarnation, m.Job.Fingerprint())
 	}
 	if over {
-		d.reportCrash(now, t, life, []fingerprint.Sum{m.Job.Fingerprint()}, "known before")
+		d.reportCrash(now, t, incarnation, []fingerprint.Sum{m.Job.Fingerprint()}, "known before")
 	}
 }
 
-// incarnationEnded notes that a target's life is over, and holds that against the requests that
-// were cut off there since it last answered.
-func (d *Daemon) incarnationEnded(now time.Time, t *tables, life, foundBy string) {
-	sums := t.crashes.Ended(now, life)
+// incarnationEnded notes that an incarnation has ended, and blames the requests that were cut
+// off there since it last answered.
+func (d *Daemon) incarnationEnded(now time.Time, t *tables, incarnation, foundBy string) {
+	sums := t.crashes.Ended(now, incarnation)
 	if len(sums) == 0 {
 		return
 	}
 	d.metrics.endedTargets.Inc()
-	d.reportCrash(now, t, life, sums, foundBy)
+	d.reportCrash(now, t, incarnation, sums, foundBy)
 }
 
-// receiveIncarnationEnded takes over that another box found a target's life to be over: that bears out
-// this box's own doubts, and is told on to boxes that hear of it from here only. A box whose
-// caller left asks the target nothing, and would know by the list alone, 4 s later.
-func (d *Daemon) receiveIncarnationEnded(now time.Time, t *tables, life, from string) {
-	if _, known := t.endedIncarnations[life]; known || len(t.endedIncarnations) >= maxEndedIncarnations {
+// receiveIncarnationEnded applies another box's report that an incarnation has ended. It bears
+// out this box's own suspicions, and is passed on to boxes that hear from this one only. A box
+// whose caller left does not probe the target and would learn of the end from the list alone,
+// 4 s later.
+func (d *Daemon) receiveIncarnationEnded(now time.Time, t *tables, incarnation, from string) {
+	if _, known := t.endedIncarnations[incarnation]; known || len(t.endedIncarnations) >= maxEndedIncarnations {
 		return
 	}
-	t.endedIncarnations[life] = now
-	d.incarnationEnded(now, t, life, from)
+	t.endedIncarnations[incarnation] = now
+	d.incarnationEnded(now, t, incarnation, from)
 }
 
-// maxEndedIncarnations bounds the lives that other boxes found to be over.
+// maxEndedIncarnations bounds the ended incarnations that are kept from other boxes' reports.
 const maxEndedIncarnations = 256
 
-// expireEnded forgets them.
+// expireEnded forgets the incarnations that ended more than crash.RememberFor ago.
 func (t *tables) expireEnded(now time.Time) {
 	maps.DeleteFunc(t.endedIncarnations, func(_ string, at time.Time) bool { return now.Sub(at) > crash.RememberFor })
 }
 
-// reportCrash counts requests that ran on a target when it ended, and has the other boxes
-// told.
-func (d *Daemon) reportCrash(now time.Time, t *tables, life string, sums []fingerprint.Sum, foundBy string) {
-	d.Log.Warn("target ended under requests", "target", life, "requests", len(sums), "found_by", foundBy)
+// reportCrash counts the requests that ran on a target when it ended, and has other boxes told.
+func (d *Daemon) reportCrash(now time.Time, t *tables, incarnation string, sums []fingerprint.Sum, foundBy string) {
+	d.Log.Warn("target ended under requests", "target", incarnation, "requests", len(sums), "found_by", foundBy)
 	for _, sum := range sums {
-		d.blameRequest(now, t, life, sum, d.Settings.Name)
+		d.blameRequest(now, t, incarnation, sum, d.Settings.Name)
 	}
-	t.reports.add(now, life, sums)
+	t.reports.add(now, incarnation, sums)
 }
 
 // blameRequest counts one request that ran on a target when it ended.
-func (d *Daemon) blameRequest(now time.Time, t *tables, life string, sum fingerprint.Sum, from string) {
-	if !t.quarantine.Ended(now, sum, life) {
+func (d *Daemon) blameRequest(now time.Time, t *tables, incarnation string, sum fingerprint.Sum, from string) {
+	if !t.quarantine.Ended(now, sum, incarnation) {
 		return
 	}
 	d.countQuarantined(t)
-	d.Log.Warn("request is refused from now on", "fingerprint", sum, "targets_ended", quarantine.Threshold, "last", life, "told_by", from)
+	d.Log.Warn("request is refused from now on", "fingerprint", sum, "targets_ended", quarantine.Threshold, "last", incarnation, "told_by", from)
 }
 
-// probeSuspects asks targets that cut requests off whether they live, if this box does not
-// follow their news anyway. One whose process is gone refuses the connection, which is not
-// charged for.
+// probeSuspects probes targets that cut requests off, unless this box watches them anyway. A
+// target whose process is gone refuses the connection, which is not charged for.
 func (d *Daemon) probeSuspects(now time.Time, t *tables) []effect {
 	var effects []effect
-	for _, life := range t.crashes.Due(now) {
-		x := t.fleet.Target(incarnationTarget(life))
-		if x == nil || incarnationKey(x.Incarnation()) != life || t.watched[x.ID] != nil || t.probing[x.ID] {
+	for _, incarnation := range t.crashes.Due(now) {
+		x := t.fleet.Target(incarnationTarget(incarnation))
+		if x == nil || incarnationKey(x.Incarnation()) != incarnation || t.watched[x.ID] != nil || t.probing[x.ID] {
 			continue
 		}
 		if p, ok := d.probeFor(now, t, x); ok {
@@ -137,7 +136,7 @@
 	return effects
 }
 
-// probeFor is how a target is asked whether it lives; false if it can't be.
+// probeFor returns the probe for a target; false if it can't be probed.
 func (d *Daemon) probeFor(now time.Time, t *tables, x *fleet.Target) (probe, bool) {
 	table := d.current.Load()
 	if table == nil || table.Pools[x.Pool] == nil {
@@ -149,17 +148,17 @@
 		return p, true
 	}
 	if p.path == "" || x.InBackoff(now) || !d.withinQuota(now, t, x) {
-		return probe{}, false // A question for its health waits like a request.
+		return probe{}, false // A health probe waits for a backoff or a rate limit as requests do.
 	}
 	d.takeQuota(now, t, x)
 	return p, true
 }
 
-// ask asks a target for its health, or an engine for its report, which it gives at once.
+// ask probes a target's health, or an engine's report, which engines answer at once.
 func (d *Daemon) ask(ctx context.Context, p probe) error {
 	if !p.engine {
-		said, err := d.Platform.Healthy(ctx, p.at, p.path, p.target)
-		d.recordSignals(p.asked, p.life, said, "its health")
+		signals, err := d.Platform.Healthy(ctx, p.at, p.path, p.target)
+		d.recordSignals(p.asked, p.life, signals, "its health")
 		return err
 	}
 	report, err := d.Platform.Report(ctx, p.at)
@@ -170,18 +169,19 @@
 	return err
 }
 
-// probeAnswered takes from a probe's answer whether the target lives.
+// probeAnswered learns from a probe's answer whether the target is alive.
 func (d *Daemon) probeAnswered(now time.Time, t *tables, m probed) {
-	life := incarnationKey(m.life)
+	incarnation := incarnationKey(m.life)
 	switch {
 	case m.err == nil || errors.Is(m.err, ErrUnhealthy):
-		t.crashes.Alive(life, m.asked)
+		t.crashes.Alive(incarnation, m.asked)
 	case errors.Is(m.err, syscall.ECONNREFUSED):
-		d.incarnationEnded(now, t, life, "its address refuses connections")
+		d.incarnationEnded(now, t, incarnation, "its address refuses connections")
 	}
 }
 
-// livenessFromEvents takes from an engine's news, or from its failing to tell any, whether it lives.
+// livenessFromEvents learns from an engine's cache events, or from the failure to read them,
+// whether the engine is alive.
 func (d *Daemon) livenessFromEvents(now time.Time, t *tables, x *fleet.Target, m cacheEventsRead) {
 	switch {
 	case m.err == nil:
@@ -195,14 +195,14 @@
 type probe struct {
 	target, path string
 	at           netip.AddrPort
-	// life is the target's at asked, when the question was decided on.
+	// life is the target's incarnation at asked, when the probe was decided on.
 	life  fleet.Incarnation
 	asked time.Time
-	// engine says that its report is asked for, doubted that it may have ended.
+	// engine means that the report is asked for, suspected that the target may have ended.
 	engine, suspected bool
 }
 
-// probed tells a target's health.
+// probed is the result of a probe.
 type probed struct {
 	probe
 	err error
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -35,19 +35,19 @@
 	return d
 }
 
-// jobWithBody is a request for something; equal names ask for the same.
+// jobWithBody is a request with a body; equal bodies have equal fingerprints.
 func jobWithBody(name string) *deliver.Job {
 	j := job("long", 10)
 	j.ID, j.Body = "r", []byte(name)
 	return j
 }
 
-// placeAt is where a request was sent at a time.
+// placeAt is a place on a target, ms after start.
 func placeAt(ms int, target string) deliver.Placement {
 	return deliver.Placement{Target: target, PlacedAt: start.Add(time.Duration(ms) * time.Millisecond)}
 }
 
-// Messages that tell of targets.
+// Messages about targets.
 func cutOff(target, name string) message {
 	return attemptEnded{deliver.AttemptResult{Place: placeAt(0, target), Job: jobWithBody(name), Failed: true, Unreachable: true, CutOff: true}}
 }
@@ -58,7 +58,7 @@
 
 func answersAt(ms int, target string) message { return answerBegan{placeAt(ms, target)} }
 
-// placeCode returns the code with which a request is refused a place at once, or an empty text.
+// placeCode returns the code of an immediate refusal, or an empty string.
 func placeCode(d *Daemon, at time.Time, j *deliver.Job) string {
 	reply := make(chan placeAnswer, 1)
 	d.placementRequested(at, &d.tables, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: j}, reply: reply})
@@ -70,7 +70,7 @@
 	return ""
 }
 
-// codeOf returns the code of a refusal, or an empty text.
+// codeOf returns the code of a refusal, or an empty string.
 func codeOf(err error) string {
 	var refused *refusal.Refusal
 	if errors.As(err, &refused) {
@@ -79,24 +79,24 @@
 	return ""
 }
 
-// gossipFrom is another box's gossip without anything to tell.
+// gossipFrom is another box's gossip message without content.
 func gossipFrom(name string) peer.Message { return peer.Message{Kind: peer.KindGossip, From: name} }
 
-// TestEndedUnder goes through the ways to find out that a target ended under a request, or
-// that it did not.
+// TestEndedUnder goes through the ways to find out that a target ended under a request, or did
+// not.
 func TestEndedUnder(t *testing.T) {
 	refusedNews := func(target string) message {
 		return cacheEventsRead{source: target, err: fmt.Errorf("dial: %w", syscall.ECONNREFUSED)}
 	}
 	tests := []struct {
 		name string
-		// after follows the request's being cut off at a target.
+		// after lists what follows after the request was cut off at a target.
 		after func(target string) []message
 		want  bool
 	}{
 		{"its address refuses connections", func(x string) []message { return []message{refusesDial(x)} }, true},
-		{"its news can't be had, as its address refuses connections", func(x string) []message { return []message{refusedNews(x)} }, true},
-		{"its news can't be had", func(x string) []message { return []message{cacheEventsRead{source: x, err: errors.New("reset")}} }, false},
+		{"its cache events can't be read, as its address refuses connections", func(x string) []message { return []message{refusedNews(x)} }, true},
+		{"its cache events can't be read", func(x string) []message { return []message{cacheEventsRead{source: x, err: errors.New("reset")}} }, false},
 		{"the list drops it", func(x string) []message { return []message{targetsRead{start, Targets{Gone: []string{x}}, false}} }, true},
 		{"it leaves and the list drops it", func(x string) []message {
 			leaving := engine(x, 1)
@@ -110,15 +110,15 @@
 		{"asked for its health, it refuses connections", func(x string) []message {
 			return []message{probed{probe{target: x, life: fleet.Incarnation{ID: x}, asked: start.Add(time.Second)}, syscall.ECONNREFUSED}}
 		}, true},
-		{"asked for its health, it says that it is not well, and then ends", func(x string) []message {
+		{"asked for its health, it says that it is unhealthy, and then ends", func(x string) []message {
 			return []message{probed{probe{target: x, life: fleet.Incarnation{ID: x}, asked: start.Add(time.Second)}, ErrUnhealthy}, refusesDial(x)}
 		}, false},
 		{"it answers what was sent later, and then ends", func(x string) []message { return []message{answersAt(1, x), refusesDial(x)} }, false},
 		{"it answers what was sent before, and then ends", func(x string) []message { return []message{answersAt(-1, x), refusesDial(x)} }, true},
-		{"it tells news that was asked for later, and then ends", func(x string) []message {
+		{"it sends cache events that were asked for later, and then ends", func(x string) []message {
 			return []message{cacheEventsRead{source: x, asked: start.Add(time.Millisecond)}, refusesDial(x)}
 		}, false},
-		{"it tells news that was asked for before, and then ends", func(x string) []message {
+		{"it sends cache events that were asked for before, and then ends", func(x string) []message {
 			return []message{cacheEventsRead{source: x, asked: start.Add(-time.Millisecond)}, refusesDial(x)}
 		}, true},
 	}
@@ -145,8 +145,8 @@
 	}
 }
 
-// TestSuspectedCrashesCount refuses a request at once while three targets may have ended under it,
-// and serves it again once one of them is heard.
+// TestSuspectedCrashesCount refuses a request at once while three targets may have ended under
+// it, and serves it again once one of them answers.
 func TestSuspectedCrashesCount(t *testing.T) {
 	d := engines("b1")
 	for i := range quarantine.Threshold {
@@ -157,12 +157,12 @@
 	}
 	d.update(start, answersAt(1, "e1"))
 	if got := placeCode(d, start, jobWithBody("same")); got == codeQuarantined {
-		t.Error("refused though one of the targets lives")
+		t.Error("refused though one of the targets is alive")
 	}
 }
 
-// TestBystanderIsServed has requests run on target after target as these end, and be answered now
-// and then: they are served on.
+// TestBystanderIsServed has a request run on target after target as these end, and be answered
+// now and then: it is not refused.
 func TestBystanderIsServed(t *testing.T) {
 	d := engines("b1")
 	for i := range 30 {
@@ -178,7 +178,7 @@
 	}
 }
 
-// TestCallerLeavesBeforeCrash holds a target's end against a request whose caller left right before.
+// TestCallerLeavesBeforeCrash blames a request whose caller left right before the target ended.
 func TestCallerLeavesBeforeCrash(t *testing.T) {
 	d := engines("b1")
 	for i := range quarantine.Threshold {
@@ -194,7 +194,7 @@
 	}
 }
 
-// rowsOf has a box tell what it found and returns its rows.
+// rowsOf has a box write its crash reports and returns the rows.
 func rowsOf(t *testing.T, d *Daemon, now time.Time) []table.Row {
 	t.Helper()
 	effects := d.reportCrashes(now, &d.tables)
@@ -206,9 +206,9 @@
 	return e.tx.Put
 }
 
-// TestCrashRowsReachAllBoxes has three boxes find one target each that ended under a request, and a
-// fourth one refuse it by their rows alone; so does each of them, and one of them when it
-// has started anew.
+// TestCrashRowsReachAllBoxes has three boxes each find one target that ended under a request. A
+// fourth box refuses it by their rows alone, as does each of the three, and one of them after a
+// restart.
 func TestCrashRowsReachAllBoxes(t *testing.T) {
 	var boxes []*Daemon
 	var rows []table.Row
@@ -233,11 +233,11 @@
 	}
 	again := boxes[4]
 	if effects := again.reportCrashes(start, &again.tables); len(effects) != 0 || len(again.tables.reports.byIncarnation) != 1 {
-		t.Errorf("a box that started anew tells its own rows again: %v", effects)
+		t.Errorf("a restarted box writes its own rows again: %v", effects)
 	}
 }
 
-// TestInvalidCrashRows has other writers' rows stand among the boxes' own.
+// TestInvalidCrashRows has rows of other writers among the boxes' own.
 func TestInvalidCrashRows(t *testing.T) {
 	many, err := json.Marshal(crashRow{Fingerprints: slices.Repeat([]string{jobWithBody("same").Fingerprint().String()}, maxCrashFingerprints+1)})
 	if err != nil {
@@ -253,8 +253,8 @@
 	}
 }
 
-// TestCrashRowsAreWritten writes each row once, again after a failure, and never more than
-// there may be; rows of what is refused go last.
+// TestCrashRowsAreWritten checks that each row is written once, again after a failure, and that
+// there are never more than allowed. Rows of refused requests are deleted last.
 func TestCrashRowsAreWritten(t *testing.T) {
 	d := engines("b1")
 	d.update(start, cutOff("e0", "same"))
@@ -294,8 +294,8 @@
 	}
 }
 
-// TestQuarantineInHubView has a box that lives on a hub refuse what the hub refuses, and serve
-// it again once another box has answered it.
+// TestQuarantineInHubView has a spoke refuse what the hub refuses, and serve it again once
+// another box has had it answered.
 func TestQuarantineInHubView(t *testing.T) {
 	hub, spoke := boxWithEngines("box-00"), boxWithEngines("box-05")
 	sum := jobWithBody("same").Fingerprint()
@@ -311,7 +311,7 @@
 		t.Errorf("refused with %q", got)
 	}
 	if again := ask(start); len(answer.View.Quarantined) != 1 || len(again.View.Quarantined) != 0 || again.View.QuarantineVersion != answer.View.QuarantineVersion {
-		t.Errorf("the set is told again: %v", again.View.Quarantined)
+		t.Errorf("the set is sent again: %v", again.View.Quarantined)
 	}
 	hub.update(start, attemptEnded{deliver.AttemptResult{Place: placeAt(0, "a"), Job: jobWithBody("same"), Began: true, Answered: true}})
 	spoke.update(start, peerAnswered{"box-00", start, ask(start), nil})
@@ -320,7 +320,7 @@
 	}
 }
 
-// TestCrashesAreGossiped has boxes tell each other what they cannot write.
+// TestCrashesAreGossiped has boxes exchange crash reports that they can't write.
 func TestCrashesAreGossiped(t *testing.T) {
 	b1, b2 := engines("b1"), engines("b2")
 	b2.tables.members["b1"] = &member{}
@@ -333,12 +333,12 @@
 	}
 	late := b1.peerRequest(start.Add(announceFor+time.Second), &b1.tables, peer.Message{Kind: peer.KindGossip, From: "b2"})
 	if len(late.CrashReports) != 0 {
-		t.Error("told for ever")
+		t.Error("still reported after announceFor")
 	}
 }
 
-// TestCrashReportBlamesEarlierRequest has one box find out that a target ended; another one, where a caller had
-// left a request there, holds that against the request, and its hub passes the news on.
+// TestCrashReportBlamesEarlierRequest has one box find that a target ended. Another box, whose
+// caller had left a request there, blames that request, and its hub passes the report on.
 func TestCrashReportBlamesEarlierRequest(t *testing.T) {
 	hub, spoke, finder := boxWithEngines("box-00"), boxWithEngines("box-05"), boxWithEngines("box-07")
 	spoke.update(start, attemptEnded{deliver.AttemptResult{Place: placeAt(0, "a"), Job: jobWithBody("same"), CallerLeft: true}})
@@ -346,7 +346,7 @@
 	finder.update(start, refusesDial("a"))
 	hub.update(start, ownRead{OwnRows{Rows: rowsOf(t, finder, start)}, true})
 	told := hub.peerRequest(start, &hub.tables, gossipFrom("box-05"))
-	told.View = nil // Its list has no addresses, so it would tell the same.
+	told.View = nil // Its list has no addresses, so the view would show the same.
 	spoke.update(start, peerAnswered{"box-00", start, told, nil})
 	if got := spoke.tables.quarantine.Crashes(jobWithBody("same").Fingerprint()); got != 1 {
 		t.Errorf("%d targets count, want 1", got)
@@ -356,19 +356,19 @@
 	}
 	later := start.Add(announceFor + time.Second)
 	if late := hub.peerRequest(later, &hub.tables, gossipFrom("box-05")); len(late.CrashReports) != 0 {
-		t.Errorf("told for ever: %v", late.CrashReports)
+		t.Errorf("still reported after announceFor: %v", late.CrashReports)
 	}
 }
 
-// TestProbeSuspects asks a target that cut a request off whether it lives, unless its news tell.
+// TestProbeSuspects probes a target that cut a request off, unless the box watches it.
 func TestProbeSuspects(t *testing.T) {
 	tests := []struct {
 		name string
 		box  *Daemon
 		want int
 	}{
-		{"a box that follows its news", engines("b1"), 0},
-		{"a box that lives on a hub", boxWithEngines("box-05"), 1},
+		{"a box that watches it", engines("b1"), 0},
+		{"a spoke", boxWithEngines("box-05"), 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -377,10 +377,10 @@
 			later := start.Add(time.Second)
 			effects := tt.box.probeSuspects(later, &tt.box.tables)
 			if len(effects) != tt.want {
-				t.Fatalf("%d questions", len(effects))
+				t.Fatalf("%d probes", len(effects))
 			}
 			if again := tt.box.probeSuspects(later, &tt.box.tables); len(again) != 0 {
-				t.Error("asked twice")
+				t.Error("probed twice")
 			}
 			for _, e := range effects {
 				p := e.(probe)
@@ -393,7 +393,7 @@
 	}
 }
 
-// TestIncarnationKey names lives so that two of one ID differ.
+// TestIncarnationKey checks that two incarnations of one target have different IDs.
 func TestIncarnationKey(t *testing.T) {
 	plain, born := fleet.Incarnation{ID: "i-7f"}, fleet.Incarnation{ID: "i-7f", StartedAt: start}
 	if incarnationKey(plain) == incarnationKey(born) || incarnationTarget(incarnationKey(plain)) != "i-7f" || incarnationTarget(incarnationKey(born)) != "i-7f" || strings.Contains(incarnationKey(plain), incarnationMark) {
@@ -401,7 +401,7 @@
 	}
 }
 
-// BenchmarkRefuseQuarantined is what a request costs the loop while some are remembered.
+// BenchmarkRefuseQuarantined is the cost of a request in the loop while some are quarantined.
 func BenchmarkRefuseQuarantined(b *testing.B) {
 	d := engines("b1")
 	for _, remembered := range []int{0, 1} {
--- a/entry/crashrow.go
+++ b/entry/crashrow.go
@@ -15,57 +15,57 @@
 )
 
 // crashPrefix begins the keys of the rows that tell which requests ran on a target when it
-// ended: behind it stand the telling box and the target's life. No other box writes them,
-// so that none is lost, whichever boxes can reach each other.
+// ended; the reporting box and the target's incarnation follow. No other box writes these keys,
+// so no report is lost, whichever boxes can reach each other.
 const crashPrefix = "ended/"
 
 const (
-	// maxCrashRows bounds the rows of one box, crashSums the requests in each: an engine
-	// runs 128 at once.
+	// maxCrashRows bounds the rows of one box, maxCrashFingerprints the requests in each row:
+	// an engine runs 128 at once.
 	maxCrashRows         = 32
 	maxCrashFingerprints = 256
-	// crashRetryDelay is the pause after a write that failed. Boxes have 3 s to hear of what
-	// is told there.
+	// crashRetryDelay is the pause after a failed write. Boxes have 3 s to learn of the
+	// reports.
 	crashRetryDelay = 300 * time.Millisecond
 )
 
 // crashRow is the value of such a row.
 type crashRow struct {
 	Fingerprints []string `json:"sums"`
-	// AtMS is when the target ended, in Unix milliseconds, by which the row is dropped
-	// an hour later: seconds make no odds.
+	// AtMS is when the target ended, in Unix milliseconds. The row is deleted an hour later, so
+	// an error of seconds does not matter.
 	AtMS int64 `json:"at_ms"`
 }
 
 // crashReports are this box's own rows.
 type crashReports struct {
 	byIncarnation map[string]*crashReport
-	// deleteKeys are the keys of rows beside them that are to go, such as the count of trials
-	// of a request that was answered. If that fails they stand, and fewer are tried.
+	// deleteKeys are keys of other rows to delete, such as the number of trials of a request
+	// that was cleared. If deleting fails the rows stay, and fewer trials are made.
 	deleteKeys []string
-	// writing says that a write is under way; after a failed one the next waits until
-	// again.
+	// writing is true while a write is in flight; retryAt is when the next one may begin after
+	// a failure.
 	writing bool
 	retryAt time.Time
 }
 
-// crashReport is one of them.
+// crashReport is one of this box's rows.
 type crashReport struct {
 	fingerprints map[fingerprint.Sum]bool
 	at           time.Time
-	// written says that the row stands as it is here.
+	// written means that the row as it is here was written.
 	written bool
 }
 
 // add notes requests that ran on a target when it ended.
-func (r *crashReports) add(now time.Time, life string, sums []fingerprint.Sum) {
+func (r *crashReports) add(now time.Time, incarnation string, sums []fingerprint.Sum) {
 	if r.byIncarnation == nil {
 		r.byIncarnation = make(map[string]*crashReport)
 	}
-	x := r.byIncarnation[life]
+	x := r.byIncarnation[incarnation]
 	if x == nil {
 		x = &crashReport{fingerprints: make(map[fingerprint.Sum]bool, len(sums)), at: now}
-		r.byIncarnation[life] = x
+		r.byIncarnation[incarnation] = x
 	}
 	for _, sum := range sums {
 		if !x.fingerprints[sum] && len(x.fingerprints) < maxCrashFingerprints {
@@ -74,45 +74,46 @@
 	}
 }
 
-// surplus returns the lives whose rows are to go: the oldest of too many, those last that
-// hold a request that is refused, and all that are too old.
+// surplus returns the incarnations whose rows are to be deleted: the oldest beyond
+// maxCrashRows, with those of refused requests last, and all that are older than
+// quarantine.Retention and hold no refused request.
 func (r *crashReports) surplus(now time.Time, refused func(fingerprint.Sum) bool) []string {
-	lives := make([]string, 0, len(r.byIncarnation))
+	incarnations := make([]string, 0, len(r.byIncarnation))
 	weight := make(map[string]int, len(r.byIncarnation))
-	for life, x := range r.byIncarnation {
-		lives = append(lives, life)
+	for incarnation, x := range r.byIncarnation {
+		incarnations = append(incarnations, incarnation)
 		for sum := range x.fingerprints {
 			if refused(sum) {
-				weight[life] = 1
+				weight[incarnation] = 1
 			}
 		}
 	}
-	slices.SortFunc(lives, func(a, b string) int {
+	slices.SortFunc(incarnations, func(a, b string) int {
 		return cmp.Or(cmp.Compare(weight[a], weight[b]), r.byIncarnation[a].at.Compare(r.byIncarnation[b].at))
 	})
-	many := max(len(lives)-maxCrashRows, 0)
-	gone := slices.Clone(lives[:many])
-	for _, life := range lives[many:] {
-		if now.Sub(r.byIncarnation[life].at) > quarantine.Retention && weight[life] == 0 {
-			gone = append(gone, life)
+	many := max(len(incarnations)-maxCrashRows, 0)
+	gone := slices.Clone(incarnations[:many])
+	for _, incarnation := range incarnations[many:] {
+		if now.Sub(r.byIncarnation[incarnation].at) > quarantine.Retention && weight[incarnation] == 0 {
+			gone = append(gone, incarnation)
 		}
 	}
 	return gone
 }
 
-// writeCrashes brings this box's rows into line.
+// writeCrashes writes and deletes rows of this box.
 type writeCrashes struct {
 	tx           table.Transaction
 	incarnations []string
 }
 
-// crashesWritten tells what came of it.
+// crashesWritten is the result.
 type crashesWritten struct {
 	incarnations []string
 	err          error
 }
 
-// reportCrashes has the rows written that changed, all in one call.
+// reportCrashes writes all rows that changed in one call.
 func (d *Daemon) reportCrashes(now time.Time, t *tables) []effect {
 	r := &t.reports
 	if r.writing || now.Before(r.retryAt) {
@@ -121,16 +122,16 @@
 	e := writeCrashes{tx: table.Transaction{Delete: r.deleteKeys}}
 	r.deleteKeys = nil
 	if len(r.byIncarnation) > 0 {
-		for _, life := range r.surplus(now, func(sum fingerprint.Sum) bool { return t.quarantine.Crashes(sum) >= quarantine.Threshold }) {
-			e.tx.Delete = append(e.tx.Delete, d.crashKey(life))
-			delete(r.byIncarnation, life)
+		for _, incarnation := range r.surplus(now, func(sum fingerprint.Sum) bool { return t.quarantine.Crashes(sum) >= quarantine.Threshold }) {
+			e.tx.Delete = append(e.tx.Delete, d.crashKey(incarnation))
+			delete(r.byIncarnation, incarnation)
 		}
 	}
-	for life, x := range r.byIncarnation {
+	for incarnation, x := range r.byIncarnation {
 		if !x.written {
 			x.written = true
-			e.incarnations = append(e.incarnations, life)
-			e.tx.Put = append(e.tx.Put, table.Row{Key: d.crashKey(life), Value: x.encode()})
+			e.incarnations = append(e.incarnations, incarnation)
+			e.tx.Put = append(e.tx.Put, table.Row{Key: d.crashKey(incarnation), Value: x.encode()})
 		}
 	}
 	if len(e.tx.Put)+len(e.tx.Delete) == 0 {
@@ -140,7 +141,9 @@
 	return []effect{e}
 }
 
-func (d *Daemon) crashKey(life string) string { return crashPrefix + d.Settings.Name + "/" + life }
+func (d *Daemon) crashKey(incarnation string) string {
+	return crashPrefix + d.Settings.Name + "/" + incarnation
+}
 
 func (x *crashReport) encode() []byte {
 	row := crashRow{AtMS: x.at.UnixMilli()}
@@ -159,46 +162,46 @@
 	return crashesWritten{e.incarnations, d.Platform.Commit(ctx, e.tx)}
 }
 
-// crashesWritten has what was not written, or may not have been, written again: the same
-// row twice does no harm.
+// crashesWritten has rows that were not written, or may not have been, written again. Writing
+// the same row twice does no harm.
 func (d *Daemon) crashesWritten(now time.Time, t *tables, m crashesWritten) {
 	r := &t.reports
 	r.writing = false
 	if m.err == nil {
 		return
 	}
-	d.Log.Warn("boxes were not told which requests ran on targets that ended; trying again", "targets", len(m.incarnations), "err", m.err)
+	d.Log.Warn("crash reports were not written; retrying", "targets", len(m.incarnations), "err", m.err)
 	r.retryAt = now.Add(crashRetryDelay)
-	for _, life := range m.incarnations {
-		if x := r.byIncarnation[life]; x != nil {
+	for _, incarnation := range m.incarnations {
+		if x := r.byIncarnation[incarnation]; x != nil {
 			x.written = false
 		}
 	}
 }
 
-// applyCrashRow takes over a row of any box. One of this box's own was written before it
-// started anew.
+// applyCrashRow applies a crash report of any box. One of this box's own is from before it
+// restarted.
 func (d *Daemon) applyCrashRow(now time.Time, t *tables, key string, value []byte) {
-	box, life, ok := strings.Cut(key, "/")
+	box, incarnation, ok := strings.Cut(key, "/")
 	var row crashRow
 	if err := json.Unmarshal(value, &row); !ok || err != nil || len(row.Fingerprints) > maxCrashFingerprints {
-		d.Log.Error("a row of requests that ran on a target when it ended can't be read", "key", key, "requests", len(row.Fingerprints), "err", err)
+		d.Log.Error("crash report's row is invalid", "key", key, "requests", len(row.Fingerprints), "err", err)
 		return
 	}
-	d.receiveIncarnationEnded(now, t, life, box)
+	d.receiveIncarnationEnded(now, t, incarnation, box)
 	var sums []fingerprint.Sum
 	for _, text := range row.Fingerprints {
 		sum, ok := fingerprint.Parse(text)
 		if !ok {
-			d.Log.Error("a row holds what is no fingerprint", "key", key, "text", text)
+			d.Log.Error("crash report's row holds an invalid fingerprint", "key", key, "text", text)
 			continue
 		}
 		sums = append(sums, sum)
-		d.blameRequest(now, t, life, sum, box)
+		d.blameRequest(now, t, incarnation, sum, box)
 	}
-	if box == d.Settings.Name && t.reports.byIncarnation[life] == nil {
-		t.reports.add(now, life, sums)
-		own := t.reports.byIncarnation[life]
+	if box == d.Settings.Name && t.reports.byIncarnation[incarnation] == nil {
+		t.reports.add(now, incarnation, sums)
+		own := t.reports.byIncarnation[incarnation]
 		own.written = true
 		if at := time.UnixMilli(row.AtMS); at.Before(now) {
 			own.at = at
@@ -206,30 +209,30 @@
 	}
 }
 
-// recentCrashes lists what this box found lately of requests that ran on targets when these
-// ended, for boxes that can't read the rows now, and of which other targets it heard.
+// recentCrashes lists the crashes that this box reported recently, for boxes that can't read
+// the rows now, and the ended incarnations that others reported to it.
 func (t *tables) recentCrashes(now time.Time) []peer.CrashReport {
 	var list []peer.CrashReport
-	for life, x := range t.reports.byIncarnation {
+	for incarnation, x := range t.reports.byIncarnation {
 		if now.Sub(x.at) > announceFor {
 			continue
 		}
-		told := peer.CrashReport{Incarnation: life}
+		told := peer.CrashReport{Incarnation: incarnation}
 		for sum := range x.fingerprints {
 			told.Fingerprints = append(told.Fingerprints, sum)
 		}
 		list = append(list, told)
 	}
-	for life, at := range t.endedIncarnations {
-		if now.Sub(at) <= announceFor && t.reports.byIncarnation[life] == nil {
-			list = append(list, peer.CrashReport{Incarnation: life})
+	for incarnation, at := range t.endedIncarnations {
+		if now.Sub(at) <= announceFor && t.reports.byIncarnation[incarnation] == nil {
+			list = append(list, peer.CrashReport{Incarnation: incarnation})
 		}
 	}
 	return list
 }
 
-// receiveQuarantine takes over what another box says of requests that ran on targets when
-// these ended, and of such that were answered after all.
+// receiveQuarantine applies the crashes that another box reported, and the requests that it
+// cleared.
 func (d *Daemon) receiveQuarantine(now time.Time, t *tables, m peer.Message) {
 	for _, told := range m.CrashReports {
 		d.receiveIncarnationEnded(now, t, told.Incarnation, m.From)
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -13,9 +13,9 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// refuseQuarantined returns why a request must reach no target, or nil. A target that may
-// have ended under it a moment ago counts: that is known for sure, or known to be wrong, 0.4 s
-// later, and meanwhile one more would end.
+// refuseQuarantined returns why a request must reach no target, or nil. Targets that may just
+// have ended under it count as well: within 0.4 s that is confirmed or refuted, but meanwhile
+// one more target would end.
 func (d *Daemon) refuseQuarantined(now time.Time, t *tables, job *deliver.Job) *refusal.Refusal {
 	if t.quarantine.Len() == 0 && t.crashes.Len() == 0 {
 		return nil
@@ -30,12 +30,12 @@
 // codeQuarantined is the refusal's code.
 const codeQuarantined = "quarantined"
 
-// quarantined says whether a request must reach no target.
+// quarantined reports whether a request must reach no target.
 func (t *tables) quarantined(now time.Time, sum fingerprint.Sum) bool {
 	return t.quarantine.Refuses(now, sum, t.crashes.Suspects(sum))
 }
 
-// clearAnswered notes that a request was answered whole, so that nothing speaks against it.
+// clearAnswered clears a request of blame, as it was answered completely.
 func (d *Daemon) clearAnswered(now time.Time, t *tables, job *deliver.Job) {
 	if t.quarantine.Len() == 0 {
 		return
@@ -43,7 +43,7 @@
 	d.lift(now, t, job.Fingerprint(), "request "+job.ID)
 }
 
-// lift drops what speaks against a request and has other boxes told.
+// lift removes a request from quarantine and has other boxes told.
 func (d *Daemon) lift(now time.Time, t *tables, sum fingerprint.Sum, from string) {
 	refused := t.quarantine.Crashes(sum) >= quarantine.Threshold
 	if !t.quarantine.Answered(now, sum) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// recentlyLifted lists the requests that were answered so lately that other boxes may not
+// recentlyLifted lists the requests that were cleared so recently that other boxes may not
 // know.
 func (t *tables) recentlyLifted(now time.Time) []fingerprint.Sum {
 	maps.DeleteFunc(t.lifted, func(_ fingerprint.Sum, at time.Time) bool { return now.Sub(at) > announceFor })
@@ -71,8 +71,8 @@
 	return list
 }
 
-// applyHubQuarantine takes over which requests a hub refuses. What it does not refuse says
-// nothing: this box may know of more.
+// applyHubQuarantine quarantines the requests that a hub refuses. Requests that the hub does
+// not refuse stay quarantined here, as this box may know of more crashes.
 func (d *Daemon) applyHubQuarantine(now time.Time, t *tables, hub string, v *peer.View) {
 	for _, sum := range v.Quarantined {
 		if t.quarantine.AddRemote(now, sum) {
@@ -83,8 +83,8 @@
 	t.hubQuarantineVersion = v.QuarantineVersion
 }
 
-// addQuarantine puts into a hub's view which requests it refuses, if the asking box does not
-// have that set.
+// addQuarantine adds the requests that a hub refuses to its view, unless the asking box has
+// that set.
 func (t *tables) addQuarantine(v *peer.View, have uint64) {
 	refused := t.quarantine.Refused()
 	v.QuarantineVersion = quarantineVersion(refused)
@@ -93,7 +93,8 @@
 	}
 }
 
-// quarantineVersion numbers a set of fingerprints, the same on every box; zero is the empty one.
+// quarantineVersion is a hash of a set of fingerprints, the same on every box; zero for the
+// empty set.
 func quarantineVersion(list []fingerprint.Sum) uint64 {
 	var set uint64
 	for _, sum := range list {
--- a/entry/trial.go
+++ b/entry/trial.go
@@ -12,22 +12,22 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// What speaks against a request that is refused may be chance: one that callers ask for all
-// the time runs everywhere, so also on three targets of a failure domain that is lost. As
-// all boxes refuse it, only answers that were under way could lift its quarantine. It is
-// therefore tried again, by the box whose claim the table service takes, for all of them.
-// The platform bears three sendings of a request that does take targets down, later than
-// 3 s after the third of these; one is left for what boxes did not find out.
+// A request may be quarantined by chance: one that is in flight everywhere at all times also
+// runs on three targets of a failure domain that is lost. As all boxes refuse it, only answers
+// to attempts already in flight could lift the quarantine. It is therefore tried again, for all
+// boxes, by the box whose claim the table service accepts. The platform allows three attempts
+// of a request that does crash targets later than 3 s after the third crash. Two are made here;
+// one is left for crashes that boxes did not notice.
 const (
-	// maxTrials is how often a request is tried in all.
+	// maxTrials is the maximum number of trials of a request.
 	maxTrials = 2
-	// firstTrialDelay is when, after a box refused it first: by then most answers to those that
-	// were under way elsewhere have come, and targets that were lost are back. One costs
-	// what runs on a target, some 20 requests.
+	// firstTrialDelay is the delay from a box's first refusal to the first trial. By then most
+	// answers in flight elsewhere have come and lost targets are back. A trial may cost the
+	// requests that run on a target, some 20.
 	firstTrialDelay = 10 * time.Second
-	// nextTrialDelay is the time to the second one.
+	// nextTrialDelay is the delay from there to the second trial.
 	nextTrialDelay = 10 * time.Minute
-	// claimTimeout bounds the two calls of a claim; its caller waits.
+	// claimTimeout bounds the two calls of a claim, as the caller waits for them.
 	claimTimeout = time.Second
 )
 
@@ -37,25 +37,26 @@
 // trialRow is the value of such a row.
 type trialRow struct {
 	Count int `json:"count"`
-	// AtMS is when the last one was, in Unix milliseconds; seconds make no odds.
+	// AtMS is the time of the last trial in Unix milliseconds; clock skew of seconds does not
+	// matter.
 	AtMS int64 `json:"at_ms"`
 }
 
-// claimTrial asks for a request's trial.
+// claimTrial claims a request's trial.
 type claimTrial struct {
 	m   placementRequest
 	sum fingerprint.Sum
 }
 
-// trialClaimed tells whether this request is the one.
+// trialClaimed tells whether this request is the trial.
 type trialClaimed struct {
 	claimTrial
 	granted bool
 	err     error
 }
 
-// refuseOrTry refuses a request that takes targets down, or claims its trial if one may be
-// due. It says whether that is all that is to be done about it.
+// refuseOrTry refuses a quarantined request, or claims its trial if one may be due. It reports
+// whether the request needs no further handling.
 func (d *Daemon) refuseOrTry(now time.Time, t *tables, m placementRequest) ([]effect, bool) {
 	refused := d.refuseQuarantined(now, t, m.ask.Job)
 	if refused == nil || m.trial {
@@ -69,7 +70,7 @@
 	return nil, true
 }
 
-// trialDue says whether this box should claim a request's trial now.
+// trialDue reports whether this box should claim a request's trial now.
 func (t *tables) trialDue(now time.Time, sum fingerprint.Sum) bool {
 	at, known := t.nextTrial[sum]
 	if !known {
@@ -83,8 +84,8 @@
 	return true
 }
 
-// claimTrial reads how often the request was tried and counts once more, unless another box
-// does so meanwhile. A claim whose answer is lost is none: one trial less is made.
+// claimTrial reads how many trials a request has had and adds one, unless another box does so
+// meanwhile. A claim whose answer is lost is not granted, so one trial fewer is made.
 func (d *Daemon) claimTrial(ctx context.Context, e claimTrial) trialClaimed {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -114,15 +115,16 @@
 	return trialClaimed{e, err == nil, err}
 }
 
-// trialClaimed places the request that is tried, and refuses any other.
+// trialClaimed places the request if it is the trial, and refuses it otherwise.
 func (d *Daemon) trialClaimed(now time.Time, t *tables, m trialClaimed) []effect {
 	d.Log.Info("request may be tried once more", "request", m.m.ask.Job.ID, "fingerprint", m.sum, "granted", m.granted, "err", m.err)
 	m.m.trial = m.granted
 	return d.placementRequested(now, t, m.m)
 }
 
-// expireTrials forgets when requests may be tried that are not refused any more. Their
-// rows stay, a hundred bytes for three targets that ended: other boxes may refuse them yet.
+// expireTrials forgets the trials of requests that are not refused any more. Their rows stay,
+// as other boxes may still refuse these requests: a hundred bytes for each request that ended
+// three targets.
 func (t *tables) expireTrials() {
 	maps.DeleteFunc(t.nextTrial, func(sum fingerprint.Sum, _ time.Time) bool {
 		return t.quarantine.Crashes(sum) == 0 && t.crashes.Suspects(sum) == 0
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -10,8 +10,8 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// codeWithTrial has a request come to a box and returns the code it is refused with, or an empty
-// text if it is placed. What the box does about a trial is done.
+// codeWithTrial has a box handle a request, with its trial, and returns the refusal's code, or
+// an empty string if it is placed.
 func codeWithTrial(t *testing.T, d *Daemon, now time.Time, j *deliver.Job) string {
 	t.Helper()
 	d.now = func() time.Time { return now }
@@ -32,14 +32,14 @@
 	boxes := []*Daemon{engines("b1"), engines("b2")}
 	boxes[1].Platform = boxes[0].Platform
 	for _, d := range boxes {
-		for _, life := range []string{"x", "y", "z"} {
-			d.blameRequest(start, &d.tables, life, jobWithBody("same").Fingerprint(), "b3")
+		for _, incarnation := range []string{"x", "y", "z"} {
+			d.blameRequest(start, &d.tables, incarnation, jobWithBody("same").Fingerprint(), "b3")
 		}
 	}
 	return boxes
 }
 
-// TestTrials counts how often a request that takes targets down is sent once it is refused,
+// TestTrials checks how often a request that crashes targets is sent once it is refused,
 // however often it comes and at which box.
 func TestTrials(t *testing.T) {
 	boxes := quarantiningBoxes()
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestTrialLiftsQuarantine refuses a request that merely ran on three targets as these were lost, until
-// a trial was answered; then all boxes serve it.
+// TestTrialLiftsQuarantine refuses a request that only happened to run on three targets as
+// these were lost, until a trial was answered; then all boxes serve it.
 func TestTrialLiftsQuarantine(t *testing.T) {
 	boxes := quarantiningBoxes()
 	now := start
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestNoTrialWithoutCount makes no trial while the table service can't count it, nor by a row that
-// can't be read.
+// TestNoTrialWithoutCount checks that no trial is made while the table service can't count it,
+// or by a row that is invalid.
 func TestNoTrialWithoutCount(t *testing.T) {
 	failing := errors.New("away")
 	tests := []struct {
