--- a/entry/canary.go
+++ b/entry/canary.go
@@ -111,7 +111,7 @@
 		ownCounts: make(map[string]canary.Counts), peerCounts: make(map[sampleKey]peerSample),
 	}
 	if before != nil {
-		c.revision, c.barred = before.revision, before.bars()
+		c.revision, c.barred = before.revision, before.nextBarred()
 	}
 	t.canaries[spec.Pool] = c
 	if spec.Version == "" {
@@ -122,8 +122,8 @@
 	return c
 }
 
-// bars lists the versions that get no requests once another rollout follows this one.
-func (c *canaryRollout) bars() []string {
+// nextBarred lists the versions that get no requests once another rollout follows this one.
+func (c *canaryRollout) nextBarred() []string {
 	list := slices.Clone(c.barred)
 	if c.state != canary.Completed && c.spec.Version != "" && !slices.Contains(list, c.spec.Version) {
 		list = append(list, c.spec.Version)
--- a/entry/canary_test.go
+++ b/entry/canary_test.go
@@ -22,15 +22,15 @@
 // canaryFleet is a fleet whose plain service is to move to another version.
 type canaryFleet struct {
 	*emulator
-	dice *rand.Rand
+	random *rand.Rand
 	// answer returns how the new version answers, given how many answers it has given so far.
 	answer func(route string, given int) (failed bool, slower float64)
-	// sent and tried count the requests that reached the service and the new version since the
-	// rollout was asked for. bad counts the new version's bad answers, fiftieth is when the
-	// fiftieth came, and late counts the requests that reached it after the platform's bound
-	// for that.
-	sent, tried, bad, late int
-	fiftieth               time.Time
+	// sent and canarySent count the requests that reached the service and the new version since
+	// the rollout was asked for. bad counts the new version's bad answers, fiftiethBad is when
+	// the fiftieth of them came, and late counts the requests that reached it after the
+	// platform's bound for that.
+	sent, canarySent, bad, late int
+	fiftiethBad                 time.Time
 	// olderAfterCompletion counts requests that reached the older version after completion.
 	olderAfterCompletion int
 	asked                bool
@@ -44,7 +44,7 @@
 }
 
 func newCanaryFleet(seed uint64, boxes int) *canaryFleet {
-	w := &canaryFleet{emulator: emulate(boxes, 3, configuration(1)), dice: rand.New(rand.NewPCG(seed, 4))}
+	w := &canaryFleet{emulator: emulate(boxes, 3, configuration(1)), random: rand.New(rand.NewPCG(seed, 4))}
 	w.answer = func(string, int) (bool, float64) { return false, 1 }
 	for i := range 5 {
 		w.addTargets(serviceAt(fmt.Sprintf("old-%d", i), "v1", i))
@@ -69,7 +69,7 @@
 // serve has each box send requests: some 400 a second in all.
 func (w *canaryFleet) serve() {
 	for _, d := range w.boxes {
-		if w.dead[d.Settings.Name] || w.dice.IntN(100) >= 28*70/len(w.boxes) {
+		if w.dead[d.Settings.Name] || w.random.IntN(100) >= 28*70/len(w.boxes) {
 			continue
 		}
 		w.request(d)
@@ -77,14 +77,14 @@
 }
 
 func (w *canaryFleet) request(d *Daemon) {
-	route := []string{"short", "long"}[min(w.dice.IntN(3), 1)]
+	route := []string{"short", "long"}[min(w.random.IntN(3), 1)]
 	job := &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{Name: route, Goal: 300 * time.Millisecond}, Pool: d.current.Load().Pools["orders"]}
 	place, err := d.place(w.now, &d.tables, deliver.PlacementRequest{Job: job})
 	if err != nil {
 		return
 	}
-	took := time.Duration((40 + w.dice.Float64()*40) * float64(time.Millisecond))
-	failed := w.dice.IntN(50) == 0
+	took := time.Duration((40 + w.random.Float64()*40) * float64(time.Millisecond))
+	failed := w.random.IntN(50) == 0
 	if w.asked {
 		w.sent++
 	}
@@ -101,14 +101,14 @@
 
 // answerFromCanary counts a request that reaches the new version, and draws its answer.
 func (w *canaryFleet) answerFromCanary(route string, took time.Duration) (bool, time.Duration) {
-	if !w.fiftieth.IsZero() && w.now.Sub(w.fiftieth) > 5*time.Second {
+	if !w.fiftiethBad.IsZero() && w.now.Sub(w.fiftiethBad) > 5*time.Second {
 		w.late++
 	}
-	failed, slower := w.answer(route, w.tried)
-	w.tried++
+	failed, slower := w.answer(route, w.canarySent)
+	w.canarySent++
 	if failed || slower > 1 {
 		if w.bad++; w.bad == 50 {
-			w.fiftieth = w.now
+			w.fiftiethBad = w.now
 		}
 	}
 	return failed, time.Duration(float64(took) * slower)
@@ -125,7 +125,7 @@
 // badAnswers returns answers of which a share fail, or take four times as long.
 func (w *canaryFleet) badAnswers(percent int, slow bool, from int, only string) func(string, int) (bool, float64) {
 	return func(route string, given int) (bool, float64) {
-		if given < from || only != "" && route != only || w.dice.IntN(100) >= percent {
+		if given < from || only != "" && route != only || w.random.IntN(100) >= percent {
 			return false, 1
 		}
 		if slow {
@@ -159,12 +159,12 @@
 			w.answer = tt.answer(w)
 			w.ask("v2")
 			w.advance(rolloutTime, w.serve)
-			t.Logf("%d of %d requests reached the new version, %d bad answers, told %v", w.tried, w.sent, w.bad, w.canaryReports["orders"])
+			t.Logf("%d of %d requests reached the new version, %d bad answers, told %v", w.canarySent, w.sent, w.bad, w.canaryReports["orders"])
 			if w.last() != tt.want {
 				t.Errorf("told %v at the end, want %v", w.canaryReports["orders"], tt.want)
 			}
-			if tt.want == canary.RolledBack && float64(w.tried) > 0.1*float64(w.sent)+50 {
-				t.Errorf("a bad version got %d of %d requests", w.tried, w.sent)
+			if tt.want == canary.RolledBack && float64(w.canarySent) > 0.1*float64(w.sent)+50 {
+				t.Errorf("a bad version got %d of %d requests", w.canarySent, w.sent)
 			}
 			if w.late > 0 || w.olderAfterCompletion > 0 {
 				t.Errorf("%d requests came too late to the new version, %d to the older one after it was completed", w.late, w.olderAfterCompletion)
@@ -188,7 +188,7 @@
 		}
 	}},
 	{"the table service loses answers", func(w *canaryFleet) {
-		w.rows.Fault = func() fake.Kind { return []fake.Kind{fake.None, fake.Lost, fake.Dropped, fake.Late}[w.dice.IntN(4)] }
+		w.rows.Fault = func() fake.Kind { return []fake.Kind{fake.None, fake.Lost, fake.Dropped, fake.Late}[w.random.IntN(4)] }
 	}},
 	{"asked for again", func(w *canaryFleet) { w.ask("v2") }},
 	{"an older target goes", func(w *canaryFleet) { w.removeTargets("old-0") }},
@@ -231,10 +231,10 @@
 		w.advance(rolloutTime+time.Second, w.serve) // Asking again starts the time anew.
 		ok := w.late == 0 && w.olderAfterCompletion == 0 && w.last().Ended()
 		if percent > 0 {
-			ok = ok && float64(w.tried) <= 0.1*float64(w.sent)+50 && w.last() == canary.RolledBack
+			ok = ok && float64(w.canarySent) <= 0.1*float64(w.sent)+50 && w.last() == canary.RolledBack
 		}
 		if !ok {
-			t.Logf("seed %d, %d in 100 bad, %s after %d s: %d of %d reached it, %d late, %d to the older one, told %v", seed, percent, faults[trouble].name, after, w.tried, w.sent, w.late, w.olderAfterCompletion, w.canaryReports["orders"])
+			t.Logf("seed %d, %d in 100 bad, %s after %d s: %d of %d reached it, %d late, %d to the older one, told %v", seed, percent, faults[trouble].name, after, w.canarySent, w.sent, w.late, w.olderAfterCompletion, w.canaryReports["orders"])
 		}
 		return ok
 	}, gen.UInt64Range(1, 1000), gen.OneConstOf(0, 20, 50, 100), gen.IntRange(0, len(faults)-1), gen.IntRange(1, 6)))
@@ -272,10 +272,10 @@
 			w.advance(rolloutTime, func() {
 				w.serve()
 				if c := w.boxes[0].tables.canaryOf("orders"); c == nil || c.state == canary.Trying {
-					over = max(over, float64(w.tried)-share*float64(w.sent)-extra)
+					over = max(over, float64(w.canarySent)-share*float64(w.sent)-extra)
 				}
 			})
-			t.Logf("%d of %d requests reached the new version, told %v", w.tried, w.sent, w.canaryReports["orders"])
+			t.Logf("%d of %d requests reached the new version, told %v", w.canarySent, w.sent, w.canaryReports["orders"])
 			if holds := over <= 0; holds != tt.holds {
 				t.Errorf("%v requests more than the share at the most", over)
 			}
@@ -303,8 +303,8 @@
 			w.answer = w.badAnswers(tt.bad, false, 0, "")
 			w.ask("v2")
 			w.advance(rolloutTime, w.serve)
-			if float64(w.tried) <= 0.1*float64(w.sent)+50 && w.late == 0 && w.last() == canary.RolledBack {
-				t.Errorf("holds without: %d of %d reached it, told %v", w.tried, w.sent, w.canaryReports["orders"])
+			if float64(w.canarySent) <= 0.1*float64(w.sent)+50 && w.late == 0 && w.last() == canary.RolledBack {
+				t.Errorf("holds without: %d of %d reached it, told %v", w.canarySent, w.sent, w.canaryReports["orders"])
 			}
 		})
 	}
--- a/entry/canaryrow.go
+++ b/entry/canaryrow.go
@@ -20,9 +20,9 @@
 const canaryPrefix = "canary/"
 
 const (
-	// completeAt is the share of the rollout's time after which a version that is no worse
+	// completeAfterShare is the share of the rollout's time after which a version that is no worse
 	// begins to be completed. One that turns bad later is still found within that time.
-	completeAt = 0.65
+	completeAfterShare = 0.65
 	// completionDelay is the time for all boxes to learn that all requests go to the new
 	// version: hubs read the row within 0.3 s, and other boxes take a hub's view every 0.15 s.
 	completionDelay = 1500 * time.Millisecond
@@ -155,7 +155,7 @@
 	switch {
 	case left <= decisionMargin:
 		return canary.RolledBack
-	case left <= time.Duration(float64(c.spec.Timeout)*(1-completeAt)) && c.judge.Good():
+	case left <= time.Duration(float64(c.spec.Timeout)*(1-completeAfterShare)) && c.judge.Good():
 		return canary.Completing
 	}
 	return canary.Trying
@@ -214,7 +214,7 @@
 	}
 	c.revision, c.rowLost = changed, false
 	if !c.spec.Same(spec) {
-		c.barred = union(c.barred, row.bars())
+		c.barred = union(c.barred, row.nextBarred())
 		return
 	}
 	c.deadline = time.Duration(row.DeadlineMS) * time.Millisecond
@@ -223,8 +223,8 @@
 	d.setCanaryState(now, c, row.State, "its row")
 }
 
-// bars lists the versions that get no requests once another rollout follows this row's.
-func (r canaryRow) bars() []string {
+// nextBarred lists the versions that get no requests once another rollout follows this row's.
+func (r canaryRow) nextBarred() []string {
 	if r.State == canary.Completed || r.Version == "" {
 		return r.Barred
 	}
--- a/entry/crashrow.go
+++ b/entry/crashrow.go
@@ -242,7 +242,7 @@
 	}
 	for _, sum := range m.Lifted {
 		if _, known := t.lifted[sum]; !known {
-			d.lift(now, t, sum, m.From)
+			d.liftQuarantine(now, t, sum, m.From)
 		}
 	}
 }
--- a/entry/place.go
+++ b/entry/place.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// expectFor is how long a prompt part sent to an engine or a store is assumed to be cached
+	// expectedTTL is how long a prompt part sent to an engine or a store is assumed to be cached
 	// there before its cache events confirm it.
-	expectFor = 1500 * time.Millisecond
+	expectedTTL = 1500 * time.Millisecond
 )
 
 // askPlace asks the loop for a place. In a large fleet the loop asks hubs first.
@@ -104,7 +104,7 @@
 }
 
 func (d *Daemon) placePlain(now time.Time, t *tables, ask deliver.PlacementRequest) (deliver.Placement, *refusal.Refusal) {
-	return d.choosePlain(now, t, ask, backsOff(now))
+	return d.choosePlain(now, t, ask, inBackoff(now))
 }
 
 // choosePlain chooses a target of a plain service, except those excluded for the box that sends
@@ -154,8 +154,8 @@
 }
 
 // skip returns a filter for the targets that can't be chosen: those outside the allowed
-// regions, those tried before, those excluded for that box, and cold or rate-limited ones to
-// which this box has sent its share.
+// regions, those attempted before, those excluded for that box, and cold or rate-limited ones
+// to which this box has sent its share.
 func (d *Daemon) skip(now time.Time, t *tables, ask deliver.PlacementRequest, excluded func(*fleet.Target) bool) func(id string) bool {
 	regions := allowedRegions(ask.Job)
 	return func(id string) bool {
@@ -169,8 +169,8 @@
 	return func(x *fleet.Target) bool { return a(x) || b(x) }
 }
 
-// backsOff returns a filter for the targets that asked this box for a backoff.
-func backsOff(now time.Time) func(*fleet.Target) bool {
+// inBackoff returns a filter for the targets that asked this box for a backoff.
+func inBackoff(now time.Time) func(*fleet.Target) bool {
 	return func(x *fleet.Target) bool { return x.InBackoff(now) }
 }
 
@@ -185,7 +185,7 @@
 }
 
 func (d *Daemon) placeModel(now time.Time, t *tables, ask deliver.PlacementRequest) (deliver.Placement, *refusal.Refusal) {
-	return d.chooseEngine(now, t, ask, sender{d.Settings.Domain, d.admissionLimit(t, ask.Job), d.hasIdleConnection, backsOff(now)})
+	return d.chooseEngine(now, t, ask, sender{d.Settings.Domain, d.admissionLimit(t, ask.Job), d.hasIdleConnection, inBackoff(now)})
 }
 
 // chooseEngine chooses an engine, trying the software versions in the order of softwareFilters.
@@ -265,7 +265,7 @@
 
 // expectCached notes which parts the engine and the stores will cache.
 func expectCached(now time.Time, t *tables, parts []deliver.Part, choice affinity.Choice) {
-	until := now.Add(expectFor)
+	until := now.Add(expectedTTL)
 	for i, key := range choice.Keys {
 		t.directory.Expect(choice.Target.ID, key, parts[i].Tokens, until)
 		if choice.Save != nil && choice.Save[i] != nil {
--- a/entry/placehub.go
+++ b/entry/placehub.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// placeFor bounds a hub's call for a place. The hub takes about 1 ms, and a weak box some
+	// hubPlaceTimeout bounds a hub's call for a place. The hub takes about 1 ms, and a weak box some
 	// 10 ms to read the answer.
-	placeFor = 100 * time.Millisecond
-	// hubAsks is how many hubs are asked to place a request before this box places it alone.
+	hubPlaceTimeout = 100 * time.Millisecond
+	// maxHubsAsked is how many hubs are asked to place a request before this box places it alone.
 	// Alone it knows of no cached part, so the engine prefills the whole prompt: for 12,000
 	// tokens that costs more than the request earns.
-	hubAsks = 2
+	maxHubsAsked = 2
 )
 
 // askHub asks a hub for a place.
@@ -48,7 +48,7 @@
 		m.reply <- placeAnswer{err: d.timeoutRefusal(m.ask.Job)}
 		return nil
 	}
-	if effects, done := d.refuseOrTry(now, t, m); done {
+	if effects, done := d.refuseOrClaimTrial(now, t, m); done {
 		return effects
 	}
 	if refused := d.refuseImpossible(t, m.ask.Job); refused != nil {
@@ -66,7 +66,7 @@
 // placeRemotely hands a model request to a hub, if this box is a spoke, and any request for
 // which only rate-limited targets are left.
 func (d *Daemon) placeRemotely(now time.Time, t *tables, m placementRequest) ([]effect, bool) {
-	if !d.spoke.Load() || m.ask.Job.Pool.Engine == nil && !t.onlyLimited(now, m.ask) || len(m.askedHubs) >= hubAsks || d.weightsStale(now) {
+	if !d.spoke.Load() || m.ask.Job.Pool.Engine == nil && !t.onlyLimited(now, m.ask) || len(m.askedHubs) >= maxHubsAsked || d.weightsStale(now) {
 		return nil, false
 	}
 	hub := d.placementHub(now, t, m.askedHubs)
@@ -106,7 +106,7 @@
 }
 
 func (d *Daemon) askHub(ctx context.Context, e askHub) hubPlaced {
-	ctx, cancel := context.WithTimeout(ctx, placeFor)
+	ctx, cancel := context.WithTimeout(ctx, hubPlaceTimeout)
 	defer cancel()
 	defer context.AfterFunc(e.m.ctx, cancel)()
 	answer, err := d.peers.Call(ctx, e.at, peer.Message{Kind: peer.KindPlace, From: d.Settings.Name, PlacementRequest: &e.ask})
@@ -140,7 +140,7 @@
 // otherHubHasQuota reports whether the hub has used up its share of the rate-limited targets'
 // quotas while another hub, which has a share of its own, can still be asked.
 func otherHubHasQuota(m hubPlaced) bool {
-	return m.placed.Refused == codeLimited && len(m.m.askedHubs)+1 < hubAsks
+	return m.placed.Refused == codeLimited && len(m.m.askedHubs)+1 < maxHubsAsked
 }
 
 func (d *Daemon) hubFailed(now time.Time, t *tables, hub string, err error) {
@@ -209,7 +209,7 @@
 	if slices.ContainsFunc(t.fleet.Pool(request.Job.Pool.Name), fits) {
 		return placeAnswer{}, false
 	}
-	refused := d.refuseNone(now, t, request, backsOff(now))
+	refused := d.refuseNone(now, t, request, inBackoff(now))
 	d.notePlacement(now, request, refused)
 	return placeAnswer{err: refused.After(d.retryAfterRefusal(now, t, refused.Code, request.Job))}, true
 }
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -40,11 +40,11 @@
 	if t.quarantine.Len() == 0 {
 		return
 	}
-	d.lift(now, t, job.Fingerprint(), "request "+job.ID)
+	d.liftQuarantine(now, t, job.Fingerprint(), "request "+job.ID)
 }
 
-// lift removes a request from quarantine and has other boxes told.
-func (d *Daemon) lift(now time.Time, t *tables, sum fingerprint.Sum, from string) {
+// liftQuarantine removes a request from quarantine and has other boxes told.
+func (d *Daemon) liftQuarantine(now time.Time, t *tables, sum fingerprint.Sum, from string) {
 	refused := t.quarantine.Crashes(sum) >= quarantine.Threshold
 	if !t.quarantine.Answered(now, sum) {
 		return
--- a/entry/restored_canary_test.go
+++ b/entry/restored_canary_test.go
@@ -44,8 +44,8 @@
 			if w.last() != tt.want {
 				t.Errorf("told %v, want %v at the end", w.canaryReports["orders"], tt.want)
 			}
-			if tt.percent > 0 && float64(w.tried) > 0.1*float64(w.sent)+50 {
-				t.Errorf("a bad version got %d of %d requests", w.tried, w.sent)
+			if tt.percent > 0 && float64(w.canarySent) > 0.1*float64(w.sent)+50 {
+				t.Errorf("a bad version got %d of %d requests", w.canarySent, w.sent)
 			}
 			if w.late > 0 || w.olderAfterCompletion > 0 {
 				t.Errorf("%d requests came too late to the new version, %d to the older one after it was completed", w.late, w.olderAfterCompletion)
--- a/entry/retrybudget_test.go
+++ b/entry/retrybudget_test.go
@@ -73,8 +73,8 @@
 		name  string
 		box   string
 		extra float64
-		// told is the number of boxes and rowless that of boxes without a row, both as told by
-		// a hub.
+		// told is the number of boxes and rowless that of boxes without a row, both as reported
+		// by a hub.
 		told, rowless int
 		hub           string
 		lender        *retryBudgetSource
--- a/entry/signals_test.go
+++ b/entry/signals_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// TestAllInBackoff checks when callers are told to come back if all targets asked for a
+// TestAllInBackoff checks the time after which callers should return if all targets asked for a
 // backoff: when the first backoff ends, within bounds.
 func TestAllInBackoff(t *testing.T) {
 	tests := []struct {
--- a/entry/trial.go
+++ b/entry/trial.go
@@ -14,10 +14,10 @@
 
 // A request may be quarantined by chance: one that is in flight everywhere at all times also
 // runs on three targets of a failure domain that is lost. As all boxes refuse it, only answers
-// to attempts already in flight could lift the quarantine. It is therefore tried again, for all
-// boxes, by the box whose claim the table service accepts. The platform allows three attempts
-// of a request that does crash targets later than 3 s after the third crash. Two are made here;
-// one is left for crashes that boxes did not notice.
+// to attempts already in flight could lift the quarantine. It is therefore attempted again, for
+// all boxes, by the box whose claim the table service accepts. The platform allows three
+// attempts of a request that does crash targets later than 3 s after the third crash. Two are
+// made here; one is left for crashes that boxes did not notice.
 const (
 	// maxTrials is the maximum number of trials of a request.
 	maxTrials = 2
@@ -55,9 +55,9 @@
 	err     error
 }
 
-// refuseOrTry refuses a quarantined request, or claims its trial if one may be due. It reports
+// refuseOrClaimTrial refuses a quarantined request, or claims its trial if one may be due. It reports
 // whether the request needs no further handling.
-func (d *Daemon) refuseOrTry(now time.Time, t *tables, m placementRequest) ([]effect, bool) {
+func (d *Daemon) refuseOrClaimTrial(now time.Time, t *tables, m placementRequest) ([]effect, bool) {
 	refused := d.refuseQuarantined(now, t, m.ask.Job)
 	if refused == nil || m.trial {
 		return nil, false
