--- a/entry/load_test.go
+++ b/entry/load_test.go
@@ -21,7 +21,7 @@
 		{"replaced", func(d *Daemon) {
 			d.dropReplaced(start, &d.tables, fleet.Incarnation{ID: "a", StartedAt: born}, "a test")
 		}},
-		{"restarted", func(d *Daemon) {
+		{"started again", func(d *Daemon) {
 			e := engine("a", 1)
 			e.StartedAt = start
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{e}}, false})
--- a/entry/loading.go
+++ b/entry/loading.go
@@ -12,7 +12,7 @@
 // every box that places requests polls the loading targets itself. Otherwise they stay out of
 // use for maxLoadTime: in a rollout whose leader was cut off after its first orders, 40 of 99
 // engines idled for 3 s and 9 in 100 long prompts were refused for lack of memory instead of 5.
-// Polling costs 3,000 small calls for two rollouts with ten hubs and 99 engines.
+// Polling costs 3,000 small calls on a day with two rollouts, ten hubs and 99 engines.
 
 // firstLoadPoll is the delay before a loading target is first polled. The platform's loads take
 // 1.3 s if few enough targets load at once.
