--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -35,19 +35,19 @@
 	return d
 }
 
-// jobWithBody is a request for something; equal names ask for the same.
+// jobWithBody is a request with a body; equal bodies have equal fingerprints.
 func jobWithBody(name string) *deliver.Job {
 	j := job("long", 10)
 	j.ID, j.Body = "r", []byte(name)
 	return j
 }
 
-// placeAt is where a request was sent at a time.
+// placeAt is a place on a target, ms after start.
 func placeAt(ms int, target string) deliver.Placement {
 	return deliver.Placement{Target: target, PlacedAt: start.Add(time.Duration(ms) * time.Millisecond)}
 }
 
-// Messages that tell of targets.
+// Messages about targets.
 func cutOff(target, name string) message {
 	return attemptEnded{deliver.AttemptResult{Place: placeAt(0, target), Job: jobWithBody(name), Failed: true, Unreachable: true, CutOff: true}}
 }
@@ -58,8 +58,8 @@
 
 func answersAt(ms int, target string) message { return answerBegan{placeAt(ms, target)} }
 
-// code returns the code with which a request is refused a place at once, or an empty text.
-func code(d *Daemon, at time.Time, j *deliver.Job) string {
+// placeCode returns the code of an immediate refusal, or an empty string.
+func placeCode(d *Daemon, at time.Time, j *deliver.Job) string {
 	reply := make(chan placeAnswer, 1)
 	d.placementRequested(at, &d.tables, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: j}, reply: reply})
 	select {
@@ -70,7 +70,7 @@
 	return ""
 }
 
-// codeOf returns the code of a refusal, or an empty text.
+// codeOf returns the code of a refusal, or an empty string.
 func codeOf(err error) string {
 	var refused *refusal.Refusal
 	if errors.As(err, &refused) {
@@ -79,24 +79,24 @@
 	return ""
 }
 
-// gossipFrom is another box's gossip without anything to tell.
+// gossipFrom is another box's gossip message without content.
 func gossipFrom(name string) peer.Message { return peer.Message{Kind: peer.KindGossip, From: name} }
 
-// TestEndedUnder goes through the ways to find out that a target ended under a request, or
-// that it did not.
+// TestEndedUnder goes through the ways to find out that a target ended under a request, or did
+// not.
 func TestEndedUnder(t *testing.T) {
 	refusedNews := func(target string) message {
 		return cacheEventsRead{source: target, err: fmt.Errorf("dial: %w", syscall.ECONNREFUSED)}
 	}
 	tests := []struct {
 		name string
-		// after follows the request's being cut off at a target.
+		// after lists what follows after the request was cut off at a target.
 		after func(target string) []message
 		want  bool
 	}{
 		{"its address refuses connections", func(x string) []message { return []message{refusesDial(x)} }, true},
-		{"its news can't be had, as its address refuses connections", func(x string) []message { return []message{refusedNews(x)} }, true},
-		{"its news can't be had", func(x string) []message { return []message{cacheEventsRead{source: x, err: errors.New("reset")}} }, false},
+		{"its cache events can't be read, as its address refuses connections", func(x string) []message { return []message{refusedNews(x)} }, true},
+		{"its cache events can't be read", func(x string) []message { return []message{cacheEventsRead{source: x, err: errors.New("reset")}} }, false},
 		{"the list drops it", func(x string) []message { return []message{targetsRead{start, Targets{Gone: []string{x}}, false}} }, true},
 		{"it leaves and the list drops it", func(x string) []message {
 			leaving := engine(x, 1)
@@ -110,15 +110,15 @@
 		{"asked for its health, it refuses connections", func(x string) []message {
 			return []message{probed{probe{target: x, life: fleet.Incarnation{ID: x}, asked: start.Add(time.Second)}, syscall.ECONNREFUSED}}
 		}, true},
-		{"asked for its health, it says that it is not well, and then ends", func(x string) []message {
+		{"asked for its health, it says that it is unhealthy, and then ends", func(x string) []message {
 			return []message{probed{probe{target: x, life: fleet.Incarnation{ID: x}, asked: start.Add(time.Second)}, ErrUnhealthy}, refusesDial(x)}
 		}, false},
 		{"it answers what was sent later, and then ends", func(x string) []message { return []message{answersAt(1, x), refusesDial(x)} }, false},
 		{"it answers what was sent before, and then ends", func(x string) []message { return []message{answersAt(-1, x), refusesDial(x)} }, true},
-		{"it tells news that was asked for later, and then ends", func(x string) []message {
+		{"it sends cache events that were asked for later, and then ends", func(x string) []message {
 			return []message{cacheEventsRead{source: x, asked: start.Add(time.Millisecond)}, refusesDial(x)}
 		}, false},
-		{"it tells news that was asked for before, and then ends", func(x string) []message {
+		{"it sends cache events that were asked for before, and then ends", func(x string) []message {
 			return []message{cacheEventsRead{source: x, asked: start.Add(-time.Millisecond)}, refusesDial(x)}
 		}, true},
 	}
@@ -135,35 +135,35 @@
 			later := start.Add(10 * time.Second)
 			d.tables.crashes.Expire(later)
 			d.update(later, operatorRead{later, Operator{}})
-			if got := code(d, later, jobWithBody("same")) == codeQuarantined; got != tt.want {
+			if got := placeCode(d, later, jobWithBody("same")) == codeQuarantined; got != tt.want {
 				t.Errorf("refused: %v, want %v", got, tt.want)
 			}
-			if got := code(d, later, jobWithBody("another")); got == codeQuarantined {
+			if got := placeCode(d, later, jobWithBody("another")); got == codeQuarantined {
 				t.Error("another request is refused")
 			}
 		})
 	}
 }
 
-// TestDoubtedCount refuses a request at once while three targets may have ended under it,
-// and serves it again once one of them is heard.
-func TestDoubtedCount(t *testing.T) {
+// TestSuspectedCrashesCount refuses a request at once while three targets may have ended under
+// it, and serves it again once one of them answers.
+func TestSuspectedCrashesCount(t *testing.T) {
 	d := engines("b1")
 	for i := range quarantine.Threshold {
 		d.update(start, cutOff(fmt.Sprintf("e%d", i), "same"))
 	}
-	if got := code(d, start, jobWithBody("same")); got != codeQuarantined {
+	if got := placeCode(d, start, jobWithBody("same")); got != codeQuarantined {
 		t.Errorf("refused with %q", got)
 	}
 	d.update(start, answersAt(1, "e1"))
-	if got := code(d, start, jobWithBody("same")); got == codeQuarantined {
-		t.Error("refused though one of the targets lives")
+	if got := placeCode(d, start, jobWithBody("same")); got == codeQuarantined {
+		t.Error("refused though one of the targets is alive")
 	}
 }
 
-// TestMerelyRan has requests run on target after target as these end, and be answered now
-// and then: they are served on.
-func TestMerelyRan(t *testing.T) {
+// TestBystanderIsServed has a request run on target after target as these end, and be answered
+// now and then: it is not refused.
+func TestBystanderIsServed(t *testing.T) {
 	d := engines("b1")
 	for i := range 30 {
 		target := fmt.Sprintf("e%d", i%8)
@@ -172,29 +172,29 @@
 		if i%2 == 1 {
 			d.update(start, attemptEnded{deliver.AttemptResult{Place: placeAt(1, "e7"), Job: jobWithBody("bystander"), Began: true, Answered: true}})
 		}
-		if got := code(d, start, jobWithBody("bystander")); got == codeQuarantined {
+		if got := placeCode(d, start, jobWithBody("bystander")); got == codeQuarantined {
 			t.Fatalf("refused after %d targets", i+1)
 		}
 	}
 }
 
-// TestCallerLeaves holds a target's end against a request whose caller left right before.
-func TestCallerLeaves(t *testing.T) {
+// TestCallerLeavesBeforeCrash blames a request whose caller left right before the target ended.
+func TestCallerLeavesBeforeCrash(t *testing.T) {
 	d := engines("b1")
 	for i := range quarantine.Threshold {
 		target := fmt.Sprintf("e%d", i)
 		d.update(start, attemptEnded{deliver.AttemptResult{Place: placeAt(0, target), Job: jobWithBody("same"), CallerLeft: true}})
-		if got := code(d, start, jobWithBody("same")); got == codeQuarantined {
+		if got := placeCode(d, start, jobWithBody("same")); got == codeQuarantined {
 			t.Fatal("refused as callers left")
 		}
 		d.update(start, refusesDial(target))
 	}
-	if got := code(d, start, jobWithBody("same")); got != codeQuarantined {
+	if got := placeCode(d, start, jobWithBody("same")); got != codeQuarantined {
 		t.Errorf("refused with %q", got)
 	}
 }
 
-// rowsOf has a box tell what it found and returns its rows.
+// rowsOf has a box write its crash reports and returns the rows.
 func rowsOf(t *testing.T, d *Daemon, now time.Time) []table.Row {
 	t.Helper()
 	effects := d.reportCrashes(now, &d.tables)
@@ -202,14 +202,14 @@
 		t.Fatalf("%d effects", len(effects))
 	}
 	e := effects[0].(writeCrashes)
-	d.update(now, crashesWritten{lives: e.lives})
+	d.update(now, crashesWritten{incarnations: e.incarnations})
 	return e.tx.Put
 }
 
-// TestRowsTravel has three boxes find one target each that ended under a request, and a
-// fourth one refuse it by their rows alone; so does each of them, and one of them when it
-// has started anew.
-func TestRowsTravel(t *testing.T) {
+// TestCrashRowsReachAllBoxes has three boxes each find one target that ended under a request. A
+// fourth box refuses it by their rows alone, as does each of the three, and one of them after a
+// restart.
+func TestCrashRowsReachAllBoxes(t *testing.T) {
 	var boxes []*Daemon
 	var rows []table.Row
 	for i, name := range []string{"b1", "b2", "b3"} {
@@ -224,22 +224,22 @@
 	boxes = append(boxes, engines("b4"), engines("b1"))
 	for _, d := range boxes {
 		d.update(start, ownRead{OwnRows{Snapshot: true, Rows: rows}, true})
-		if got := code(d, start, jobWithBody("same")); got != codeQuarantined {
+		if got := placeCode(d, start, jobWithBody("same")); got != codeQuarantined {
 			t.Errorf("%s refuses with %q", d.Settings.Name, got)
 		}
-		if got := code(d, start, jobWithBody("bystander of b1")); got == codeQuarantined {
+		if got := placeCode(d, start, jobWithBody("bystander of b1")); got == codeQuarantined {
 			t.Errorf("%s refuses a request that merely ran there", d.Settings.Name)
 		}
 	}
 	again := boxes[4]
 	if effects := again.reportCrashes(start, &again.tables); len(effects) != 0 || len(again.tables.reports.byIncarnation) != 1 {
-		t.Errorf("a box that started anew tells its own rows again: %v", effects)
+		t.Errorf("a restarted box writes its own rows again: %v", effects)
 	}
 }
 
-// TestSpoiltRows has other writers' rows stand among the boxes' own.
-func TestSpoiltRows(t *testing.T) {
-	many, err := json.Marshal(crashRow{Sums: slices.Repeat([]string{jobWithBody("same").Fingerprint().String()}, crashSums+1)})
+// TestInvalidCrashRows has rows of other writers among the boxes' own.
+func TestInvalidCrashRows(t *testing.T) {
+	many, err := json.Marshal(crashRow{Fingerprints: slices.Repeat([]string{jobWithBody("same").Fingerprint().String()}, maxCrashFingerprints+1)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -253,9 +253,9 @@
 	}
 }
 
-// TestRowsAreWritten writes each row once, again after a failure, and never more than
-// there may be; rows of what is refused go last.
-func TestRowsAreWritten(t *testing.T) {
+// TestCrashRowsAreWritten checks that each row is written once, again after a failure, and that
+// there are never more than allowed. Rows of refused requests are deleted last.
+func TestCrashRowsAreWritten(t *testing.T) {
 	d := engines("b1")
 	d.update(start, cutOff("e0", "same"))
 	d.update(start, refusesDial("e0"))
@@ -263,11 +263,11 @@
 	if again := d.reportCrashes(start, &d.tables); len(again) != 0 {
 		t.Error("two writes at once")
 	}
-	d.update(start, crashesWritten{lives: first.lives, err: errors.New("lost")})
-	if early := d.reportCrashes(start.Add(crashAgain-1), &d.tables); len(early) != 0 {
+	d.update(start, crashesWritten{incarnations: first.incarnations, err: errors.New("lost")})
+	if early := d.reportCrashes(start.Add(crashRetryDelay-1), &d.tables); len(early) != 0 {
 		t.Error("no pause after a failed write")
 	}
-	if rows := rowsOf(t, d, start.Add(crashAgain)); len(rows) != 1 || rows[0].Key != "ended/b1/e0" {
+	if rows := rowsOf(t, d, start.Add(crashRetryDelay)); len(rows) != 1 || rows[0].Key != "ended/b1/e0" {
 		t.Errorf("rows %v", rows)
 	}
 	now := start.Add(time.Second)
@@ -275,28 +275,28 @@
 		d.blameRequest(now, &d.tables, fmt.Sprint("x", i), jobWithBody("same").Fingerprint(), "b2")
 	}
 	gone := 0
-	for i := range 3 * crashRows {
+	for i := range 3 * maxCrashRows {
 		now = now.Add(time.Second)
-		d.reportEnded(now, &d.tables, fmt.Sprint("n", i), []fingerprint.Sum{{byte(i)}}, "test")
+		d.reportCrash(now, &d.tables, fmt.Sprint("n", i), []fingerprint.Sum{{byte(i)}}, "test")
 		e := d.reportCrashes(now, &d.tables)[0].(writeCrashes)
-		d.update(now, crashesWritten{lives: e.lives})
+		d.update(now, crashesWritten{incarnations: e.incarnations})
 		gone += len(e.tx.Delete)
 		if slices.Contains(e.tx.Delete, "ended/b1/e0") {
 			t.Error("the row of what is refused went before others")
 		}
 	}
-	if n := len(d.tables.reports.byIncarnation); n != crashRows || gone != 2*crashRows+1 {
+	if n := len(d.tables.reports.byIncarnation); n != maxCrashRows || gone != 2*maxCrashRows+1 {
 		t.Errorf("%d rows stand, %d went", n, gone)
 	}
 	late := d.reportCrashes(now.Add(quarantine.Retention+time.Second), &d.tables)[0].(writeCrashes)
-	if len(late.tx.Delete) != crashRows-1 || slices.Contains(late.tx.Delete, "ended/b1/e0") {
+	if len(late.tx.Delete) != maxCrashRows-1 || slices.Contains(late.tx.Delete, "ended/b1/e0") {
 		t.Errorf("an hour later %d rows go", len(late.tx.Delete))
 	}
 }
 
-// TestRefusedTravels has a box that lives on a hub refuse what the hub refuses, and serve
-// it again once another box has answered it.
-func TestRefusedTravels(t *testing.T) {
+// TestQuarantineInHubView has a spoke refuse what the hub refuses, and serve it again once
+// another box has had it answered.
+func TestQuarantineInHubView(t *testing.T) {
 	hub, spoke := boxWithEngines("box-00"), boxWithEngines("box-05")
 	sum := jobWithBody("same").Fingerprint()
 	for i := range quarantine.Threshold {
@@ -307,21 +307,21 @@
 	}
 	answer := ask(start)
 	spoke.update(start, peerAnswered{"box-00", start, answer, nil})
-	if got := code(spoke, start, jobWithBody("same")); got != codeQuarantined {
+	if got := placeCode(spoke, start, jobWithBody("same")); got != codeQuarantined {
 		t.Errorf("refused with %q", got)
 	}
 	if again := ask(start); len(answer.View.Quarantined) != 1 || len(again.View.Quarantined) != 0 || again.View.QuarantineVersion != answer.View.QuarantineVersion {
-		t.Errorf("the set is told again: %v", again.View.Quarantined)
+		t.Errorf("the set is sent again: %v", again.View.Quarantined)
 	}
 	hub.update(start, attemptEnded{deliver.AttemptResult{Place: placeAt(0, "a"), Job: jobWithBody("same"), Began: true, Answered: true}})
 	spoke.update(start, peerAnswered{"box-00", start, ask(start), nil})
-	if got := code(spoke, start, jobWithBody("same")); got == codeQuarantined {
+	if got := placeCode(spoke, start, jobWithBody("same")); got == codeQuarantined {
 		t.Error("refused though it was answered")
 	}
 }
 
-// TestEndedIsGossiped has boxes tell each other what they cannot write.
-func TestEndedIsGossiped(t *testing.T) {
+// TestCrashesAreGossiped has boxes exchange crash reports that they can't write.
+func TestCrashesAreGossiped(t *testing.T) {
 	b1, b2 := engines("b1"), engines("b2")
 	b2.tables.members["b1"] = &member{}
 	b1.update(start, cutOff("e0", "same"))
@@ -333,20 +333,20 @@
 	}
 	late := b1.peerRequest(start.Add(announceFor+time.Second), &b1.tables, peer.Message{Kind: peer.KindGossip, From: "b2"})
 	if len(late.CrashReports) != 0 {
-		t.Error("told for ever")
+		t.Error("still reported after announceFor")
 	}
 }
 
-// TestOneFindsOut has one box find out that a target ended; another one, where a caller had
-// left a request there, holds that against the request, and its hub passes the news on.
-func TestOneFindsOut(t *testing.T) {
+// TestCrashReportBlamesEarlierRequest has one box find that a target ended. Another box, whose
+// caller had left a request there, blames that request, and its hub passes the report on.
+func TestCrashReportBlamesEarlierRequest(t *testing.T) {
 	hub, spoke, finder := boxWithEngines("box-00"), boxWithEngines("box-05"), boxWithEngines("box-07")
 	spoke.update(start, attemptEnded{deliver.AttemptResult{Place: placeAt(0, "a"), Job: jobWithBody("same"), CallerLeft: true}})
 	finder.update(start, cutOff("a", "bystander"))
 	finder.update(start, refusesDial("a"))
 	hub.update(start, ownRead{OwnRows{Rows: rowsOf(t, finder, start)}, true})
 	told := hub.peerRequest(start, &hub.tables, gossipFrom("box-05"))
-	told.View = nil // Its list has no addresses, so it would tell the same.
+	told.View = nil // Its list has no addresses, so the view would show the same.
 	spoke.update(start, peerAnswered{"box-00", start, told, nil})
 	if got := spoke.tables.quarantine.Crashes(jobWithBody("same").Fingerprint()); got != 1 {
 		t.Errorf("%d targets count, want 1", got)
@@ -356,19 +356,19 @@
 	}
 	later := start.Add(announceFor + time.Second)
 	if late := hub.peerRequest(later, &hub.tables, gossipFrom("box-05")); len(late.CrashReports) != 0 {
-		t.Errorf("told for ever: %v", late.CrashReports)
+		t.Errorf("still reported after announceFor: %v", late.CrashReports)
 	}
 }
 
-// TestExamine asks a target that cut a request off whether it lives, unless its news tell.
-func TestExamine(t *testing.T) {
+// TestProbeSuspects probes a target that cut a request off, unless the box watches it.
+func TestProbeSuspects(t *testing.T) {
 	tests := []struct {
 		name string
 		box  *Daemon
 		want int
 	}{
-		{"a box that follows its news", engines("b1"), 0},
-		{"a box that lives on a hub", boxWithEngines("box-05"), 1},
+		{"a box that watches it", engines("b1"), 0},
+		{"a spoke", boxWithEngines("box-05"), 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -377,10 +377,10 @@
 			later := start.Add(time.Second)
 			effects := tt.box.probeSuspects(later, &tt.box.tables)
 			if len(effects) != tt.want {
-				t.Fatalf("%d questions", len(effects))
+				t.Fatalf("%d probes", len(effects))
 			}
 			if again := tt.box.probeSuspects(later, &tt.box.tables); len(again) != 0 {
-				t.Error("asked twice")
+				t.Error("probed twice")
 			}
 			for _, e := range effects {
 				p := e.(probe)
@@ -393,15 +393,15 @@
 	}
 }
 
-// TestLifeText names lives so that two of one ID differ.
-func TestLifeText(t *testing.T) {
+// TestIncarnationKey checks that two incarnations of one target have different IDs.
+func TestIncarnationKey(t *testing.T) {
 	plain, born := fleet.Incarnation{ID: "i-7f"}, fleet.Incarnation{ID: "i-7f", StartedAt: start}
-	if incarnationKey(plain) == incarnationKey(born) || lifeID(incarnationKey(plain)) != "i-7f" || lifeID(incarnationKey(born)) != "i-7f" || strings.Contains(incarnationKey(plain), lifeMark) {
+	if incarnationKey(plain) == incarnationKey(born) || incarnationTarget(incarnationKey(plain)) != "i-7f" || incarnationTarget(incarnationKey(born)) != "i-7f" || strings.Contains(incarnationKey(plain), incarnationMark) {
 		t.Errorf("%q and %q", incarnationKey(plain), incarnationKey(born))
 	}
 }
 
-// BenchmarkRefuseQuarantined is what a request costs the loop while some are remembered.
+// BenchmarkRefuseQuarantined is the cost of a request in the loop while some are quarantined.
 func BenchmarkRefuseQuarantined(b *testing.B) {
 	d := engines("b1")
 	for _, remembered := range []int{0, 1} {
--- a/entry/free_test.go
+++ b/entry/free_test.go
@@ -12,11 +12,11 @@
 	"github.com/thymewind/thymewind/reclaim"
 )
 
-// TestFreeing shows when parts made on older weights may be freed: not before
-// each fetch has ended, and only with a list that lacks nothing.
+// TestFreeing checks when parts computed with older weights may be freed: not before every
+// fetch has ended, and only if the list of targets is complete.
 func TestFreeing(t *testing.T) {
 	const (
-		// later is when no fetch on older weights can run any more, soon is right
+		// later is when no fetch on older weights can be in flight any more, soon is right
 		// after the last engine got the newer ones.
 		soon  = 10*time.Second + time.Millisecond
 		later = 20 * time.Second
@@ -52,15 +52,15 @@
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 2), engine("b", 2)}}, false})
 			w.clearing.SetFloor(start.Add(10*time.Second), 2)
 			tt.change(d, start.Add(later-time.Second))
-			if effects := d.freeOld(start.Add(tt.after), &d.tables, "m", w); (len(effects) > 0) != tt.frees {
+			if effects := d.freeStale(start.Add(tt.after), &d.tables, "m", w); (len(effects) > 0) != tt.frees {
 				t.Errorf("effects %v, want some: %v", effects, tt.frees)
 			}
 		})
 	}
 }
 
-// TestFreeingDuringRollout shows that parts of a version that no engine has any
-// more go while a still newer one is brought to the engines.
+// TestFreeingDuringRollout checks that parts of a version that no engine has any more are freed
+// while a still newer one is rolled out.
 func TestFreeingDuringRollout(t *testing.T) {
 	d := newDaemon("b1")
 	now := start
@@ -94,26 +94,27 @@
 	}
 }
 
-// TestFreedAgain tries to clear a store again that did not answer, some times.
+// TestFreedAgain checks that clearing a store that did not answer is retried a few times.
 func TestFreedAgain(t *testing.T) {
 	d := newDaemon("b1")
 	w := d.tables.rolloutOf("m")
-	for try := 1; try <= freeMost; try++ {
+	for try := 1; try <= maxFreeAttempts; try++ {
 		w.freeing = true
 		d.update(start, staleFreed{"m", 2, errors.New("no answer")})
 		if w.freeing {
-			t.Fatal("the next try never comes")
+			t.Fatal("the next attempt never comes")
 		}
-		if done := w.freed == 2; done != (try == freeMost) {
+		if done := w.freed == 2; done != (try == maxFreeAttempts) {
 			t.Errorf("after %d failures: given up %v", try, done)
 		}
 	}
 	if w.freeAttempts != 0 || !w.freeRetryAt.After(start) {
-		t.Errorf("%d tries, again at %v", w.freeAttempts, w.freeRetryAt)
+		t.Errorf("%d attempts, next at %v", w.freeAttempts, w.freeRetryAt)
 	}
 }
 
-// TestFetchOfOldParts bounds a fetch by what this box knows of the weights.
+// TestFetchOfOldParts checks that the deadline of a fetch follows from what this box knows of
+// the weights.
 func TestFetchOfOldParts(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -140,31 +141,30 @@
 	}
 }
 
-// TestNoFetchByLateEngine has an engine come in with older weights while the
-// stores are cleared of parts made on them: nobody could wait for its fetches,
-// so none is ordered. One that was listed before the naming holds the clearing
-// back, and fetches.
+// TestNoFetchByLateEngine has an engine join with older weights while the stores are cleared of
+// parts computed with them. Nobody waits for its fetches, so none is ordered. An engine listed
+// before the naming delays the clearing, and fetches.
 func TestNoFetchByLateEngine(t *testing.T) {
 	tests := []struct {
 		name    string
 		steps   func(d *Daemon)
 		fetched int
 	}{
-		{"listed before the naming", func(d *Daemon) { list(d, 1); nameVersion(d, 2) }, 500},
-		{"came in behind", func(d *Daemon) { nameVersion(d, 2); list(d, 1) }, 0},
-		{"went and came back behind", func(d *Daemon) { list(d, 1); nameVersion(d, 2); listNone(d); list(d, 1) }, 0},
-		{"came in on the newest", func(d *Daemon) { nameVersion(d, 1); list(d, 1) }, 500},
-		{"came in behind and loaded, before the next naming", func(d *Daemon) {
+		{"listed before the naming", func(d *Daemon) { listEngine(d, 1); nameVersion(d, 2) }, 500},
+		{"joined with older weights", func(d *Daemon) { nameVersion(d, 2); listEngine(d, 1) }, 0},
+		{"left and joined again with older weights", func(d *Daemon) { listEngine(d, 1); nameVersion(d, 2); listNoEngine(d); listEngine(d, 1) }, 0},
+		{"joined with the newest weights", func(d *Daemon) { nameVersion(d, 1); listEngine(d, 1) }, 500},
+		{"joined with older weights and loaded, before the next naming", func(d *Daemon) {
 			nameVersion(d, 1)
-			list(d, 0)
-			list(d, 1)
+			listEngine(d, 0)
+			listEngine(d, 1)
 			nameVersion(d, 2)
 		}, 500},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d, prompt := spokeWithStore()
-			listNone(d)
+			listNoEngine(d)
 			tt.steps(d)
 			d.reconcileSources(start.Add(hublessAfter+time.Millisecond), &d.tables)
 			d.update(start, cacheEventsRead{source: "s", events: CacheEvents{Epoch: 1, Changes: []CacheEvent{{Cached: true, Scope: "m@1", Part: "p", Tokens: 500}}}})
@@ -176,11 +176,11 @@
 	}
 }
 
-func list(d *Daemon, version int64) {
+func listEngine(d *Daemon, version int64) {
 	d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("x", version)}}, false})
 }
 
-func listNone(d *Daemon) {
+func listNoEngine(d *Daemon) {
 	d.update(start, targetsRead{start, Targets{Snapshot: true}, false})
 }
 
--- a/entry/order.go
+++ b/entry/order.go
@@ -12,20 +12,20 @@
 	"github.com/thymewind/thymewind/fleet"
 )
 
-// errNotHeld says that this box must not give orders any more.
-var errNotHeld = trace.AccessDenied("the lease is not held")
+// errLeaseNotHeld means that this box must not give orders any more.
+var errLeaseNotHeld = trace.AccessDenied("the lease is not held")
 
 const (
-	// unreachableTries is how many looks in a row may fail to reach a target before
-	// its place among those that load goes to another: a process that crashed is
-	// back after some seconds, under another ID, and a lost packet costs one look.
-	unreachableTries = 3
-	// orderAgain is how long a target that did not load waits for its next order,
-	// so that others come first.
-	orderAgain = time.Second
+	// maxUnreachablePolls is how many polls in a row may fail to reach a target before another
+	// target takes its place among those that load. A process that crashed is back after some
+	// seconds under another ID, while a lost packet costs one poll.
+	maxUnreachablePolls = 3
+	// orderRetryDelay is how long a target that did not load waits for its next order, so that
+	// others come first.
+	orderRetryDelay = time.Second
 )
 
-// errUnreachable says that a target that was to load could not be reached.
+// errUnreachable means that a target to be loaded could not be reached.
 var errUnreachable = errors.New("the target can't be reached")
 
 // loadWeights has one target load weights and waits until it has them.
@@ -55,34 +55,34 @@
 		}
 		if !errors.Is(err, exchange.ErrNotSent) {
 			unreachable = 0
-		} else if unreachable++; unreachable == unreachableTries {
+		} else if unreachable++; unreachable == maxUnreachablePolls {
 			return errUnreachable
 		}
-		d.sleep(ctx, loadLook)
+		d.sleep(ctx, loadPollInterval)
 		if ctx.Err() != nil {
-			return trace.LimitExceeded("the target does not have the version after %v", maxLoadTime)
+			return trace.LimitExceeded("target did not load the version within %v", maxLoadTime)
 		}
 	}
 }
 
-// order sends one order, if the lease is held right before.
+// order sends one order, if the lease is still held immediately before.
 func (d *Daemon) order(ctx context.Context, e sendOrder) error {
 	epoch, until, held := d.lease.Held()
 	if !held || epoch != e.order.Epoch {
-		return errNotHeld
+		return errLeaseNotHeld
 	}
 	ctx, cancel := context.WithTimeout(ctx, until.Sub(d.now()))
 	defer cancel()
 	e.order.Until = until
 	asked := d.now()
-	said, err := d.Platform.Order(ctx, e.at, e.order)
-	d.heed(asked, e.life, said, "an order")
+	signals, err := d.Platform.Order(ctx, e.at, e.order)
+	d.recordSignals(asked, e.life, signals, "an order")
 	return err
 }
 
-// orderEnded frees the order's place among those that load. A target that was
-// replaced must not hold it until loadLongest is over: with two places a rollout
-// would stand still for half of that.
+// orderEnded frees the order's place among those that load. A target that was replaced must not
+// hold it until maxLoadTime is over: with two places the rollout would run at half speed for
+// that time.
 func (d *Daemon) orderEnded(now time.Time, t *tables, m orderEnded) []effect {
 	w := t.rolloutOf(m.model)
 	delete(w.ordered, m.target)
@@ -97,7 +97,7 @@
 	x.LoadingUntil = time.Time{}
 	t.touch(m.target)
 	if m.err != nil {
-		w.barredUntil[m.target] = now.Add(orderAgain)
+		w.barredUntil[m.target] = now.Add(orderRetryDelay)
 		d.Log.Warn("target did not load weights", "target", m.target, "version", m.version, "err", m.err)
 		return nil
 	}
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// learnVersion takes from a target's refusal what it says of its weights.
+// learnVersion takes a target's weight version from the refusal of a request.
 func (d *Daemon) learnVersion(now time.Time, t *tables, x *fleet.Target, m attemptEnded) {
 	model := m.Job.Model
 	switch m.Verdict {
@@ -114,24 +114,24 @@
 		before := x.Versions[model]
 		x.Versions[model] = max(before, m.Version)
 		if m.Version == 0 {
-			shun(x, now.Add(loadShy))
+			excludeUntil(x, now.Add(turnedAwayPause))
 		}
 		d.Log.Info("target has other weights", "target", x.ID, "request", m.Job.ID, "thought", before, "told", m.Version)
 	case deliver.OtherReplica:
 		d.dropReplaced(now, t, x.Incarnation(), "request "+m.Job.ID)
 	case deliver.DidNotRun:
 		if w := t.rolloutOf(model); w.newestVersion > x.Versions[model] {
-			shun(x, now.Add(loadShy))
+			excludeUntil(x, now.Add(turnedAwayPause))
 		}
 	}
 }
 
-// shun keeps requests from a target until a time, or until it has loaded if that is
-// later: a request that it turned away as it began to load says less than the order.
-// Cutting the load short had each box that met this send work there every 0.3 s, for
-// nothing: of 508 requests that 99 engines turned away in two rollouts 175 are left,
-// with targets that are asked whether they have loaded (askLoading).
-func shun(x *fleet.Target, until time.Time) {
+// excludeUntil keeps requests from a target until a time, or until it has loaded if that is
+// later: a request turned away at the start of a load says less than the order. Ending the load
+// early would have each box that met such a refusal send work there every 0.3 s in vain.
+// Keeping it, together with polling the loading targets (pollLoading), reduced the requests
+// turned away by 99 engines in two rollouts from 508 to 175.
+func excludeUntil(x *fleet.Target, until time.Time) {
 	if x.LoadingUntil.Before(until) {
 		x.LoadingUntil = until
 	}
--- a/entry/placehub.go
+++ b/entry/placehub.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// placeFor is how long a hub may take to place a request; it needs a
-	// millisecond, and weak boxes some ten to read the answer.
-	placeFor = 100 * time.Millisecond
-	// hubAsks is how many hubs are asked to place a request before this box
-	// does so alone. Alone it knows of no kept part, so the whole prompt is read:
-	// a prompt of 12,000 tokens then costs more than it earns.
-	hubAsks = 2
+	// hubPlaceTimeout bounds a hub's call for a place. The hub takes about 1 ms, and a weak box some
+	// 10 ms to read the answer.
+	hubPlaceTimeout = 100 * time.Millisecond
+	// maxHubsAsked is how many hubs are asked to place a request before this box places it alone.
+	// Alone it knows of no cached part, so the engine prefills the whole prompt: for 12,000
+	// tokens that costs more than the request earns.
+	maxHubsAsked = 2
 )
 
 // askHub asks a hub for a place.
@@ -41,17 +41,17 @@
 	err    error
 }
 
-// placementRequested has a hub place the request, or places it here. One whose caller
-// left, or whose time is up, is not counted at any target and costs no hub's work.
+// placementRequested has a hub place the request, or places it here. A request whose caller
+// left or whose deadline has passed is not counted at any target and costs no hub any work.
 func (d *Daemon) placementRequested(now time.Time, t *tables, m placementRequest) []effect {
 	if m.ctx.Err() != nil {
-		m.reply <- placeAnswer{err: d.timeUp(m.ask.Job)}
+		m.reply <- placeAnswer{err: d.timeoutRefusal(m.ask.Job)}
 		return nil
 	}
-	if effects, done := d.refuseOrTry(now, t, m); done {
+	if effects, done := d.refuseOrClaimTrial(now, t, m); done {
 		return effects
 	}
-	if refused := d.refuseForGood(t, m.ask.Job); refused != nil {
+	if refused := d.refuseImpossible(t, m.ask.Job); refused != nil {
 		m.reply <- placeAnswer{err: refused}
 		return nil
 	}
@@ -63,10 +63,10 @@
 	return nil
 }
 
-// placeRemotely hands a model request to the hub, if this box has one, and any request for
-// which only targets are left that limit requests.
+// placeRemotely hands a model request to a hub, if this box is a spoke, and any request for
+// which only rate-limited targets are left.
 func (d *Daemon) placeRemotely(now time.Time, t *tables, m placementRequest) ([]effect, bool) {
-	if !d.spoke.Load() || m.ask.Job.Pool.Engine == nil && !t.onlyLimited(now, m.ask) || len(m.askedHubs) >= hubAsks || d.weightsStale(now) {
+	if !d.spoke.Load() || m.ask.Job.Pool.Engine == nil && !t.onlyLimited(now, m.ask) || len(m.askedHubs) >= maxHubsAsked || d.weightsStale(now) {
 		return nil, false
 	}
 	hub := d.placementHub(now, t, m.askedHubs)
@@ -91,31 +91,31 @@
 	return []effect{askHub{hub, t.members[hub].address, m, ask}}, true
 }
 
-// targetHints lists the targets to which this box has a connection that rests, and those
-// to which it must send nothing, of which the hub may not know, or that it may itself use.
-func (d *Daemon) targetHints(now time.Time, targets []*fleet.Target) (linked, closed []uint32) {
+// targetHints lists the targets to which this box has an idle connection, and those to which it
+// must send nothing: the hub may not know of the latter, or may use them itself.
+func (d *Daemon) targetHints(now time.Time, targets []*fleet.Target) (idle, excluded []uint32) {
 	for _, x := range targets {
 		if d.hasIdleConnection(x) {
-			linked = append(linked, short(x))
+			idle = append(idle, shortID(x))
 		}
 		if x.InBackoff(now) || x.Leaving {
-			closed = append(closed, short(x))
+			excluded = append(excluded, shortID(x))
 		}
 	}
-	return linked, closed
+	return idle, excluded
 }
 
 func (d *Daemon) askHub(ctx context.Context, e askHub) hubPlaced {
-	ctx, cancel := context.WithTimeout(ctx, placeFor)
+	ctx, cancel := context.WithTimeout(ctx, hubPlaceTimeout)
 	defer cancel()
 	defer context.AfterFunc(e.m.ctx, cancel)()
 	answer, err := d.peers.Call(ctx, e.at, peer.Message{Kind: peer.KindPlace, From: d.Settings.Name, PlacementRequest: &e.ask})
 	return hubPlaced{e.hub, e.m, answer.PlacementResponse, err}
 }
 
-// hubPlaced passes the hub's place on, if this box knows nothing against it.
-// Otherwise another hub is asked, or this box places the request alone. A call
-// that ended with its request says nothing against the hub.
+// hubPlaced passes on the place that the hub chose, unless this box knows of a reason against
+// it. Then another hub is asked, or this box places the request alone. A call that ended with
+// its request does not count as a failure of the hub.
 func (d *Daemon) hubPlaced(now time.Time, t *tables, m hubPlaced) []effect {
 	if m.m.ctx.Err() != nil {
 		return d.placementRequested(now, t, m.m)
@@ -125,7 +125,7 @@
 	} else {
 		t.members[m.hub].misses = 0
 		t.hubHeardAt = now
-		if answer, ok := d.acceptHubPlace(now, t, m.m.ask, m.placed); ok && !moreParts(m) {
+		if answer, ok := d.acceptHubPlace(now, t, m.m.ask, m.placed); ok && !otherHubHasQuota(m) {
 			m.m.reply <- answer
 			return nil
 		}
@@ -137,10 +137,10 @@
 	return d.placementRequested(now, t, m.m)
 }
 
-// moreParts says that a hub has nothing left of limited targets' rates, and that another one,
-// which has a part of its own, can be asked.
-func moreParts(m hubPlaced) bool {
-	return m.placed.Refused == codeLimited && len(m.m.askedHubs)+1 < hubAsks
+// otherHubHasQuota reports whether the hub has used up its share of the rate-limited targets'
+// quotas while another hub, which has a share of its own, can still be asked.
+func otherHubHasQuota(m hubPlaced) bool {
+	return m.placed.Refused == codeLimited && len(m.m.askedHubs)+1 < maxHubsAsked
 }
 
 func (d *Daemon) hubFailed(now time.Time, t *tables, hub string, err error) {
@@ -156,33 +156,33 @@
 	d.Log.Warn("hub does not answer", "hub", hub, "err", err)
 }
 
-// acceptHubPlace turns a hub's answer into this box's, unless this box knows something
-// against the target.
+// acceptHubPlace converts a hub's answer to a place, unless this box knows of a reason against
+// the target.
 func (d *Daemon) acceptHubPlace(now time.Time, t *tables, request deliver.PlacementRequest, p *peer.PlacementResponse) (placeAnswer, bool) {
 	job := request.Job
 	if p.Refused == codeBackoff {
-		return d.closedAtHub(now, t, request)
+		return d.allExcludedAtHub(now, t, request)
 	}
 	if p.Refused != "" {
 		refused := refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, p.Refused, "%s", p.Reason)
-		d.notePlace(now, request, refused)
-		return placeAnswer{err: refused.After(d.returnAfter(now, t, p.Refused, job))}, true
+		d.notePlacement(now, request, refused)
+		return placeAnswer{err: refused.After(d.retryAfterRefusal(now, t, p.Refused, job))}, true
 	}
 	if p.Entry != nil && t.fleet.Target(p.Target) == nil {
 		d.applyHubEntry(now, t, *p.Entry)
 	}
 	x := t.fleet.Target(p.Target)
-	if x == nil || !x.Available(now) || x.Ejected(now) || x.InBackoff(now) || x.Limited && !p.QuotaGranted || d.closedTo(now, t, x) || !t.inRegions(allowedRegions(job), x.Domain) {
+	if x == nil || !x.Available(now) || x.Ejected(now) || x.InBackoff(now) || x.Limited && !p.QuotaGranted || d.excludedBySoftware(now, t, x) || !t.inRegions(allowedRegions(job), x.Domain) {
 		return placeAnswer{}, false
 	}
 	w := t.rolloutOf(job.Model)
 	within := d.bounds.Load().WeightsWithin
-	if job.Pool.Engine != nil && p.Version < w.least(now, within) {
+	if job.Pool.Engine != nil && p.Version < w.requiredVersion(now, within) {
 		return placeAnswer{}, false
 	}
-	fetch, save, err := moves(p)
+	fetch, save, err := transferAddresses(p)
 	if err != nil {
-		d.Log.Error("a hub's place can't be used", "request", job.ID, "target", p.Target, "err", err)
+		d.Log.Error("place chosen by a hub is invalid", "request", job.ID, "target", p.Target, "err", err)
 		return placeAnswer{}, false
 	}
 	place := deliver.Placement{
@@ -196,35 +196,35 @@
 		place.Transfers = append(place.Transfers, throughput.Transfer{Source: m.Source, Expected: time.Duration(m.ExpectedUS) * time.Microsecond})
 	}
 	t.countSent(now, place)
-	d.notePlace(now, request, nil)
+	d.notePlacement(now, request, nil)
 	return placeAnswer{place: place}, true
 }
 
-// closedAtHub refuses a request for which a hub knows no targets but those that this box
-// told it are closed. If this box knows others, the hub's list is old: another is asked.
-func (d *Daemon) closedAtHub(now time.Time, t *tables, request deliver.PlacementRequest) (placeAnswer, bool) {
+// allExcludedAtHub refuses a request for which the hub knows only targets that this box named
+// as excluded. If this box knows of others, the hub's list is stale and another hub is asked.
+func (d *Daemon) allExcludedAtHub(now time.Time, t *tables, request deliver.PlacementRequest) (placeAnswer, bool) {
 	fits := func(x *fleet.Target) bool {
 		return x.Available(now) && !x.InBackoff(now) && !slices.Contains(request.Attempted, x.ID)
 	}
 	if slices.ContainsFunc(t.fleet.Pool(request.Job.Pool.Name), fits) {
 		return placeAnswer{}, false
 	}
-	refused := d.refuseNone(now, t, request, backsOff(now))
-	d.notePlace(now, request, refused)
-	return placeAnswer{err: refused.After(d.returnAfter(now, t, refused.Code, request.Job))}, true
+	refused := d.refuseNone(now, t, request, inBackoff(now))
+	d.notePlacement(now, request, refused)
+	return placeAnswer{err: refused.After(d.retryAfterRefusal(now, t, refused.Code, request.Job))}, true
 }
 
-// moves returns from where and to where a hub has parts moved.
-func moves(p *peer.PlacementResponse) (fetch, save []netip.AddrPort, err error) {
-	if fetch, err = parse(p.Fetch); err != nil {
+// transferAddresses returns the sources and destinations of the transfers that a hub planned.
+func transferAddresses(p *peer.PlacementResponse) (fetch, save []netip.AddrPort, err error) {
+	if fetch, err = parseAddresses(p.Fetch); err != nil {
 		return nil, nil, err
 	}
-	save, err = parse(p.Save)
+	save, err = parseAddresses(p.Save)
 	return fetch, save, err
 }
 
-// parse reads addresses; an empty text means none.
-func parse(list []string) ([]netip.AddrPort, error) {
+// parseAddresses reads addresses; an empty string means none.
+func parseAddresses(list []string) ([]netip.AddrPort, error) {
 	if len(list) == 0 {
 		return nil, nil
 	}
@@ -242,10 +242,10 @@
 	return out, nil
 }
 
-// hasIdleConnection says that this box has a connection to a target that rests.
+// hasIdleConnection reports whether this box has an idle connection to a target.
 func (d *Daemon) hasIdleConnection(x *fleet.Target) bool {
 	return d.Platform.HasIdleConnection == nil || d.Platform.HasIdleConnection(x.Address)
 }
 
-// short names a target among those of its pool, in four bytes.
-func short(x *fleet.Target) uint32 { return uint32(placement.Hash(x.ID)) }
+// shortID is a four-byte ID of a target among those of its pool.
+func shortID(x *fleet.Target) uint32 { return uint32(placement.Hash(x.ID)) }
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -16,15 +16,15 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// What the platform allows a target that names a rate: in any window so many times what that
-// comes to, and some more.
+// What the platform allows for a target that names a rate: in any window this factor times the
+// rate, and some extra.
 const (
 	rateWindow = 4 * time.Second
 	rateFactor = 1.5
 	rateExtra  = 5
 )
 
-// overRate returns the most arrivals in a window, and how many a rate allows.
+// overRate returns the most arrivals in a window, and how many the rate allows.
 func overRate(came []time.Time, rate float64) (most, allowed int) {
 	slices.SortFunc(came, func(a, b time.Time) int { return cmp.Compare(a.UnixNano(), b.UnixNano()) })
 	first := 0
@@ -37,42 +37,42 @@
 	return most, int(rateFactor*rate*rateWindow.Seconds()) + rateExtra
 }
 
-// rated is a fleet whose targets of a pool name a rate in each answer.
-type rated struct {
+// ratedFleet is a fleet in which targets of a pool name a rate limit in each answer.
+type ratedFleet struct {
 	*emulator
 	pool string
 	rate float64
-	// limited are the targets that do.
+	// limited are the targets that do so.
 	limited map[string]bool
-	// waits are the requests that wait for their place, by box.
-	waits []waiting
-	// came is when requests reached targets, from is when the limits count.
-	came   map[string][]time.Time
-	from   time.Time
-	served int
-	codes  map[string]int
-	turn   int
+	// pending are the requests that wait for their place.
+	pending []pendingRequest
+	// arrivals is when requests reached each target; those after from are checked.
+	arrivals map[string][]time.Time
+	from     time.Time
+	served   int
+	codes    map[string]int
+	turn     int
 }
 
-// waiting is a request that waits for its place.
-type waiting struct {
+// pendingRequest is a request that waits for its place.
+type pendingRequest struct {
 	box   *Daemon
 	reply chan placeAnswer
 	asked time.Time
 }
 
-// press has some of the boxes send a request each, and passes on what was placed.
-func (w *rated) press(requests int) {
+// sendRequests has some boxes send a request each, and handles those that were placed.
+func (w *ratedFleet) sendRequests(requests int) {
 	for range requests {
 		w.turn += 7
 		d := w.boxes[w.turn%len(w.boxes)]
 		j := job("short", 100)
 		j.Pool = configuration(1).Pools[w.pool]
 		reply := make(chan placeAnswer, 1)
-		w.waits = append(w.waits, waiting{d, reply, w.now})
+		w.pending = append(w.pending, pendingRequest{d, reply, w.now})
 		w.perform(d, d.update(w.now, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: j}, reply: reply}))
 	}
-	w.waits = slices.DeleteFunc(w.waits, func(x waiting) bool {
+	w.pending = slices.DeleteFunc(w.pending, func(x pendingRequest) bool {
 		select {
 		case answer := <-x.reply:
 			w.answered(x, answer)
@@ -83,44 +83,44 @@
 	})
 }
 
-// answered sends a request that was placed, and has its box hear the answer.
-func (w *rated) answered(x waiting, answer placeAnswer) {
+// answered sends a request that was placed, and has its box receive the answer.
+func (w *ratedFleet) answered(x pendingRequest, answer placeAnswer) {
 	if answer.err != nil {
 		w.codes[refusal.Of(answer.err, "", 0).Code]++
 		return
 	}
-	life := lifePlaced(answer.place)
-	if err := x.box.allow(life, deliver.Attempt{Job: job("short", 100), Place: answer.place}); err != nil {
+	incarnation := incarnationOf(answer.place)
+	if err := x.box.allow(incarnation, deliver.Attempt{Job: job("short", 100), Place: answer.place}); err != nil {
 		w.codes[err.Error()]++
 		return
 	}
 	w.served++
 	if w.now.After(w.from) {
-		w.came[life.ID] = append(w.came[life.ID], w.now)
+		w.arrivals[incarnation.ID] = append(w.arrivals[incarnation.ID], w.now)
 	}
 	said := notice.Signals{Unlimited: true}
-	if w.limited[life.ID] {
+	if w.limited[incarnation.ID] {
 		said = notice.Signals{Limited: true, Rate: w.rate}
 	}
 	asked := w.now
 	w.after(100*time.Millisecond, func() {
 		x.box.update(w.now, answerBegan{answer.place})
 		x.box.attemptEnded(w.now, &x.box.tables, attemptEnded{deliver.AttemptResult{Place: answer.place, Job: job("short", 100), Began: true, Answered: true}})
-		if x.box.hearNotice(asked, life, said, "an answer") {
-			x.box.update(w.now, signalsHeard{life})
+		if x.box.observeSignals(asked, incarnation, said, "an answer") {
+			x.box.update(w.now, signalsHeard{incarnation})
 		}
 	})
 }
 
-// TestLimitInFleets guards against boxes of a fleet with hubs that together send a target more
-// than the rate it names for all of them, or leave that unused while callers are refused.
+// TestLimitInFleets guards against boxes of a fleet with hubs that together exceed the rate
+// limit of a target, or leave it unused while callers are refused.
 func TestLimitInFleets(t *testing.T) {
 	tests := []struct {
 		name           string
 		boxes, domains int
 		pool           string
 		rate           float64
-		// limited are how many of eight targets name a rate.
+		// limited is how many of eight targets name a rate.
 		limited int
 	}{
 		{"a small fleet", 6, 3, "orders", 3, 2},
@@ -136,9 +136,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			w := &rated{
+			w := &ratedFleet{
 				emulator: emulate(tt.boxes, tt.domains, configuration(1)), pool: tt.pool, rate: tt.rate,
-				limited: make(map[string]bool), came: make(map[string][]time.Time), codes: make(map[string]int),
+				limited: make(map[string]bool), arrivals: make(map[string][]time.Time), codes: make(map[string]int),
 			}
 			for i := range 8 {
 				e := engineAt(i)
@@ -155,13 +155,13 @@
 			pressed := 0
 			w.advance(span*time.Second, func() {
 				pressed += 10
-				w.press(10) // 200 a second.
+				w.sendRequests(10) // 200 a second.
 			})
 			for id := range w.limited {
 				if !w.limited[id] {
 					continue
 				}
-				if most, allowed := overRate(w.came[id], tt.rate); most > allowed {
+				if most, allowed := overRate(w.arrivals[id], tt.rate); most > allowed {
 					t.Errorf("%d requests reach %s in 4 s, %d are allowed", most, id, allowed)
 				}
 			}
@@ -177,23 +177,23 @@
 	}
 }
 
-// limits has a box hear that a target names a rate.
-func limits(d *Daemon, now time.Time, id string, rate float64) {
+// setRateLimit has a box learn that a target names a rate limit.
+func setRateLimit(d *Daemon, now time.Time, id string, rate float64) {
 	d.notices.ObserveLimit(now, now, fleet.Incarnation{ID: id}, notice.Signals{Limited: true, Rate: rate})
 	d.update(now, signalsHeard{fleet.Incarnation{ID: id}})
 }
 
-// alone is a box that is the only one, with two engines.
-func alone() *Daemon {
-	d := knows(newDaemon("b1"), "a", "b")
+// singleBox is a box without others, with two engines.
+func singleBox() *Daemon {
+	d := withEngines(newDaemon("b1"), "a", "b")
 	d.tables.membersKnown = true
 	d.tables.members["b1"] = &member{domain: "a", share: 1}
 	return d
 }
 
-// TestLimitAtLast guards against requests that leave for a target which named its limit after
-// they were placed, or that leave long after their part was taken.
-func TestLimitAtLast(t *testing.T) {
+// TestLimitBeforeSend guards against requests that are sent to a target which named its rate
+// limit after they were placed, or long after their token was taken.
+func TestLimitBeforeSend(t *testing.T) {
 	tests := []struct {
 		name    string
 		granted bool
@@ -204,15 +204,15 @@
 		{"no limit", false, time.Minute, false, nil},
 		{"placed before the limit", false, 0, true, notice.ErrLimited},
 		{"placed within it", true, 0, true, nil},
-		{"placed within it, long ago", true, grantFor + 1, true, notice.ErrLimited},
+		{"placed within it, long ago", true, grantTTL + 1, true, notice.ErrLimited},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := alone()
+			d := singleBox()
 			now := start.Add(tt.waited)
 			d.now = func() time.Time { return now }
 			if tt.limited {
-				limits(d, start, "a", 3)
+				setRateLimit(d, start, "a", 3)
 			}
 			s := deliver.Attempt{Job: job("long", 1000), Place: deliver.Placement{Target: "a", PlacedAt: start, QuotaGranted: tt.granted}}
 			if err := d.allow(fleet.Incarnation{ID: "a"}, s); !errors.Is(err, tt.want) || (err == nil) != (tt.want == nil) {
@@ -222,18 +222,18 @@
 	}
 }
 
-// TestLimitCloses guards against placing on a target that has got what it takes a second, and
-// says what callers are told when all have.
-func TestLimitCloses(t *testing.T) {
-	d := alone()
-	limits(d, start, "a", 2)
+// TestLimitExcludesTarget guards against placing on a target whose rate limit is reached, and
+// checks the refusal when that holds for all.
+func TestLimitExcludesTarget(t *testing.T) {
+	d := singleBox()
+	setRateLimit(d, start, "a", 2)
 	if got, _ := placedOn(d, start); fmt.Sprint(got) != "[b]" {
 		t.Errorf("placed at once on %v", got)
 	}
-	limits(d, start, "b", 2)
+	setRateLimit(d, start, "b", 2)
 	_, refused := placedOn(d, start)
 	if refused.Code != codeLimited || refused.Outcome != refusal.DidNotRun || refused.RetryAfter <= 0 {
-		t.Errorf("refused as %q, %v, come back after %v", refused.Code, refused.Outcome, refused.RetryAfter)
+		t.Errorf("refused as %q, %v, retry after %v", refused.Code, refused.Outcome, refused.RetryAfter)
 	}
 	later := start.Add(time.Second)
 	d.provedAt.Store(&later)
@@ -247,15 +247,14 @@
 	}
 }
 
-// TestQuestionsWithinLimit guards against questions for the health of a silent target beyond
-// the rate that it names.
-func TestQuestionsWithinLimit(t *testing.T) {
-	d := alone()
+// TestProbesWithinLimit guards against health probes of a silent target beyond its rate limit.
+func TestProbesWithinLimit(t *testing.T) {
+	d := singleBox()
 	table := configuration(1)
 	table.Pools["orders"].HealthPath = "/health"
 	d.current.Store(table)
 	d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{{ID: "s", Pool: "orders"}}}, false})
-	limits(d, start, "s", 0.5)
+	setRateLimit(d, start, "s", 0.5)
 	x := d.tables.fleet.Target("s")
 	x.Sent(start, 0, 0)
 	asked := 0
@@ -267,13 +266,13 @@
 		}
 	}
 	if asked == 0 || asked > 10 {
-		t.Errorf("asked %d times in 20 s at 0.5 a second", asked)
+		t.Errorf("probed %d times in 20 s at 0.5 a second", asked)
 	}
 }
 
-// TestLimitTravels guards against boxes that don't know of a limit, or of its end, which
-// another box heard of.
-func TestLimitTravels(t *testing.T) {
+// TestLimitGossip guards against boxes that don't learn of a limit, or of its end, from another
+// box.
+func TestLimitGossip(t *testing.T) {
 	tests := []struct {
 		name    string
 		told    []peer.RateLimit
@@ -283,13 +282,13 @@
 		{"a limit", []peer.RateLimit{{Target: "a", Active: true, PerSecond: 3}}, true, 3},
 		{"its end", []peer.RateLimit{{Target: "a", Active: true, PerSecond: 3, AgeMS: 50}, {Target: "a", AgeMS: 20}}, false, 0},
 		{"an end from before", []peer.RateLimit{{Target: "a", Active: true, PerSecond: 3, AgeMS: 20}, {Target: "a", AgeMS: 50}}, true, 3},
-		{"of another life", []peer.RateLimit{{Target: "c", Active: true, PerSecond: 3}}, false, 0},
-		{"an odd rate", []peer.RateLimit{{Target: "a", Active: true, PerSecond: -3}}, false, 0},
-		{"of a time to come", []peer.RateLimit{{Target: "a", Active: true, PerSecond: 3, AgeMS: -5}}, false, 0},
+		{"of another incarnation", []peer.RateLimit{{Target: "c", Active: true, PerSecond: 3}}, false, 0},
+		{"an invalid rate", []peer.RateLimit{{Target: "a", Active: true, PerSecond: -3}}, false, 0},
+		{"of a future time", []peer.RateLimit{{Target: "a", Active: true, PerSecond: 3, AgeMS: -5}}, false, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := alone()
+			d := singleBox()
 			d.peerRequest(start.Add(time.Second), &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", RateLimits: tt.told})
 			if x := d.tables.fleet.Target("a"); x.Limited != tt.limited || x.Rate != tt.rate {
 				t.Errorf("limited %v to %v", x.Limited, x.Rate)
@@ -298,40 +297,40 @@
 	}
 }
 
-// TestLimitOfUnlistedLife guards against a limit that another box told of a target's next life,
-// which this box's list does not name yet, and which made what that target said to this box
-// count as an earlier life's.
-func TestLimitOfUnlistedLife(t *testing.T) {
-	d := alone()
+// TestLimitOfUnlistedIncarnation guards against a limit told of a target's next incarnation,
+// not yet in this box's list, that makes what the target said to this box count as an earlier
+// incarnation's.
+func TestLimitOfUnlistedIncarnation(t *testing.T) {
+	d := singleBox()
 	listed := engine("a", 1)
 	listed.StartedAt = start.Add(-time.Minute)
 	d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{listed}}, false})
 	told := peer.RateLimit{Target: "a", StartedMS: start.UnixMilli(), Active: true, PerSecond: 3}
 	d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", RateLimits: []peer.RateLimit{told}})
-	sendSignals(d, start, fleet.Incarnation{ID: "a", StartedAt: listed.StartedAt}, resting)
+	sendSignals(d, start, fleet.Incarnation{ID: "a", StartedAt: listed.StartedAt}, signalsBackoff)
 	if got, _ := placedOn(d, start.Add(time.Second)); fmt.Sprint(got) != "[b]" {
-		t.Errorf("placed on %v in the time for which a wants none", got)
+		t.Errorf("placed on %v during the backoff that a asked for", got)
 	}
 	d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{{ID: "a", Pool: "models", Versions: map[string]int64{"m": 1}, StartedAt: start}}}, false})
 	d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", RateLimits: []peer.RateLimit{told}})
 	if x := d.tables.fleet.Target("a"); !x.Limited {
-		t.Error("the limit is not known once the list names that life")
+		t.Error("the limit is not known once the list has that incarnation")
 	}
 }
 
-// TestLimitsTold guards against messages that tell all limits all the time.
-func TestLimitsTold(t *testing.T) {
-	d := alone()
+// TestLimitsRepeated guards against messages that repeat all limits all the time.
+func TestLimitsRepeated(t *testing.T) {
+	d := singleBox()
 	other := &member{}
-	for i := range toldLimits + 10 {
-		limits(d, start, fmt.Sprint("x", i), 3)
+	for i := range maxLimitsPerMessage + 10 {
+		setRateLimit(d, start, fmt.Sprint("x", i), 3)
 	}
 	for _, tt := range []struct {
 		after time.Duration
 		want  int
-	}{{0, toldLimits}, {limitNewsFor, toldLimits}, {limitNewsFor + 1, 0}, {limitsEvery, toldLimits}, {limitsEvery + 1, 0}} {
+	}{{0, maxLimitsPerMessage}, {newLimitRepeat, maxLimitsPerMessage}, {newLimitRepeat + 1, 0}, {allLimitsInterval, maxLimitsPerMessage}, {allLimitsInterval + 1, 0}} {
 		if got := len(d.limitsFor(start.Add(tt.after), other)); got != tt.want {
-			t.Errorf("after %v: %d are told, want %d", tt.after, got, tt.want)
+			t.Errorf("after %v: %d are sent, want %d", tt.after, got, tt.want)
 		}
 	}
 }
--- a/entry/refuse_test.go
+++ b/entry/refuse_test.go
@@ -12,9 +12,9 @@
 	"github.com/thymewind/thymewind/retryafter"
 )
 
-// TestRefusedForGood shows that a request that no target can ever run is refused as
-// such on arrival, without asking a hub, and all others are placed.
-func TestRefusedForGood(t *testing.T) {
+// TestRefusedPermanently checks that a request that no target can run is refused permanently on
+// arrival, without asking a hub, and that all others are placed.
+func TestRefusedPermanently(t *testing.T) {
 	tests := []struct {
 		name          string
 		model         string
@@ -33,7 +33,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			now := start
-			d := refusing(&now)
+			d := boxWithClock(&now)
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{{ID: "a", Pool: "models", Versions: tt.versions}}}, false})
 			j := job("short", 0)
 			j.Model, j.PromptTokens, j.MaxOutputTokens = tt.model, tt.input, tt.output
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestNoHubIsAsked shows that no hub is asked for what none can place.
-func TestNoHubIsAsked(t *testing.T) {
+// TestImpossibleRequestAsksNoHub checks that no hub is asked for a request that none can place.
+func TestImpossibleRequestAsksNoHub(t *testing.T) {
 	d := largeFleet("box-05")
 	d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
 	for _, tokens := range []int{200000, 10} {
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestLeastIsLearnt shows which ends of requests tell how quickly their like can be
+// TestMinAnswerTimeLearned checks which outcomes teach how quickly similar requests can be
 // served, and that refusals are counted by their code.
-func TestLeastIsLearnt(t *testing.T) {
+func TestMinAnswerTimeLearned(t *testing.T) {
 	took := 100 * time.Millisecond
 	tests := []struct {
 		name    string
@@ -77,18 +77,18 @@
 		outcome deliver.Outcome
 		known   bool
 	}{
-		{"whole answers", minlatency.MinSamples, deliver.Outcome{Status: 200, Took: took}, true},
-		{"few whole answers", minlatency.MinSamples - 1, deliver.Outcome{Status: 200, Took: took}, false},
+		{"complete answers", minlatency.MinSamples, deliver.Outcome{Status: 200, Took: took}, true},
+		{"few complete answers", minlatency.MinSamples - 1, deliver.Outcome{Status: 200, Took: took}, false},
 		{"a target's failures", minlatency.MinSamples, deliver.Outcome{Status: 500, Took: took}, false},
 		{"broken off", minlatency.MinSamples, deliver.Outcome{Status: 200, Aborted: true, Took: took}, false},
 		{"callers that left", minlatency.MinSamples, deliver.Outcome{Status: 200, CallerLeft: true, Took: took}, false},
 		{"refused", minlatency.MinSamples, deliver.Outcome{Status: 503, Cause: "crowded", RefusalCode: "crowded", Took: took}, false},
-		{"streams taken up", minlatency.MinSamples, deliver.Outcome{Call: &deliver.Call{LastEventID: "7"}, Status: 200, Took: took}, false},
+		{"resumed streams", minlatency.MinSamples, deliver.Outcome{Call: &deliver.Call{LastEventID: "7"}, Status: 200, Took: took}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			now := start
-			d := refusing(&now)
+			d := boxWithClock(&now)
 			o := tt.outcome
 			o.Job = job("short", 10)
 			if o.Call == nil {
@@ -98,7 +98,7 @@
 				d.recordOutcome(o)
 			}
 			if least, known := d.server.MinAnswerTime(now, o.Job); known != tt.known || known && least >= took {
-				t.Errorf("least %v, %v", least, known)
+				t.Errorf("minimum answer time %v, known %v", least, known)
 			}
 			if _, known := d.server.MinAnswerTime(now, job("long", 10)); known {
 				t.Error("another route's is known")
--- a/entry/comeback_test.go
+++ b/entry/retryafter_test.go
@@ -11,9 +11,9 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// refusing is a box at a time that a test sets, whose draws are all zero: what it
-// tells callers is the least that it would.
-func refusing(now *time.Time) *Daemon {
+// boxWithClock is a box with a clock that the test sets and random draws of zero, so that it
+// gives the shortest times to come back.
+func boxWithClock(now *time.Time) *Daemon {
 	d := newDaemon("b1")
 	d.now = func() time.Time { return *now }
 	d.retryEstimator.Draw = func() float64 { return 0 }
@@ -23,8 +23,8 @@
 
 const soonest = 60 * time.Millisecond
 
-// TestComeBackByCause says when refused callers are told to return.
-func TestComeBackByCause(t *testing.T) {
+// TestRetryAfterByCause checks when refused callers are told to return.
+func TestRetryAfterByCause(t *testing.T) {
 	tests := []struct {
 		name, code string
 		happen     func(d *Daemon)
@@ -34,42 +34,42 @@
 		{"turned away", "turned_away", func(*Daemon) {}, 0, soonest},
 		{"unreachable", "unreachable", func(*Daemon) {}, 0, soonest},
 		{"crowded: by the route's goal", "crowded", func(*Daemon) {}, 0, 120 * time.Millisecond},
-		{"no proof", "stale", stale, 1200 * time.Millisecond, 1200 * time.Millisecond},
+		{"no proof", "stale", refuseStale, 1200 * time.Millisecond, 1200 * time.Millisecond},
 		{"no proof, the first one refused", "stale", func(*Daemon) {}, 1200 * time.Millisecond, soonest},
 		{"no proof, and one again", "stale", func(d *Daemon) {
-			stale(d)
+			refuseStale(d)
 			d.update(start, operatorRead{start, Operator{}})
 		}, 1200 * time.Millisecond, soonest},
 		{"no proof, and an old one", "stale", func(d *Daemon) {
-			stale(d)
+			refuseStale(d)
 			d.update(start, operatorRead{start.Add(-time.Minute), Operator{}})
 		}, 1200 * time.Millisecond, 1200 * time.Millisecond},
 		{"no proof, another box admits callers", "stale", func(d *Daemon) {
-			stale(d)
+			refuseStale(d)
 			d.update(start.Add(500*time.Millisecond), peerRequest{peer.Message{Kind: peer.KindGossip, From: "b2"}, make(chan peer.Message, 1)})
 		}, 1200 * time.Millisecond, soonest},
 		{"no proof, another box answers that it admits callers", "stale", func(d *Daemon) {
-			stale(d)
+			refuseStale(d)
 			d.tables.members["b2"] = &member{}
 			d.update(start.Add(500*time.Millisecond), peerAnswered{name: "b2", m: peer.Message{Kind: peer.KindGossip}})
 		}, 1200 * time.Millisecond, soonest},
-		{"no proof, another box is shut as well", "stale", func(d *Daemon) {
-			stale(d)
+		{"no proof, another box refuses callers as well", "stale", func(d *Daemon) {
+			refuseStale(d)
 			d.update(start.Add(500*time.Millisecond), peerRequest{peer.Message{Kind: peer.KindGossip, From: "b2", Stale: true}, make(chan peer.Message, 1)})
 		}, 1200 * time.Millisecond, 1200 * time.Millisecond},
 		{"no proof, another box admitted callers long ago", "stale", func(d *Daemon) {
-			stale(d)
+			refuseStale(d)
 			d.update(start, peerRequest{peer.Message{Kind: peer.KindGossip, From: "b2"}, make(chan peer.Message, 1)})
 		}, 1200 * time.Millisecond, 1200 * time.Millisecond},
-		{"no target for a while", "no_target", func(d *Daemon) { asked(d, start) }, 700 * time.Millisecond, 700 * time.Millisecond},
-		{"no target beside those tried", "no_target", func(d *Daemon) { asked(d, start, "a") }, 700 * time.Millisecond, soonest},
+		{"no target for a while", "no_target", func(d *Daemon) { placeOne(d, start) }, 700 * time.Millisecond, 700 * time.Millisecond},
+		{"no target beside those tried", "no_target", func(d *Daemon) { placeOne(d, start, "a") }, 700 * time.Millisecond, soonest},
 		{"no target, and one again", "no_target", func(d *Daemon) {
-			asked(d, start)
+			placeOne(d, start)
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
-			asked(d, start)
+			placeOne(d, start)
 		}, 700 * time.Millisecond, soonest},
 		{"no target, and one again by a hub", "no_target", func(d *Daemon) {
-			asked(d, start)
+			placeOne(d, start)
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 			d.acceptHubPlace(start, &d.tables, deliver.PlacementRequest{Job: job("short", 10)}, &peer.PlacementResponse{Target: "a"})
 		}, 700 * time.Millisecond, soonest},
@@ -80,48 +80,48 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			now := start
-			d := refusing(&now)
+			d := boxWithClock(&now)
 			tt.happen(d)
 			now = start.Add(tt.passed)
 			j := job("short", 10)
 			j.Route.Goal = 1200 * time.Millisecond
 			if got := d.retryAfter(tt.code, j); got != tt.want {
-				t.Errorf("come back after %v, want %v", got, tt.want)
+				t.Errorf("retry after %v, want %v", got, tt.want)
 			}
 		})
 	}
 }
 
-// stale has a caller refused for want of a proof, of which the last is old.
-func stale(d *Daemon) {
+// refuseStale has a caller refused as the last proof of the configuration is too old.
+func refuseStale(d *Daemon) {
 	old := start.Add(-time.Minute)
 	d.provedAt.Store(&old)
 	d.retryAfter("stale", job("short", 10))
 }
 
-// asked asks for a place.
-func asked(d *Daemon, now time.Time, tried ...string) error {
+// placeOne asks for a place.
+func placeOne(d *Daemon, now time.Time, tried ...string) error {
 	_, err := d.place(now, &d.tables, deliver.PlacementRequest{Job: job("short", 10), Attempted: tried})
 	return err
 }
 
-// TestNoConfigurationYet shows that a box without a configuration expects to be
-// without one for as long again, and that its callers' routes need not be known.
+// TestNoConfigurationYet checks that a box without a configuration expects to stay without one
+// for as long again, and that the route of a refused call need not be known.
 func TestNoConfigurationYet(t *testing.T) {
 	d := newDaemon("b1")
 	d.retryEstimator.Draw = func() float64 { return 0 }
 	d.now = func() time.Time { return d.startedAt.Add(900 * time.Millisecond) }
 	if got := d.retryAfter("no_configuration", &deliver.Job{Call: &deliver.Call{}}); got != 900*time.Millisecond {
-		t.Errorf("come back after %v", got)
+		t.Errorf("retry after %v", got)
 	}
 	d.update(d.now(), operatorRead{d.now(), Operator{Table: configuration(1)}})
 	if got := d.retryAfter("no_configuration", &deliver.Job{Call: &deliver.Call{}}); got != soonest {
-		t.Errorf("come back after %v though there is a configuration", got)
+		t.Errorf("retry after %v though there is a configuration", got)
 	}
 }
 
-// TestTellsWhetherShut shows that a box tells others that it refuses callers.
-func TestTellsWhetherShut(t *testing.T) {
+// TestGossipsWhetherStale checks that a box tells others whether it refuses callers.
+func TestGossipsWhetherStale(t *testing.T) {
 	tests := []struct {
 		name   string
 		after  time.Duration
@@ -133,12 +133,12 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			now := start
-			d := refusing(&now)
+			d := boxWithClock(&now)
 			now = start.Add(tt.after)
 			reply := make(chan peer.Message, 1)
 			d.update(now, peerRequest{peer.Message{Kind: peer.KindGossip, From: "b2", Stale: true}, reply})
 			if got := <-reply; got.Stale != tt.closed {
-				t.Errorf("answers that it is shut: %v", got.Stale)
+				t.Errorf("answers that it refuses callers: %v", got.Stale)
 			}
 			credential := "c"
 			d.credential.Store(&credential)
@@ -151,16 +151,16 @@
 	}
 }
 
-// TestRefusedPlaceComesBack shows that the time goes out with the refusal.
-func TestRefusedPlaceComesBack(t *testing.T) {
+// TestRefusalHasRetryAfter checks that a refusal carries the time to come back.
+func TestRefusalHasRetryAfter(t *testing.T) {
 	now := start
-	d := refusing(&now)
-	err := asked(d, now)
+	d := boxWithClock(&now)
+	err := placeOne(d, now)
 	if got := refusal.Of(err, "", 0); got.Code != "no_target" || got.RetryAfter != soonest {
 		t.Errorf("refused %+v", got)
 	}
 	now = now.Add(time.Second)
-	if got := refusal.Of(asked(d, now), "", 0); got.RetryAfter != time.Second {
+	if got := refusal.Of(placeOne(d, now), "", 0); got.RetryAfter != time.Second {
 		t.Errorf("refused %+v", got)
 	}
 }
--- a/entry/trial.go
+++ b/entry/trial.go
@@ -12,23 +12,23 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// What speaks against a request that is refused may be chance: one that callers ask for all
-// the time runs everywhere, so also on three targets of a failure domain that is lost. As
-// all boxes refuse it, only answers that were under way could lift its quarantine. It is
-// therefore tried again, by the box whose claim the table service takes, for all of them.
-// The platform bears three sendings of a request that does take targets down, later than
-// 3 s after the third of these; one is left for what boxes did not find out.
+// A request may be quarantined by chance: one that is in flight everywhere at all times also
+// runs on three targets of a failure domain that is lost. As all boxes refuse it, only answers
+// to attempts already in flight could lift the quarantine. It is therefore attempted again, for
+// all boxes, by the box whose claim the table service accepts. The platform allows three
+// attempts of a request that does crash targets later than 3 s after the third crash. Two are
+// made here; one is left for crashes that boxes did not notice.
 const (
-	// trials is how often a request is tried in all.
-	trials = 2
-	// firstTrial is when, after a box refused it first: by then most answers to those that
-	// were under way elsewhere have come, and targets that were lost are back. One costs
-	// what runs on a target, some 20 requests.
-	firstTrial = 10 * time.Second
-	// nextTrial is the time to the second one.
-	nextTrial = 10 * time.Minute
-	// trialFor bounds the two calls of a claim; its caller waits.
-	trialFor = time.Second
+	// maxTrials is the maximum number of trials of a request.
+	maxTrials = 2
+	// firstTrialDelay is the delay from a box's first refusal to the first trial. By then most
+	// answers in flight elsewhere have come and lost targets are back. A trial may cost the
+	// requests that run on a target, some 20.
+	firstTrialDelay = 10 * time.Second
+	// nextTrialDelay is the delay from there to the second trial.
+	nextTrialDelay = 10 * time.Minute
+	// claimTimeout bounds the two calls of a claim, as the caller waits for them.
+	claimTimeout = time.Second
 )
 
 // trialPrefix begins the keys of the rows that count a request's trials.
@@ -37,26 +37,27 @@
 // trialRow is the value of such a row.
 type trialRow struct {
 	Count int `json:"count"`
-	// AtMS is when the last one was, in Unix milliseconds; seconds make no odds.
+	// AtMS is the time of the last trial in Unix milliseconds; clock skew of seconds does not
+	// matter.
 	AtMS int64 `json:"at_ms"`
 }
 
-// claimTrial asks for a request's trial.
+// claimTrial claims a request's trial.
 type claimTrial struct {
 	m   placementRequest
 	sum fingerprint.Sum
 }
 
-// trialClaimed tells whether this request is the one.
+// trialClaimed tells whether this request is the trial.
 type trialClaimed struct {
 	claimTrial
 	granted bool
 	err     error
 }
 
-// refuseOrTry refuses a request that takes targets down, or claims its trial if one may be
-// due. It says whether that is all that is to be done about it.
-func (d *Daemon) refuseOrTry(now time.Time, t *tables, m placementRequest) ([]effect, bool) {
+// refuseOrClaimTrial refuses a quarantined request, or claims its trial if one may be due. It reports
+// whether the request needs no further handling.
+func (d *Daemon) refuseOrClaimTrial(now time.Time, t *tables, m placementRequest) ([]effect, bool) {
 	refused := d.refuseQuarantined(now, t, m.ask.Job)
 	if refused == nil || m.trial {
 		return nil, false
@@ -69,24 +70,24 @@
 	return nil, true
 }
 
-// trialDue says whether this box should claim a request's trial now.
+// trialDue reports whether this box should claim a request's trial now.
 func (t *tables) trialDue(now time.Time, sum fingerprint.Sum) bool {
 	at, known := t.nextTrial[sum]
 	if !known {
-		t.nextTrial[sum] = now.Add(firstTrial)
+		t.nextTrial[sum] = now.Add(firstTrialDelay)
 		return false
 	}
 	if now.Before(at) || t.crashes.Suspects(sum) > 0 {
 		return false
 	}
-	t.nextTrial[sum] = now.Add(nextTrial)
+	t.nextTrial[sum] = now.Add(nextTrialDelay)
 	return true
 }
 
-// claimTrial reads how often the request was tried and counts once more, unless another box
-// does so meanwhile. A claim whose answer is lost is none: one trial less is made.
+// claimTrial reads how many trials a request has had and adds one, unless another box does so
+// meanwhile. A claim whose answer is lost is not granted, so one trial fewer is made.
 func (d *Daemon) claimTrial(ctx context.Context, e claimTrial) trialClaimed {
-	ctx, cancel := context.WithTimeout(ctx, trialFor)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	key := trialPrefix + e.sum.String()
 	var last trialRow
@@ -98,7 +99,7 @@
 		return trialClaimed{e, false, err}
 	}
 	now := d.now()
-	if last.Count >= trials || last.Count > 0 && now.Sub(time.UnixMilli(last.AtMS)) < nextTrial {
+	if last.Count >= maxTrials || last.Count > 0 && now.Sub(time.UnixMilli(last.AtMS)) < nextTrialDelay {
 		return trialClaimed{e, false, nil}
 	}
 	value, err := json.Marshal(trialRow{last.Count + 1, now.UnixMilli()})
@@ -114,15 +115,16 @@
 	return trialClaimed{e, err == nil, err}
 }
 
-// trialClaimed places the request that is tried, and refuses any other.
+// trialClaimed places the request if it is the trial, and refuses it otherwise.
 func (d *Daemon) trialClaimed(now time.Time, t *tables, m trialClaimed) []effect {
 	d.Log.Info("request may be tried once more", "request", m.m.ask.Job.ID, "fingerprint", m.sum, "granted", m.granted, "err", m.err)
 	m.m.trial = m.granted
 	return d.placementRequested(now, t, m.m)
 }
 
-// expireTrials forgets when requests may be tried that are not refused any more. Their
-// rows stay, a hundred bytes for three targets that ended: other boxes may refuse them yet.
+// expireTrials forgets the trials of requests that are not refused any more. Their rows stay,
+// as other boxes may still refuse these requests: a hundred bytes for each request that ended
+// three targets.
 func (t *tables) expireTrials() {
 	maps.DeleteFunc(t.nextTrial, func(sum fingerprint.Sum, _ time.Time) bool {
 		return t.quarantine.Crashes(sum) == 0 && t.crashes.Suspects(sum) == 0
--- a/entry/weights.go
+++ b/entry/weights.go
@@ -9,40 +9,40 @@
 	"github.com/thymewind/thymewind/rollout"
 )
 
-// How weights are brought to the engines.
+// Parameters of weight rollouts.
 const (
-	// maxLoadTime is how long a target is taken to load, at most. A load takes
-	// 1.3 s after the target's runs have ended.
+	// maxLoadTime is the maximum time for which a target is taken to be loading. A load takes
+	// 1.3 s once the target's running requests have ended.
 	maxLoadTime = 6 * time.Second
-	// loadLook is how often a loading target is asked whether it is done.
-	loadLook = 200 * time.Millisecond
-	// loadShy is how long a target that turned a request away during a rollout
-	// gets no other.
-	loadShy = 300 * time.Millisecond
-	// leaseEvery is how often a box without the lease looks at it while there
-	// is work to do.
-	leaseEvery = 300 * time.Millisecond
-	// leaseSpread spreads the boxes' first looks.
-	leaseSpread = 200 * time.Millisecond
-	// concurrentLoads targets, or the share of all, load at the same time; with more,
-	// each load takes longer and the others are crowded. The platform's pools of
-	// 9, 90 and 112 engines load 2, 18 and 22 at their full speed.
+	// loadPollInterval is the interval at which a loading target is polled.
+	loadPollInterval = 200 * time.Millisecond
+	// turnedAwayPause is how long a target that turned a request away during a rollout gets no
+	// other.
+	turnedAwayPause = 300 * time.Millisecond
+	// leaseRetryInterval is the interval at which a box without the lease tries to get it while
+	// there is work to do.
+	leaseRetryInterval = 300 * time.Millisecond
+	// leaseRetryJitter is the jitter of that interval.
+	leaseRetryJitter = 200 * time.Millisecond
+	// concurrentLoads targets, or concurrentLoadShare of all if that is more, load at the same
+	// time. More would slow each load down and crowd the other engines. The platform's pools of
+	// 9, 90 and 112 engines load 2, 18 and 22 at full speed.
 	concurrentLoads     = 2
 	concurrentLoadShare = 0.2
-	// recentFor is how long an order counts as recent, and holdSlack is added
-	// to the platform's bound between two holders' orders to one target.
-	recentFor      = 5 * time.Second
+	// recentOrderFor is how long an order counts as recent. handoverMargin is added to the
+	// platform's bound between two lease holders' orders to one target.
+	recentOrderFor = 5 * time.Second
 	handoverMargin = 300 * time.Millisecond
 )
 
-// rollWeights keeps all engines on the newest weights, if this box holds the
-// lease, and tries to get the lease while there is work to do.
+// rollWeights keeps all engines on the newest weights if this box holds the lease, and tries to
+// get the lease while there is work to do.
 func (d *Daemon) rollWeights(now time.Time, t *tables) []effect {
 	var effects []effect
 	work := false
 	for _, model := range slices.Sorted(maps.Keys(t.weights)) {
 		w := t.weights[model]
-		if at := (scan{t.listVersion, w.newestVersion}); t.listVersion != 0 && at == w.upToDateScan && !w.toFree(t) {
+		if at := (scan{t.listVersion, w.newestVersion}); t.listVersion != 0 && at == w.upToDateScan && !w.hasStaleParts(t) {
 			w.clearing.SetFloor(now, w.minVersion)
 			continue
 		}
@@ -50,7 +50,7 @@
 		least := rollout.Least(replicas)
 		w.clearing.SetFloor(now, least)
 		behind := rollout.Behind(w.newestVersion, replicas) > 0
-		if !behind && !w.toFree(t) {
+		if !behind && !w.hasStaleParts(t) {
 			w.upToDateScan, w.minVersion = scan{t.listVersion, w.newestVersion}, least
 			continue
 		}
@@ -59,9 +59,9 @@
 		if !held || w.announcing || !t.mayOrder(epoch) || now.Before(w.announceRetryAt) {
 			continue
 		}
-		effects = append(effects, d.freeOld(now, t, model, w)...)
+		effects = append(effects, d.freeStale(now, t, model, w)...)
 		if w.planned = d.plan.Next(w.newestVersion, replicas); len(w.planned) > 0 || behind && w.versionLog.Missing(w.newestVersion, &t.tableClock) {
-			effects = append(effects, d.tellRollout(now, t, model, w, epoch))
+			effects = append(effects, d.announceRollout(now, t, model, w, epoch))
 		}
 	}
 	if work {
@@ -70,7 +70,7 @@
 	return effects
 }
 
-// mayOrder says that the rows of the lease's earlier holder were read.
+// mayOrder reports whether the rows of the lease's previous holder were read.
 func (t *tables) mayOrder(epoch uint64) bool { return t.readEpoch == epoch }
 
 // replicas lists the engines that serve a model.
@@ -111,9 +111,9 @@
 	epoch, _, held := d.lease.Held()
 	if held && epoch != t.readEpoch && m.read {
 		t.readEpoch = epoch
-		d.bar(now, t, m.rows)
+		d.barRecentlyOrdered(now, t, m.rows)
 	}
-	t.due.lease = now.Add(leaseEvery + d.jitter(leaseSpread))
+	t.due.lease = now.Add(leaseRetryInterval + d.jitter(leaseRetryJitter))
 	if held {
 		t.due.lease = now
 	}
--- a/entry/named_test.go
+++ b/entry/weightversions_test.go
@@ -18,9 +18,9 @@
 // bound is how long a request may begin on replaced weights in these tests.
 const bound = 12 * time.Second
 
-// namesTwo has a daemon with the lease read version 2, which was named 10 s after
+// leaderWithTwoVersions has a daemon with the lease read version 2, which was named 10 s after
 // start, when the table service's clock showed 110 s.
-func namesTwo(t *testing.T, engines ...fleet.Entry) (*Daemon, time.Time) {
+func leaderWithTwoVersions(t *testing.T, engines ...fleet.Entry) (*Daemon, time.Time) {
 	t.Helper()
 	d := newDaemon("b1")
 	now := start
@@ -29,7 +29,7 @@
 	d.update(now, operatorRead{now, Operator{Table: configuration(1), Weights: map[string]int64{"m": 1}, Clock: 100 * time.Second}})
 	d.update(now, targetsRead{now, Targets{Snapshot: true, Listed: engines}, false})
 	now = start.Add(10 * time.Second)
-	d.update(now, operatorRead{now.Add(-heldAtLeast - 10*time.Millisecond), Operator{Weights: map[string]int64{"m": 2}, Clock: 110 * time.Second, Held: true}})
+	d.update(now, operatorRead{now.Add(-minHold - 10*time.Millisecond), Operator{Weights: map[string]int64{"m": 2}, Clock: 110 * time.Second, Held: true}})
 	if err := d.lease.AcquireOrRenew(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -47,14 +47,14 @@
 	return table.Row{}, false
 }
 
-// TestRestartedBoxKnowsTheNaming starts a box 4 s after a naming: it takes the
-// time of that from the rollout's row, whichever it reads first. Without a row it
-// takes the naming for a little older than its own first read.
-func TestRestartedBoxKnowsTheNaming(t *testing.T) {
-	holder, now := namesTwo(t, engine("a", 1))
+// TestRestartedBoxKnowsNaming starts a box 4 s after a naming. It takes the time of the naming
+// from the rollout's row, whichever is read first. Without a row it assumes that the naming is
+// a little older than its own first read.
+func TestRestartedBoxKnowsNaming(t *testing.T) {
+	holder, now := leaderWithTwoVersions(t, engine("a", 1))
 	row, written := rowWritten(holder, now)
 	if !written {
-		t.Fatal("the rollout is not told")
+		t.Fatal("the rollout's row is not written")
 	}
 	own := ownRead{change: OwnRows{Rows: []table.Row{row}}}
 	operator := func(at time.Time) message {
@@ -62,7 +62,7 @@
 	}
 	// The holder's proof is half a second older than the naming.
 	recorded := 10*time.Second - feedLag + bound - overdueMargin
-	assumed := 14*time.Second - unrecordedFor + bound - overdueMargin
+	assumed := 14*time.Second - unrecordedAge + bound - overdueMargin
 	tests := []struct {
 		name string
 		read func(d *Daemon, at time.Time)
@@ -77,19 +77,18 @@
 			d := newDaemon("b2")
 			tt.read(d, start.Add(14*time.Second))
 			w := d.tables.rolloutOf("m")
-			if got := w.least(start.Add(tt.ends-5*time.Millisecond), bound); got > 1 {
+			if got := w.requiredVersion(start.Add(tt.ends-5*time.Millisecond), bound); got > 1 {
 				t.Errorf("version %d is required too early", got)
 			}
-			if got := w.least(start.Add(tt.ends), bound); got != 2 {
+			if got := w.requiredVersion(start.Add(tt.ends), bound); got != 2 {
 				t.Errorf("version %d is required, want 2", got)
 			}
 		})
 	}
 }
 
-// TestLateRead names a version right after an answer. The next answer may be a
-// late one that found it there already: the naming is then as old as the answer
-// before. Only an answer that was held says more.
+// TestLateRead names a version right after an answer. If the next read was late, the naming may
+// be as old as the answer before; only a read that was held shows more.
 func TestLateRead(t *testing.T) {
 	const gap = 4 * time.Second
 	tests := []struct {
@@ -99,9 +98,9 @@
 		most time.Duration // How old the naming can be.
 	}{
 		{"answered at once after a gap", 0, true, gap},
-		{"held for a moment after a gap", heldAtLeast / 2, true, gap},
-		{"not held, and slow", heldAtLeast + 10*time.Millisecond, false, gap},
-		{"held", heldAtLeast + 10*time.Millisecond, true, feedLag},
+		{"held for a moment after a gap", minHold / 2, true, gap},
+		{"not held, and slow", minHold + 10*time.Millisecond, false, gap},
+		{"held", minHold + 10*time.Millisecond, true, feedLag},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -116,12 +115,12 @@
 	}
 }
 
-// TestClockJump shows that times told by the table service's clock are not read by
-// one that began anew, and that the namings are then recorded again.
-func TestClockJump(t *testing.T) {
-	d, now := namesTwo(t, engine("a", 1))
+// TestClockReset checks that times on the table service's clock are not used after that clock
+// was reset, and that the namings are then recorded again.
+func TestClockReset(t *testing.T) {
+	d, now := leaderWithTwoVersions(t, engine("a", 1))
 	if _, written := rowWritten(d, now); !written {
-		t.Fatal("the rollout is not told")
+		t.Fatal("the rollout's row is not written")
 	}
 	d.update(now, announced{"m", nil})
 	now = now.Add(5 * time.Second)
@@ -135,15 +134,14 @@
 	}
 }
 
-// TestLateRowLacksNaming shows that a row which is written late, over a newer one,
-// is mended.
-func TestLateRowLacksNaming(t *testing.T) {
-	d, now := namesTwo(t, engine("a", 1))
+// TestLateRowIsCorrected checks that a row written late over a newer one is corrected.
+func TestLateRowIsCorrected(t *testing.T) {
+	d, now := leaderWithTwoVersions(t, engine("a", 1))
 	old, _ := rowWritten(d, now)
 	d.update(now, announced{"m", nil})
 	d.update(now, operatorRead{now, Operator{Weights: map[string]int64{"m": 3}, Clock: 110 * time.Second}})
 	if _, written := rowWritten(d, now); !written {
-		t.Fatal("version 3 is not told")
+		t.Fatal("version 3 is not written")
 	}
 	d.update(now, announced{"m", nil})
 	d.update(now, ownRead{change: OwnRows{Rows: []table.Row{old}}})
@@ -152,26 +150,25 @@
 	}
 }
 
-// TestRowIsNotWrittenInARush shows that a row that can't be written is tried again
-// after a pause, as each try has its price.
-func TestRowIsNotWrittenInARush(t *testing.T) {
-	d, now := namesTwo(t, engine("a", 1))
+// TestFailedRowWriteBacksOff checks that a failed write of the row is retried only after a
+// pause, as each attempt is charged for.
+func TestFailedRowWriteBacksOff(t *testing.T) {
+	d, now := leaderWithTwoVersions(t, engine("a", 1))
 	if _, written := rowWritten(d, now); !written {
-		t.Fatal("the rollout is not told")
+		t.Fatal("the rollout's row is not written")
 	}
 	d.update(now, announced{"m", errors.New("lost")})
-	if _, written := rowWritten(d, now.Add(tellAgain-time.Millisecond)); written {
+	if _, written := rowWritten(d, now.Add(announceRetryDelay-time.Millisecond)); written {
 		t.Error("tried again at once")
 	}
-	if _, written := rowWritten(d, now.Add(tellAgain)); !written {
+	if _, written := rowWritten(d, now.Add(announceRetryDelay)); !written {
 		t.Error("not tried again")
 	}
 }
 
-// TestAssumptionsLast shows that a box that could only assume when a version was
-// named records that, so that boxes that start again and again don't assume it
-// anew.
-func TestAssumptionsLast(t *testing.T) {
+// TestAssumedNamingIsRecorded checks that a box that could only assume when a version was named
+// records that, so that boxes that restart repeatedly don't assume a new time.
+func TestAssumedNamingIsRecorded(t *testing.T) {
 	first := func(row *table.Row, at time.Duration) *Daemon {
 		d := newDaemon("b1")
 		d.now = func() time.Time { return start.Add(at) }
@@ -190,18 +187,18 @@
 	d.tables.readEpoch, _, _ = d.lease.Held()
 	row, written := rowWritten(d, start)
 	if !written {
-		t.Fatal("the rollout is not told")
+		t.Fatal("the rollout's row is not written")
 	}
 	d = first(&row, 8*time.Second)
-	if got := d.tables.rolloutOf("m").least(start.Add(bound-overdueMargin-unrecordedFor), bound); got != 2 {
+	if got := d.tables.rolloutOf("m").requiredVersion(start.Add(bound-overdueMargin-unrecordedAge), bound); got != 2 {
 		t.Errorf("version %d is required, want 2 as the first box assumed", got)
 	}
 }
 
-// TestNamingIsToldBesidesLoads shows that a naming is recorded although no engine
-// can be ordered yet, and only once.
-func TestNamingIsToldBesidesLoads(t *testing.T) {
-	d, now := namesTwo(t, engine("a", 1), engine("b", 1), engine("c", 1))
+// TestNamingIsRecordedWithoutOrders checks that a naming is recorded even if no engine can be
+// ordered yet, and only once.
+func TestNamingIsRecordedWithoutOrders(t *testing.T) {
+	d, now := leaderWithTwoVersions(t, engine("a", 1), engine("b", 1), engine("c", 1))
 	row, _ := rowWritten(d, now)
 	d.update(now, announced{"m", nil})
 	if _, again := rowWritten(d, now); again {
@@ -215,7 +212,7 @@
 	}
 	newest := told.Namings[len(told.Namings)-1]
 	if newest.Version != 3 || newest.Assumed || newest.AtMS != 110000 {
-		t.Errorf("told %+v", newest)
+		t.Errorf("recorded %+v", newest)
 	}
 	d.update(now, announced{"m", nil})
 	if _, again := rowWritten(d, now); again {
@@ -223,9 +220,9 @@
 	}
 }
 
-// TestHubTellsNamings shows that a box that takes a hub's view keeps the same
-// bound, counted from when it asked.
-func TestHubTellsNamings(t *testing.T) {
+// TestNamingsInHubView checks that a box that uses a hub's view keeps the same bound, counted
+// from when it asked.
+func TestNamingsInHubView(t *testing.T) {
 	hub, spoke := largeFleet("box-00"), largeFleet("box-05")
 	hub.update(start, operatorRead{start, Operator{Table: configuration(1), Weights: map[string]int64{"m": 1}}})
 	hub.update(start, operatorRead{start, Operator{Weights: map[string]int64{"m": 2}}})
@@ -238,13 +235,13 @@
 	if w.newestVersion != 3 {
 		t.Errorf("newest %d, want 3", w.newestVersion)
 	}
-	if got := w.least(start.Add(bound-overdueMargin), bound); got != 2 {
+	if got := w.requiredVersion(start.Add(bound-overdueMargin), bound); got != 2 {
 		t.Errorf("version %d is required, want 2", got)
 	}
 }
 
-// TestHubsPlaceOnOldWeights has a hub that lacks a naming place a request: the box
-// that sends it keeps the bound.
+// TestHubsPlaceOnOldWeights has a hub that lacks a naming place a request. The box that sends
+// it keeps the bound.
 func TestHubsPlaceOnOldWeights(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -271,16 +268,16 @@
 	}
 }
 
-// TestWeightsUnknown shows that a box that can't know any more which weights are
-// the newest sends nothing to engines.
-func TestWeightsUnknown(t *testing.T) {
+// TestWeightsStale checks that a box that can't know which weights are the newest sends nothing
+// to engines.
+func TestWeightsStale(t *testing.T) {
 	tests := []struct {
 		proved time.Duration
 		code   string
 	}{
 		{bound, ""},
-		{unknownFor*bound - time.Millisecond, ""},
-		{unknownFor * bound, "stale"},
+		{staleBounds*bound - time.Millisecond, ""},
+		{staleBounds * bound, "stale"},
 	}
 	for _, tt := range tests {
 		t.Run(fmt.Sprint("proved ", tt.proved, " ago"), func(t *testing.T) {
@@ -295,7 +292,7 @@
 	}
 }
 
-// refusedFor returns a refusal's code, or an empty text for none.
+// refusedFor returns a refusal's code, or an empty string for none.
 func refusedFor(err error) string {
 	if err == nil {
 		return ""
