--- a/adaptive/patience_test.go
+++ b/adaptive/adaptive_test.go
@@ -14,20 +14,20 @@
 		happen func(b *adaptive.Timeout)
 		want   time.Duration
 	}{
-		{"nothing seen", func(*adaptive.Timeout) {}, 1500 * ms},
-		{"quick answers", func(b *adaptive.Timeout) { b.Observe(4 * ms) }, 500 * ms},
+		{"no answer yet", func(*adaptive.Timeout) {}, 1500 * ms},
+		{"fast answers", func(b *adaptive.Timeout) { b.Observe(4 * ms) }, 500 * ms},
 		{"ten times as slow", func(b *adaptive.Timeout) { b.Observe(4 * ms); b.Observe(40 * ms) }, 500 * ms},
 		{"sixty times as slow", func(b *adaptive.Timeout) { b.Observe(4 * ms); b.Observe(240 * ms) }, 960 * ms},
-		{"slower than the most", func(b *adaptive.Timeout) { b.Observe(900 * ms) }, 1500 * ms},
-		{"one in vain", func(b *adaptive.Timeout) { b.Observe(4 * ms); b.TimedOut() }, 1000 * ms},
-		{"many in vain", func(b *adaptive.Timeout) {
+		{"slower than the maximum", func(b *adaptive.Timeout) { b.Observe(900 * ms) }, 1500 * ms},
+		{"one time-out", func(b *adaptive.Timeout) { b.Observe(4 * ms); b.TimedOut() }, 1000 * ms},
+		{"many time-outs", func(b *adaptive.Timeout) {
 			b.Observe(4 * ms)
 			for range 100 {
 				b.TimedOut()
 			}
 		}, 1500 * ms},
-		{"in vain, then answered", func(b *adaptive.Timeout) { b.Observe(4 * ms); b.TimedOut(); b.Observe(4 * ms) }, 500 * ms},
-		{"a slow hour is over", func(b *adaptive.Timeout) {
+		{"a time-out, then an answer", func(b *adaptive.Timeout) { b.Observe(4 * ms); b.TimedOut(); b.Observe(4 * ms) }, 500 * ms},
+		{"fast again after a slow answer", func(b *adaptive.Timeout) {
 			b.Observe(900 * ms)
 			for range 200 {
 				b.Observe(4 * ms)
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestSilent counts the calls in vain.
-func TestSilent(t *testing.T) {
+// TestTimedOut checks that an answer resets the count of time-outs.
+func TestTimedOut(t *testing.T) {
 	b := &adaptive.Timeout{Min: time.Second, Max: time.Minute}
 	if first, second := b.TimedOut(), b.TimedOut(); first != 1 || second != 2 {
 		t.Errorf("counted %d and %d", first, second)
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -12,35 +12,35 @@
 	"github.com/thymewind/thymewind/internal/proof"
 )
 
-func ask(account string) admission.Request {
+func request(account string) admission.Request {
 	return admission.Request{
 		Account: account, Pool: "menu", Weight: 1, WeightOf: func(string) int { return 1 }, Capacity: 20, Now: time.Unix(1000, 0),
 	}
 }
 
-// smallGetsIn says that however many requests a large account sends, an account
-// that has none under way is admitted.
+// smallGetsIn is the property that however many requests a large account sends, an
+// account with none in flight is admitted.
 func smallGetsIn(share float64) gopter.Prop {
 	return prop.ForAll(func(flood, others int) bool {
 		var g admission.Gate
 		for i := range others {
-			g.Admit(ask(string(rune('b' + i))))
+			g.Admit(request(string(rune('b' + i))))
 		}
 		for range flood {
-			a := ask("large")
-			a.Load = share * float64(g.InFlight("menu"))
-			g.Admit(a)
+			r := request("large")
+			r.Load = share * float64(g.InFlight("menu"))
+			g.Admit(r)
 		}
-		a := ask("small")
-		a.Load = share * float64(g.InFlight("menu"))
-		return g.Admit(a).OK
+		r := request("small")
+		r.Load = share * float64(g.InFlight("menu"))
+		return g.Admit(r).OK
 	}, gen.IntRange(0, 200), gen.IntRange(0, 3))
 }
 
 func TestSmallAccountGetsIn(t *testing.T) { proof.Holds(t, smallGetsIn(1)) }
 
 func TestSmallAccountGetsInNeedsTheShares(t *testing.T) {
-	// With the load never seen, no account is ever held to its share.
+	// Control: with a load of zero, no account is limited to its share.
 	proof.Breaks(t, smallGetsIn(0))
 }
 
@@ -52,31 +52,31 @@
 		ok     bool
 	}{
 		{"free", 0, func(*admission.Request) {}, true},
-		{"concurrency reached", 2, func(a *admission.Request) { a.Concurrency = 2 }, false},
-		{"concurrency not reached", 1, func(a *admission.Request) { a.Concurrency = 2 }, true},
+		{"concurrency reached", 2, func(r *admission.Request) { r.Concurrency = 2 }, false},
+		{"concurrency not reached", 1, func(r *admission.Request) { r.Concurrency = 2 }, true},
 		{"pool full", 20, func(*admission.Request) {}, false},
-		{"crowded, over the share", 11, func(a *admission.Request) { a.Load = 15 }, false},
-		{"crowded, within the share", 5, func(a *admission.Request) { a.Load = 15 }, true},
-		{"not crowded, over the share", 11, func(a *admission.Request) { a.Load = 11 }, true},
-		{"tokens used up", 1, func(a *admission.Request) { a.TokensPerMinute, a.Tokens = 100, 60 }, false},
-		{"a request larger than a minute's tokens", 0, func(a *admission.Request) { a.TokensPerMinute, a.Tokens = 100, 500 }, true},
+		{"busy, over the share", 11, func(r *admission.Request) { r.Load = 15 }, false},
+		{"busy, within the share", 5, func(r *admission.Request) { r.Load = 15 }, true},
+		{"not busy, over the share", 11, func(r *admission.Request) { r.Load = 11 }, true},
+		{"tokens used up", 1, func(r *admission.Request) { r.TokensPerMinute, r.Tokens = 100, 60 }, false},
+		{"a request larger than a minute's tokens", 0, func(r *admission.Request) { r.TokensPerMinute, r.Tokens = 100, 500 }, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var g admission.Gate
-			a := ask("a")
-			tt.change(&a)
+			r := request("a")
+			tt.change(&r)
 			for range tt.before {
-				free := a
+				free := r
 				free.Load, free.Concurrency = 0, 0
 				g.Admit(free)
 			}
-			got := g.Admit(a)
+			got := g.Admit(r)
 			if got.OK != tt.ok {
 				t.Errorf("Admit = %+v, want %v", got, tt.ok)
 			}
 			if !got.OK && got.After <= 0 {
-				t.Error("a refusal without a time to come back")
+				t.Error("a refusal without a time to retry")
 			}
 		})
 	}
--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -1,14 +1,14 @@
-// Package boottime tells the time by a steady clock that counts while the machine is
-// suspended, too. The runtime's own steady clock stands still then: to it, a proof, a
-// lease or a deadline of before is as young as it was, and may be used when it is long
-// over.
+// Package boottime provides a monotonic clock that includes time in which the machine is
+// suspended. The runtime's own monotonic clock stops then: a proof, a lease or a deadline
+// from before the suspension looks as young as it was, and might be used long after its
+// end.
 //
 //	began := boottime.Now()
 //	...
-//	if boottime.Since(began) > bound { ... } // true also if the machine slept meanwhile
+//	if boottime.Since(began) > bound { ... } // true also if the machine was suspended meanwhile
 //
-// Times from here may be compared with each other. A timer or a context needs what is
-// left, not the time itself: the runtime counts by its own clock.
+// Times from this package are comparable with each other only. A timer or a context needs
+// the remaining time, as the runtime uses its own clock.
 //
 //	ctx, cancel := context.WithTimeout(ctx, boottime.Until(deadline))
 package boottime
@@ -20,43 +20,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// step is by how much the time of day may move against the runtime's steady clock before
-// the kernel is asked whether the machine was suspended: it moves by that much in 100 s
-// where it is slewed, and at once in a suspension of that length. So nearly all calls cost
-// no system call.
+// step is how far the wall clock may move against the runtime's monotonic clock before
+// the kernel is asked for suspensions: it moves that far in 100 s where it is slewed, and
+// at once in a suspension of that length. So nearly all calls need no system call.
 const step = 50 * time.Millisecond
 
-// noise is the least suspension that is believed: the kernel's clocks are read one after
+// noise is the shortest suspension that counts: the kernel's clocks are read one after
 // the other.
 const noise = 5 * time.Millisecond
 
-// Clock is such a clock. Set the exported fields before first use; it is safe for
-// concurrent use after that.
+// Clock is a monotonic clock that includes suspensions. Set the exported fields before
+// first use; it is safe for concurrent use after that.
 type Clock struct {
-	// Steady is the runtime's steady clock, and the time of day beside it in
+	// Monotonic reads the runtime's monotonic clock, and with it the wall clock in
 	// nanoseconds.
-	Steady func() (now time.Time, day int64)
-	// Boot is the kernel's clock that counts suspensions; false if it has none.
+	Monotonic func() (now time.Time, day int64)
+	// Boot reads the kernel's clock that includes suspensions; false if it has none.
 	Boot func() (time.Duration, bool)
 
-	started atomic.Pointer[beginning]
-	// suspended is for how long the machine was suspended since the first use.
+	started atomic.Pointer[reference]
+	// suspended is how long the machine was suspended since the first use, in nanoseconds.
 	suspended atomic.Int64
-	// skew is by how much the time of day had moved against the steady clock when the
-	// kernel was last asked.
+	// skew is how far the wall clock had moved against the monotonic clock when the kernel
+	// was last asked.
 	skew atomic.Int64
 }
 
-// beginning is what the clocks showed at the first use.
-type beginning struct {
+// reference holds the readings of the clocks at the first use.
+type reference struct {
 	steady time.Time
 	day    int64
 	boot   time.Duration
 	known  bool
 }
 
-// usual is the process's clock.
-var usual = &Clock{Steady: runtime, Boot: kernel}
+// process is the process's clock.
+var process = &Clock{Monotonic: runtime, Boot: kernel}
 
 // runtime reads both in one call, without a system call.
 func runtime() (time.Time, int64) {
@@ -64,72 +63,72 @@
 	return now, now.UnixNano()
 }
 
-// kernel reads the clock that counts suspensions.
+// kernel reads the clock that includes suspensions.
 func kernel() (time.Duration, bool) {
 	var at unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
-		return 0, false // A kernel without it; only the steady clock is left.
+		return 0, false // Without this clock only the runtime's is left.
 	}
 	return time.Duration(at.Nano()), true
 }
 
-// Now is the time by the process's clock.
-func Now() time.Time { return usual.Now() }
+// Now returns the time of the process's clock.
+func Now() time.Time { return process.Now() }
 
-// Since returns the time that passed since a time of Now's, suspensions included.
+// Since returns the time since a time of Now, suspensions included.
 func Since(at time.Time) time.Duration { return Now().Sub(at) }
 
-// Until returns the time that is left until a time of Now's.
+// Until returns the time until a time of Now.
 func Until(at time.Time) time.Duration { return at.Sub(Now()) }
 
-// Suspended returns for how long the machine was suspended since the process first asked
-// for the time. It asks the kernel, so that it also finds a suspension that a step of the
-// time of day hides.
-func Suspended() time.Duration { return usual.Suspended() }
+// Suspended returns how long the machine was suspended since the process first asked for
+// the time. It asks the kernel, so that it also finds a suspension hidden by a step of
+// the wall clock.
+func Suspended() time.Duration { return process.Suspended() }
 
-// CountsSuspensions says whether the kernel tells of suspensions. Where it does not, Now is the
-// runtime's steady clock.
-func CountsSuspensions() bool { return usual.began().known }
+// CountsSuspensions reports whether the kernel has a clock that includes suspensions. If
+// not, Now is the runtime's monotonic clock.
+func CountsSuspensions() bool { return process.first().known }
 
-// Now returns the steady clock's time and that for which it stood still.
+// Now returns the monotonic clock's time plus the suspensions.
 func (c *Clock) Now() time.Time {
-	now, day := c.Steady()
-	began := c.began()
+	now, day := c.Monotonic()
+	began := c.first()
 	skew := day - began.day - int64(now.Sub(began.steady))
 	if moved := time.Duration(skew - c.skew.Load()); moved > step || moved < -step {
 		c.skew.Store(skew)
-		c.look(began)
-		now, _ = c.Steady()
+		c.measure(began)
+		now, _ = c.Monotonic()
 	}
 	return now.Add(time.Duration(c.suspended.Load()))
 }
 
 // Suspended asks the kernel for how long the machine was suspended.
 func (c *Clock) Suspended() time.Duration {
-	c.look(c.began())
+	c.measure(c.first())
 	return time.Duration(c.suspended.Load())
 }
 
-// began returns what the clocks showed first.
-func (c *Clock) began() *beginning {
+// first returns the reference readings, which it takes on the first call.
+func (c *Clock) first() *reference {
 	if began := c.started.Load(); began != nil {
 		return began
 	}
-	first := &beginning{}
+	first := &reference{}
 	first.boot, first.known = c.Boot()
-	first.steady, first.day = c.Steady()
+	first.steady, first.day = c.Monotonic()
 	c.started.CompareAndSwap(nil, first)
 	return c.started.Load()
 }
 
-// look measures the suspensions. The steady clock is read last, so that a pause between
-// the two readings never counts as a suspension.
-func (c *Clock) look(began *beginning) {
+// measure updates the suspensions. The monotonic clock is read last, so that a pause
+// between the two readings never counts as a suspension.
+func (c *Clock) measure(began *reference) {
 	boot, known := c.Boot()
 	if !known || !began.known {
 		return
 	}
-	now, _ := c.Steady()
+	now, _ := c.Monotonic()
 	stood := int64(boot - began.boot - now.Sub(began.steady))
 	for {
 		before := c.suspended.Load()
--- a/boottime/source_test.go
+++ b/boottime/source_test.go
@@ -11,28 +11,28 @@
 	"testing"
 )
 
-// stills are the calls whose result, or whose end, a machine that was suspended gets
-// wrong: its steady clock stood still.
-var stills = []string{"time.Now", "time.Since", "time.Until", "context.WithDeadline"}
+// forbidden are the calls whose result, or whose end, is wrong after a suspension, as
+// they use the runtime's monotonic clock.
+var forbidden = []string{"time.Now", "time.Since", "time.Until", "context.WithDeadline"}
 
-// measuring are the functions that may use them, with why.
-var measuring = []struct{ file, function, why string }{
-	{"boottime/boottime.go", "runtime", "it is the clock's own reading"},
-	{"caller/answer.go", "event", "a connection's deadline is by the runtime's clock"},
-	{"deliver/admit.go", "read", "a connection's deadline is by the runtime's clock"},
-	{"duty.go", "order", "engines are told a time of day"},
-	{"decision/decision.go", "Add", "people are told a time of day"},
-	{"target/queue.go", "started", "an origin; what is counted from it comes from the caller"},
-	{"platform/store/call.go", "do", "how long an answer took, while awake, is learnt"},
-	{"platform/replica/news.go", "events", "how long an answer took, while awake, is learnt"},
-	{"peer/link.go", "expect", "how long an answer took, while awake, is learnt"},
-	{"peer/link.go", "doubt", "how long an answer took, while awake, is learnt"},
-	{"peer/link.go", "heard", "how long an answer took, while awake, is learnt"},
-	{"peer/link.go", "read", "how long an answer took, while awake, is learnt"},
+// exceptions are the functions that may use them, and why.
+var exceptions = []struct{ file, function, why string }{
+	{"boottime/boottime.go", "runtime", "implements the clock"},
+	{"caller/answer.go", "event", "a connection's deadline uses the runtime's clock"},
+	{"deliver/admit.go", "read", "a connection's deadline uses the runtime's clock"},
+	{"duty.go", "order", "sends engines a wall clock time"},
+	{"decision/decision.go", "Add", "shows people a wall clock time"},
+	{"target/queue.go", "started", "a reference; the times compared with it come from the caller"},
+	{"platform/store/call.go", "do", "measures response times, without suspensions"},
+	{"platform/replica/news.go", "events", "measures response times, without suspensions"},
+	{"peer/link.go", "expect", "measures response times, without suspensions"},
+	{"peer/link.go", "doubt", "measures response times, without suspensions"},
+	{"peer/link.go", "heard", "measures response times, without suspensions"},
+	{"peer/link.go", "read", "measures response times, without suspensions"},
 }
 
-// daemons says whether a folder holds code of the daemons.
-func daemons(path string) bool {
+// inDaemon reports whether a folder holds code of the daemons.
+func inDaemon(path string) bool {
 	for _, other := range []string{"internal", "examples", "cmd/standin", "cmd/thymeload", "cmd/thymemeasure", "cmd/thymectl", "platform/standin", "platform/soak"} {
 		if path == other || strings.HasPrefix(path, other+"/") {
 			return false
@@ -41,13 +41,13 @@
 	return true
 }
 
-// TestNoStillClock reads the daemons' sources: none of their ages, leases and deadlines
-// goes by a clock that stands still while the machine is suspended.
-func TestNoStillClock(t *testing.T) {
+// TestNoRuntimeClock parses the daemons' sources and guards against ages, leases and
+// deadlines that stop while the machine is suspended.
+func TestNoRuntimeClock(t *testing.T) {
 	used := make(map[int]bool)
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
 		name, _ := strings.CutPrefix(filepath.ToSlash(path), "../")
-		if err != nil || !daemons(name) || strings.HasPrefix(entry.Name(), ".") && len(entry.Name()) > 2 {
+		if err != nil || !inDaemon(name) || strings.HasPrefix(entry.Name(), ".") && len(entry.Name()) > 2 {
 			if entry.IsDir() {
 				return filepath.SkipDir
 			}
@@ -61,7 +61,7 @@
 			return err
 		}
 		for _, found := range uses(file) {
-			at := slices.IndexFunc(measuring, func(m struct{ file, function, why string }) bool {
+			at := slices.IndexFunc(exceptions, func(m struct{ file, function, why string }) bool {
 				return m.file == name && m.function == found.function
 			})
 			if at < 0 {
@@ -74,17 +74,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, m := range measuring {
+	for i, m := range exceptions {
 		if !used[i] {
-			t.Errorf("%s: %s needs no exception any more", m.file, m.function)
+			t.Errorf("%s: %s no longer needs an exception", m.file, m.function)
 		}
 	}
 }
 
-// use is a call of one of stills.
+// use is a use of a forbidden function.
 type use struct{ function, call string }
 
-// uses lists them, also where such a function is only named.
+// uses lists the uses, also where such a function is only named.
 func uses(file *ast.File) []use {
 	var list []use
 	for _, declared := range file.Decls {
@@ -105,7 +105,7 @@
 				return true
 			}
 			from, ok := selector.X.(*ast.Ident)
-			if ok && slices.Contains(stills, from.Name+"."+selector.Sel.Name) {
+			if ok && slices.Contains(forbidden, from.Name+"."+selector.Sel.Name) {
 				list = append(list, use{name, from.Name + "." + selector.Sel.Name})
 			}
 			return true
--- a/canary/canary.go
+++ b/canary/canary.go
@@ -1,9 +1,10 @@
-// Package canary judges whether a new version of a service's software is worse than the one
-// that serves, while a small share of the requests is sent to it. It knows of no boxes'
-// addresses, rows or calls: what boxes saw goes in, what to think of the version comes out.
+// Package canary judges whether a new version of a service's software is worse than the
+// current one, while a small share of the requests is sent to it. It knows nothing of
+// boxes' addresses, rows or calls: its input is what boxes counted, its output the
+// verdict.
 //
 //	j := canary.NewJudge()
-//	j.See("box-3", "orders", canary.Counts{Good: 12, Bad: 1, OldGood: 160, OldBad: 3})
+//	j.Observe("box-3", "orders", canary.Counts{Good: 12, Bad: 1, BaselineGood: 160, BaselineBad: 3})
 //	if j.Bad() { ... }
 package canary
 
@@ -13,47 +14,50 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// Rollout is what the operator asks for: a pool's requests are to move to a version of its
-// software, if that is no worse.
+// Rollout is an operator's order to move a pool's requests to a version of its software,
+// if that is no worse.
 type Rollout struct {
 	Pool string
-	// Version is the software's, as its targets tell it; empty if what was asked for can't
-	// be read, and then no target that comes from then on is to be used.
+	// Version is the software version as the targets report it; empty if the order cannot be
+	// parsed: then no target that joins from then on is used.
 	Version string
-	// Order numbers what was asked for, so that the same ask made again is another one.
+	// Order is the number of the operator's order, so that the same order repeated is a new
+	// rollout.
 	Order uint64
 	// Timeout is how long it may take until it is decided.
 	Timeout time.Duration
 }
 
-// restoreSpan is how many numbers an Order has between two restores of the table service, far
-// more than it writes rows.
+// restoreSpan is the range of Order between two restores of the table service, far more
+// than the rows it writes.
 const restoreSpan = 1 << 40
 
-// OrderAt numbers what was asked for by a change of the table service, over its restores.
+// OrderAt returns the order number for a change of the table service, rising over its
+// restores.
 func OrderAt(changed revision.Revision) uint64 {
 	return changed.Restores*restoreSpan + changed.Number
 }
 
-// Same says that two asks are one: a restored table service has its older rows again, and the
-// operator writes those it lost again, so that the same ask may come at two orders.
-func (a Rollout) Same(b Rollout) bool {
-	return a.Order == b.Order || a.Pool == b.Pool && a.Version == b.Version && a.Order/restoreSpan != b.Order/restoreSpan
+// Same reports whether two rollouts are the same one: a restored table service has its
+// older rows again, and the operator writes the lost ones again, so that the same rollout
+// may have two order numbers.
+func (r Rollout) Same(b Rollout) bool {
+	return r.Order == b.Order || r.Pool == b.Pool && r.Version == b.Version && r.Order/restoreSpan != b.Order/restoreSpan
 }
 
-// State is how far it has come. It only rises, but for Completing, which may yet be
+// State is the progress of a rollout. It only rises, except that Completing may become
 // RolledBack.
 type State int
 
-// The states of a version that is tried out.
+// The states of a rollout.
 const (
-	// Trying sends it a share of the requests.
+	// Trying sends the new version a share of the requests.
 	Trying State = iota
-	// Completing sends it all requests, while older targets end what they run.
+	// Completing sends it all requests, while older targets finish theirs.
 	Completing
-	// Completed says that older targets may stop.
+	// Completed means that older targets may stop.
 	Completed
-	// RolledBack sends it nothing.
+	// RolledBack sends it no requests.
 	RolledBack
 )
 
@@ -62,5 +66,5 @@
 	return [...]string{"trying", "completing", "completed", "rolled back"}[s]
 }
 
-// Ended says that the state changes no more.
+// Ended reports whether the state is final.
 func (s State) Ended() bool { return s == Completed || s == RolledBack }
--- a/clockbound/clockbound.go
+++ b/clockbound/clockbound.go
@@ -1,73 +1,74 @@
-// Package clockbound bounds what another machine's steady clock shows, by answers
-// that tell it. An answer's clock was read some time between the call and the
-// answer; of many answers the quickest says most.
+// Package clockbound bounds the reading of another machine's monotonic clock, from
+// answers that contain it. The clock was read between the request and the answer, so the
+// fastest answers give the closest bounds.
 //
 //	var c clockbound.Clock
-//	c.See(asked, answered, told)
-//	at, ok := c.Earliest(told) // the earliest local time at which it showed that
+//	c.Observe(sent, received, reading)
+//	at, ok := c.Earliest(reading) // the earliest local time at which it showed that
 package clockbound
 
 import "time"
 
-// drift is how far two steady clocks may run apart, as a share of the time that
-// passes: kernels slew a clock by at most 500 parts in a million.
+// drift is the largest difference in rate of two monotonic clocks: kernels slew a clock
+// by at most 500 parts in a million.
 const drift = 500e-6
 
-// resolution is how much less than its time the other clock may tell: clocks are
-// told in whole milliseconds.
+// resolution is how much the reported reading may be too low: it is in whole
+// milliseconds.
 const resolution = time.Millisecond
 
-// Clock is another machine's clock as seen from here. The zero value is ready; it
-// is not safe for concurrent use.
+// Clock is another machine's clock as seen from here. The zero value is ready; it is not
+// safe for concurrent use.
 type Clock struct {
-	// origin is when the first answer was asked for; all else is counted from it.
+	// origin is when the first answer was requested, the reference for all offsets; seen is
+	// when the last answer came.
 	origin, seen time.Time
-	// low and high bound the other clock less the time since origin. Low is never
-	// above high.
+	// low and high bound the other clock minus the time since origin. low is never above
+	// high.
 	low, high time.Duration
 }
 
-// Observe notes what the other clock showed between two local times. It returns false
-// if that contradicts what was seen before, which it then replaces: the other
-// clock was set or began anew.
-func (c *Clock) Observe(asked, answered time.Time, told time.Duration) bool {
+// Observe records a reading of the other clock between two local times. It returns false
+// if it contradicts the earlier ones, which it then replaces: the other clock was set or
+// restarted.
+func (c *Clock) Observe(sent, received time.Time, reading time.Duration) bool {
 	if !c.Seen() {
-		c.origin = asked
-		c.begin(asked, answered, told)
+		c.origin = sent
+		c.begin(sent, received, reading)
 		return true
 	}
-	aged := time.Duration(drift * float64(answered.Sub(c.seen)))
-	low := max(c.low-aged, told-answered.Sub(c.origin))
-	high := min(c.high+aged, told+resolution-asked.Sub(c.origin))
+	aged := time.Duration(drift * float64(received.Sub(c.seen)))
+	low := max(c.low-aged, reading-received.Sub(c.origin))
+	high := min(c.high+aged, reading+resolution-sent.Sub(c.origin))
 	if low > high {
-		c.begin(asked, answered, told)
+		c.begin(sent, received, reading)
 		return false
 	}
-	c.low, c.high, c.seen = low, high, answered
+	c.low, c.high, c.seen = low, high, received
 	return true
 }
 
-func (c *Clock) begin(asked, answered time.Time, told time.Duration) {
-	c.low, c.high, c.seen = told-answered.Sub(c.origin), told+resolution-asked.Sub(c.origin), answered
+func (c *Clock) begin(sent, received time.Time, reading time.Duration) {
+	c.low, c.high, c.seen = reading-received.Sub(c.origin), reading+resolution-sent.Sub(c.origin), received
 }
 
-// Seen says that there was an answer.
+// Seen reports whether there was an answer.
 func (c *Clock) Seen() bool { return !c.origin.IsZero() }
 
-// Earliest returns the earliest local time at which the other clock can have
-// shown a time, or false if the clock was never seen.
-func (c *Clock) Earliest(told time.Duration) (time.Time, bool) {
-	return c.origin.Add(told - c.high), c.Seen()
+// Earliest returns the earliest local time at which the other clock can have had a
+// reading, or false if the clock was never observed.
+func (c *Clock) Earliest(reading time.Duration) (time.Time, bool) {
+	return c.origin.Add(reading - c.high), c.Seen()
 }
 
-// Min returns the least that the other clock can have shown at a local time, or
-// false if the clock was never seen.
+// Min returns the lowest reading that the other clock can have had at a local time, or
+// false if the clock was never observed.
 func (c *Clock) Min(at time.Time) (time.Duration, bool) {
 	return at.Sub(c.origin) + c.low, c.Seen()
 }
 
-// Max returns the most that the other clock can have shown at a local time, or
-// false if the clock was never seen.
+// Max returns the highest reading that the other clock can have had at a local time, or
+// false if the clock was never observed.
 func (c *Clock) Max(at time.Time) (time.Duration, bool) {
 	return at.Sub(c.origin) + c.high, c.Seen()
 }
--- a/clockbound/clockbound_test.go
+++ b/clockbound/clockbound_test.go
@@ -9,13 +9,13 @@
 
 var start = time.Unix(1000, 0)
 
-// answer is one sight of a clock that is an hour ahead.
+// answer is one reading of a clock that is an hour ahead.
 type answer struct {
-	asked, read, answered time.Duration
+	sent, read, received time.Duration
 }
 
-// TestBounds shows that the other clock's times are never dated too late, and as
-// closely as the quickest answer allows.
+// TestBounds checks that the other clock's readings are never dated too late, and as
+// closely as the fastest answer allows.
 func TestBounds(t *testing.T) {
 	const ahead = time.Hour
 	tests := []struct {
@@ -23,32 +23,32 @@
 		answers []answer
 		within  time.Duration // How far the bounds may be apart.
 	}{
-		{"a quick answer", []answer{{0, 2 * time.Millisecond, 4 * time.Millisecond}}, 4 * time.Millisecond},
-		{"a held one", []answer{{0, 1500 * time.Millisecond, 1501 * time.Millisecond}}, 1501 * time.Millisecond},
-		{"a held one after a quick one", []answer{{0, time.Millisecond, 3 * time.Millisecond}, {time.Second, 2400 * time.Millisecond, 2500 * time.Millisecond}}, 10 * time.Millisecond},
-		{"the answer lay unread", []answer{{0, time.Millisecond, 9 * time.Second}, {9 * time.Second, 9001 * time.Millisecond, 9002 * time.Millisecond}}, 10 * time.Millisecond},
+		{"a fast answer", []answer{{0, 2 * time.Millisecond, 4 * time.Millisecond}}, 4 * time.Millisecond},
+		{"a long poll", []answer{{0, 1500 * time.Millisecond, 1501 * time.Millisecond}}, 1501 * time.Millisecond},
+		{"a long poll after a fast answer", []answer{{0, time.Millisecond, 3 * time.Millisecond}, {time.Second, 2400 * time.Millisecond, 2500 * time.Millisecond}}, 10 * time.Millisecond},
+		{"an answer read late", []answer{{0, time.Millisecond, 9 * time.Second}, {9 * time.Second, 9001 * time.Millisecond, 9002 * time.Millisecond}}, 10 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var c clockbound.Clock
 			for _, a := range tt.answers {
-				if !c.Observe(start.Add(a.asked), start.Add(a.answered), a.read+ahead) {
-					t.Error("the clock is said to have jumped")
+				if !c.Observe(start.Add(a.sent), start.Add(a.received), a.read+ahead) {
+					t.Error("a consistent reading counts as a jump")
 				}
 			}
 			at, ok := c.Earliest(time.Minute + ahead)
 			if early := start.Add(time.Minute).Sub(at); !ok || early < 0 || early > tt.within {
 				t.Errorf("dated %v too early", early)
 			}
-			told, ok := c.Min(start.Add(time.Minute))
-			if low := time.Minute + ahead - told; !ok || low < 0 || low > tt.within {
-				t.Errorf("told %v too low", low)
+			reading, ok := c.Min(start.Add(time.Minute))
+			if low := time.Minute + ahead - reading; !ok || low < 0 || low > tt.within {
+				t.Errorf("reading %v too low", low)
 			}
 		})
 	}
 }
 
-// TestJump shows that a clock that began anew is noticed and followed.
+// TestJump checks that a restarted clock is detected and followed.
 func TestJump(t *testing.T) {
 	var c clockbound.Clock
 	c.Observe(start, start.Add(time.Millisecond), time.Hour)
--- a/congestion/congestion.go
+++ b/congestion/congestion.go
@@ -1,73 +1,75 @@
-// Package congestion says which requests to refuse at once while a pool's targets answer
-// late because they have too much to do.
+// Package congestion sheds requests while a pool's targets answer late because their
+// queues are full.
 //
 //	g := congestion.Gauge{}
-//	g.See(now, took)                        // as each answer ends
-//	if g.Refuse(goal, rand.Float64()) { ... } // before a request is placed
+//	g.Observe(now, took)                    // as each answer ends
+//	if g.Shed(goal, rand.Float64()) { ... } // before a request is placed
 //
-// The load it answers: a service of few targets gets somewhat more than it can do, for
-// longer than a moment. Its targets' queues fill and stay full. It does as much as it
-// could, but nearly every answer comes just behind its goal, and a third of all requests
-// are turned away at the full queues, come back and are turned away again. If a part is
-// refused before it queues, the others are answered in time, and as many are answered.
+// It guards against a sustained overload of a service with few targets, by slightly more
+// requests than it can serve. The targets' queues fill and stay full: throughput stays
+// the same, but nearly every answer just misses its goal, and a third of all requests are
+// rejected at the full queues, retried and rejected again. If a part is shed before it
+// queues, the others are answered in time, and as many are answered.
 //
-// Boxes don't know the queues, as requests take some ten milliseconds and news between
-// boxes is older. Each goes by how long its own answers took, the last few, and by how
-// quick the quickest were: a service that is slow without a queue is not congested.
+// Boxes do not know the queues, as requests take some ten milliseconds and gossip is
+// older. Each box uses its own recent response times and the fastest ones it saw: a
+// service that is slow without a queue is not congested.
 package congestion
 
 import "time"
 
 const (
-	// weight is how much one answer changes the mean: about the last five count, a second
-	// of a box's requests to a service in a fleet of 85.
+	// weight is the weight of one answer in the moving average: about the last five count, a
+	// second of a box's requests to a service in a fleet of 85.
 	weight = 0.2
-	// free is the share of the goal up to which nothing is refused, gain the share refused
-	// for each share of the goal beyond: a third of the requests, which is what targets
-	// with full queues turn away, at four fifths of the goal.
+	// free is the share of the goal up to which nothing is shed, gain the share shed for
+	// each share of the goal beyond: a third of the requests, which is what targets with
+	// full queues reject, at four fifths of the goal.
 	free = 0.6
 	gain = 1.5
-	// most is the largest part that is refused, so that the answers to others go on to
-	// tell how long they take.
-	most = 0.7
-	// queued is by how much longer than the quickest answers take where they queue.
+	// maxShed is the largest share that is shed, so that the remaining answers still measure
+	// the response time.
+	maxShed = 0.7
+	// queued is how many times longer than the fastest ones answers take where they queue.
 	queued = 1.8
-	// forget is how much of its distance to the mean the quickest rises in a second, so
-	// that a service that has turned slower is not taken for congested for good.
-	forget = 0.01
+	// minDrift is how much of its distance to the mean the minimum rises in a second, so
+	// that a service that became slower does not count as congested forever.
+	minDrift = 0.01
 )
 
-// Gauge holds one pool's times as one box sees them. The zero value is ready; it is not
-// safe for concurrent use.
+// Gauge tracks one pool's response times as one box sees them. The zero value is ready;
+// it is not safe for concurrent use.
 type Gauge struct {
-	// mean and quickest are in seconds; zero until an answer was seen, at last.
-	mean, quickest float64
-	last           time.Time
+	// mean and fastest are in seconds, last is when an answer was last observed; all are
+	// zero before the first.
+	mean, fastest float64
+	last          time.Time
 }
 
-// Observe notes how long an answer took, whole and without failure.
+// Observe records how long a successful, complete answer took.
 func (g *Gauge) Observe(now time.Time, took time.Duration) {
 	s := took.Seconds()
 	if g.last.IsZero() {
-		g.mean, g.quickest, g.last = s, s, now
+		g.mean, g.fastest, g.last = s, s, now
 		return
 	}
 	g.mean += (s - g.mean) * weight
-	g.quickest += (g.mean - g.quickest) * min(forget*now.Sub(g.last).Seconds(), 1)
-	g.quickest = min(g.quickest, s)
+	g.fastest += (g.mean - g.fastest) * min(minDrift*now.Sub(g.last).Seconds(), 1)
+	g.fastest = min(g.fastest, s)
 	g.last = now
 }
 
-// ShedShare returns the part of the requests with a goal that is to be refused.
+// ShedShare returns the share of the requests with a goal that is to be shed.
 func (g *Gauge) ShedShare(goal time.Duration) float64 {
-	if goal <= 0 || g.mean < queued*g.quickest {
+	if goal <= 0 || g.mean < queued*g.fastest {
 		return 0
 	}
-	return min(max((g.mean/goal.Seconds()-free)*gain, 0), most)
+	return min(max((g.mean/goal.Seconds()-free)*gain, 0), maxShed)
 }
 
-// Shed says that a request with a goal is to be refused; draw lies between 0 and 1.
+// Shed reports whether to shed a request with a goal; draw is a random number from 0 to
+// 1.
 func (g *Gauge) Shed(goal time.Duration, draw float64) bool { return draw < g.ShedShare(goal) }
 
-// Mean returns how long the last answers took.
+// Mean returns the moving average of the response times.
 func (g *Gauge) Mean() time.Duration { return time.Duration(g.mean * float64(time.Second)) }
--- a/congestion/congestion_test.go
+++ b/congestion/congestion_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-// event is a request that arrives, or one that ends at a target.
+// event is the arrival of a request, or its end at a target.
 type event struct {
 	at      float64
 	request *request
@@ -39,21 +39,21 @@
 	return last
 }
 
-// The service of the load: three targets with 6 slots and room for 15 more, work of 45 ms,
-// so 400 requests a second; callers return once after a refusal.
+// The service: three targets with 6 slots and a queue of 15 each, and 45 ms of work per
+// request, so 400 requests a second; callers retry once after a refusal.
 const (
-	targets, slots, room = 3, 6, 15
-	work                 = 0.045
-	boxes                = 85
-	goal                 = 0.15
-	seconds              = 30.0
+	targets, slots, queueLength = 3, 6, 15
+	work                        = 0.045
+	boxes                       = 85
+	goal                        = 0.15
+	seconds                     = 30.0
 )
 
-// played is how many callers were answered in time, late, and not at all.
-type played struct{ inTime, late, lost int }
+// outcome is how many callers were answered in time, late, and not at all.
+type outcome struct{ inTime, late, lost int }
 
-// play has callers come at a rate that swings by a quarter.
-func play(seed uint64, perSecond float64, refuse bool) played {
+// simulate runs arrivals at a rate that varies by a quarter.
+func simulate(seed uint64, perSecond float64, refuse bool) outcome {
 	random := rand.New(rand.NewPCG(seed, 2))
 	gauges := make([]congestion.Gauge, boxes)
 	var queue events
@@ -65,12 +65,12 @@
 	heap.Init(&queue)
 	var busy [targets]int
 	var waiting [targets][]*request
-	var got played
+	var got outcome
 	begin := func(now float64, target int, r *request) {
 		busy[target]++
 		heap.Push(&queue, event{now + work*(0.7+0.6*random.Float64()), r, target})
 	}
-	turned := func(now, after float64, r *request) {
+	reject := func(now, after float64, r *request) {
 		if r.retried {
 			got.lost++
 			return
@@ -96,57 +96,57 @@
 		}
 		r, target := e.request, random.IntN(targets)
 		if refuse && gauges[r.box].Shed(time.Duration(goal*1e9), random.Float64()) {
-			turned(e.at, 0.4+0.4*random.Float64(), r)
+			reject(e.at, 0.4+0.4*random.Float64(), r)
 			continue
 		}
 		r.sent = e.at
 		switch {
 		case busy[target] < slots:
 			begin(e.at, target, r)
-		case len(waiting[target]) < room:
+		case len(waiting[target]) < queueLength:
 			waiting[target] = append(waiting[target], r)
 		default:
-			turned(e.at, 0.06+0.12*random.Float64(), r)
+			reject(e.at, 0.06+0.12*random.Float64(), r)
 		}
 	}
 	return got
 }
 
-// worth counts an answer in time as one and a late one as three tenths, as the platform's
-// users do for such a service.
-func (p played) worth() float64 {
+// utility counts an answer in time as one and a late one as 0.3, the value of such
+// answers to users.
+func (p outcome) utility() float64 {
 	return (float64(p.inTime) + 0.3*float64(p.late)) / float64(p.inTime+p.late+p.lost)
 }
 
-// TestOverload plays services that get less, as much as and more than they can do.
+// TestOverload compares shedding with none for services at, below and above capacity.
 func TestOverload(t *testing.T) {
 	tests := []struct {
 		name      string
 		perSecond float64
-		// least is by how much more is served by worth than without refusing.
+		// least is how much higher the utility must be than without shedding.
 		least float64
 	}{
-		{"half of what it can do", 200, -0.001},
-		{"three quarters", 300, -0.01},
-		{"nearly all", 380, 0.04},
-		{"a little more", 430, 0.045},
-		{"half as much again", 600, 0.05},
+		{"half of the capacity", 200, -0.001},
+		{"three quarters of the capacity", 300, -0.01},
+		{"nearly the capacity", 380, 0.04},
+		{"slightly above the capacity", 430, 0.045},
+		{"1.5 times the capacity", 600, 0.05},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			for seed := range uint64(4) {
-				without, with := play(seed, tt.perSecond, false), play(seed, tt.perSecond, true)
-				t.Logf("seed %d: without %+v (%.3f), with %+v (%.3f)", seed, without, without.worth(), with, with.worth())
-				if with.worth() < without.worth()+tt.least {
-					t.Errorf("seed %d: worth %.3f without refusing, %.3f with", seed, without.worth(), with.worth())
+				without, with := simulate(seed, tt.perSecond, false), simulate(seed, tt.perSecond, true)
+				t.Logf("seed %d: without %+v (%.3f), with %+v (%.3f)", seed, without, without.utility(), with, with.utility())
+				if with.utility() < without.utility()+tt.least {
+					t.Errorf("seed %d: utility %.3f without shedding, %.3f with", seed, without.utility(), with.utility())
 				}
 			}
 		})
 	}
 }
 
-// TestShare lists which part is refused after answers that took some times.
-func TestShare(t *testing.T) {
+// TestShedShare lists the share that is shed after some response times.
+func TestShedShare(t *testing.T) {
 	ms := time.Millisecond
 	tests := []struct {
 		name        string
@@ -154,13 +154,13 @@
 		goal        time.Duration
 		least, most float64
 	}{
-		{"none seen", nil, 150 * ms, 0, 0},
+		{"no samples", nil, 150 * ms, 0, 0},
 		{"no goal", []time.Duration{30 * ms, 500 * ms, 500 * ms}, 0, 0, 0},
-		{"quick", []time.Duration{30 * ms, 40 * ms, 50 * ms}, 150 * ms, 0, 0},
+		{"fast", []time.Duration{30 * ms, 40 * ms, 50 * ms}, 150 * ms, 0, 0},
 		{"one late answer", []time.Duration{30 * ms, 30 * ms, 200 * ms}, 150 * ms, 0, 0},
-		{"slow, but not for a queue", []time.Duration{140 * ms, 150 * ms, 145 * ms, 150 * ms}, 150 * ms, 0, 0},
-		{"queues", []time.Duration{30 * ms, 130 * ms, 130 * ms, 130 * ms, 130 * ms, 130 * ms, 130 * ms, 130 * ms, 130 * ms, 130 * ms, 130 * ms}, 150 * ms, 0.2, 0.4},
-		{"hopeless", []time.Duration{30 * ms, 900 * ms, 900 * ms, 900 * ms, 900 * ms, 900 * ms}, 150 * ms, 0.7, 0.7},
+		{"slow without a queue", []time.Duration{140 * ms, 150 * ms, 145 * ms, 150 * ms}, 150 * ms, 0, 0},
+		{"queueing", []time.Duration{30 * ms, 130 * ms, 130 * ms, 130 * ms, 130 * ms, 130 * ms, 130 * ms, 130 * ms, 130 * ms, 130 * ms, 130 * ms}, 150 * ms, 0.2, 0.4},
+		{"far beyond the goal", []time.Duration{30 * ms, 900 * ms, 900 * ms, 900 * ms, 900 * ms, 900 * ms}, 150 * ms, 0.7, 0.7},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/crash/crash.go
+++ b/crash/crash.go
@@ -1,11 +1,11 @@
-// Package crash finds out which requests ran on a target when it ended. A request that is
-// cut off says little: connections break for many reasons. It is kept until the target's
-// life is known to be over, or known to go on.
+// Package crash determines which requests ran on a target when it crashed. A request that
+// is cut off shows little, as connections break for many reasons. It is kept until the
+// target's incarnation is known to have ended or to be alive.
 //
-//	w := crash.Watch{}
-//	w.Cut(now, "i-7f@1200", sum)      // a request was cut off there
-//	w.Alive("i-7f@1200", asked)       // it answered what was asked after that: forget it
-//	sums := w.Ended(now, "i-7f@1200") // its process is gone: these ran there
+//	t := crash.Tracker{}
+//	t.CutOff(now, "i-7f@1200", sum)   // a request was cut off there
+//	t.Alive("i-7f@1200", sentAt)      // it answered a later request: drop it
+//	sums := t.Ended(now, "i-7f@1200") // its process is gone: these ran there
 package crash
 
 import (
@@ -18,158 +18,160 @@
 )
 
 const (
-	// SuspectFor is how long a life is doubted after a request was cut off there. The
-	// platform's list drops a target that crashed after some 4 s.
+	// SuspectFor is how long an incarnation is suspected after a request was cut off there.
+	// The platform's list drops a crashed target after some 4 s.
 	SuspectFor = 6 * time.Second
-	// RememberFor is how long it is known that a life is over, for requests whose ends
-	// are told late: those that wait for a silent target do so for seconds.
+	// RememberFor is how long an ended incarnation is remembered, for requests whose end is
+	// reported late: those that wait for a silent target do so for seconds.
 	RememberFor = time.Minute
-	// askFirst is when a target is first asked whether it lives: its news, which come
-	// each 0.4 s at most, and refused connections mostly tell before. askEach is the
-	// pause after that.
-	askFirst = 250 * time.Millisecond
-	askEach  = time.Second
-	// most bounds the requests kept of one life, and the lives. An engine runs 128
-	// requests at once.
-	most = 256
+	// firstProbe is the delay until a suspect is first probed: its news, which comes at most
+	// every 0.4 s, and refused connections mostly show its state before. probeInterval is
+	// the pause after that.
+	firstProbe    = 250 * time.Millisecond
+	probeInterval = time.Second
+	// maxEntries bounds the requests kept of one incarnation, and the incarnations. An
+	// engine runs 128 requests at once.
+	maxEntries = 256
 )
 
-// Tracker is what one box knows of requests that were cut off. The zero value is ready; it
-// is not safe for concurrent use.
+// Tracker holds what one box knows of requests that were cut off. The zero value is
+// ready; it is not safe for concurrent use.
 type Tracker struct {
-	// doubted are the lives that may be over, ended when others were known to be.
-	doubted map[string]*doubt
-	ended   map[string]time.Time
+	// suspects are the incarnations that may have ended; ended is when others were known to
+	// have.
+	suspects map[string]*suspect
+	ended    map[string]time.Time
 }
 
-// doubt is a life that may be over.
-type doubt struct {
-	// sums are the requests that ended there without an answer: true if they were cut
-	// off, false if their callers left, who may have done so right before the end.
+// suspect is an incarnation that may have ended.
+type suspect struct {
+	// sums are the requests that ended there without an answer: true if they were cut off,
+	// false if their callers left, which may have been right before the crash.
 	sums map[fingerprint.Sum]bool
-	// last is when the last one ended so.
+	// last is when the last of them ended.
 	last time.Time
-	// ask is when the target should be asked next; zero while only callers left.
-	ask time.Time
+	// probeAt is when to probe the target next; zero while only callers left.
+	probeAt time.Time
 }
 
-// CutOff notes that a request was cut off at a target. It says whether that life is known to
-// be over.
-func (w *Tracker) CutOff(now time.Time, life string, sum fingerprint.Sum) bool {
-	x, over := w.doubt(now, life)
-	if x == nil {
-		return over
+// CutOff records that a request was cut off at a target. It reports whether that
+// incarnation is known to have ended.
+func (t *Tracker) CutOff(now time.Time, incarnation string, sum fingerprint.Sum) bool {
+	s, ended := t.suspect(now, incarnation)
+	if s == nil {
+		return ended
 	}
-	if x.ask.IsZero() {
-		x.ask = now.Add(askFirst)
+	if s.probeAt.IsZero() {
+		s.probeAt = now.Add(firstProbe)
 	}
-	x.note(sum, true)
+	s.add(sum, true)
 	return false
 }
 
-// CallerLeft notes that a request's caller left while it ran at a target. It says the same.
-func (w *Tracker) CallerLeft(now time.Time, life string, sum fingerprint.Sum) bool {
-	x, over := w.doubt(now, life)
-	if x == nil {
-		return over
+// CallerLeft records that a request's caller left while it ran at a target. It reports
+// the same.
+func (t *Tracker) CallerLeft(now time.Time, incarnation string, sum fingerprint.Sum) bool {
+	s, ended := t.suspect(now, incarnation)
+	if s == nil {
+		return ended
 	}
-	x.note(sum, false)
+	s.add(sum, false)
 	return false
 }
 
-// doubt returns what is kept of a life, or nil if it is known to be over, or if there are
-// too many.
-func (w *Tracker) doubt(now time.Time, life string) (x *doubt, over bool) {
-	if _, over := w.ended[life]; over {
+// suspect returns the suspect for an incarnation, or nil if it is known to have ended or
+// if there are too many.
+func (t *Tracker) suspect(now time.Time, incarnation string) (s *suspect, ended bool) {
+	if _, ended := t.ended[incarnation]; ended {
 		return nil, true
 	}
-	if w.doubted == nil {
-		w.doubted = make(map[string]*doubt)
+	if t.suspects == nil {
+		t.suspects = make(map[string]*suspect)
 	}
-	x = w.doubted[life]
-	if x == nil {
-		if len(w.doubted) >= most {
+	s = t.suspects[incarnation]
+	if s == nil {
+		if len(t.suspects) >= maxEntries {
 			return nil, false
 		}
-		x = &doubt{sums: make(map[fingerprint.Sum]bool, 1)}
-		w.doubted[life] = x
+		s = &suspect{sums: make(map[fingerprint.Sum]bool, 1)}
+		t.suspects[incarnation] = s
 	}
-	x.last = now
-	return x, false
+	s.last = now
+	return s, false
 }
 
-func (x *doubt) note(sum fingerprint.Sum, cut bool) {
-	if _, known := x.sums[sum]; known || len(x.sums) < most {
-		x.sums[sum] = x.sums[sum] || cut
+func (s *suspect) add(sum fingerprint.Sum, cut bool) {
+	if _, known := s.sums[sum]; known || len(s.sums) < maxEntries {
+		s.sums[sum] = s.sums[sum] || cut
 	}
 }
 
-// Alive notes that a target answered what it was asked at a time. What was cut off there
-// before was not cut off by its end.
-func (w *Tracker) Alive(life string, asked time.Time) {
-	if at, over := w.ended[life]; over && asked.After(at) {
-		delete(w.ended, life) // A link that refused connections in its place.
+// Alive records that a target answered a request sent at a time. What was cut off there
+// before was not cut off by a crash.
+func (t *Tracker) Alive(incarnation string, sentAt time.Time) {
+	if at, ended := t.ended[incarnation]; ended && sentAt.After(at) {
+		delete(t.ended, incarnation) // Something on the way, not the target, refused the connections.
 	}
-	if x := w.doubted[life]; x != nil && asked.After(x.last) {
-		delete(w.doubted, life)
+	if s := t.suspects[incarnation]; s != nil && sentAt.After(s.last) {
+		delete(t.suspects, incarnation)
 	}
 }
 
-// Ended notes that a life is over and returns what was cut off there.
-func (w *Tracker) Ended(now time.Time, life string) []fingerprint.Sum {
-	if w.ended == nil {
-		w.ended = make(map[string]time.Time)
+// Ended records that an incarnation ended and returns the requests that ran there.
+func (t *Tracker) Ended(now time.Time, incarnation string) []fingerprint.Sum {
+	if t.ended == nil {
+		t.ended = make(map[string]time.Time)
 	}
-	if len(w.ended) < most {
-		w.ended[life] = now
+	if len(t.ended) < maxEntries {
+		t.ended[incarnation] = now
 	}
-	x := w.doubted[life]
-	if x == nil {
+	s := t.suspects[incarnation]
+	if s == nil {
 		return nil
 	}
-	delete(w.doubted, life)
-	return slices.SortedFunc(maps.Keys(x.sums), func(a, b fingerprint.Sum) int { return strings.Compare(string(a[:]), string(b[:])) })
+	delete(t.suspects, incarnation)
+	return slices.SortedFunc(maps.Keys(s.sums), func(a, b fingerprint.Sum) int { return strings.Compare(string(a[:]), string(b[:])) })
 }
 
-// HasEnded says whether a life is known to be over.
-func (w *Tracker) HasEnded(life string) bool {
-	_, over := w.ended[life]
-	return over
+// HasEnded reports whether an incarnation is known to have ended.
+func (t *Tracker) HasEnded(incarnation string) bool {
+	_, ended := t.ended[incarnation]
+	return ended
 }
 
-// Suspected says whether a life may be over.
-func (w *Tracker) Suspected(life string) bool { return w.doubted[life] != nil }
+// Suspected reports whether an incarnation may have ended.
+func (t *Tracker) Suspected(incarnation string) bool { return t.suspects[incarnation] != nil }
 
-// Suspects returns how many lives that may be over cut a request off.
-func (w *Tracker) Suspects(sum fingerprint.Sum) int {
+// Suspects returns how many suspected incarnations cut a request off.
+func (t *Tracker) Suspects(sum fingerprint.Sum) int {
 	n := 0
-	for _, x := range w.doubted {
-		if x.sums[sum] {
+	for _, s := range t.suspects {
+		if s.sums[sum] {
 			n++
 		}
 	}
 	return n
 }
 
-// Len is how many lives are doubted.
-func (w *Tracker) Len() int { return len(w.doubted) }
+// Len returns the number of suspected incarnations.
+func (t *Tracker) Len() int { return len(t.suspects) }
 
-// Due returns the lives that should be asked whether they go on, each once in askEach.
-func (w *Tracker) Due(now time.Time) []string {
-	var lives []string
-	for life, x := range w.doubted {
-		if x.ask.IsZero() || now.Before(x.ask) {
+// Due returns the incarnations to probe now, each at most once per probeInterval.
+func (t *Tracker) Due(now time.Time) []string {
+	var incarnations []string
+	for incarnation, s := range t.suspects {
+		if s.probeAt.IsZero() || now.Before(s.probeAt) {
 			continue
 		}
-		x.ask = now.Add(askEach)
-		lives = append(lives, life)
+		s.probeAt = now.Add(probeInterval)
+		incarnations = append(incarnations, incarnation)
 	}
-	slices.Sort(lives)
-	return lives
+	slices.Sort(incarnations)
+	return incarnations
 }
 
-// Expire forgets doubts that nothing bore out and ends that are long known.
-func (w *Tracker) Expire(now time.Time) {
-	maps.DeleteFunc(w.doubted, func(_ string, x *doubt) bool { return now.Sub(x.last) > SuspectFor })
-	maps.DeleteFunc(w.ended, func(_ string, at time.Time) bool { return now.Sub(at) > RememberFor })
+// Expire drops suspicions that were not confirmed and ends of long ago.
+func (t *Tracker) Expire(now time.Time) {
+	maps.DeleteFunc(t.suspects, func(_ string, s *suspect) bool { return now.Sub(s.last) > SuspectFor })
+	maps.DeleteFunc(t.ended, func(_ string, at time.Time) bool { return now.Sub(at) > RememberFor })
 }
--- a/crash/crash_test.go
+++ b/crash/crash_test.go
@@ -14,28 +14,28 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// TestEnded says which requests ran on a target when it ended.
+// TestEnded checks which requests are reported when a target ends.
 func TestEnded(t *testing.T) {
 	one, two := fingerprint.Sum{1}, fingerprint.Sum{2}
-	cut := func(ms int, life string, sum fingerprint.Sum) func(*crash.Tracker) {
-		return func(w *crash.Tracker) { w.CutOff(at(ms), life, sum) }
+	cut := func(ms int, incarnation string, sum fingerprint.Sum) func(*crash.Tracker) {
+		return func(w *crash.Tracker) { w.CutOff(at(ms), incarnation, sum) }
 	}
-	alive := func(asked int) func(*crash.Tracker) {
-		return func(w *crash.Tracker) { w.Alive("a", at(asked)) }
+	alive := func(sentAt int) func(*crash.Tracker) {
+		return func(w *crash.Tracker) { w.Alive("a", at(sentAt)) }
 	}
 	tests := []struct {
 		name  string
 		steps []func(*crash.Tracker)
 		want  []fingerprint.Sum
 	}{
-		{"nothing was cut off", nil, nil},
-		{"two were", []func(*crash.Tracker){cut(0, "a", two), cut(5, "a", one)}, []fingerprint.Sum{one, two}},
-		{"elsewhere", []func(*crash.Tracker){cut(0, "b", one)}, nil},
-		{"it answered since", []func(*crash.Tracker){cut(0, "a", one), alive(1)}, nil},
-		{"it answered what was asked before", []func(*crash.Tracker){cut(10, "a", one), alive(9)}, []fingerprint.Sum{one}},
-		{"it answered between two", []func(*crash.Tracker){cut(0, "a", one), alive(5), cut(10, "a", two)}, []fingerprint.Sum{two}},
+		{"no requests", nil, nil},
+		{"two cut off", []func(*crash.Tracker){cut(0, "a", two), cut(5, "a", one)}, []fingerprint.Sum{one, two}},
+		{"at another target", []func(*crash.Tracker){cut(0, "b", one)}, nil},
+		{"alive afterwards", []func(*crash.Tracker){cut(0, "a", one), alive(1)}, nil},
+		{"answer to an earlier request", []func(*crash.Tracker){cut(10, "a", one), alive(9)}, []fingerprint.Sum{one}},
+		{"alive between two", []func(*crash.Tracker){cut(0, "a", one), alive(5), cut(10, "a", two)}, []fingerprint.Sum{two}},
 		{"a caller left", []func(*crash.Tracker){func(w *crash.Tracker) { w.CallerLeft(at(0), "a", one) }}, []fingerprint.Sum{one}},
-		{"nothing bore it out for long", []func(*crash.Tracker){cut(0, "a", one), func(w *crash.Tracker) { w.Expire(at(0).Add(crash.SuspectFor + 1)) }}, nil},
+		{"expired without confirmation", []func(*crash.Tracker){cut(0, "a", one), func(w *crash.Tracker) { w.Expire(at(0).Add(crash.SuspectFor + 1)) }}, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// TestLate has the end of a request be told after that of its target.
+// TestLate checks requests whose end is reported after that of their target.
 func TestLate(t *testing.T) {
 	w := crash.Tracker{}
 	w.Ended(at(0), "a")
@@ -59,30 +59,30 @@
 	}
 	w.Alive("a", at(20))
 	if w.CutOff(at(30), "a", fingerprint.Sum{1}) {
-		t.Error("it answered since")
+		t.Error("it has answered since")
 	}
 }
 
-// TestLives counts the targets that may have ended under a request: those that cut it off
-// and nothing was heard of since.
-func TestLives(t *testing.T) {
+// TestSuspects counts the targets that may have crashed under a request: those that cut
+// it off and were not heard from since.
+func TestSuspects(t *testing.T) {
 	w := crash.Tracker{}
 	sum := fingerprint.Sum{1}
 	w.CutOff(at(0), "a", sum)
 	w.CutOff(at(0), "b", sum)
 	w.CallerLeft(at(0), "c", sum)
 	if got := w.Suspects(sum); got != 2 {
-		t.Errorf("%d lives, want 2", got)
+		t.Errorf("%d suspects, want 2", got)
 	}
 	w.Alive("a", at(1))
 	w.Ended(at(1), "b")
 	if got := w.Suspects(sum); got != 0 {
-		t.Errorf("%d lives, want none", got)
+		t.Errorf("%d suspects, want none", got)
 	}
 }
 
-// TestDue asks a target that cut requests off, once in a while, and none that callers
-// merely left.
+// TestDue checks that a target that cut requests off is probed at intervals, and one that
+// callers merely left is not.
 func TestDue(t *testing.T) {
 	w := crash.Tracker{}
 	w.CutOff(at(0), "a", fingerprint.Sum{1})
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestBounded has many requests be cut off at many targets.
+// TestBounded checks the bounds on suspects and requests.
 func TestBounded(t *testing.T) {
 	w := crash.Tracker{}
 	for i := range 1000 {
@@ -112,6 +112,6 @@
 		}
 	}
 	if w.Len() > 256 || len(w.Ended(at(1), "0")) > 256 {
-		t.Errorf("%d lives are doubted", w.Len())
+		t.Errorf("%d suspects", w.Len())
 	}
 }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,14 +1,14 @@
-// Package directory knows which target or store keeps which parts of prompts,
-// from what they tell and from what was ordered of them. An entry of another
-// epoch, or of a source that fell silent, counts for nothing.
+// Package directory tracks which engine or store holds which cached prompt parts, by
+// their own reports and by what was ordered of them. Entries of another epoch, or of a
+// disconnected source, do not count.
 //
 //	d := directory.New()
-//	d.Begin("engine-3", epoch)
-//	d.Add("engine-3", directory.Of(scope, "5c1e07a2"), 800)
-//	n := d.Run("engine-3", keys) // how many leading parts it keeps
+//	d.Connected("engine-3", epoch)
+//	d.Add("engine-3", directory.KeyOf(scope, "5c1e07a2"), 800)
+//	n := d.LeadingParts("engine-3", keys, now) // how many leading parts it holds
 //
-// It holds one map entry, about 40 bytes, for each part that a source says it
-// keeps, so it is bounded by the sources' own memory.
+// It holds one map entry, about 40 bytes, for each part that a source reports, so it is
+// bounded by the sources' own memory.
 package directory
 
 import (
@@ -17,15 +17,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key names a part of a prompt under one scope: another weight version, or
-// another walled account, gives another key.
+// Key identifies a part of a prompt in one scope: another weight version, or another
+// isolated account, gives another key.
 type Key uint64
 
 // KeyOf returns the key of a part.
 func KeyOf(scope, part string) Key {
 	var h xxhash.Digest
 	h.Reset()
-	_, _ = h.WriteString(scope) // A hash never fails to take bytes.
+	_, _ = h.WriteString(scope) // Writing to a hash never fails.
 	_, _ = h.Write([]byte{0})
 	_, _ = h.WriteString(part)
 	return Key(h.Sum64())
@@ -36,27 +36,27 @@
 	sources map[string]*source
 }
 
-// source is what one target or store keeps.
+// source is one target or store.
 type source struct {
 	epoch uint64
-	// kept holds tokens by part, as the source told.
-	kept map[Key]int
-	// expected holds parts that were sent there to be read or saved and that
-	// the source has not told of yet.
-	expected map[Key]promise
-	// tokens sums up kept and expected, in whole blocks.
+	// cached holds tokens by part, as the source reported.
+	cached map[Key]int
+	// expected holds parts that were sent there for prefill or storage and that the source
+	// has not reported yet.
+	expected map[Key]expectation
+	// tokens is the sum of cached and expected, in whole blocks.
 	tokens int
-	// silent is set while the source can't be heard, begun once it was heard.
-	silent, begun bool
+	// disconnected is set while the source is unreachable, known once it was connected.
+	disconnected, known bool
 }
 
-// promise is a part that is on its way, and until when that counts.
-type promise struct {
+// expectation is a part that is being sent, and until when it counts.
+type expectation struct {
 	until  time.Time
 	tokens int
 }
 
-// block is what memory goes by, in tokens.
+// block is the allocation unit of the engines' memory, in tokens.
 const block = 16
 
 // blocks rounds tokens up to whole blocks.
@@ -68,110 +68,110 @@
 func (d *Directory) of(name string) *source {
 	s := d.sources[name]
 	if s == nil {
-		s = &source{kept: make(map[Key]int), expected: make(map[Key]promise)}
+		s = &source{cached: make(map[Key]int), expected: make(map[Key]expectation)}
 		d.sources[name] = s
 	}
 	return s
 }
 
-// Connected notes that a source is heard, in the epoch given. What it kept in
-// another epoch is gone; Begin says whether there was another one.
+// Connected records that a source is connected, in the given epoch. Its parts of another
+// epoch are dropped; Connected reports whether there was another epoch.
 func (d *Directory) Connected(name string, epoch uint64) bool {
 	s := d.of(name)
-	s.silent = false
-	restarted := s.begun && s.epoch != epoch
+	s.disconnected = false
+	restarted := s.known && s.epoch != epoch
 	if s.epoch != epoch {
-		*s = source{epoch: epoch, kept: make(map[Key]int), expected: make(map[Key]promise)}
+		*s = source{epoch: epoch, cached: make(map[Key]int), expected: make(map[Key]expectation)}
 	}
-	s.begun = true
+	s.known = true
 	return restarted
 }
 
-// Clear drops what a source keeps, before all of it is told anew.
+// Clear drops a source's cached parts, before it reports all of them again.
 func (d *Directory) Clear(name string) {
 	s := d.of(name)
-	for key := range s.kept {
-		s.tokens -= blocks(s.kept[key])
+	for key := range s.cached {
+		s.tokens -= blocks(s.cached[key])
 	}
-	s.kept = make(map[Key]int)
+	s.cached = make(map[Key]int)
 }
 
-// Disconnected notes that a source can't be heard. Its entries count again once it
-// is heard in the same epoch.
+// Disconnected records that a source is unreachable. Its entries count again once it is
+// connected in the same epoch.
 func (d *Directory) Disconnected(name string) {
 	if s := d.sources[name]; s != nil {
-		s.silent = true
+		s.disconnected = true
 	}
 }
 
-// IsConnected says whether a source can be heard.
+// IsConnected reports whether a source is connected.
 func (d *Directory) IsConnected(name string) bool {
 	s := d.sources[name]
-	return s != nil && s.begun && !s.silent
+	return s != nil && s.known && !s.disconnected
 }
 
-// Forget drops a source.
+// Forget removes a source.
 func (d *Directory) Forget(name string) { delete(d.sources, name) }
 
-// Add notes that a source keeps a part whole.
+// Add records that a source holds a whole part.
 func (d *Directory) Add(name string, key Key, tokens int) {
 	s := d.of(name)
-	s.fulfil(key)
-	s.tokens += blocks(tokens) - blocks(s.kept[key])
-	s.kept[key] = tokens
+	s.settle(key)
+	s.tokens += blocks(tokens) - blocks(s.cached[key])
+	s.cached[key] = tokens
 }
 
-// fulfil ends the expectation of a part.
-func (s *source) fulfil(key Key) {
+// settle ends the expectation of a part.
+func (s *source) settle(key Key) {
 	if p, expected := s.expected[key]; expected {
 		s.tokens -= blocks(p.tokens)
 		delete(s.expected, key)
 	}
 }
 
-// Remove notes that a source dropped a part.
+// Remove records that a source dropped a part.
 func (d *Directory) Remove(name string, key Key) {
 	s := d.of(name)
-	s.tokens -= blocks(s.kept[key])
-	delete(s.kept, key)
-	s.fulfil(key)
+	s.tokens -= blocks(s.cached[key])
+	delete(s.cached, key)
+	s.settle(key)
 }
 
-// Expect notes that a source was sent a part and will probably keep it.
+// Expect records that a source was sent a part and will probably hold it.
 func (d *Directory) Expect(name string, key Key, tokens int, until time.Time) {
 	s := d.of(name)
-	if _, kept := s.kept[key]; kept {
+	if _, held := s.cached[key]; held {
 		return
 	}
-	s.fulfil(key)
-	s.expected[key] = promise{until, tokens}
+	s.settle(key)
+	s.expected[key] = expectation{until, tokens}
 	s.tokens += blocks(tokens)
 }
 
-// Has says whether a source told that it keeps a part whole.
+// Has reports whether a connected source reported that it holds a whole part.
 func (d *Directory) Has(name string, key Key) bool {
 	s := d.sources[name]
-	if s == nil || s.silent {
+	if s == nil || s.disconnected {
 		return false
 	}
-	_, kept := s.kept[key]
-	return kept
+	_, held := s.cached[key]
+	return held
 }
 
-// HasOrExpects says whether a source keeps a part or is about to.
+// HasOrExpects reports whether a source holds a part or is about to.
 func (d *Directory) HasOrExpects(name string, key Key, now time.Time) bool {
 	if d.Has(name, key) {
 		return true
 	}
 	s := d.sources[name]
-	if s == nil || s.silent {
+	if s == nil || s.disconnected {
 		return false
 	}
 	p, sent := s.expected[key]
 	return sent && now.Before(p.until)
 }
 
-// LeadingParts counts the leading parts that a source keeps or is about to. Engines use
+// LeadingParts returns how many leading parts a source holds or is about to. Engines use
 // a part only together with all parts before it.
 func (d *Directory) LeadingParts(name string, keys []Key, now time.Time) int {
 	for i, key := range keys {
@@ -182,7 +182,7 @@
 	return len(keys)
 }
 
-// Tokens returns how many tokens a source keeps or was sent to keep.
+// Tokens returns how many tokens a source holds or is about to, in whole blocks.
 func (d *Directory) Tokens(name string) int {
 	s := d.sources[name]
 	if s == nil {
@@ -191,21 +191,21 @@
 	return s.tokens
 }
 
-// Len counts the entries of a source.
+// Len returns the number of a source's entries.
 func (d *Directory) Len(name string) int {
 	s := d.sources[name]
 	if s == nil {
 		return 0
 	}
-	return len(s.kept)
+	return len(s.cached)
 }
 
-// Expire drops expectations whose time is over. Call it about once a second.
+// Expire drops expectations whose time has passed. Call it about once a second.
 func (d *Directory) Expire(now time.Time) {
 	for _, s := range d.sources {
 		for key, p := range s.expected {
 			if !now.Before(p.until) {
-				s.fulfil(key)
+				s.settle(key)
 			}
 		}
 	}
--- a/fair/fair.go
+++ b/fair/fair.go
@@ -1,9 +1,9 @@
-// Package fair measures how much work each client account causes and tells
-// whether an account is over its fair share of what a pool can do.
+// Package fair measures how much work each client account causes and detects accounts
+// over their fair share of a pool's capacity.
 //
 //	m := fair.Meter{Window: 5 * time.Second}
-//	if m.Over(now, "menu-app", 0.8*capacity) { refuse() }
-//	m.Add(now, "menu-app", weight, 0.12) // seconds of an engine
+//	if m.OverShare(now, "menu-app", 0.8*capacity) { refuse() }
+//	m.Add(now, "menu-app", weight, 0.12) // engine-seconds
 package fair
 
 import (
@@ -14,25 +14,24 @@
 	"time"
 )
 
-// Meter keeps each account's recent work. Set Window before first use; it is
-// not safe for concurrent use.
+// Meter tracks each account's recent work. Set Window before first use; it is not safe
+// for concurrent use.
 type Meter struct {
-	// Window is the time over which work fades.
+	// Window is the time constant of the exponential decay of work.
 	Window time.Duration
 
 	accounts map[string]*work
 	swept    time.Time
 }
 
-// work is what one account causes.
 type work struct {
-	// sum fades with time; divided by the window it is a rate.
+	// sum decays with time; divided by the window it is a rate.
 	sum    float64
 	weight float64
 	at     time.Time
 }
 
-// Add notes work of an account, in engine-seconds.
+// Add records work of an account, in engine-seconds.
 func (m *Meter) Add(now time.Time, account string, weight int, seconds float64) {
 	if m.accounts == nil {
 		m.accounts = make(map[string]*work)
@@ -48,7 +47,7 @@
 	m.sweep(now)
 }
 
-// Rate is the work that an account causes a second.
+// Rate returns the engine-seconds a second that an account causes.
 func (m *Meter) Rate(now time.Time, account string) float64 {
 	w, known := m.accounts[account]
 	if !known {
@@ -57,10 +56,10 @@
 	return w.faded(now, m.Window) / m.Window.Seconds()
 }
 
-// Accounts lists the accounts whose work has not faded, in order.
+// Accounts lists the accounts with work that has not decayed, in order.
 func (m *Meter) Accounts() []string { return slices.Sorted(maps.Keys(m.accounts)) }
 
-// Sum is the work that all accounts cause a second.
+// Sum returns the engine-seconds a second that all accounts cause.
 func (m *Meter) Sum(now time.Time) float64 {
 	sum := 0.0
 	for name := range m.accounts {
@@ -69,9 +68,9 @@
 	return sum
 }
 
-// OverShare says whether an account causes more than its fair share of capacity
-// engine-seconds a second: what accounts with less than their share leave over
-// goes to the others, by weight. Nobody is over while all fits.
+// OverShare reports whether an account causes more than its fair share of capacity
+// engine-seconds a second: what accounts leave of their shares goes to the others, by
+// weight (max-min fairness). No account is over while the sum is within the capacity.
 func (m *Meter) OverShare(now time.Time, account string, capacity float64) bool {
 	w, known := m.accounts[account]
 	if !known {
@@ -80,8 +79,8 @@
 	return m.Rate(now, account) > w.weight*m.level(now, capacity)
 }
 
-// level is the share for a weight of 1 at which all accounts' work, each cut
-// to its share, fills the capacity.
+// level returns the share for a weight of 1 at which all accounts' work, each capped at
+// its share, fills the capacity.
 func (m *Meter) level(now time.Time, capacity float64) float64 {
 	type demand struct{ rate, weight float64 }
 	all := make([]demand, 0, len(m.accounts))
@@ -106,7 +105,7 @@
 	return math.Inf(1)
 }
 
-// sweep forgets accounts whose work has faded, once a window.
+// sweep drops accounts whose work has decayed, once a window.
 func (m *Meter) sweep(now time.Time) {
 	const faded = 1e-4
 	if now.Sub(m.swept) < m.Window {
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -24,10 +24,10 @@
 		want     []bool
 	}{
 		{"all fits", []float64{5, 1}, []int{1, 1}, 6, []bool{false, false}},
-		{"one floods", []float64{50, 1}, []int{1, 1}, 6, []bool{true, false}},
+		{"one over", []float64{50, 1}, []int{1, 1}, 6, []bool{true, false}},
 		{"both over", []float64{50, 40}, []int{1, 1}, 6, []bool{true, true}},
 		{"heavier account", []float64{5, 5}, []int{4, 1}, 8, []bool{false, true}},
-		{"what one leaves goes to the other", []float64{5, 0.5}, []int{1, 1}, 5.6, []bool{false, false}},
+		{"an unused share goes to the other", []float64{5, 0.5}, []int{1, 1}, 5.6, []bool{false, false}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// equalShareIsSafe says that an account that causes no more than its equal
-// part of the capacity is never over, whatever the others do.
+// equalShareIsSafe is the property that an account that causes no more than its equal
+// share of the capacity is never over, whatever the others do.
 func equalShareIsSafe(over func(*fair.Meter, string, float64) bool) gopter.Prop {
 	const capacity = 9.0
 	return prop.ForAll(func(others []float64) bool {
@@ -65,7 +65,7 @@
 }
 
 func TestEqualShareIsSafeNeedsTheShares(t *testing.T) {
-	// Without shares everybody is over once the sum is.
+	// Control: without shares every account is over once the sum is.
 	proof.Breaks(t, equalShareIsSafe(func(m *fair.Meter, _ string, capacity float64) bool {
 		sum := m.Rate(now, "small")
 		for i := range 6 {
@@ -75,10 +75,10 @@
 	}))
 }
 
-func TestWorkFades(t *testing.T) {
+func TestWorkDecays(t *testing.T) {
 	m := fair.Meter{Window: time.Second}
 	m.Add(now, "a", 1, 100)
 	if later := now.Add(20 * time.Second); m.Rate(later, "a") > 1e-6 || m.OverShare(later, "a", 1) {
-		t.Error("work of long ago still counts")
+		t.Error("old work still counts")
 	}
 }
--- a/fingerprint/fingerprint.go
+++ b/fingerprint/fingerprint.go
@@ -1,6 +1,6 @@
-// Package fingerprint names the work that a request asks for. Each try of a caller's
-// has an ID of its own; tries that ask for the same have the same fingerprint, at
-// whatever box and whenever they come.
+// Package fingerprint identifies the work that a request asks for. Each attempt of a
+// caller has its own ID; attempts for the same work have the same fingerprint, on any box
+// and at any time.
 //
 //	sum := fingerprint.Of("cafe", "POST", "shop.example", "/ask/7", body)
 //	log.Info("request", "fingerprint", sum)
@@ -13,12 +13,12 @@
 	"hash"
 )
 
-// Sum is the fingerprint of a request. Nobody finds another request with the same
-// one, so no client account can have another's requests taken for its own.
+// Sum is the fingerprint of a request. It is collision-resistant, so no client account
+// can have another's requests mistaken for its own.
 type Sum [16]byte
 
-// Of returns the fingerprint of what a client account asks for. Headers don't count:
-// callers who repeat a request may vary them.
+// Of returns the fingerprint of a client account's request. Headers are not included:
+// callers that repeat a request may vary them.
 func Of(account, method, host, path string, body []byte) Sum {
 	h := sha256.New()
 	for _, text := range []string{account, method, host, path} {
@@ -29,19 +29,19 @@
 	return Sum(h.Sum(whole[:0])[:len(Sum{})])
 }
 
-// write adds a field behind its length, so that no two lists of fields are written
-// alike.
+// write adds a field after its length, so that no two lists of fields have the same
+// encoding.
 func write(h hash.Hash, field []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
-	_, _ = h.Write(length[:]) // A hash takes all that it is given.
+	_, _ = h.Write(length[:]) // Writing to a hash never fails.
 	_, _ = h.Write(field)
 }
 
-// String returns the sum in hexadecimal digits.
+// String returns the sum in hexadecimal.
 func (s Sum) String() string { return hex.EncodeToString(s[:]) }
 
-// Parse reads what String returns, and says whether it is that.
+// Parse parses the result of String, and reports whether the text is valid.
 func Parse(text string) (Sum, bool) {
 	var s Sum
 	raw, err := hex.DecodeString(text)
--- a/fingerprint/fingerprint_test.go
+++ b/fingerprint/fingerprint_test.go
@@ -6,7 +6,7 @@
 	"github.com/thymewind/thymewind/fingerprint"
 )
 
-// TestOf shows that each field counts, and that none runs into the next.
+// TestOf checks that each field counts, and that fields do not run into each other.
 func TestOf(t *testing.T) {
 	same := fingerprint.Of("cafe", "POST", "h", "/a/b", []byte("body"))
 	tests := []struct {
@@ -14,13 +14,13 @@
 		sum  fingerprint.Sum
 		want bool
 	}{
-		{"asked again", fingerprint.Of("cafe", "POST", "h", "/a/b", []byte("body")), true},
+		{"the same", fingerprint.Of("cafe", "POST", "h", "/a/b", []byte("body")), true},
 		{"another account", fingerprint.Of("bistro", "POST", "h", "/a/b", []byte("body")), false},
 		{"another method", fingerprint.Of("cafe", "PUT", "h", "/a/b", []byte("body")), false},
 		{"another host", fingerprint.Of("cafe", "POST", "g", "/a/b", []byte("body")), false},
 		{"another path", fingerprint.Of("cafe", "POST", "h", "/a/c", []byte("body")), false},
 		{"another body", fingerprint.Of("cafe", "POST", "h", "/a/b", []byte("bodx")), false},
-		{"path and body meet elsewhere", fingerprint.Of("cafe", "POST", "h", "/a/bb", []byte("ody")), false},
+		{"a byte moved from the body to the path", fingerprint.Of("cafe", "POST", "h", "/a/bb", []byte("ody")), false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestParse reads back what was written, and nothing else.
+// TestParse checks that only the result of String is valid.
 func TestParse(t *testing.T) {
 	sum := fingerprint.Of("cafe", "GET", "h", "/", nil)
 	tests := []struct {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet is the table of targets as one box sees them: what the
-// platform's list says of each, and what this box's own requests tell.
+// Package fleet is the table of targets as one box sees them: what the platform's list
+// says of each, and what this box's own requests show.
 //
 //	f := fleet.New()
-//	f.List(now, fleet.Entry{ID: "i-7f", Pool: "menu", Address: at})
+//	f.Upsert(now, fleet.Entry{ID: "i-7f", Pool: "menu", Address: at})
 //	for _, t := range f.Pool("menu") { ... }
 package fleet
 
@@ -14,16 +14,16 @@
 	"time"
 )
 
-// LapseGrace is how long a target whose entry was lost in an outage of the
-// platform still takes work. Entries of live replicas are back within 2 s of
-// the platform's return, and work may be sent for 2 s after an entry was gone.
+// LapseGrace is how long a target whose entry was lost in an outage of the platform still
+// gets work. Entries of live replicas are back within 2 s of the platform's return, and
+// work may be sent for 2 s after an entry was removed.
 const LapseGrace = 1900 * time.Millisecond
 
 // Entry is a replica's own entry in the platform's list.
 type Entry struct {
 	ID string
-	// StartedAt is when this life of the replica began, by its own clock; zero if it does
-	// not tell. An ID with a later one has started again and knows nothing of before.
+	// StartedAt is when this incarnation of the replica started, by its own clock; zero if
+	// it does not report that. An ID with a later one has restarted and lost its state.
 	StartedAt time.Time
 	Pool      string
 	Address   netip.AddrPort
@@ -34,19 +34,19 @@
 	Software string
 	Versions map[string]int64
 	Orders   uint64
-	// Cold is for how long yet the target is slow from its start, as it said.
+	// Cold is how much longer the target is slow after its start, as it reported.
 	Cold time.Duration
 }
 
 // Fleet is not safe for concurrent use.
 type Fleet struct {
 	byID map[string]*Target
-	// pools holds the targets of each pool by ID, so that every box walks them
-	// in the same order.
+	// pools holds the targets of each pool by ID, so that every box iterates them in the
+	// same order.
 	pools map[string][]*Target
-	// replaced holds IDs whose life is over, as another replica has the address or as
-	// it started again. Its entry may stand in the list for some more seconds.
-	replaced map[string]ended
+	// ended holds the incarnations that ended, by ID, as another replica has the address or
+	// as the replica restarted. The entry may stay in the list for some more seconds.
+	ended map[string]endedIncarnation
 	// evacuated holds the failure domains whose targets get no work.
 	evacuated map[string]bool
 	// ids are the IDs of all targets in order, or nil if they changed since.
@@ -57,31 +57,30 @@
 	software map[string]map[string]int
 }
 
-// Incarnation names one life of a replica.
+// Incarnation identifies one incarnation of a replica: its life between two starts.
 type Incarnation struct {
 	ID string
-	// StartedAt is as in its entry; zero if it did not tell.
+	// StartedAt is as in its entry; zero if it was not reported.
 	StartedAt time.Time
 }
 
-// ended is a life that is over.
-type ended struct {
-	born time.Time
-	// known is since when that is known.
-	known time.Time
+// endedIncarnation is an incarnation that ended.
+type endedIncarnation struct {
+	startedAt time.Time
+	// knownAt is when this box learned of it.
+	knownAt time.Time
 }
 
 // New returns an empty fleet.
 func New() *Fleet {
-	return &Fleet{byID: make(map[string]*Target), pools: make(map[string][]*Target), replaced: make(map[string]ended), evacuated: make(map[string]bool), software: make(map[string]map[string]int), lapsed: make(map[string]*Target)}
+	return &Fleet{byID: make(map[string]*Target), pools: make(map[string][]*Target), ended: make(map[string]endedIncarnation), evacuated: make(map[string]bool), software: make(map[string]map[string]int), lapsed: make(map[string]*Target)}
 }
 
-// Upsert takes over an entry that was read at a time. It returns the target, nil if that
-// life is known to be over, and whether it is new. A later life takes the place of the
-// one listed, of which nothing is believed any more; what an earlier one said, and is
-// read late, changes nothing.
+// Upsert takes in an entry that was read at a time. It returns the target, nil if that
+// incarnation is known to have ended, and whether it is new. A later incarnation replaces
+// the one listed with all its state; a late entry of an earlier one changes nothing.
 func (f *Fleet) Upsert(now time.Time, e Entry) (*Target, bool) {
-	if last, over := f.replaced[e.ID]; over && !e.StartedAt.After(last.born) {
+	if previous, over := f.ended[e.ID]; over && !e.StartedAt.After(previous.startedAt) {
 		return nil, false
 	}
 	t, known := f.byID[e.ID]
@@ -119,7 +118,7 @@
 	return slices.Insert(list, at, t)
 }
 
-// Lapse notes that an entry is missing after an outage.
+// Lapse records that an entry is missing after an outage.
 func (f *Fleet) Lapse(now time.Time, id string) {
 	if t := f.byID[id]; t != nil && t.LapsedAt.IsZero() {
 		t.LapsedAt = now
@@ -127,13 +126,13 @@
 	}
 }
 
-// Drop forgets a target that is gone.
+// Drop removes a target that is gone.
 func (f *Fleet) Drop(id string) {
 	t := f.byID[id]
 	if t == nil {
 		return
 	}
-	// Requests under way still hold it.
+	// Requests in flight still hold it.
 	t.Leaving = true
 	delete(f.byID, id)
 	delete(f.lapsed, id)
@@ -145,39 +144,40 @@
 	}
 }
 
-// MarkEnded notes that a life is over, as another replica has its address or as it
-// started again, and forgets the target. It says whether that is news; of a life before
-// the one listed it is not.
-func (f *Fleet) MarkEnded(now time.Time, life Incarnation) bool {
-	if last, known := f.replaced[life.ID]; known && !life.StartedAt.After(last.born) {
+// MarkEnded records that an incarnation ended, as another replica has its address or as
+// it restarted, and removes the target. It reports whether that is news; for an
+// incarnation before the one listed it is not.
+func (f *Fleet) MarkEnded(now time.Time, incarnation Incarnation) bool {
+	if previous, known := f.ended[incarnation.ID]; known && !incarnation.StartedAt.After(previous.startedAt) {
 		return false
 	}
-	if t := f.byID[life.ID]; t != nil && !life.StartedAt.IsZero() && life.StartedAt.Before(t.StartedAt) {
+	if t := f.byID[incarnation.ID]; t != nil && !incarnation.StartedAt.IsZero() && incarnation.StartedAt.Before(t.StartedAt) {
 		return false
 	}
-	f.replaced[life.ID] = ended{life.StartedAt, now}
-	f.Drop(life.ID)
+	f.ended[incarnation.ID] = endedIncarnation{incarnation.StartedAt, now}
+	f.Drop(incarnation.ID)
 	return true
 }
 
-// Ended returns the lives that were found to be over since a time, by their IDs.
+// Ended returns the incarnations that are known since a time to have ended, by ID.
 func (f *Fleet) Ended(since time.Time) []Incarnation {
 	var list []Incarnation
-	for id, e := range f.replaced {
-		if e.known.After(since) {
-			list = append(list, Incarnation{id, e.born})
+	for id, e := range f.ended {
+		if e.knownAt.After(since) {
+			list = append(list, Incarnation{id, e.startedAt})
 		}
 	}
 	slices.SortFunc(list, func(a, b Incarnation) int { return strings.Compare(a.ID, b.ID) })
 	return list
 }
 
-// Expire forgets which targets were replaced before a time.
+// Expire drops the ended incarnations that were recorded before a time.
 func (f *Fleet) Expire(before time.Time) {
-	maps.DeleteFunc(f.replaced, func(_ string, e ended) bool { return e.known.Before(before) })
+	maps.DeleteFunc(f.ended, func(_ string, e endedIncarnation) bool { return e.knownAt.Before(before) })
 }
 
-// countSoftware adds to how many of a pool's targets run a target's software.
+// countSoftware adds n to the number of targets in the pool with the target's software
+// version.
 func (f *Fleet) countSoftware(t *Target, n int) {
 	counts := f.software[t.Pool]
 	if counts == nil {
@@ -189,30 +189,30 @@
 	}
 }
 
-// MixedSoftware says that a pool's targets run more than one version of its software.
+// MixedSoftware reports whether a pool's targets run more than one software version.
 func (f *Fleet) MixedSoftware(pool string) bool { return len(f.software[pool]) > 1 }
 
-// Software returns the version of its software that most targets of a pool run, the first by
-// name of several; empty if there is no target.
+// Software returns the software version that most targets of a pool run, the first by
+// name if several do; empty if there is no target.
 func (f *Fleet) Software(pool string) string {
-	usual := ""
+	common := ""
 	for version, n := range f.software[pool] {
-		most := f.software[pool][usual]
-		if n > most || n == most && version < usual {
-			usual = version
+		most := f.software[pool][common]
+		if n > most || n == most && version < common {
+			common = version
 		}
 	}
-	return usual
+	return common
 }
 
 // Target returns a target by its ID, or nil.
 func (f *Fleet) Target(id string) *Target { return f.byID[id] }
 
-// Incarnation returns the target of a life, or nil if that is not the one listed. A life that
-// is not told is taken for it.
-func (f *Fleet) Incarnation(life Incarnation) *Target {
-	t := f.byID[life.ID]
-	if t == nil || !life.StartedAt.IsZero() && !t.StartedAt.IsZero() && !life.StartedAt.Equal(t.StartedAt) {
+// Incarnation returns the target of an incarnation, or nil if that is not the one listed.
+// An unknown start time matches any.
+func (f *Fleet) Incarnation(incarnation Incarnation) *Target {
+	t := f.byID[incarnation.ID]
+	if t == nil || !incarnation.StartedAt.IsZero() && !t.StartedAt.IsZero() && !incarnation.StartedAt.Equal(t.StartedAt) {
 		return nil
 	}
 	return t
@@ -233,7 +233,7 @@
 	return f.ids
 }
 
-// Lapsed returns the targets whose entries stayed missing for too long.
+// Lapsed returns the IDs of the targets whose entries are missing for LapseGrace.
 func (f *Fleet) Lapsed(now time.Time) []string {
 	var ids []string
 	for id, t := range f.lapsed {
@@ -245,8 +245,8 @@
 	return ids
 }
 
-// Evacuate closes the targets of a failure domain, also those that come into
-// the list later, or opens them again. It returns how many there are.
+// Evacuate closes the targets of a failure domain, also later ones, or opens them again.
+// It returns how many there are.
 func (f *Fleet) Evacuate(domain string, closed bool) int {
 	f.evacuated[domain] = closed
 	if !closed {
@@ -262,14 +262,14 @@
 	return n
 }
 
-// Evacuated returns the failure domains that are closed, in order.
+// Evacuated returns the evacuated failure domains, in order.
 func (f *Fleet) Evacuated() []string { return slices.Sorted(maps.Keys(f.evacuated)) }
 
-// Available says whether a target may get new work at all.
+// Available reports whether a target may get new work at all.
 func (t *Target) Available(now time.Time) bool { return t.Active(now) && !t.Evacuated }
 
-// Active says whether a target takes part, by what the list says: one whose domain
-// is evacuated still loads weights. An entry lost in an outage counts for LapsedFor.
+// Active reports whether a target is a member by the list: one in an evacuated domain
+// still loads weights. An entry lost in an outage counts for LapseGrace.
 func (t *Target) Active(now time.Time) bool {
 	if t.Leaving {
 		return false
--- a/hangup/hangup.go
+++ b/hangup/hangup.go
@@ -1,10 +1,10 @@
-// Package hangup says whether the other end of an HTTP server's connection has
-// closed it. The standard server tells so too, by ending the request's context,
-// but looks only in the background and only once the body was read: a box that is
-// behind with its work would pass on requests whose callers left long ago.
+// Package hangup detects whether the client of an HTTP server's connection has closed it.
+// The standard server detects that too and cancels the request's context, but only in the
+// background and once the body was read: an overloaded box would forward requests whose
+// callers left long ago.
 //
-//	server := http.Server{ConnContext: hangup.Keep}
-//	if hangup.Seen(r.Context()) { // nobody waits for the answer
+//	server := http.Server{ConnContext: hangup.ConnContext}
+//	if hangup.Closed(r.Context()) { // nobody waits for the answer
 //	}
 package hangup
 
@@ -16,10 +16,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// key is where Keep puts a connection.
+// key is the context key of a connection.
 type key struct{}
 
-// ConnContext notes a connection in the contexts of its requests, as
+// ConnContext stores a connection in the contexts of its requests. It is for
 // http.Server.ConnContext.
 func ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	if raw, ok := conn.(syscall.Conn); ok {
@@ -28,10 +28,9 @@
 	return ctx
 }
 
-// Closed says whether the other end has closed or reset the connection of a
-// request, whatever of it is still unread. It asks the kernel, which takes about
-// a microsecond, and neither waits nor takes bytes. It is false if the connection
-// is not known.
+// Closed reports whether the client has closed or reset the connection of a request, even
+// if data on it is unread. It polls the kernel, which takes about a microsecond, and
+// neither blocks nor reads. It is false if the connection is not known.
 func Closed(ctx context.Context) bool {
 	conn, ok := ctx.Value(key{}).(syscall.Conn)
 	if !ok {
@@ -41,14 +40,14 @@
 	if err != nil {
 		return true
 	}
-	seen := false
+	closed := false
 	// Control, unlike Read, does not wait for the server's own pending read.
-	err = raw.Control(func(fd uintptr) { seen = closed(int32(fd)) })
-	return seen || err != nil
+	err = raw.Control(func(fd uintptr) { closed = pollClosed(int32(fd)) })
+	return closed || err != nil
 }
 
-// closed polls a socket for the other end's close and for errors.
-func closed(fd int32) bool {
+// pollClosed polls a socket for the peer's close and for errors.
+func pollClosed(fd int32) bool {
 	const ended = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 	list := []unix.PollFd{{Fd: fd, Events: unix.POLLRDHUP}}
 	for {
--- a/hangup/hangup_test.go
+++ b/hangup/hangup_test.go
@@ -12,8 +12,9 @@
 	"github.com/thymewind/thymewind/hangup"
 )
 
-// TestSeen has callers leave while the server has not read their bodies.
-func TestSeen(t *testing.T) {
+// TestClosed guards against an undetected close: callers leave before the server has read
+// their bodies.
+func TestClosed(t *testing.T) {
 	const head = "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n"
 	tests := []struct {
 		name  string
@@ -22,10 +23,10 @@
 		want  bool
 	}{
 		{"stays", head + "body", func(*net.TCPConn) error { return nil }, false},
-		{"stays, and has sent the next request", head + "body" + head, func(*net.TCPConn) error { return nil }, false},
+		{"stays, with a pipelined request", head + "body" + head, func(*net.TCPConn) error { return nil }, false},
 		{"closes", head + "body", (*net.TCPConn).Close, true},
-		{"closes behind the next request", head + "body" + head, (*net.TCPConn).Close, true},
-		{"closes in the body", head + "bo", (*net.TCPConn).Close, true},
+		{"closes after a pipelined request", head + "body" + head, (*net.TCPConn).Close, true},
+		{"closes within the body", head + "bo", (*net.TCPConn).Close, true},
 		{"closes one direction", head + "body", (*net.TCPConn).CloseWrite, true},
 		{"resets", head + "body", func(conn *net.TCPConn) error {
 			if err := conn.SetLinger(0); err != nil {
@@ -36,14 +37,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			asked, left, seen := make(chan struct{}), make(chan struct{}), make(chan bool, 9)
+			requested, left, closed := make(chan struct{}), make(chan struct{}), make(chan bool, 9)
 			server := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-				asked <- struct{}{}
+				requested <- struct{}{}
 				<-left
-				seen <- eventually(r.Context(), tt.want)
+				closed <- eventually(r.Context(), tt.want)
 				_, _ = io.Copy(io.Discard, r.Body)
-				// The server's own pending read does not hold the question up.
-				seen <- hangup.Closed(r.Context())
+				// The server's own pending read does not block the check.
+				closed <- hangup.Closed(r.Context())
 			}))
 			server.Config.ConnContext = hangup.ConnContext
 			server.Start()
@@ -56,18 +57,18 @@
 			if _, err := io.WriteString(conn, tt.sent); err != nil {
 				t.Fatal(err)
 			}
-			<-asked
+			<-requested
 			if err := tt.leave(conn.(*net.TCPConn)); err != nil {
 				t.Fatal(err)
 			}
 			close(left)
 			for _, when := range []string{"before", "after"} {
-				if got := <-seen; got != tt.want {
+				if got := <-closed; got != tt.want {
 					t.Errorf("%s the body was read: %v", when, got)
 				}
 			}
-			go func() { // The next request, if there is one.
-				for range asked {
+			go func() { // The pipelined request, if there is one.
+				for range requested {
 					continue
 				}
 			}()
@@ -75,7 +76,7 @@
 	}
 }
 
-// eventually waits for a close that is on its way, or looks once.
+// eventually waits for an expected close to arrive, or checks once.
 func eventually(ctx context.Context, want bool) bool {
 	end := time.After(10 * time.Second)
 	tick := time.NewTicker(time.Millisecond)
@@ -90,20 +91,20 @@
 	return hangup.Closed(ctx)
 }
 
-// TestUnknown asks about a request without a connection that is known.
+// TestUnknown checks requests without a known connection.
 func TestUnknown(t *testing.T) {
 	if hangup.Closed(context.Background()) {
-		t.Error("seen")
+		t.Error("an unknown connection counts as closed")
 	}
 	left, right := net.Pipe()
 	defer func() { _, _ = left.Close(), right.Close() }()
 	if hangup.Closed(hangup.ConnContext(context.Background(), left)) {
-		t.Error("seen")
+		t.Error("an unknown connection counts as closed")
 	}
 }
 
-// BenchmarkSeen is what the question costs.
-func BenchmarkSeen(b *testing.B) {
+// BenchmarkClosed measures the check of an open connection.
+func BenchmarkClosed(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -118,7 +119,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if hangup.Closed(ctx) {
-			b.Fatal("seen")
+			b.Fatal("an open connection counts as closed")
 		}
 	}
 }
--- a/headroom/strain_test.go
+++ b/headroom/headroom_test.go
@@ -6,8 +6,8 @@
 	"github.com/thymewind/thymewind/headroom"
 )
 
-// TestReserve says how much memory is left free after some answers of which one
-// in so many was late.
+// TestReserve lists the reserved memory after some answers of which one in oneIn was
+// late.
 func TestReserve(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -15,9 +15,9 @@
 		oneIn       int
 		least, most float64
 	}{
-		{"none seen", 0, 1, 0, 0},
+		{"no samples", 0, 1, 0, 0},
 		{"all in time", 200, 1000, -0.12, -0.12},
-		{"all of few in time", 49, 1000, 0, 0},
+		{"all in time, too few samples", 49, 1000, 0, 0},
 		{"one late answer of few", 3, 3, 0, 0.001},
 		{"one in fifty late, the last one just now", 500, 50, -0.012, 0},
 		{"one in fifty late, none lately", 549, 50, -0.12, -0.1},
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestRecover shows that the memory is given back once answers are in time.
+// TestRecover checks that the reserve drops to zero once answers are in time.
 func TestRecover(t *testing.T) {
 	var g headroom.Gauge
 	for range 500 {
--- a/hop/hop.go
+++ b/hop/hop.go
@@ -1,7 +1,7 @@
-// Package hop removes the headers that belong to one connection only (RFC 9110,
-// 7.6.1), which a relay must not pass on.
+// Package hop removes the hop-by-hop headers (RFC 9110, 7.6.1), which a proxy must not
+// forward.
 //
-//	hop.Drop(response.Header)
+//	hop.Strip(response.Header)
 package hop
 
 import (
@@ -9,14 +9,13 @@
 	"strings"
 )
 
-// names are those that no Connection header needs to list.
+// names are the headers that are removed even if no Connection header lists them.
 var names = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Strip removes the connection's own headers, and those that its Connection
-// header lists.
+// Strip removes the hop-by-hop headers, and those that the Connection header lists.
 func Strip(h http.Header) {
 	for _, list := range h.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
--- a/hop/hop_test.go
+++ b/hop/hop_test.go
@@ -15,9 +15,9 @@
 		in   http.Header
 		want []string
 	}{
-		{"end-to-end ones stay", http.Header{"Content-Type": {"a"}, "Keep-Alive": {"timeout=5"}}, []string{"Content-Type"}},
-		{"listed ones go", http.Header{"Connection": {"close, X-Mine", "x-other"}, "X-Mine": {"1"}, "X-Other": {"2"}, "X-Kept": {"3"}}, []string{"X-Kept"}},
-		{"none", http.Header{}, nil},
+		{"end-to-end headers stay", http.Header{"Content-Type": {"a"}, "Keep-Alive": {"timeout=5"}}, []string{"Content-Type"}},
+		{"listed headers are removed", http.Header{"Connection": {"close, X-Mine", "x-other"}, "X-Mine": {"1"}, "X-Other": {"2"}, "X-Kept": {"3"}}, []string{"X-Kept"}},
+		{"no headers", http.Header{}, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/idempotency/permit.go
+++ b/idempotency/idempotency.go
@@ -1,11 +1,12 @@
-// Package idempotency is what a request marked not repeatable needs to run: the
-// answer of an earlier run with its key, or the permission to run now.
+// Package idempotency ensures that a request marked not repeatable runs at most once per
+// idempotency key: it returns the answer of an earlier run with the key, or the
+// permission to run now.
 //
-//	p := office.Ask(permit.Request{Account: "menu-app", Key: key, Digest: digest, ID: "r1"})
-//	answer, err := p.Earlier(ctx) // before anything else can refuse the request
-//	answer, err = p.Obtain(ctx)   // when it is about to be sent
-//	p.GiveBack(ctx)               // only if nothing can have been sent
-//	p.Answered(ctx, answer)       // so that a caller that lost it can ask again
+//	p := guard.NewPermit(idempotency.Request{Account: "menu-app", Key: key, Digest: digest, ID: "r1"})
+//	answer, err := p.Previous(ctx) // before anything else can refuse the request
+//	answer, err = p.Acquire(ctx)   // when it is about to be sent
+//	p.Abandon(ctx)                 // only if nothing can have been sent
+//	p.Complete(ctx, answer)        // so that a caller that lost the answer can ask again
 package idempotency
 
 import (
@@ -23,22 +24,21 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// MaxStored bounds the answer that is kept for a caller that asks again, in
-// bytes.
+// MaxStored bounds the answer that is stored for a caller that asks again, in bytes.
 const MaxStored = 4 << 10
 
-// Guard gives permits. Set the exported fields before first use; it is safe
-// for concurrent use after that.
+// Guard issues permits. Set the exported fields before first use; it is safe for
+// concurrent use after that.
 type Guard struct {
-	// Lookup, Take, Release and Finish are the claims' book.
+	// Lookup, Take, Release and Finish access the claims in the table service.
 	Lookup  func(ctx context.Context, account, key string) (claim.Claim, error)
 	Take    func(ctx context.Context, c claim.Claim) (claim.Claim, error)
 	Release func(ctx context.Context, c claim.Claim) error
 	Finish  func(ctx context.Context, c claim.Claim, answer claim.Answer) error
 	Record  func(decision.Record)
-	// Timeout bounds what is written behind an answer or a refusal.
+	// Timeout bounds the writes after an answer or a refusal.
 	Timeout time.Duration
-	// RetryAfter says when a refused caller should return.
+	// RetryAfter returns when a refused caller should retry.
 	RetryAfter func() time.Duration
 }
 
@@ -48,19 +48,19 @@
 	Account string
 	Pool    string
 	Key     string
-	// Digest is over all that makes two requests the same; see Digest.
+	// Digest covers all that makes two requests the same; see the function Digest.
 	Digest string
-	// OnceByTarget says that the targets run one key at most once, so that the
-	// request goes on without a permit while the table service is down.
+	// OnceByTarget is set if the targets run one key at most once, so that the request goes
+	// on without a permit while the table service is down.
 	OnceByTarget bool
 }
 
-// Permit is one request's. It is not safe for concurrent use.
+// Permit is the permission for one request. It is not safe for concurrent use.
 type Permit struct {
 	*Guard
-	request Request
-	held    claim.Claim
-	has     bool
+	request  Request
+	held     claim.Claim
+	acquired bool
 }
 
 // Digest returns the digest of a request's parts.
@@ -74,26 +74,26 @@
 	return kvcache.Digest(h.Sum(nil))
 }
 
-// NewPermit begins the way to a permit.
-func (o *Guard) NewPermit(r Request) *Permit { return &Permit{Guard: o, request: r} }
+// NewPermit returns a permit that is not acquired yet.
+func (g *Guard) NewPermit(r Request) *Permit { return &Permit{Guard: g, request: r} }
 
-// Previous returns the answer of an earlier run with the key, nil if there was
-// no earlier try, or a refusal if the earlier try is not through or not known.
+// Previous returns the answer of an earlier run with the key, nil if there was no earlier
+// attempt, or a refusal if that has not completed or is unknown.
 func (p *Permit) Previous(ctx context.Context) (*claim.Answer, error) {
 	found, err := p.Lookup(ctx, p.request.Account, p.request.Key)
 	switch {
 	case err == nil:
-		return p.standing(found)
+		return p.existing(found)
 	case trace.IsNotFound(err), p.request.OnceByTarget:
 		return nil, nil
 	}
-	return nil, p.none()
+	return nil, p.unavailable()
 }
 
-// Acquire takes the permission to send the request, once. It returns an answer
-// instead if an earlier run was faster.
+// Acquire takes the permission to send the request, once. It returns an answer instead if
+// an earlier run has completed meanwhile.
 func (p *Permit) Acquire(ctx context.Context) (*claim.Answer, error) {
-	if p.has {
+	if p.acquired {
 		return nil, nil
 	}
 	held, err := p.Take(ctx, claim.Claim{
@@ -102,21 +102,21 @@
 	var taken *claim.Taken
 	switch {
 	case err == nil:
-		p.held, p.has = held, true
+		p.held, p.acquired = held, true
 		p.record("inserted if absent", held.Nonce)
 		return nil, nil
 	case errors.As(err, &taken):
-		return p.standing(taken.By)
+		return p.existing(taken.By)
 	case p.request.OnceByTarget:
 		return nil, nil
 	}
-	return nil, p.none()
+	return nil, p.unavailable()
 }
 
-// Abandon releases the permission. Call it only if nothing can have been sent.
-// If it fails the book looks after it; the key stays taken until then.
+// Abandon releases the permission. Call it only if nothing can have been sent. If that
+// fails, the key stays claimed until the claims' own cleanup releases it.
 func (p *Permit) Abandon(ctx context.Context) {
-	if !p.has {
+	if !p.acquired {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.Timeout)
@@ -126,9 +126,9 @@
 	}
 }
 
-// Complete keeps a whole answer for a caller that asks again.
+// Complete stores a whole answer for a caller that asks again.
 func (p *Permit) Complete(ctx context.Context, answer claim.Answer) {
-	if !p.has {
+	if !p.acquired {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.Timeout)
@@ -138,8 +138,8 @@
 	}
 }
 
-// standing answers a caller whose key is in use already.
-func (p *Permit) standing(by claim.Claim) (*claim.Answer, error) {
+// existing returns the answer or the refusal for a key that is already claimed.
+func (p *Permit) existing(by claim.Claim) (*claim.Answer, error) {
 	switch {
 	case by.Digest != p.request.Digest:
 		return nil, refusal.New(refusal.DidNotRun, http.StatusUnprocessableEntity, "key_reused", "the key was used with another request")
@@ -153,7 +153,7 @@
 		"request %s has this key; it may be running or may have run", by.Request).After(p.RetryAfter())
 }
 
-func (p *Permit) none() error {
+func (p *Permit) unavailable() error {
 	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "no_permission",
 		"the platform's table service gives no permission to run it; whether an earlier try with this key ran is not known").After(p.RetryAfter())
 }
--- a/kvcache/kept_test.go
+++ b/kvcache/kvcache_test.go
@@ -30,7 +30,7 @@
 
 var at = netip.MustParseAddrPort("10.0.0.1:7200")
 
-// What goes wrong on the way to a store box.
+// Faults between the client and a store box.
 const (
 	fine = iota
 	fails
@@ -38,14 +38,14 @@
 	flips
 	crosses
 	restarts
-	wireKinds
+	faultKinds
 )
 
-// wire carries calls to a store box that lives in this process.
-type wire struct {
+// transport carries calls to a store box in this process.
+type transport struct {
 	script fake.Script
 	box    http.Handler
-	// last is the latest answer with manifests, to be crossed with others.
+	// last is the latest answer with manifests, which may be returned for another request.
 	last []byte
 }
 
@@ -55,7 +55,7 @@
 }
 
 // RoundTrip implements http.RoundTripper.
-func (w *wire) RoundTrip(r *http.Request) (*http.Response, error) {
+func (w *transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	kind := int(w.script.Draw())
 	switch kind {
 	case fails:
@@ -83,19 +83,19 @@
 	return answer, nil
 }
 
-// cache is what an engine's KV cache of a piece holds.
+// cache returns the KV cache of a piece.
 func cache(key string) []byte {
 	sum := blake3.Sum256([]byte(key))
 	return bytes.Repeat(sum[:], 8)
 }
 
-// control is what sister tests remove.
-type control struct {
+// safeguards are what the tests of their necessity replace.
+type safeguards struct {
 	usable func(run []kvcache.Manifest, scope string, keys []string) []kvcache.Manifest
 	piece  func(s *kvcache.Client, p kvcache.Piece) ([]byte, error)
 }
 
-var inForce = control{
+var inForce = safeguards{
 	usable: kvcache.Usable,
 	piece: func(s *kvcache.Client, p kvcache.Piece) ([]byte, error) {
 		return s.Piece(context.Background(), at, p)
@@ -119,8 +119,8 @@
 	return p
 }
 
-// write keeps a prompt's cache: each piece first, then the manifests. The
-// writer dies after some pieces if the number given is small.
+// write stores a prompt's cache: the pieces first, then the manifests. The writer dies
+// after a number of pieces.
 func write(s *kvcache.Client, p prompt, dies int) {
 	ctx := context.Background()
 	var run []kvcache.Manifest
@@ -134,8 +134,8 @@
 	_ = s.Put(ctx, at, run)
 }
 
-// read imports a prompt's cache and says whether all of it was its own.
-func (c control) read(s *kvcache.Client, p prompt) bool {
+// read imports a prompt's cache and reports whether all of it was its own.
+func (c safeguards) read(s *kvcache.Client, p prompt) bool {
 	found, err := s.Find(context.Background(), at, p.keys)
 	if err != nil {
 		return true
@@ -152,12 +152,13 @@
 	return true
 }
 
-// onlyOwnWholePieces has prompts written, dropped and read through faults.
-func onlyOwnWholePieces(t *testing.T, c control) gopter.Prop {
+// onlyOwnWholePieces writes, drops and reads prompts through faults: no prompt may get
+// bytes that are not its own and complete.
+func onlyOwnWholePieces(t *testing.T, c safeguards) gopter.Prop {
 	return prop.ForAll(func(faults, steps []int) bool {
 		ok := true
 		synctest.Test(t, func(*testing.T) {
-			w := &wire{script: fake.Script{Kinds: faults}, box: newBox()}
+			w := &transport{script: fake.Script{Kinds: faults}, box: newBox()}
 			s := &kvcache.Client{HTTP: &http.Client{Transport: w}}
 			for i, step := range steps {
 				p := promptOf(step)
@@ -174,7 +175,7 @@
 			}
 		})
 		return ok
-	}, gen.SliceOfN(19, gen.IntRange(0, wireKinds-1)), gen.SliceOfN(24, gen.IntRange(0, 7)))
+	}, gen.SliceOfN(19, gen.IntRange(0, faultKinds-1)), gen.SliceOfN(24, gen.IntRange(0, 7)))
 }
 
 func TestOnlyOwnWholePieces(t *testing.T) { proof.Holds(t, onlyOwnWholePieces(t, inForce)) }
@@ -208,8 +209,8 @@
 		change func(*kvcache.Manifest)
 		ok     bool
 	}{
-		{"as sealed", func(*kvcache.Manifest) {}, true},
-		{"asked for meanwhile", func(m *kvcache.Manifest) { m.Hits = 9 }, true},
+		{"unchanged", func(*kvcache.Manifest) {}, true},
+		{"requested meanwhile", func(m *kvcache.Manifest) { m.Hits = 9 }, true},
 		{"another scope", func(m *kvcache.Manifest) { m.Scope = "other" }, false},
 		{"another depth", func(m *kvcache.Manifest) { m.Depth = 0 }, false},
 		{"another piece", func(m *kvcache.Manifest) { m.Piece.Digest = "e" }, false},
--- a/kvcache/manifest.go
+++ b/kvcache/manifest.go
@@ -1,12 +1,11 @@
-// Package kvcache holds what is known of KV cache kept on store boxes: the
-// manifests that make pieces usable, and the checks before their use.
+// Package kvcache describes KV cache stored on store boxes: the manifests that make
+// pieces usable, the checks before their use, and the client.
 //
-// A piece is written first and its manifest last; a manifest is used only if
-// Check finds it to belong to the very prompt, client account and weight
-// version:
+// A piece is written first and its manifest last; a manifest is used only if Check
+// confirms that it belongs to the very prompt, client account and weight version:
 //
-//	run, err := store.Find(ctx, address, keys)
-//	usable := kept.Usable(run, scope, keys)
+//	found, err := client.Find(ctx, address, keys)
+//	usable := kvcache.Usable(found.Run, scope, keys)
 package kvcache
 
 import (
@@ -26,9 +25,9 @@
 	Tokens int    `json:"tokens"`
 }
 
-// Manifest makes one stored piece usable: it says of which prefix it is the
-// last piece. It is written only after the piece has been written whole. The
-// KV cache of a prompt is the run of manifests from its first boundary on.
+// Manifest makes one stored piece usable: it names the prefix of which that is the last
+// piece. It is written only after the whole piece. The KV cache of a prompt is the run of
+// manifests from its first boundary on.
 type Manifest struct {
 	// Key is the prefix key at the piece's end, in hexadecimal.
 	Key string `json:"key"`
@@ -37,13 +36,13 @@
 	// Depth is how many pieces come before this one.
 	Depth int   `json:"depth"`
 	Piece Piece `json:"piece"`
-	// Sum binds the fields above; see Seal.
+	// Sum is a checksum of the fields above; see Seal.
 	Sum string `json:"sum"`
-	// Tier is TierMemory or TierDisk, where the piece is now.
+	// Tier is TierMemory or TierDisk, where the piece is stored now.
 	Tier int `json:"tier,omitempty"`
-	// Used is when the manifest was last asked for, by the store box's clock.
+	// Used is when the manifest was last requested, by the store box's clock.
 	Used time.Time `json:"used,omitzero"`
-	// Hits counts how often the manifest was asked for.
+	// Hits counts the requests for the manifest.
 	Hits int `json:"hits,omitempty"`
 }
 
@@ -58,19 +57,19 @@
 type Found struct {
 	// Run are the manifests from the first boundary on.
 	Run []Manifest `json:"manifests"`
-	// Links are what the store box says of the links to its tiers.
+	// Links are the links to the store box's tiers, as it reports them.
 	Links [Tiers]Link `json:"links"`
 }
 
 // Link is the link to one tier of a store box.
 type Link struct {
-	// Queue is the bytes that wait to be moved.
+	// Queue is the bytes that wait for transfer.
 	Queue int `json:"queue"`
-	// Rate is the bytes moved a second, as the store box was set up.
+	// Rate is the configured bytes a second.
 	Rate float64 `json:"rate"`
 }
 
-// Size returns the tokens that a run of manifests covers and its bytes.
+// Size returns the tokens and bytes of a run of manifests.
 func Size(run []Manifest) (tokens, bytes int) {
 	for _, m := range run {
 		tokens += m.Piece.Tokens
@@ -85,24 +84,24 @@
 	return m
 }
 
-// Check says whether the manifest may be used for the prefix key in scope, as
+// Check returns an error unless the manifest may be used for the prefix key in scope, as
 // the piece at depth.
 func Check(m Manifest, scope, key string, depth int) error {
 	switch {
 	case m.Scope != scope:
-		return trace.AccessDenied("the manifest is of another client account or weight version")
+		return trace.AccessDenied("the manifest belongs to another client account or weight version")
 	case m.Key != key || m.Depth != depth:
-		return trace.CompareFailed("the manifest is of another prefix")
+		return trace.CompareFailed("the manifest belongs to another prefix")
 	case m.Piece.Bytes <= 0 || m.Piece.Tokens <= 0:
-		return trace.CompareFailed("the manifest's piece is empty")
+		return trace.CompareFailed("the manifest's piece has %d bytes and %d tokens", m.Piece.Bytes, m.Piece.Tokens)
 	case m.Sum != sum(m):
-		return trace.CompareFailed("the manifest is damaged")
+		return trace.CompareFailed("the manifest's checksum does not match")
 	}
 	return nil
 }
 
-// Usable returns the beginning of a run that passes Check for each of the
-// prompt's keys, the shortest prefix first.
+// Usable returns the leading part of a run that passes Check for the prompt's keys, the
+// shortest prefix first.
 func Usable(run []Manifest, scope string, keys []string) []Manifest {
 	for i, m := range run {
 		if i >= len(keys) || Check(m, scope, keys[i], i) != nil {
@@ -112,7 +111,7 @@
 	return run
 }
 
-// Digest names a piece by its bytes.
+// Digest returns the digest of a piece's bytes.
 func Digest(data []byte) string {
 	h := blake3.Sum256(data)
 	return hex.EncodeToString(h[:])
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -18,32 +18,32 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// control is what sister tests remove.
-type control struct {
+// safeguards are what the tests of their necessity replace.
+type safeguards struct {
 	commit func(*fake.Table) func(context.Context, table.Transaction) error
 	read   func(*fake.Table) func(context.Context, string) (table.Row, error)
 	// margin is the lease's.
 	margin time.Duration
 }
 
-var inForce = control{
+var inForce = safeguards{
 	commit: func(t *fake.Table) func(context.Context, table.Transaction) error { return t.Commit },
 	read:   func(t *fake.Table) func(context.Context, string) (table.Row, error) { return t.Read },
 	margin: time.Second,
 }
 
-// watch notes whether two boxes ever act under the lease at once, or under one
-// epoch, or under a falling epoch.
-type watch struct {
+// checker detects two boxes that act under the lease at once, or under one epoch, or
+// under a falling epoch.
+type checker struct {
 	mu     sync.Mutex
 	acting map[int]uint64
 	epoch  uint64
-	// holders are who acted under which epoch.
+	// holders are the boxes that acted under each epoch.
 	holders map[uint64]int
 	wrong   bool
 }
 
-func (w *watch) note(box int, epoch uint64, held bool) {
+func (w *checker) note(box int, epoch uint64, held bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.acting, box)
@@ -64,11 +64,11 @@
 	w.epoch = max(w.epoch, epoch)
 }
 
-// oneHolder has boxes step and freeze as generated. A box's clock runs up to a
-// hundredth fast or slow.
-func oneHolder(t *testing.T, c control) gopter.Prop {
+// oneHolder has boxes step and freeze as generated. Each box's clock runs up to 1% fast
+// or slow.
+func oneHolder(t *testing.T, c safeguards) gopter.Prop {
 	return prop.ForAll(func(faults, freezes []int) bool {
-		w := &watch{acting: make(map[int]uint64)}
+		w := &checker{acting: make(map[int]uint64)}
 		synctest.Test(t, func(*testing.T) {
 			rows := &fake.Table{Fault: (&fake.Script{Kinds: faults}).Draw}
 			began := time.Now()
@@ -82,7 +82,7 @@
 					Nonce: func() string { n++; return fmt.Sprint(box, "-", n) },
 					Now:   func() time.Time { return began.Add(time.Duration(float64(time.Since(began)) * rate)) },
 				}
-				boxes.Go(func() { live(l, box, w, freezes) })
+				boxes.Go(func() { run(l, box, w, freezes) })
 			}
 			boxes.Wait()
 		})
@@ -90,9 +90,9 @@
 	}, gen.SliceOfN(11, gen.IntRange(0, int(fake.Kinds)-1)), gen.SliceOfN(40, gen.IntRange(0, 30)))
 }
 
-// live steps one box's lease. A freeze lies between a step and the next look
-// at the lease; a frozen box does not act.
-func live(l *lease.Lease, box int, w *watch, freezes []int) {
+// run steps one box's lease. A freeze lies between a step and the next use of the lease;
+// a frozen box does not act.
+func run(l *lease.Lease, box int, w *checker, freezes []int) {
 	for i, freeze := range freezes {
 		if l.Due() {
 			_ = l.AcquireOrRenew(context.Background())
@@ -123,7 +123,7 @@
 	removed.read = func(t *fake.Table) func(context.Context, string) (table.Row, error) {
 		return func(ctx context.Context, key string) (table.Row, error) {
 			row, err := t.Read(ctx, key)
-			// Believe that whoever holds the lease has given it back.
+			// Control: treat every lease as released.
 			row.Value = []byte(`{"epoch":1,"nonce":"any"}`)
 			return row, err
 		}
--- a/lease/restored_test.go
+++ b/lease/restored_test.go
@@ -18,11 +18,11 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// oneHolderRestored is oneHolder while the table is restored from copies some seconds old,
-// which may lack renewals, another holder or the lease's row.
+// oneHolderRestored is oneHolder while the table is restored from copies some seconds
+// old, in which renewals, another holder or the lease's row may be missing.
 func oneHolderRestored(t *testing.T, read func(*fake.Table) func(context.Context, string) (table.Row, error)) gopter.Prop {
 	return prop.ForAll(func(faults, freezes, ages []int) bool {
-		w := &watch{acting: make(map[int]uint64)}
+		w := &checker{acting: make(map[int]uint64)}
 		synctest.Test(t, func(*testing.T) {
 			rows := &fake.Table{Fault: (&fake.Script{Kinds: faults}).Draw}
 			began := time.Now()
@@ -36,7 +36,7 @@
 					Nonce: func() string { n++; return fmt.Sprint(box, "-", n) },
 					Now:   func() time.Time { return began.Add(time.Duration(float64(time.Since(began)) * rate)) },
 				}
-				boxes.Go(func() { live(l, box, w, freezes) })
+				boxes.Go(func() { run(l, box, w, freezes) })
 			}
 			boxes.Go(func() { restore(rows, ages) })
 			boxes.Wait()
@@ -45,7 +45,7 @@
 	}, gen.SliceOfN(11, gen.IntRange(0, int(fake.Kinds)-1)), gen.SliceOfN(40, gen.IntRange(0, 30)), gen.SliceOfN(6, gen.IntRange(0, 9)))
 }
 
-// restore has a table come back from copies of the ages given, in seconds, one after the other.
+// restore restores a table from copies of the given ages, in seconds, one after another.
 func restore(rows *fake.Table, ages []int) {
 	first := rows.Copy()
 	for i, age := range ages {
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestOneHolderRestored guards against two holders, or a fencing token given out twice, when
-// a restored table service has lost renewals of the lease or its row.
+// TestOneHolderRestored guards against two holders, or a fencing token assigned twice,
+// when a restored table service has lost renewals of the lease or its row.
 func TestOneHolderRestored(t *testing.T) {
 	proof.Holds(t, oneHolderRestored(t, func(t *fake.Table) func(context.Context, string) (table.Row, error) { return t.Read }))
 }
--- a/notice/limit.go
+++ b/notice/limit.go
@@ -11,95 +11,97 @@
 )
 
 const (
-	// liftedFor is how long the end of a limit is remembered, so that older word of it does
-	// not bring it back.
-	liftedFor = 30 * time.Second
-	// noted is by what part of itself a rate has to change since it was news last to be so
-	// again. Boxes' parts may be off by as much.
-	noted = 0.2
+	// liftedRetention is how long the end of a limit is remembered, so that an older report
+	// does not restore it.
+	liftedRetention = 30 * time.Second
+	// minChange is the relative change of a rate since the last news that counts as news
+	// again. The boxes' shares may be off by as much.
+	minChange = 0.2
 )
 
-// Limit is the rate of requests that a target takes of all boxes together.
+// Limit is the rate of requests that a target accepts from all boxes together.
 type Limit struct {
-	// Active says that there is one. Without it the target takes what comes.
+	// Active is set if there is a limit.
 	Active bool
 	// PerSecond is the rate, never negative.
 	PerSecond float64
-	// At is how new that is: when the answer was read that named the rate, or when the
+	// At dates the information: when the answer that named the rate was read, or when the
 	// request was sent whose answer named none.
 	At time.Time
 }
 
-// TargetLimit is a target's life with its limit.
+// TargetLimit is an incarnation of a target with its limit.
 type TargetLimit struct {
 	Incarnation fleet.Incarnation
 	Limit       Limit
-	// Since is when this box learnt that the limit began, changed or ended.
+	// Since is when this box learned that the limit began, changed or ended.
 	Since time.Time
 }
 
-// IncarnationAt is the life of a target that is known by its name and address alone.
+// IncarnationAt returns the incarnation of a target that is known by name and address
+// only.
 func IncarnationAt(name string, at netip.AddrPort) fleet.Incarnation {
 	return fleet.Incarnation{ID: name + "@" + at.String()}
 }
 
-// ObserveLimit notes what an answer says of its target's limit, to a request sent at asked, and
-// returns whether that is news. An answer that names none lifts a limit only if it was asked
-// for after the limit was heard: answers on several connections pass each other.
-func (b *Registry) ObserveLimit(now, asked time.Time, life fleet.Incarnation, said Signals) bool {
+// ObserveLimit records what an answer says of its target's limit, to a request sent at
+// sentAt, and reports whether that is news. An answer without a limit lifts one only if
+// its request was sent after the limit was read: answers on several connections overtake
+// each other.
+func (reg *Registry) ObserveLimit(now, sentAt time.Time, incarnation fleet.Incarnation, signals Signals) bool {
 	switch {
-	case said.Limited:
-		return b.SetLimit(now, TargetLimit{Incarnation: life, Limit: Limit{Active: true, PerSecond: said.Rate, At: now}})
-	case said.Unlimited && b.Limit(life).Active:
-		return b.SetLimit(now, TargetLimit{Incarnation: life, Limit: Limit{At: asked}})
+	case signals.Limited:
+		return reg.SetLimit(now, TargetLimit{Incarnation: incarnation, Limit: Limit{Active: true, PerSecond: signals.Rate, At: now}})
+	case signals.Unlimited && reg.Limit(incarnation).Active:
+		return reg.SetLimit(now, TargetLimit{Incarnation: incarnation, Limit: Limit{At: sentAt}})
 	}
 	return false
 }
 
-// SetLimit notes a limit, or its end, unless something newer is known. It returns whether
-// that is news.
-func (b *Registry) SetLimit(now time.Time, x TargetLimit) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.record(now, x.Incarnation)
-	if r == nil || !x.Limit.At.After(r.limit.At) {
+// SetLimit records a limit, or its end, unless something newer is known. It reports
+// whether that is news.
+func (reg *Registry) SetLimit(now time.Time, l TargetLimit) bool {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	r := reg.record(now, l.Incarnation)
+	if r == nil || !l.Limit.At.After(r.limit.At) {
 		return false
 	}
-	change := math.Abs(r.limitNoted - x.Limit.PerSecond)
-	news := r.limit.Active != x.Limit.Active || change > noted*r.limitNoted
-	r.limit = x.Limit
+	change := math.Abs(r.newsRate - l.Limit.PerSecond)
+	news := r.limit.Active != l.Limit.Active || change > minChange*r.newsRate
+	r.limit = l.Limit
 	if news {
-		r.limitedAt, r.limitNoted = now, x.Limit.PerSecond
+		r.newsAt, r.newsRate = now, l.Limit.PerSecond
 	}
 	return news
 }
 
-// Limit returns what is known of a life's limit.
-func (b *Registry) Limit(life fleet.Incarnation) Limit {
-	if r := b.find(life); r != nil {
+// Limit returns the known limit of an incarnation.
+func (reg *Registry) Limit(incarnation fleet.Incarnation) Limit {
+	if r := reg.find(incarnation); r != nil {
 		return r.limit
 	}
 	return Limit{}
 }
 
-// Limits lists the limits known and those that ended lately.
-func (b *Registry) Limits() []TargetLimit {
-	if b.size.Load() == 0 {
+// Limits lists the known limits and those that ended lately.
+func (reg *Registry) Limits() []TargetLimit {
+	if reg.size.Load() == 0 {
 		return nil
 	}
-	b.mu.RLock()
-	defer b.mu.RUnlock()
+	reg.mu.RLock()
+	defer reg.mu.RUnlock()
 	var list []TargetLimit
-	for id, r := range b.byID {
+	for id, r := range reg.byID {
 		if !r.limit.At.IsZero() {
-			list = append(list, TargetLimit{fleet.Incarnation{ID: id, StartedAt: r.born}, r.limit, r.limitedAt})
+			list = append(list, TargetLimit{fleet.Incarnation{ID: id, StartedAt: r.startedAt}, r.limit, r.newsAt})
 		}
 	}
 	return list
 }
 
-// ParseRate reads a rate, and says whether the value is one: a number that is neither
-// negative nor without bound.
+// ParseRate parses a rate, and reports whether the value is a number that is neither
+// negative nor infinite.
 func ParseRate(value string) (float64, bool) {
 	rate, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if err != nil || !(rate >= 0) || math.IsInf(rate, 1) {
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -1,14 +1,14 @@
-// Package notice keeps what targets said of themselves in their answers: that they
-// leave, that they want no requests from this box for a while, or how many requests a
-// second they take of all boxes together.
+// Package notice keeps what targets signal about themselves in their answers: that they
+// are leaving, that they want no requests from this box for a while, or how many requests
+// a second they accept from all boxes together.
 //
-//	b := notice.Book{}
-//	b.Hear(now, life, notice.Said{Backoff: 3 * time.Second}) // where the answer is read
+//	r := notice.Registry{}
+//	r.Observe(now, incarnation, notice.Signals{Backoff: 3 * time.Second}) // where the answer is read
 //	...
-//	err := b.Allow(now, life) // right before a request leaves this box: ErrBackoff
+//	err := r.Allow(now, incarnation) // right before a request leaves this box: ErrBackoff
 //
-// A target's own word comes with each of its answers, also while the platform's list of
-// targets can't be read, and it is the first to know.
+// A target's own signals come with each of its answers, also while the platform's list of
+// targets cannot be read, and before the list has them.
 package notice
 
 import (
@@ -22,158 +22,158 @@
 )
 
 const (
-	// MaxBackoff bounds for how long a target is left alone at its own word. Targets seen
-	// ask for some seconds; one that names a year must not be lost for that.
+	// MaxBackoff bounds the backoff that a target asks for. Observed targets ask for some
+	// seconds; one that names a year must not be lost for that long.
 	MaxBackoff = 5 * time.Minute
-	// keep is for how long a target that leaves is remembered after its word was heard
-	// or asked for last. One that leaves is gone within a minute, but a list that is old
-	// may name it again.
-	keep = time.Hour
-	// most bounds the targets remembered, at some 200 bytes each: the fleet's targets
-	// several times over.
-	most = 4096
+	// retention is how long a leaving target is remembered after its signal was read or
+	// looked up last. It is gone within a minute, but a stale list may name it again.
+	retention = time.Hour
+	// maxRecords bounds the targets remembered, at some 200 bytes each: several times the
+	// fleet's targets.
+	maxRecords = 4096
 )
 
-// Reasons why no request may be sent to a target.
+// Reasons why a request may not be sent to a target.
 var (
-	// ErrLeaving says that the target takes no new work any more.
-	ErrLeaving = errors.New("the target said that it leaves")
-	// ErrBackoff says that the target asked for a time without requests, which lasts.
-	ErrBackoff = errors.New("the target asked for a time without requests")
-	// ErrLimited says that the target limits the requests of all boxes, and that this one is
-	// not among them.
-	ErrLimited = errors.New("the target limits requests")
+	// ErrLeaving means that the target accepts no new work.
+	ErrLeaving = errors.New("the target is leaving")
+	// ErrBackoff means that the target asked for a backoff that has not ended.
+	ErrBackoff = errors.New("the target asked for a backoff")
+	// ErrLimited means that the target limits the requests of all boxes, and that this box
+	// may not send one.
+	ErrLimited = errors.New("the target's rate limit leaves no request for this box")
 )
 
-// Signals is what an answer says of its target. The zero value says nothing.
+// Signals is what an answer says about its target. The zero value says nothing.
 type Signals struct {
-	// Leaving says that the target takes no new work.
+	// Leaving is set if the target accepts no new work.
 	Leaving bool
-	// Backoff is for how long the target wants no requests from this box, counted from
-	// its answer; zero if it does not say.
+	// Backoff is for how long the target wants no requests from this box, counted from its
+	// answer; zero for none.
 	Backoff time.Duration
-	// Limited says that it names a rate, in requests a second, that it takes of all boxes
-	// together for as long as its answers name one.
+	// Limited is set if the answer names a Rate, in requests a second, that the target
+	// accepts from all boxes together for as long as its answers name one.
 	Limited bool
 	Rate    float64
-	// Unlimited says that the answer would name such a rate if there were one.
+	// Unlimited is set if the answer would name a rate if there were one.
 	Unlimited bool
 }
 
-// Registry is what one box heard. The zero value is ready; it is safe for concurrent use.
+// Registry holds the signals that one box received. The zero value is ready; it is safe
+// for concurrent use.
 type Registry struct {
 	mu   sync.RWMutex
 	byID map[string]*record
-	// size is len(byID), so that a request asks for no lock while nothing was heard.
+	// size is len(byID), so that lookups take no lock while there are no records.
 	size atomic.Int64
 }
 
-// record is what one life of a target said.
+// record holds the signals of one incarnation of a target.
 type record struct {
-	born    time.Time
-	leaving bool
-	// until is when the time without requests is over.
+	startedAt time.Time
+	leaving   bool
+	// until is the end of the backoff.
 	until time.Time
-	// limit is the rate that it names, limitedAt when that was news last, and limitNoted the
-	// rate then.
-	limit      Limit
-	limitedAt  time.Time
-	limitNoted float64
-	// last is when the target was last heard or asked for.
-	last time.Time
+	// limit is the last limit, newsAt when it was news last, and newsRate the rate then.
+	limit    Limit
+	newsAt   time.Time
+	newsRate float64
+	// usedAt is when the target was last heard from or looked up.
+	usedAt time.Time
 }
 
-// of says whether the record is of a life. One that does not tell its birth is taken
-// for the one known.
-func (r *record) of(life fleet.Incarnation) bool {
-	return life.StartedAt.IsZero() || r.born.IsZero() || life.StartedAt.Equal(r.born)
+// of reports whether the record is of an incarnation. An unknown start time matches any.
+func (r *record) of(incarnation fleet.Incarnation) bool {
+	return incarnation.StartedAt.IsZero() || r.startedAt.IsZero() || incarnation.StartedAt.Equal(r.startedAt)
 }
 
-// Observe notes what a life's answer said, and returns what of it is news. A later life
-// makes what an earlier one said void; what that one said late changes nothing.
-func (b *Registry) Observe(now time.Time, life fleet.Incarnation, said Signals) Signals {
-	if !said.Leaving && said.Backoff <= 0 {
+// Observe records the signals of an incarnation's answer, and returns those that are
+// news. A later incarnation discards the record of an earlier one; late signals of an
+// earlier one change nothing.
+func (reg *Registry) Observe(now time.Time, incarnation fleet.Incarnation, signals Signals) Signals {
+	if !signals.Leaving && signals.Backoff <= 0 {
 		return Signals{}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.record(now, life)
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	r := reg.record(now, incarnation)
 	if r == nil {
 		return Signals{}
 	}
 	var news Signals
-	if said.Leaving && !r.leaving {
+	if signals.Leaving && !r.leaving {
 		r.leaving, news.Leaving = true, true
 	}
-	if said.Backoff <= 0 {
+	if signals.Backoff <= 0 {
 		return news
 	}
 	if !now.Before(r.until) {
-		news.Backoff = said.Backoff
+		news.Backoff = signals.Backoff
 	}
-	if until := now.Add(min(said.Backoff, MaxBackoff)); until.After(r.until) {
+	if until := now.Add(min(signals.Backoff, MaxBackoff)); until.After(r.until) {
 		r.until = until
 	}
 	return news
 }
 
-// record returns a life's record, which is begun if there is none; nil if a later life is
-// known.
-func (b *Registry) record(now time.Time, life fleet.Incarnation) *record {
-	r := b.byID[life.ID]
+// record returns an incarnation's record, a new one if there is none; nil if a later
+// incarnation is known.
+func (reg *Registry) record(now time.Time, incarnation fleet.Incarnation) *record {
+	r := reg.byID[incarnation.ID]
 	switch {
-	case r != nil && r.of(life):
-	case r != nil && life.StartedAt.Before(r.born):
+	case r != nil && r.of(incarnation):
+	case r != nil && incarnation.StartedAt.Before(r.startedAt):
 		return nil
 	default:
-		r = b.add(now, life)
+		r = reg.add(now, incarnation)
 	}
-	r.last = now
+	r.usedAt = now
 	return r
 }
 
-// add begins a life's record. A full book forgets the one heard of longest ago.
-func (b *Registry) add(now time.Time, life fleet.Incarnation) *record {
-	if b.byID == nil {
-		b.byID = make(map[string]*record)
+// add adds a record for an incarnation. A full registry evicts the one used least
+// recently.
+func (reg *Registry) add(now time.Time, incarnation fleet.Incarnation) *record {
+	if reg.byID == nil {
+		reg.byID = make(map[string]*record)
 	}
-	if len(b.byID) >= most {
-		b.dropOldest(now)
+	if len(reg.byID) >= maxRecords {
+		reg.dropOldest(now)
 	}
-	r := &record{born: life.StartedAt}
-	b.byID[life.ID] = r
-	b.size.Store(int64(len(b.byID)))
+	r := &record{startedAt: incarnation.StartedAt}
+	reg.byID[incarnation.ID] = r
+	reg.size.Store(int64(len(reg.byID)))
 	return r
 }
 
-func (b *Registry) dropOldest(now time.Time) {
+func (reg *Registry) dropOldest(now time.Time) {
 	oldest, at := "", now
-	for id, r := range b.byID {
-		if !r.last.After(at) {
-			oldest, at = id, r.last
+	for id, r := range reg.byID {
+		if !r.usedAt.After(at) {
+			oldest, at = id, r.usedAt
 		}
 	}
-	delete(b.byID, oldest)
+	delete(reg.byID, oldest)
 }
 
-// find returns what a life said, or nil.
-func (b *Registry) find(life fleet.Incarnation) *record {
-	if b.size.Load() == 0 {
+// find returns a copy of an incarnation's record, or nil.
+func (reg *Registry) find(incarnation fleet.Incarnation) *record {
+	if reg.size.Load() == 0 {
 		return nil
 	}
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	r := b.byID[life.ID]
-	if r == nil || !r.of(life) {
+	reg.mu.RLock()
+	defer reg.mu.RUnlock()
+	r := reg.byID[incarnation.ID]
+	if r == nil || !r.of(incarnation) {
 		return nil
 	}
 	copied := *r
 	return &copied
 }
 
-// Allow returns why no request may be sent to a life of a target, or nil.
-func (b *Registry) Allow(now time.Time, life fleet.Incarnation) error {
-	r := b.find(life)
+// Allow returns why no request may be sent to an incarnation of a target, or nil.
+func (reg *Registry) Allow(now time.Time, incarnation fleet.Incarnation) error {
+	r := reg.find(incarnation)
 	switch {
 	case r == nil:
 		return nil
@@ -185,44 +185,44 @@
 	return nil
 }
 
-// Leaving says whether a life said that it leaves.
-func (b *Registry) Leaving(life fleet.Incarnation) bool {
-	r := b.find(life)
+// Leaving reports whether an incarnation signalled that it is leaving.
+func (reg *Registry) Leaving(incarnation fleet.Incarnation) bool {
+	r := reg.find(incarnation)
 	return r != nil && r.leaving
 }
 
-// BackoffUntil is until when a life wants no requests; zero if it did not ask for that.
-func (b *Registry) BackoffUntil(life fleet.Incarnation) time.Time {
-	if r := b.find(life); r != nil {
+// BackoffUntil returns the end of an incarnation's backoff; zero if it asked for none.
+func (reg *Registry) BackoffUntil(incarnation fleet.Incarnation) time.Time {
+	if r := reg.find(incarnation); r != nil {
 		return r.until
 	}
 	return time.Time{}
 }
 
-// Touch remembers a life for longer, as the platform's list names it.
-func (b *Registry) Touch(now time.Time, life fleet.Incarnation) {
-	if b.size.Load() == 0 {
+// Touch keeps an incarnation's record for longer, as the platform's list names it.
+func (reg *Registry) Touch(now time.Time, incarnation fleet.Incarnation) {
+	if reg.size.Load() == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if r := b.byID[life.ID]; r != nil && r.of(life) {
-		r.last = now
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	if r := reg.byID[incarnation.ID]; r != nil && r.of(incarnation) {
+		r.usedAt = now
 	}
 }
 
-// Expire forgets what makes no odds any more. Call it now and then.
-func (b *Registry) Expire(now time.Time) {
-	if b.size.Load() == 0 {
+// Expire drops records without effect. Call it now and then.
+func (reg *Registry) Expire(now time.Time) {
+	if reg.size.Load() == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	maps.DeleteFunc(b.byID, func(_ string, r *record) bool {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	maps.DeleteFunc(reg.byID, func(_ string, r *record) bool {
 		if r.leaving || r.limit.Active {
-			return now.Sub(r.last) > keep
+			return now.Sub(r.usedAt) > retention
 		}
-		return !now.Before(r.until) && now.Sub(r.limit.At) > liftedFor
+		return !now.Before(r.until) && now.Sub(r.limit.At) > liftedRetention
 	})
-	b.size.Store(int64(len(b.byID)))
+	reg.size.Store(int64(len(reg.byID)))
 }
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -11,11 +11,11 @@
 
 var start = time.Unix(1000, 0)
 
-// heard is one answer, a time after start.
-type heard struct {
-	at   time.Duration
-	life fleet.Incarnation
-	said Signals
+// observed is one answer, a time after start.
+type observed struct {
+	at          time.Duration
+	incarnation fleet.Incarnation
+	signals     Signals
 }
 
 var (
@@ -28,52 +28,52 @@
 	backoff := func(d time.Duration) Signals { return Signals{Backoff: d} }
 	leaving := Signals{Leaving: true}
 	tests := []struct {
-		name  string
-		heard []heard
-		at    time.Duration
-		life  fleet.Incarnation
-		want  error
+		name        string
+		answers     []observed
+		at          time.Duration
+		incarnation fleet.Incarnation
+		want        error
 	}{
-		{"nothing", nil, 0, plain, nil},
-		{"nothing was said", []heard{{0, plain, Signals{}}}, 0, plain, nil},
-		{"it leaves", []heard{{0, plain, leaving}}, 0, plain, ErrLeaving},
-		{"it leaves, and was said to long ago", []heard{{0, plain, leaving}}, keep - time.Second, plain, ErrLeaving},
-		{"another leaves", []heard{{0, plain, leaving}}, 0, fleet.Incarnation{ID: "b"}, nil},
-		{"a time without requests", []heard{{0, plain, backoff(3 * time.Second)}}, 2999 * time.Millisecond, plain, ErrBackoff},
-		{"is over", []heard{{0, plain, backoff(3 * time.Second)}}, 3 * time.Second, plain, nil},
-		{"a shorter one after it", []heard{{0, plain, backoff(3 * time.Second)}, {time.Second, plain, backoff(time.Second)}}, 2500 * time.Millisecond, plain, ErrBackoff},
-		{"a longer one after it", []heard{{0, plain, backoff(time.Second)}, {500 * time.Millisecond, plain, backoff(2 * time.Second)}}, 2 * time.Second, plain, ErrBackoff},
-		{"a negative one", []heard{{0, plain, backoff(-time.Second)}}, 0, plain, nil},
-		{"a year", []heard{{0, plain, backoff(365 * 24 * time.Hour)}}, MaxBackoff - 1, plain, ErrBackoff},
-		{"a year, bounded", []heard{{0, plain, backoff(365 * 24 * time.Hour)}}, MaxBackoff, plain, nil},
-		{"both", []heard{{0, plain, Signals{Leaving: true, Backoff: time.Second}}}, 0, plain, ErrLeaving},
-		{"its time is over and it leaves", []heard{{0, plain, Signals{Leaving: true, Backoff: time.Second}}}, time.Minute, plain, ErrLeaving},
-		{"a later life", []heard{{0, first, Signals{Leaving: true, Backoff: time.Minute}}}, 0, second, nil},
-		{"an earlier life", []heard{{0, second, leaving}}, 0, first, nil},
-		{"the later life's word", []heard{{0, first, leaving}, {1, second, backoff(time.Minute)}}, 2, second, ErrBackoff},
-		{"an earlier life's word, late", []heard{{0, second, backoff(time.Minute)}, {1, first, leaving}}, 2, second, ErrBackoff},
-		{"a life that does not tell its birth", []heard{{0, first, leaving}}, 0, plain, ErrLeaving},
+		{"no answers", nil, 0, plain, nil},
+		{"an answer without signals", []observed{{0, plain, Signals{}}}, 0, plain, nil},
+		{"leaving", []observed{{0, plain, leaving}}, 0, plain, ErrLeaving},
+		{"leaving, signalled long ago", []observed{{0, plain, leaving}}, retention - time.Second, plain, ErrLeaving},
+		{"another target is leaving", []observed{{0, plain, leaving}}, 0, fleet.Incarnation{ID: "b"}, nil},
+		{"in backoff", []observed{{0, plain, backoff(3 * time.Second)}}, 2999 * time.Millisecond, plain, ErrBackoff},
+		{"backoff over", []observed{{0, plain, backoff(3 * time.Second)}}, 3 * time.Second, plain, nil},
+		{"a shorter backoff after it", []observed{{0, plain, backoff(3 * time.Second)}, {time.Second, plain, backoff(time.Second)}}, 2500 * time.Millisecond, plain, ErrBackoff},
+		{"a longer backoff after it", []observed{{0, plain, backoff(time.Second)}, {500 * time.Millisecond, plain, backoff(2 * time.Second)}}, 2 * time.Second, plain, ErrBackoff},
+		{"a negative backoff", []observed{{0, plain, backoff(-time.Second)}}, 0, plain, nil},
+		{"a backoff of a year", []observed{{0, plain, backoff(365 * 24 * time.Hour)}}, MaxBackoff - 1, plain, ErrBackoff},
+		{"a backoff of a year, bounded", []observed{{0, plain, backoff(365 * 24 * time.Hour)}}, MaxBackoff, plain, nil},
+		{"leaving and in backoff", []observed{{0, plain, Signals{Leaving: true, Backoff: time.Second}}}, 0, plain, ErrLeaving},
+		{"leaving, backoff over", []observed{{0, plain, Signals{Leaving: true, Backoff: time.Second}}}, time.Minute, plain, ErrLeaving},
+		{"a later incarnation", []observed{{0, first, Signals{Leaving: true, Backoff: time.Minute}}}, 0, second, nil},
+		{"an earlier incarnation", []observed{{0, second, leaving}}, 0, first, nil},
+		{"signals of a later incarnation", []observed{{0, first, leaving}, {1, second, backoff(time.Minute)}}, 2, second, ErrBackoff},
+		{"late signals of an earlier incarnation", []observed{{0, second, backoff(time.Minute)}, {1, first, leaving}}, 2, second, ErrBackoff},
+		{"an incarnation without a start time", []observed{{0, first, leaving}}, 0, plain, ErrLeaving},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var b Registry
-			for _, h := range tt.heard {
-				b.Observe(start.Add(h.at), h.life, h.said)
+			for _, h := range tt.answers {
+				b.Observe(start.Add(h.at), h.incarnation, h.signals)
 			}
 			b.Expire(start.Add(tt.at))
-			if got := b.Allow(start.Add(tt.at), tt.life); !errors.Is(got, tt.want) || (tt.want == nil) != (got == nil) {
+			if got := b.Allow(start.Add(tt.at), tt.incarnation); !errors.Is(got, tt.want) || (tt.want == nil) != (got == nil) {
 				t.Errorf("Allow = %v, want %v", got, tt.want)
 			}
 		})
 	}
 }
 
-// TestNews says that each change is news once.
+// TestNews checks that each change is news exactly once.
 func TestNews(t *testing.T) {
 	var b Registry
 	steps := []struct {
-		at         time.Duration
-		said, want Signals
+		at            time.Duration
+		signals, want Signals
 	}{
 		{0, Signals{Backoff: time.Second}, Signals{Backoff: time.Second}},
 		{100 * time.Millisecond, Signals{Backoff: time.Second}, Signals{}},
@@ -82,32 +82,33 @@
 		{4 * time.Second, Signals{Leaving: true}, Signals{}},
 	}
 	for _, s := range steps {
-		if got := b.Observe(start.Add(s.at), plain, s.said); got != s.want {
+		if got := b.Observe(start.Add(s.at), plain, s.signals); got != s.want {
 			t.Errorf("after %v: %+v, want %+v", s.at, got, s.want)
 		}
 	}
 }
 
-// TestBounded fills the book, and lets its time pass.
+// TestBounded checks that a full registry evicts the records used least recently, and
+// that records expire.
 func TestBounded(t *testing.T) {
 	var b Registry
-	for i := range most + 10 {
+	for i := range maxRecords + 10 {
 		b.Observe(start.Add(time.Duration(i)), fleet.Incarnation{ID: fmt.Sprint(i)}, Signals{Leaving: true})
 	}
-	if n := len(b.byID); n != most {
-		t.Errorf("%d targets are remembered", n)
+	if n := len(b.byID); n != maxRecords {
+		t.Errorf("%d records", n)
 	}
 	if b.Leaving(fleet.Incarnation{ID: "9"}) || !b.Leaving(fleet.Incarnation{ID: "10"}) {
-		t.Error("it did not forget the ones heard of longest ago")
+		t.Error("the records used least recently were not evicted")
 	}
-	b.Touch(start.Add(keep), fleet.Incarnation{ID: "10"})
-	b.Expire(start.Add(keep + time.Second))
+	b.Touch(start.Add(retention), fleet.Incarnation{ID: "10"})
+	b.Expire(start.Add(retention + time.Second))
 	if n := len(b.byID); n != 1 || !b.Leaving(fleet.Incarnation{ID: "10"}) {
-		t.Errorf("%d targets are remembered when their time is over", n)
+		t.Errorf("%d records after their retention", n)
 	}
 }
 
-// BenchmarkAllow is what each request pays.
+// BenchmarkAllow measures the lookup before each request.
 func BenchmarkAllow(b *testing.B) {
 	for _, size := range []int{0, 1, 600} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/notice/seconds.go
+++ b/notice/retryafter.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// ParseRetryAfter reads the value of a Retry-After header that is a time in seconds, with or without a
-// fraction. What is no such time, or a
-// negative one, asks for nothing; one beyond what a duration holds is the longest.
+// ParseRetryAfter parses a Retry-After header in seconds, with or without a fraction.
+// Anything else, and a negative number, is zero; one beyond the range of a duration is
+// the longest.
 func ParseRetryAfter(value string) time.Duration {
 	s, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if math.IsInf(s, 1) {
--- a/notice/seconds_test.go
+++ b/notice/retryafter_test.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// FuzzSeconds reads what a target may have written: a time is never negative, and none is
-// made of what is no number.
+// FuzzSeconds checks that a header from a target never gives a negative time, nor a
+// backoff beyond the maximum.
 func FuzzSeconds(f *testing.F) {
 	for _, value := range []string{"3", "0.25", " 7 ", "0", "-1", "soon", "NaN", "Inf", "-Inf", "1e300", "1e999", "0x1p4", "Thu, 03 Dec 2026 03:30:00 GMT", ""} {
 		f.Add(value)
 	}
 	f.Fuzz(func(t *testing.T, value string) {
-		var b Registry
+		var reg Registry
 		got := ParseRetryAfter(value)
 		if got < 0 {
 			t.Errorf("%q is %v", value, got)
 		}
 		now := time.Unix(1000, 0)
-		b.Observe(now, plain, Signals{Backoff: got})
-		if until := b.BackoffUntil(plain); until.After(now.Add(MaxBackoff)) {
-			t.Errorf("%q closes a target until %v", value, until)
+		reg.Observe(now, plain, Signals{Backoff: got})
+		if until := reg.BackoffUntil(plain); until.After(now.Add(MaxBackoff)) {
+			t.Errorf("%q gives a backoff until %v", value, until)
 		}
 	})
 }
 
-func TestSeconds(t *testing.T) {
+func TestParseRetryAfter(t *testing.T) {
 	tests := []struct {
 		value string
 		want  time.Duration
--- a/overdue/overdue.go
+++ b/overdue/overdue.go
@@ -1,52 +1,53 @@
-// Package overdue sums up what targets should have read by now and have not.
+// Package overdue sums up the prompt tokens that targets should have prefilled by now and
+// have not.
 //
-//	var b overdue.Book
-//	b.Wait(target, placed, due, 9000)
-//	b.Done(target, placed)           // its first event came, or it ended
-//	tokens := b.Tokens(now, target)  // of prompts whose time is over
+//	var t overdue.Tracker
+//	t.Add(target, placed, due, 9000)
+//	t.Done(target, placed)          // its first event came, or it ended
+//	tokens := t.Tokens(now, target) // of prompts past their due time
 //
-// What a target reads is reckoned ahead from how quickly targets read as a rule
-// (package backlog). A target that is slower, or waits for moves, shows here.
+// Package backlog estimates prefill from the usual speed of targets. A target that is
+// slower, or waits for transfers, shows here.
 package overdue
 
 import "time"
 
-// Tracker holds the requests of one box that have no answer yet. The zero value is
-// ready; it is not safe for concurrent use.
+// Tracker holds the requests of one box that have no answer yet. The zero value is ready;
+// it is not safe for concurrent use.
 type Tracker struct {
-	waiting map[uint64]map[time.Time]read
+	waiting map[uint64]map[time.Time]prefill
 }
 
-// read is one prompt that waits to be read.
-type read struct {
+// prefill is one prompt that waits to be prefilled.
+type prefill struct {
 	due    time.Time
 	tokens int
 }
 
-// Add notes a prompt that was placed at a target at a time and should be read at
-// another.
-func (b *Tracker) Add(target uint64, placed, due time.Time, tokens int) {
-	if b.waiting == nil {
-		b.waiting = make(map[uint64]map[time.Time]read)
+// Add records a prompt that was placed at a target at placed and should be prefilled at
+// due.
+func (t *Tracker) Add(target uint64, placed, due time.Time, tokens int) {
+	if t.waiting == nil {
+		t.waiting = make(map[uint64]map[time.Time]prefill)
 	}
-	if b.waiting[target] == nil {
-		b.waiting[target] = make(map[time.Time]read)
+	if t.waiting[target] == nil {
+		t.waiting[target] = make(map[time.Time]prefill)
 	}
-	b.waiting[target][placed] = read{due, tokens}
+	t.waiting[target][placed] = prefill{due, tokens}
 }
 
-// Done notes that the prompt placed at a target at a time waits no more.
-func (b *Tracker) Done(target uint64, placed time.Time) {
-	delete(b.waiting[target], placed)
-	if len(b.waiting[target]) == 0 {
-		delete(b.waiting, target)
+// Done removes the prompt that was placed at a target at placed.
+func (t *Tracker) Done(target uint64, placed time.Time) {
+	delete(t.waiting[target], placed)
+	if len(t.waiting[target]) == 0 {
+		delete(t.waiting, target)
 	}
 }
 
-// Tokens returns the tokens of a target's prompts that should have been read.
-func (b *Tracker) Tokens(now time.Time, target uint64) int {
+// Tokens returns the tokens of a target's overdue prompts.
+func (t *Tracker) Tokens(now time.Time, target uint64) int {
 	sum := 0
-	for _, r := range b.waiting[target] {
+	for _, r := range t.waiting[target] {
 		if now.After(r.due) {
 			sum += r.tokens
 		}
--- a/overdue/overdue_test.go
+++ b/overdue/overdue_test.go
@@ -18,7 +18,7 @@
 		at     time.Time
 		want   int
 	}{
-		{"nothing waits", func(*overdue.Tracker) {}, due.Add(time.Second), 0},
+		{"no prompts", func(*overdue.Tracker) {}, due.Add(time.Second), 0},
 		{"not due yet", func(b *overdue.Tracker) { b.Add(target, start, due, 9) }, due, 0},
 		{"due", func(b *overdue.Tracker) { b.Add(target, start, due, 9) }, due.Add(1), 9},
 		{"two due", func(b *overdue.Tracker) {
--- a/peerload/shares.go
+++ b/peerload/peerload.go
@@ -1,12 +1,12 @@
-// Package peerload adds up what the requests of other boxes take up at each
-// target, as those boxes tell it.
+// Package peerload sums up the load that the requests of other boxes put on each target,
+// as those boxes report it.
 //
-//	s := shares.New()
-//	s.Set(now, "box-2", told)   // in place of what box-2 told before
-//	tokens, unread := s.Of(target)
+//	s := peerload.New()
+//	s.Set(now, "box-2", usage)   // replaces what box-2 reported before
+//	usage := s.Of(target)
 //
-// It holds one entry for each box and target, and the sums, so that asking for
-// one target costs the same however many boxes there are.
+// It holds one entry for each box and target, and the totals, so that a lookup costs the
+// same for any number of boxes.
 package peerload
 
 import (
@@ -19,33 +19,33 @@
 // Totals is not safe for concurrent use.
 type Totals struct {
 	boxes map[string]*box
-	// total is the sum over boxes, by target. It holds no empty share.
+	// total is the sum over boxes, by target, without zero entries.
 	total map[uint64]peer.TargetLoad
 }
 
-// box is what one box told.
+// box is the last report of one box.
 type box struct {
-	heard  time.Time
-	shares map[uint64]peer.TargetLoad
+	reportedAt time.Time
+	shares     map[uint64]peer.TargetLoad
 }
 
-// New returns an empty sum.
+// New returns totals without any box.
 func New() *Totals {
 	return &Totals{boxes: make(map[string]*box), total: make(map[uint64]peer.TargetLoad)}
 }
 
-// Set takes what a box told in place of what it told before.
+// Set replaces what a box reported before.
 func (s *Totals) Set(now time.Time, name string, list []peer.TargetLoad) {
-	s.forget(name)
-	b := &box{heard: now, shares: make(map[uint64]peer.TargetLoad, len(list))}
+	s.drop(name)
+	b := &box{reportedAt: now, shares: make(map[uint64]peer.TargetLoad, len(list))}
 	s.boxes[name] = b
 	for _, share := range list {
 		s.add(b, share)
 	}
 }
 
-// Add counts something for a box that it will tell of itself. It changes nothing
-// for a box that was not heard of.
+// Add counts load for a box ahead of its next report. It changes nothing for a box that
+// has not reported.
 func (s *Totals) Add(name string, share peer.TargetLoad) {
 	if b := s.boxes[name]; b != nil {
 		s.add(b, share)
@@ -57,8 +57,8 @@
 	s.total[share.Target] = share.Add(s.total[share.Target])
 }
 
-// take takes a share away from the total.
-func (s *Totals) take(share peer.TargetLoad) {
+// sub subtracts a box's load from the total.
+func (s *Totals) sub(share peer.TargetLoad) {
 	left := s.total[share.Target].Sub(share)
 	if left.IsZero() {
 		delete(s.total, share.Target)
@@ -67,33 +67,33 @@
 	s.total[share.Target] = left
 }
 
-// Expire forgets the boxes that were not heard since a time.
+// Expire drops the boxes that have not reported since a time.
 func (s *Totals) Expire(since time.Time) {
 	for name, b := range s.boxes {
-		if b.heard.Before(since) {
-			s.forget(name)
+		if b.reportedAt.Before(since) {
+			s.drop(name)
 		}
 	}
 }
 
-func (s *Totals) forget(name string) {
+func (s *Totals) drop(name string) {
 	b := s.boxes[name]
 	if b == nil {
 		return
 	}
 	delete(s.boxes, name)
 	for _, share := range b.shares {
-		s.take(share)
+		s.sub(share)
 	}
 }
 
-// Boxes counts the boxes heard.
+// Boxes returns how many boxes have reported.
 func (s *Totals) Boxes() int { return len(s.boxes) }
 
-// Of returns what all boxes heard tell of a target or store.
+// Of returns the load of all boxes on a target or store.
 func (s *Totals) Of(target uint64) peer.TargetLoad { return s.total[target] }
 
-// Without returns what the boxes heard take up by target, but for some boxes.
+// Without returns the load by target, leaving out some boxes.
 func (s *Totals) Without(names []string) map[uint64]peer.TargetLoad {
 	rest := maps.Clone(s.total)
 	for _, name := range names {
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -20,37 +20,37 @@
 	return s
 }
 
-// TestRefuses says after which histories a fingerprint is refused.
+// TestRefuses checks which histories lead to a refusal.
 func TestRefuses(t *testing.T) {
-	ended := func(lives ...string) func(*quarantine.List) {
+	ended := func(incarnations ...string) func(*quarantine.List) {
 		return func(b *quarantine.List) {
-			for _, life := range lives {
-				b.Ended(start, sum(1), life)
+			for _, incarnation := range incarnations {
+				b.Ended(start, sum(1), incarnation)
 			}
 		}
 	}
 	answered := func(b *quarantine.List) { b.Answered(start, sum(1)) }
-	told := func(b *quarantine.List) { b.AddRemote(start, sum(1)) }
+	remote := func(b *quarantine.List) { b.AddRemote(start, sum(1)) }
 	tests := []struct {
-		name  string
-		steps []func(*quarantine.List)
-		more  int
-		after time.Duration
-		want  bool
+		name     string
+		steps    []func(*quarantine.List)
+		suspects int
+		after    time.Duration
+		want     bool
 	}{
-		{"nothing", nil, 0, 0, false},
-		{"two targets ended", []func(*quarantine.List){ended("a", "b")}, 0, 0, false},
-		{"three did", []func(*quarantine.List){ended("a", "b", "c")}, 0, 0, true},
-		{"one, told of by three boxes", []func(*quarantine.List){ended("a", "a", "a")}, 0, 0, false},
-		{"two, and one more may have", []func(*quarantine.List){ended("a", "b")}, 1, 0, true},
-		{"three may have", nil, 3, 0, true},
+		{"no crashes", nil, 0, 0, false},
+		{"two crashes", []func(*quarantine.List){ended("a", "b")}, 0, 0, false},
+		{"three crashes", []func(*quarantine.List){ended("a", "b", "c")}, 0, 0, true},
+		{"one, reported by three boxes", []func(*quarantine.List){ended("a", "a", "a")}, 0, 0, false},
+		{"two crashes and one suspect", []func(*quarantine.List){ended("a", "b")}, 1, 0, true},
+		{"three suspects", nil, 3, 0, true},
 		{"answered in between", []func(*quarantine.List){ended("a", "b"), answered, ended("c")}, 0, 0, false},
-		{"answered, and told of again", []func(*quarantine.List){ended("a", "b", "c"), answered, ended("a", "b", "c")}, 0, 0, false},
-		{"answered, and three more ended", []func(*quarantine.List){ended("a"), answered, ended("b", "c", "d")}, 0, 0, true},
-		{"another box refuses it", []func(*quarantine.List){told}, 0, 0, true},
-		{"another box did, until it was answered", []func(*quarantine.List){told, answered}, 0, 0, false},
-		{"just within the time", []func(*quarantine.List){ended("a", "b", "c")}, 0, quarantine.Retention, true},
-		{"forgotten", []func(*quarantine.List){ended("a", "b", "c")}, 0, quarantine.Retention + 1, false},
+		{"answered, then reported again", []func(*quarantine.List){ended("a", "b", "c"), answered, ended("a", "b", "c")}, 0, 0, false},
+		{"answered, then three more crashes", []func(*quarantine.List){ended("a"), answered, ended("b", "c", "d")}, 0, 0, true},
+		{"another box refuses it", []func(*quarantine.List){remote}, 0, 0, true},
+		{"another box refuses it, then answered", []func(*quarantine.List){remote, answered}, 0, 0, false},
+		{"just within the retention", []func(*quarantine.List){ended("a", "b", "c")}, 0, quarantine.Retention, true},
+		{"expired", []func(*quarantine.List){ended("a", "b", "c")}, 0, quarantine.Retention + 1, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -59,32 +59,32 @@
 				step(&b)
 			}
 			b.Expire(start.Add(tt.after))
-			if got := b.Refuses(start.Add(tt.after), sum(1), tt.more); got != tt.want {
+			if got := b.Refuses(start.Add(tt.after), sum(1), tt.suspects); got != tt.want {
 				t.Errorf("refused: %v, want %v", got, tt.want)
 			}
 			if b.Refuses(start, sum(2), 0) {
-				t.Error("another one is refused")
+				t.Error("another fingerprint is refused")
 			}
 		})
 	}
 }
 
-// TestNews says that each refusal is told once.
+// TestNews checks that each refusal is news exactly once.
 func TestNews(t *testing.T) {
 	b := quarantine.List{}
 	for i, want := range []bool{false, false, true, false} {
 		if got := b.Ended(start, sum(1), fmt.Sprint(i)); got != want {
-			t.Errorf("life %d: news %v, want %v", i, got, want)
+			t.Errorf("crash %d: news %v, want %v", i, got, want)
 		}
 	}
 	if b.AddRemote(start, sum(1)) || !b.AddRemote(start, sum(2)) {
-		t.Error("what is refused already is no news, what is not is")
+		t.Error("another box's refusal is news unless the fingerprint is refused already")
 	}
 	if got := b.Refused(); !slices.Equal(got, []fingerprint.Sum{sum(1), sum(2)}) {
 		t.Errorf("refused: %v", got)
 	}
 	if !b.Answered(start, sum(1)) || b.Answered(start, sum(1)) {
-		t.Error("an answer is news while something speaks against the request")
+		t.Error("an answer is news while a crash counts")
 	}
 	if got := b.Refused(); !slices.Equal(got, []fingerprint.Sum{sum(2)}) {
 		t.Errorf("refused after an answer: %v", got)
@@ -95,8 +95,9 @@
 	}
 }
 
-// TestKeptWhileItComes keeps refusing what keeps coming.
-func TestKeptWhileItComes(t *testing.T) {
+// TestKeptWhileRequested checks that a refused fingerprint does not expire while it is
+// requested.
+func TestKeptWhileRequested(t *testing.T) {
 	b := quarantine.List{}
 	for i := range 3 {
 		b.Ended(start, sum(1), fmt.Sprint(i))
@@ -106,12 +107,13 @@
 		now = now.Add(quarantine.Retention - time.Second)
 		b.Expire(now)
 		if !b.Refuses(now, sum(1), 0) {
-			t.Fatal("forgotten though it came within the time")
+			t.Fatal("expired though it was refused within the retention")
 		}
 	}
 }
 
-// TestBounded drowns what is refused in requests that merely ran on targets that ended.
+// TestBounded fills the list with requests that merely ran on a crashed target: those
+// that are refused must stay.
 func TestBounded(t *testing.T) {
 	b := quarantine.List{}
 	for i := range 3 {
@@ -120,13 +122,13 @@
 	for i := range 5 * quarantine.MaxEntries {
 		b.Ended(start.Add(time.Duration(i)), sum(2+i), "crowd")
 		if b.Len() > quarantine.MaxEntries {
-			t.Fatalf("%d are remembered", b.Len())
+			t.Fatalf("%d entries", b.Len())
 		}
 	}
 	if !b.Refuses(start, sum(1), 0) {
-		t.Error("what took three targets down was forgotten for what took down one")
+		t.Error("a fingerprint with three crashes was evicted for some with one")
 	}
 	if b.Crashes(sum(1+5*quarantine.MaxEntries)) != 1 {
-		t.Error("the newest is not remembered")
+		t.Error("the newest fingerprint is missing")
 	}
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,16 +1,16 @@
-// Package quota divides the rate of requests that a target takes of all boxes together over
-// the boxes, so that they keep it without asking each other for each request.
+// Package quota divides the request rate that a target accepts from all boxes together
+// over the boxes, so that they keep to it without a call per request.
 //
-//	part := quota.Part(3.6, target, self, boxes) // requests a second of this box
-//	bucket.Refill(now, part)
+//	share := quota.Share(3.6, target, self, boxes) // requests a second of this box
+//	bucket.Refill(now, share)
 //	if bucket.Ready() {
 //		bucket.Take()
 //	}
 //
-// The load it answers: a target in need names a rate, and each of many boxes sends it that
-// much. In any span the boxes together send the rate times the span, and one burst each; so
-// where a rate is low only as many boxes have a part of it as requests come in a second, and
-// two more.
+// It guards against a target that is overloaded and names a rate, of which each of many
+// boxes then sends the whole. In any span the boxes together send the rate times the span
+// plus one burst each; so at a low rate only as many boxes get a share as requests come
+// in a second, and two more.
 package quota
 
 import (
@@ -20,23 +20,24 @@
 )
 
 const (
-	// spare is how many boxes more than requests a second have a part of a rate, so that a
-	// low rate does not hang on one box.
-	spare = 2
-	// burstFor is for how long a box saves up its part; at least one request.
-	burstFor = 250 * time.Millisecond
-	// trial is the least rate, in requests a second: without any request nobody would hear
-	// that a target takes some again.
-	trial = 0.1
+	// spareBoxes is how many boxes beyond the requests a second get a share, so that a low
+	// rate does not depend on one box.
+	spareBoxes = 2
+	// burstTime is how long a bucket fills up to, with one request as the minimum.
+	burstTime = 250 * time.Millisecond
+	// minRate is the lowest rate, in requests a second: without any request no box would
+	// learn that the target accepts some again.
+	minRate = 0.1
 )
 
-// Share returns how many requests a second this box may send to the target with a hash, of the
-// boxes that share its rate. It is zero for a box that has no part of it.
+// Share returns how many requests a second this box may send to the target with this
+// hash, of the boxes that share its rate. The boxes ranked first for the target
+// (rendezvous hashing) get equal shares; for the others it is zero.
 func Share(perSecond float64, target uint64, self string, boxes []string) float64 {
-	perSecond = max(perSecond, trial)
+	perSecond = max(perSecond, minRate)
 	holders := len(boxes)
-	if perSecond+spare < float64(holders) {
-		holders = int(perSecond) + spare
+	if perSecond+spareBoxes < float64(holders) {
+		holders = int(perSecond) + spareBoxes
 	}
 	own := placement.Weight(target, placement.Hash(self))
 	before, known := 0, false
@@ -52,29 +53,29 @@
 	return perSecond / float64(holders)
 }
 
-// Bucket holds what one box may send to one target now. The zero value is empty; it is not
-// safe for concurrent use.
+// Bucket is the token bucket of one box for one target. The zero value is empty; it is
+// not safe for concurrent use.
 type Bucket struct {
-	// tokens is at most one burst.
+	// tokens is at most one burst. It is negative after Take on an empty bucket.
 	tokens float64
-	// part is this box's of the rate, in requests a second, as of the last refill.
-	part float64
-	// filled is when it was last refilled.
-	filled time.Time
+	// share is this box's share of the rate, in requests a second, as of the last refill.
+	share      float64
+	refilledAt time.Time
 }
 
-// Refill adds what came at the part known so far, and goes on with a part.
-func (b *Bucket) Refill(now time.Time, part float64) {
-	if !b.filled.IsZero() {
-		b.tokens += b.part * now.Sub(b.filled).Seconds()
+// Refill adds the tokens since the last refill at the share of that time, and sets the
+// share from now on.
+func (b *Bucket) Refill(now time.Time, share float64) {
+	if !b.refilledAt.IsZero() {
+		b.tokens += b.share * now.Sub(b.refilledAt).Seconds()
 	}
-	b.part, b.filled = part, now
-	b.tokens = min(b.tokens, max(1, part*burstFor.Seconds()))
+	b.share, b.refilledAt = share, now
+	b.tokens = min(b.tokens, max(1, share*burstTime.Seconds()))
 }
 
-// Ready says whether a request may be sent now.
+// Ready reports whether a request may be sent now.
 func (b *Bucket) Ready() bool { return b.tokens >= 1 }
 
-// Take counts a request that is sent. One that must go though the bucket is not ready makes
-// later ones wait for longer.
+// Take counts a request that is sent. If it was sent although the bucket was not ready,
+// the tokens go negative and later requests wait longer.
 func (b *Bucket) Take() { b.tokens-- }
--- a/reclaim/clearing_test.go
+++ b/reclaim/reclaim_test.go
@@ -16,17 +16,17 @@
 		after  time.Duration
 		want   int64
 	}{
-		{"a fetch may still run", func(*Tracker) {}, done + spread + shortFetch - time.Millisecond, 0},
-		{"no fetch can run", func(*Tracker) {}, done + spread + shortFetch, 2},
+		{"a fetch may still run", func(*Tracker) {}, done + propagation + shortFetch - time.Millisecond, 0},
+		{"no fetch can run", func(*Tracker) {}, done + propagation + shortFetch, 2},
 		{"an engine with older weights is listed again", func(w *Tracker) { w.SetFloor(start.Add(done+time.Second), 1) }, time.Minute, 1},
-		{"and loads the newer ones", func(w *Tracker) {
+		{"an engine with older weights is listed, then loads the newer ones", func(w *Tracker) {
 			w.SetFloor(start.Add(done+time.Second), 1)
 			w.SetFloor(start.Add(done+2*time.Second), 2)
-		}, done + 2*time.Second + spread + shortFetch - time.Millisecond, 0},
+		}, done + 2*time.Second + propagation + shortFetch - time.Millisecond, 0},
 		{"no engine is listed", func(w *Tracker) { w.SetFloor(start.Add(done), 0) }, time.Minute, 0},
-		{"the list lacked engines", func(w *Tracker) { w.MarkIncomplete(start.Add(done)) }, done + back + spread + shortFetch - time.Millisecond, 0},
-		{"and it is whole again", func(w *Tracker) { w.MarkIncomplete(start.Add(done)) }, done + back + spread + shortFetch, 2},
-		{"a newer version was named meanwhile", func(w *Tracker) { w.AddVersion(start.Add(done), 3) }, done + spread + shortFetch, 2},
+		{"the list was incomplete", func(w *Tracker) { w.MarkIncomplete(start.Add(done)) }, done + relistTime + propagation + shortFetch - time.Millisecond, 0},
+		{"the list was incomplete, and is complete again", func(w *Tracker) { w.MarkIncomplete(start.Add(done)) }, done + relistTime + propagation + shortFetch, 2},
+		{"a newer version was named meanwhile", func(w *Tracker) { w.AddVersion(start.Add(done), 3) }, done + propagation + shortFetch, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -42,33 +42,33 @@
 	}
 }
 
-// TestQuickRollout has all engines on a version right after it was named, when
-// boxes that had not heard of it placed fetches that run longer.
-func TestQuickRollout(t *testing.T) {
+// TestFastRollout has all engines on a version right after it was named, when boxes that
+// had not heard of it placed fetches with the longer time-out.
+func TestFastRollout(t *testing.T) {
 	var w Tracker
 	w.SetFloor(start, 1)
 	w.AddVersion(start, 2)
 	w.SetFloor(start, 2)
-	if got := w.Below(start.Add(freshProof + longFetch - time.Millisecond)); got != 0 {
+	if got := w.Below(start.Add(maxProofAge + longFetch - time.Millisecond)); got != 0 {
 		t.Errorf("below %d too early", got)
 	}
-	if got := w.Below(start.Add(freshProof + longFetch)); got != 2 {
+	if got := w.Below(start.Add(maxProofAge + longFetch)); got != 2 {
 		t.Errorf("below %d, want 2", got)
 	}
 }
 
-// TestNameOnce shows that a version counts from when it was first heard of.
-func TestNameOnce(t *testing.T) {
+// TestAddVersionOnce checks that a version counts from when it was first heard of.
+func TestAddVersionOnce(t *testing.T) {
 	var w Tracker
 	w.AddVersion(start, 2)
 	w.AddVersion(start.Add(time.Minute), 2)
 	w.SetFloor(start, 2)
-	if got := w.Below(start.Add(freshProof + longFetch)); got != 2 {
+	if got := w.Below(start.Add(maxProofAge + longFetch)); got != 2 {
 		t.Errorf("below %d, want 2", got)
 	}
 }
 
-// TestUnnamed shows that nothing is freed below weights that nobody named.
+// TestUnnamed checks that nothing is freed below weights that nobody named.
 func TestUnnamed(t *testing.T) {
 	var w Tracker
 	w.SetFloor(start, 3)
@@ -86,12 +86,12 @@
 	}{
 		{"the newest weights", true, 3 * time.Second, longFetch},
 		{"older weights", false, 0, shortFetch},
-		{"a box that can't know", true, freshProof + time.Millisecond, shortFetch},
+		{"a box with an old proof", true, maxProofAge + time.Millisecond, shortFetch},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if got := FetchTimeout(tt.newest, tt.provedAgo); got != tt.want {
-				t.Errorf("FetchFor = %v, want %v", got, tt.want)
+				t.Errorf("FetchTimeout = %v, want %v", got, tt.want)
 			}
 		})
 	}
--- a/resume/token.go
+++ b/resume/token.go
@@ -1,6 +1,5 @@
-// Package resume signs and checks the tokens by which a caller takes a cut
-// stream up again at any box. The boxes share no state for it: everything
-// needed is in the token.
+// Package resume signs and checks the tokens with which a caller resumes an interrupted
+// stream at any box. The boxes share no state for it: everything needed is in the token.
 //
 //	s := resume.Signer{Keys: [][]byte{key}}
 //	text, err := s.Sign(resume.Token{Account: "menu-app", Request: "r1"})
@@ -18,7 +17,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Token says where a stream can be taken up.
+// Token identifies a stream that can be resumed.
 type Token struct {
 	Account string         `cbor:"1,keyasint"`
 	Request string         `cbor:"2,keyasint"`
@@ -27,16 +26,16 @@
 	Version string         `cbor:"5,keyasint"`
 	Scope   string         `cbor:"6,keyasint"`
 	Model   string         `cbor:"7,keyasint"`
-	// Chat says that the caller asked for a chat completion.
+	// Chat is set if the caller asked for a chat completion.
 	Chat bool `cbor:"8,keyasint"`
-	// Until is when the engine may have forgotten the run.
+	// Until is when the engine may have dropped the run.
 	Until time.Time `cbor:"9,keyasint"`
 }
 
 // Signer makes and checks tokens. Set Keys before first use; it is safe for
 // concurrent use.
 type Signer struct {
-	// Keys are accepted in any place; the first one signs.
+	// Keys are all accepted; the first one signs.
 	Keys [][]byte
 }
 
@@ -49,8 +48,8 @@
 	return base64.RawURLEncoding.EncodeToString(append(mac(s.Keys[0], body), body...)), nil
 }
 
-// Check returns the token if it is genuine, still good at now and belongs to
-// the account. Every failure is the same trace.AccessDenied.
+// Check returns the token if it is authentic, not expired at now and belongs to the
+// account. Every failure is the same trace.AccessDenied, so that it reveals nothing.
 func (s *Signer) Check(text, account string, now time.Time) (Token, error) {
 	denied := trace.AccessDenied("the resume token is not good")
 	data, err := base64.RawURLEncoding.DecodeString(text)
--- a/resume/token_test.go
+++ b/resume/token_test.go
@@ -25,10 +25,10 @@
 		ok      bool
 	}{
 		{"own", signer, "a", now, true},
-		{"signed with a key that is still accepted", old, "a", now, true},
+		{"signed with an older accepted key", old, "a", now, true},
 		{"another account", signer, "b", now, false},
 		{"another deployment", stranger, "a", now, false},
-		{"too late", signer, "a", now.Add(2 * time.Minute), false},
+		{"expired", signer, "a", now.Add(2 * time.Minute), false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/retention/retention.go
+++ b/retention/retention.go
@@ -1,9 +1,9 @@
-// Package retention decides which prompts' cache is kept on a store box and
-// which is dropped when the box fills up.
+// Package retention decides which prompts' KV cache is stored on a store box and which is
+// evicted when the box fills up.
 //
 //	p := retention.Policy{LinkShare: 0.3}
 //	if p.Keep(retention.Candidate{Account: "menu-app", ...}) { export() }
-//	for _, key := range retention.Drop(manifests, need) { ... }
+//	for _, key := range retention.Evict(now, manifests, need) { ... }
 package retention
 
 import (
@@ -16,50 +16,50 @@
 	"github.com/thymewind/thymewind/pool"
 )
 
-// returnsGuess is the share of prompts thought to return before any was seen
-// to, and guessWeight how many prompts that guess counts for.
+// priorReturns is the assumed share of prompts that return, before any was observed, and
+// priorWeight how many prompts it counts as.
 const (
-	returnsGuess = 0.5
-	guessWeight  = 4
+	priorReturns = 0.5
+	priorWeight  = 4
 )
 
-// Policy keeps the share of each account's prompts that returned. Set the
-// exported fields before first use; it is not safe for concurrent use.
+// Policy tracks the share of each account's prompts that return. Set the exported fields
+// before first use; it is not safe for concurrent use.
 type Policy struct {
-	// Burst is how many seconds of the link can be saved up for exports, and
+	// Burst is the most link time that can be saved up for exports, in seconds, and
 	// LinkShare the share of the link that exports may use.
 	Burst, LinkShare float64
 
-	seen map[string]*seen
-	// saved is the link time that exports may use now, in seconds.
-	saved float64
-	at    time.Time
+	counts map[string]*counts
+	// budget is the link time that exports may use now, in seconds, as of at.
+	budget float64
+	at     time.Time
 }
 
-// seen counts an account's prompts.
-type seen struct{ all, returned float64 }
+// counts are those of an account's prompts, with exponential decay.
+type counts struct{ all, returned float64 }
 
-// Candidate is a prompt whose cache may be kept.
+// Candidate is a prompt whose cache may be stored.
 type Candidate struct {
 	At      time.Time
 	Account string
 	Weights pool.Policy
-	// Prefill is what computing it again takes, Link what moving it once takes,
-	// both in seconds.
+	// Prefill is the time to recompute it, Link the time to transfer it once, both in
+	// seconds.
 	Prefill, Link float64
 }
 
-// Observe notes a prompt of an account and whether it has been there before. Old
-// prompts fade, so that an account's habits may change.
+// Observe records a prompt of an account and whether it returned, that is, was there
+// before. Older prompts decay, so that the share follows the account.
 func (p *Policy) Observe(account string, returned bool) {
 	const fade = 0.995
-	if p.seen == nil {
-		p.seen = make(map[string]*seen)
+	if p.counts == nil {
+		p.counts = make(map[string]*counts)
 	}
-	s, known := p.seen[account]
+	s, known := p.counts[account]
 	if !known {
-		s = &seen{all: guessWeight, returned: guessWeight * returnsGuess}
-		p.seen[account] = s
+		s = &counts{all: priorWeight, returned: priorWeight * priorReturns}
+		p.counts[account] = s
 	}
 	s.all = s.all*fade + 1
 	s.returned *= fade
@@ -68,26 +68,26 @@
 	}
 }
 
-// Returns is the share of the account's prompts that are thought to return.
+// Returns is the expected share of the account's prompts that return.
 func (p *Policy) Returns(account string) float64 {
-	if s, known := p.seen[account]; known {
+	if s, known := p.counts[account]; known {
 		return s.returned / s.all
 	}
-	return returnsGuess
+	return priorReturns
 }
 
-// Keep says whether a prompt is worth its export: what its return is expected
-// to save, by the pool's weights, is more than moving it out and in costs, and
-// the link's budget has room. It takes the room.
+// Keep reports whether a prompt is worth its export: the expected saving from its return,
+// by the pool's weights, exceeds the cost of transferring it out and in, and the link's
+// budget suffices. It spends the budget.
 func (p *Policy) Keep(c Candidate) bool {
-	p.saved = min(p.Burst, p.saved+p.LinkShare*p.passed(c.At))
+	p.budget = min(p.Burst, p.budget+p.LinkShare*p.passed(c.At))
 	p.at = c.At
 	w := c.Weights
 	gain := p.Returns(c.Account) * ((w.FirstToken+w.Recompute)*c.Prefill - (w.FirstToken+w.Link)*c.Link)
-	if gain <= w.Link*c.Link || p.saved < c.Link {
+	if gain <= w.Link*c.Link || p.budget < c.Link {
 		return false
 	}
-	p.saved -= c.Link
+	p.budget -= c.Link
 	return true
 }
 
@@ -98,10 +98,10 @@
 	return now.Sub(p.at).Seconds()
 }
 
-// Evict returns the keys of manifests to delete so that at least need bytes
-// come free, the least worth keeping first: those that save the fewest tokens
-// a byte, by how often and how lately they were asked for. Of a prompt's pieces
-// the last goes first, so that what stays can be used.
+// Evict returns the keys of manifests to delete so that at least need bytes become free,
+// the least valuable first: those that save the fewest tokens per byte, by number of
+// requests and age. Of a prompt's pieces the last goes first, so that the rest stays
+// usable.
 func Evict(now time.Time, manifests []kvcache.Manifest, need int) []string {
 	type scored struct {
 		key   string
--- a/retention/retention_test.go
+++ b/retention/retention_test.go
@@ -21,10 +21,10 @@
 		cost     retention.Candidate
 		want     bool
 	}{
-		{"returns, cheap to move", firstToken, true, retention.Candidate{Prefill: 1, Link: 0.1}, true},
+		{"returns, cheap to transfer", firstToken, true, retention.Candidate{Prefill: 1, Link: 0.1}, true},
 		{"never returns", firstToken, false, retention.Candidate{Prefill: 1, Link: 0.5}, false},
-		{"dear to move", firstToken, true, retention.Candidate{Prefill: 0.1, Link: 1}, false},
-		{"links weigh more", links, true, retention.Candidate{Prefill: 1, Link: 0.5}, false},
+		{"expensive to transfer", firstToken, true, retention.Candidate{Prefill: 0.1, Link: 1}, false},
+		{"links have a higher weight", links, true, retention.Candidate{Prefill: 1, Link: 0.5}, false},
 		{"over the link's budget", firstToken, true, retention.Candidate{Prefill: 100, Link: 10}, false},
 	}
 	for _, tt := range tests {
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestDropTakesTheEndFirst(t *testing.T) {
+func TestEvictTakesTheEndFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	piece := kvcache.Piece{Bytes: 10, Tokens: 5}
 	all := []kvcache.Manifest{
@@ -51,9 +51,9 @@
 		{Key: "used", Depth: 0, Piece: piece, Used: now.Add(-time.Hour), Hits: 100},
 	}
 	if got := retention.Evict(now, all, 15); !slices.Equal(got, []string{"old-1", "old-0"}) {
-		t.Errorf("Drop = %v", got)
+		t.Errorf("Evict = %v", got)
 	}
 	if got := retention.Evict(now, all, 0); got != nil {
-		t.Errorf("Drop of nothing = %v", got)
+		t.Errorf("Evict of zero bytes = %v", got)
 	}
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,71 +1,71 @@
-// Package retry bounds retries to a share of the requests, so that a failing
-// pool is not buried under them.
+// Package retry limits retries to a share of the requests, so that retries do not
+// overload a pool that is already failing.
 //
 //	b := retry.Budget{Share: 0.1, Burst: 10}
-//	b.Request("menu")
-//	if b.Spend("menu") { tryAgain() }
+//	b.Deposit("menu")
+//	if b.Spend("menu") { retryRequest() }
 package retry
 
 import "sync"
 
-// Budget counts for each pool. Set the exported fields before first use; it is
-// safe for concurrent use after that.
+// Budget is a retry budget with a balance per pool. Set the exported fields before first
+// use; it is safe for concurrent use after that.
 type Budget struct {
-	// Share is how many retries each request earns.
+	// Share is the part of a retry that each request earns.
 	Share float64
-	// Burst is how many retries can be saved up. A pool begins with them.
+	// Burst is the largest balance. A pool starts with it.
 	Burst float64
-	// StartEmpty says that a pool begins with nothing saved up, so that a process
-	// that starts again does not get its retries anew.
+	// StartEmpty makes a pool start with a balance of zero, so that a restart of the process
+	// does not grant a full burst again.
 	StartEmpty bool
 
 	mu sync.Mutex
-	// saved lies between 0 and Burst.
-	saved map[string]float64
+	// balance of each pool lies between 0 and Burst.
+	balance map[string]float64
 }
 
-// Deposit notes a request, which earns a part of a retry.
+// Deposit records a request, which adds Share to the pool's balance.
 func (b *Budget) Deposit(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved[b.known(pool)] = min(b.Burst, b.saved[pool]+b.Share)
+	b.balance[b.ensure(pool)] = min(b.Burst, b.balance[pool]+b.Share)
 }
 
-// SetBurst changes how many retries can be saved up, as when more boxes share what
-// all of them may spend. What is saved above it is lost.
+// SetBurst changes the largest balance, as when more boxes share one budget. Balances
+// above it are cut to it.
 func (b *Budget) SetBurst(burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.Burst = burst
-	for pool, saved := range b.saved {
-		b.saved[pool] = min(saved, burst)
+	for pool, balance := range b.balance {
+		b.balance[pool] = min(balance, burst)
 	}
 }
 
-// Spend takes one retry out of the budget, or returns false if none is left.
+// Spend takes one retry out of the budget, or returns false if less than one is left.
 func (b *Budget) Spend(pool string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.saved[b.known(pool)] < 1 {
+	if b.balance[b.ensure(pool)] < 1 {
 		return false
 	}
-	b.saved[pool]--
+	b.balance[pool]--
 	return true
 }
 
-// Refund gives back a retry that was taken and never made.
+// Refund returns a retry that was spent but not sent.
 func (b *Budget) Refund(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved[b.known(pool)] = min(b.Burst, b.saved[pool]+1)
+	b.balance[b.ensure(pool)] = min(b.Burst, b.balance[pool]+1)
 }
 
-func (b *Budget) known(pool string) string {
-	if b.saved == nil {
-		b.saved = make(map[string]float64)
+func (b *Budget) ensure(pool string) string {
+	if b.balance == nil {
+		b.balance = make(map[string]float64)
 	}
-	if _, ok := b.saved[pool]; !ok && !b.StartEmpty {
-		b.saved[pool] = b.Burst
+	if _, ok := b.balance[pool]; !ok && !b.StartEmpty {
+		b.balance[pool] = b.Burst
 	}
 	return pool
 }
