--- a/retryafter/play_test.go
+++ b/retryafter/simulation_test.go
@@ -11,17 +11,16 @@
 	"github.com/thymewind/thymewind/retryafter"
 )
 
-// kind is a kind of request.
 type kind struct {
-	urgency        int
-	tokens         float64       // Memory of a usual request.
+	priority       int
+	tokens         float64       // Memory of a typical request.
 	share          float64       // Of all requests.
-	goal, deadline time.Duration // From the first try on.
-	runs           time.Duration // How long a usual one runs.
-	first          time.Duration // From the place to the first event.
+	goal, deadline time.Duration // From the first attempt on.
+	runs           time.Duration // How long a typical one runs.
+	first          time.Duration // From placement to the first event.
 }
 
-// kinds are like those of a deployment in use.
+// kinds resemble the load of a deployment in use.
 var kinds = []kind{
 	{0, 2500, 0.3, 400 * time.Millisecond, 3 * time.Second, 250 * time.Millisecond, 60 * time.Millisecond},
 	{1, 1200, 0.35, 400 * time.Millisecond, 12 * time.Second, 1200 * time.Millisecond, 60 * time.Millisecond},
@@ -32,33 +31,33 @@
 	boxes    = 8
 	engines  = 8
 	capacity = 60000.0
-	// ends is when the last caller comes, from which time those who came count.
+	// ends is when the last caller arrives; callers count from `from` on.
 	ends, from = 40 * time.Second, 10 * time.Second
 	histories  = 24
 	outage     = "outage"
 	noTarget   = "no target"
 )
 
-// scene is what happens while callers come.
-type scene struct {
+// scenario is the load and the faults of a simulation.
+type scenario struct {
 	name string
-	// load is the memory asked for per memory there is, burst the same from 10 s
-	// to 15 s, unless it is zero.
+	// load is the requested memory as a share of the capacity, burst the same from 10 s to
+	// 15 s, unless it is zero.
 	load, burst float64
-	// outages are how many begin, one each 10 s, and how long they last; the share
-	// of boxes that they hit is hit.
+	// outages is how many there are, one each 10 s, with a random duration between shortest
+	// and longest; hit is the share of boxes affected.
 	outages           int
 	shortest, longest time.Duration
 	hit               float64
-	// gone is for how long no target takes work from 10 s on.
+	// gone is how long no target takes work, from 10 s on.
 	gone time.Duration
-	// rollout has the engines load weights from 10 s on, two at a time.
+	// rollout is how long each engine loads weights, two at a time from 10 s on.
 	rollout time.Duration
-	// goal is all kinds', unless it is zero.
+	// goal replaces the goals of all kinds, unless it is zero.
 	goal time.Duration
 }
 
-var scenes = []scene{
+var scenarios = []scenario{
 	{name: "overload of 1.3", load: 1.3},
 	{name: "overload of 1.6 for 5 s", load: 0.8, burst: 1.6},
 	{name: "outage of 5 s", load: 0.7, outages: 1, shortest: 5 * time.Second, longest: 5 * time.Second, hit: 1},
@@ -70,7 +69,6 @@
 	{name: "overload of 1.3, goals of 1.2 s", load: 1.3, goal: 1200 * time.Millisecond},
 }
 
-// event is something at a time.
 type event struct {
 	at time.Duration
 	n  int
@@ -89,38 +87,37 @@
 	return x
 }
 
-// caller is one request over all its tries.
+// caller is one request with all its attempts.
 type caller struct {
 	kind
-	size          float64
-	began, served time.Duration
-	tries, most   int
+	size                  float64
+	began, served         time.Duration
+	attempts, maxAttempts int
 }
 
-// way says when a caller refused for a cause should return.
-type way func(p *play, b *box, c *caller, cause string) time.Duration
+// strategy returns when a caller refused for a cause should retry.
+type strategy func(p *simulation, b *box, c *caller, cause string) time.Duration
 
-// constant is a tenth of a second, whatever the cause.
-func constant(p *play, _ *box, _ *caller, _ string) time.Duration {
+// constant is about a tenth of a second, whatever the cause.
+func constant(p *simulation, _ *box, _ *caller, _ string) time.Duration {
 	return 60*time.Millisecond + time.Duration(p.rng.Float64()*120)*time.Millisecond
 }
 
-// estimated is what the package says, when boxes tell each other whether they
-// serve.
-func estimated(p *play, b *box, c *caller, cause string) time.Duration {
+// estimated uses the package, with boxes that gossip whether they serve.
+func estimated(p *simulation, b *box, c *caller, cause string) time.Duration {
 	switch {
 	case cause == "":
-		return b.returns.MemoryFull(c.goal, c.urgency)
+		return b.returns.MemoryFull(c.goal, c.priority)
 	case cause == outage && slices.ContainsFunc(p.boxes, func(b *box) bool { return !b.out }):
-		return b.returns.Soon(c.urgency)
+		return b.returns.Soon(c.priority)
 	}
-	return b.returns.DuringOutage(p.time(), cause, c.urgency)
+	return b.returns.DuringOutage(p.time(), cause, c.priority)
 }
 
-// alone is the same for boxes that know nothing of each other.
-func alone(p *play, b *box, c *caller, cause string) time.Duration {
+// isolated is the same for boxes without gossip.
+func isolated(p *simulation, b *box, c *caller, cause string) time.Duration {
 	if cause == outage {
-		return b.returns.DuringOutage(p.time(), cause, c.urgency)
+		return b.returns.DuringOutage(p.time(), cause, c.priority)
 	}
 	return estimated(p, b, c, cause)
 }
@@ -130,11 +127,11 @@
 	out     bool
 }
 
-// play is one history.
-type play struct {
-	scene
-	way way
-	// arrivals draws who comes when, the same for all ways.
+// simulation is one run.
+type simulation struct {
+	scenario
+	strategy strategy
+	// arrivals draws the callers, the same for all strategies.
 	arrivals, rng *rand.Rand
 	now           time.Duration
 	events        queue
@@ -145,22 +142,22 @@
 	all           []*caller
 }
 
-func newPlay(s scene, w way, seed uint64) *play {
-	p := &play{scene: s, way: w, arrivals: rand.New(rand.NewPCG(seed, 1)), rng: rand.New(rand.NewPCG(seed, 2))}
+func newSimulation(s scenario, w strategy, seed uint64) *simulation {
+	p := &simulation{scenario: s, strategy: w, arrivals: rand.New(rand.NewPCG(seed, 1)), rng: rand.New(rand.NewPCG(seed, 2))}
 	for range boxes {
 		p.boxes = append(p.boxes, &box{returns: retryafter.Estimator{Draw: p.rng.Float64}})
 	}
 	return p
 }
 
-func (p *play) time() time.Time { return time.Unix(1000, 0).Add(p.now) }
+func (p *simulation) time() time.Time { return time.Unix(1000, 0).Add(p.now) }
 
-func (p *play) after(d time.Duration, do func()) {
+func (p *simulation) after(d time.Duration, do func()) {
 	p.n++
 	heap.Push(&p.events, event{p.now + d, p.n, do})
 }
 
-func (p *play) run() []*caller {
+func (p *simulation) run() []*caller {
 	need := 0.0
 	for _, k := range kinds {
 		need += k.share * k.tokens * k.runs.Seconds()
@@ -175,8 +172,8 @@
 	return p.all
 }
 
-// arrive has callers come, so many a second at full load.
-func (p *play) arrive(full float64) {
+// arrive schedules the next caller; full is the rate per second at full load.
+func (p *simulation) arrive(full float64) {
 	load := p.load
 	if p.burst > 0 && p.now > 10*time.Second && p.now < 15*time.Second {
 		load = p.burst
@@ -186,31 +183,31 @@
 			return
 		}
 		p.arrive(full)
-		p.come()
+		p.startCaller()
 	})
 }
 
-// come has one caller come: four in five of them try twice, the others up to four
-// times.
-func (p *play) come() {
+// startCaller draws one caller: four in five make up to two attempts, the others up to
+// four.
+func (p *simulation) startCaller() {
 	drawn, i := p.arrivals.Float64(), 0
 	for ; i < len(kinds)-1 && drawn >= kinds[i].share; i++ {
 		drawn -= kinds[i].share
 	}
-	c := &caller{kind: kinds[i], size: 0.3 + 0.7*p.arrivals.ExpFloat64(), began: p.now, most: 2}
+	c := &caller{kind: kinds[i], size: 0.3 + 0.7*p.arrivals.ExpFloat64(), began: p.now, maxAttempts: 2}
 	if p.goal > 0 {
 		c.goal = p.goal
 	}
 	if p.arrivals.Float64() < 0.2 {
-		c.most += 1 + p.arrivals.IntN(2)
+		c.maxAttempts += 1 + p.arrivals.IntN(2)
 	}
 	if p.now >= from {
 		p.all = append(p.all, c)
 	}
-	p.try(c)
+	p.attempt(c)
 }
 
-func (p *play) disturb() {
+func (p *simulation) disturb() {
 	for i := range p.outages {
 		begin := time.Duration(i+1) * 10 * time.Second
 		length := p.shortest + time.Duration(p.arrivals.Float64()*float64(p.longest-p.shortest))
@@ -229,38 +226,38 @@
 	}
 }
 
-// try is one try of a caller. A box that refuses for want of a configuration is
-// not ready, so new connections go to others while there are any.
-func (p *play) try(c *caller) {
-	c.tries++
+// attempt is one attempt of a caller. A box without a configuration is not ready, so new
+// connections go to other boxes while there are any.
+func (p *simulation) attempt(c *caller) {
+	c.attempts++
 	b := p.boxes[p.rng.IntN(boxes)]
-	if b.out && c.tries > 1 {
+	if b.out && c.attempts > 1 {
 		b = p.boxes[boxes-1]
 	}
 	if b.out {
-		p.refused(c, p.way(p, b, c, outage))
+		p.refused(c, p.strategy(p, b, c, outage))
 		return
 	}
 	best := p.best()
 	if best < 0 {
 		b.returns.Started(p.time(), noTarget)
-		p.refused(c, p.way(p, b, c, noTarget))
+		p.refused(c, p.strategy(p, b, c, noTarget))
 		return
 	}
 	b.returns.Ended(p.time(), noTarget)
 	fill := 1.15
-	if c.urgency == len(kinds)-1 {
+	if c.priority == len(kinds)-1 {
 		fill = 0.92
 	}
 	if p.used[best]+c.tokens > fill*capacity {
-		p.refused(c, p.way(p, b, c, ""))
+		p.refused(c, p.strategy(p, b, c, ""))
 		return
 	}
 	p.serve(c, best)
 }
 
 // best is the engine with the most memory left, or -1 if none takes work.
-func (p *play) best() int {
+func (p *simulation) best() int {
 	best := -1
 	for i := range engines {
 		if p.loading[i] <= p.now && (best < 0 || p.used[i] < p.used[best]) {
@@ -270,53 +267,53 @@
 	return best
 }
 
-func (p *play) serve(c *caller, engine int) {
+func (p *simulation) serve(c *caller, engine int) {
 	tokens := c.size * c.tokens
 	p.used[engine] += tokens
 	c.served = p.now + c.first - c.began
 	p.after(time.Duration(c.size*float64(c.runs)), func() { p.used[engine] -= tokens })
 }
 
-// refused has a caller return as told, for up to a third of the time left.
-func (p *play) refused(c *caller, wait time.Duration) {
+// refused schedules the caller's retry as told, after at most a third of the time left.
+func (p *simulation) refused(c *caller, wait time.Duration) {
 	left := c.began + c.deadline - p.now
-	if c.tries >= c.most || left < 50*time.Millisecond {
+	if c.attempts >= c.maxAttempts || left < 50*time.Millisecond {
 		return
 	}
-	p.after(min(wait, left/3), func() { p.try(c) })
+	p.after(min(wait, left/3), func() { p.attempt(c) })
 }
 
-// figures is what callers got.
+// figures summarise what callers got.
 type figures struct {
-	// inTime and served are shares of the callers, least the share served of the
-	// kind served least.
+	// inTime and served are shares of the callers, least the share served of the kind served
+	// least.
 	inTime, served, least float64
-	// tries are per served request.
-	tries              float64
+	// attempts are per served request.
+	attempts           float64
 	median, p95, worst time.Duration
 }
 
 func (f figures) String() string {
-	return fmt.Sprintf("in time %.4f, served %.4f (least served kind %.4f), tries %.3f, median %v, 95 in 100 %v, longest %v",
-		f.inTime, f.served, f.least, f.tries, f.median.Round(time.Millisecond), f.p95.Round(time.Millisecond), f.worst.Round(time.Millisecond))
+	return fmt.Sprintf("in time %.4f, served %.4f (least served kind %.4f), attempts %.3f, median %v, 95 in 100 %v, longest %v",
+		f.inTime, f.served, f.least, f.attempts, f.median.Round(time.Millisecond), f.p95.Round(time.Millisecond), f.worst.Round(time.Millisecond))
 }
 
-// played plays a scene with some histories in one way.
-func played(s scene, w way) figures {
+// runs simulates a scenario with one strategy under several seeds.
+func runs(s scenario, w strategy) figures {
 	var all []*caller
 	for seed := range uint64(histories) {
-		all = append(all, newPlay(s, w, seed).run()...)
+		all = append(all, newSimulation(s, w, seed).run()...)
 	}
 	var times []time.Duration
 	var f figures
 	came, served := make([]float64, len(kinds)), make([]float64, len(kinds))
 	for _, c := range all {
-		came[c.urgency]++
+		came[c.priority]++
 		if c.served == 0 {
 			continue
 		}
-		served[c.urgency]++
-		f.tries += float64(c.tries)
+		served[c.priority]++
+		f.attempts += float64(c.attempts)
 		times = append(times, c.served)
 		if c.served <= c.goal {
 			f.inTime++
@@ -324,7 +321,7 @@
 	}
 	slices.Sort(times)
 	n := float64(len(times))
-	f.tries /= n
+	f.attempts /= n
 	f.inTime /= float64(len(all))
 	f.served = n / float64(len(all))
 	f.least = 1
@@ -335,26 +332,27 @@
 	return f
 }
 
-// TestBoxesTell shows what it buys that boxes tell each other whether they serve:
-// callers of the few that don't are told to return at once.
-func TestBoxesTell(t *testing.T) {
-	for _, s := range scenes {
+// TestGossipHelps checks the gain when boxes gossip whether they serve: callers of the
+// few boxes that do not are told to retry at once.
+func TestGossipHelps(t *testing.T) {
+	for _, s := range scenarios {
 		if s.outages == 0 || s.hit == 1 {
 			continue
 		}
-		told, untold := played(s, estimated), played(s, alone)
-		if told.inTime < untold.inTime+0.02 {
-			t.Errorf("%s: in time %.4f, and %.4f if boxes know nothing of each other", s.name, told.inTime, untold.inTime)
+		withGossip, without := runs(s, estimated), runs(s, isolated)
+		if withGossip.inTime < without.inTime+0.02 {
+			t.Errorf("%s: in time %.4f, and %.4f without gossip", s.name, withGossip.inTime, without.inTime)
 		}
 	}
 }
 
-// TestCallersAreServed compares what callers get with what a constant time to come
-// back gives them; -v prints the table.
+// TestCallersAreServed compares the estimates with a constant time to retry; -v prints
+// the table.
 func TestCallersAreServed(t *testing.T) {
 	tests := map[string]struct {
-		// served is how much larger the share served must be, least that of the kind
-		// served least, and inTime how much smaller the share in time may be.
+		// served and least are by how much the share served, and that of the kind served least,
+		// must exceed those of the constant; inTime is how much smaller the share in time may
+		// be.
 		served, least, inTime float64
 	}{
 		"overload of 1.3":                 {-0.005, -0.01, 0.005},
@@ -367,13 +365,13 @@
 		"load of weights, goals of 1.2 s": {0.002, 0.005, 0},
 		"overload of 1.3, goals of 1.2 s": {0, 0, 0},
 	}
-	for _, s := range scenes {
+	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			before, after := played(s, constant), played(s, estimated)
-			t.Logf("%s, a constant: %v", s.name, before)
+			before, after := runs(s, constant), runs(s, estimated)
+			t.Logf("%s, constant: %v", s.name, before)
 			t.Logf("%s, estimated: %v", s.name, after)
 			if s.hit > 0 && s.hit < 1 {
-				t.Logf("%s, boxes alone: %v", s.name, played(s, alone))
+				t.Logf("%s, without gossip: %v", s.name, runs(s, isolated))
 			}
 			want := tests[s.name]
 			if after.served < before.served+want.served || after.least < before.least+want.least {
--- a/reuse/reuse.go
+++ b/reuse/reuse.go
@@ -1,10 +1,9 @@
-// Package reuse decides how much of a prompt's kept cache is imported from a
-// store box and how much is computed again, by what either is predicted to
-// cost.
+// Package reuse decides how much of a prompt's stored KV cache is imported from a store
+// box and how much is recomputed, by the predicted cost of either.
 //
 //	e := reuse.Estimate{Prefill: 20000}
 //	n := e.Best(now, pool.Policy, reuse.Choice{Tokens: 6000, Found: found})
-//	run := found.Run[:n] // import these, compute the rest
+//	run := found.Run[:n] // import these, recompute the rest
 package reuse
 
 import (
@@ -15,38 +14,38 @@
 	"github.com/thymewind/thymewind/stream"
 )
 
-// weight is the part of a new sample in the moving means.
+// weight is the weight of a new sample in the moving averages.
 const weight = 0.2
 
-// memory is how long a link is remembered to be slower than it says.
-const memory = 10 * time.Second
+// slowdownRetention is how long a link is remembered as slower than it reports.
+const slowdownRetention = 10 * time.Second
 
-// Estimate is what was learned of engines and links from their own figures.
-// The zero value knows nothing and imports, so that it learns.
+// Estimate is what was measured of engines and links. The zero value knows nothing and
+// imports all, so that there are samples.
 type Estimate struct {
-	// Prefill is the prompt tokens computed a second; zero if not known.
+	// Prefill is the prompt tokens computed a second; zero if unknown.
 	Prefill float64
-	// Link is the bytes imported a second, waiting included; zero if not known.
+	// Link is the bytes imported a second, waiting included; zero if unknown.
 	Link float64
-	// Slowdown is how many times longer imports take than store boxes say; zero if
-	// not known. It counts until Forgotten.
+	// Slowdown is how many times longer imports take than store boxes predict; zero if
+	// unknown. It applies until SlowdownUntil.
 	Slowdown      float64
 	SlowdownUntil time.Time
 }
 
-// Choice is one prompt with kept cache.
+// Choice is one prompt with stored cache.
 type Choice struct {
 	// Tokens are the prompt's.
 	Tokens int
 	// Found is what the store box holds.
 	Found kvcache.Found
-	// Wait is how long the engine is busy before it begins to compute; imports
-	// go on meanwhile.
+	// Wait is how long the engine is busy before it starts to compute; imports proceed
+	// meanwhile.
 	Wait time.Duration
 }
 
-// Best returns how many of the pieces found to import. Seconds to the first
-// token, of computing again and of the links are weighed by the pool's policy.
+// Best returns how many of the pieces found to import. The time to the first token, the
+// recomputing and the use of the links, in seconds, are weighted by the pool's policy.
 func (e Estimate) Best(now time.Time, p pool.Policy, c Choice) int {
 	if e.Prefill == 0 {
 		return len(c.Found.Run)
@@ -68,8 +67,8 @@
 	return best
 }
 
-// links predicts when bytes of each tier are there and for how long the links
-// move them, in seconds.
+// links predicts when the bytes of each tier have arrived and how long the links are in
+// use, in seconds.
 func (e Estimate) links(now time.Time, links [kvcache.Tiers]kvcache.Link, bytes [kvcache.Tiers]int) (ready, moving float64) {
 	slow := 1.0
 	if e.Slowdown > 0 && now.Before(e.SlowdownUntil) {
@@ -85,7 +84,8 @@
 	return ready, moving
 }
 
-// Predicted returns how long the store box says that an import takes, in seconds.
+// Predicted returns how long an import takes as the store box reports its links, in
+// seconds.
 func Predicted(found kvcache.Found, n int) float64 {
 	var bytes [kvcache.Tiers]int
 	for _, m := range found.Run[:n] {
@@ -95,16 +95,16 @@
 	return ready
 }
 
-// Sample is how one run went.
+// Sample is the result of one run.
 type Sample struct {
 	// Usage are the engine's own figures.
 	Usage stream.Usage
-	// Bytes were to be imported, and Said seconds is how long that should take.
+	// Bytes were to be imported, and Predicted is how many seconds that should take.
 	Bytes     int
 	Predicted float64
 }
 
-// Learn takes in how one run went.
+// Learn updates the estimate with the result of one run.
 func (e *Estimate) Learn(now time.Time, s Sample) {
 	u := s.Usage
 	if computed := u.Prompt - u.Reused - u.Imported; u.PrefillMillis > 0 && computed > 0 {
@@ -115,17 +115,17 @@
 	}
 	took := seconds(u.ImportMillis)
 	if u.Imported == 0 && u.Reused == 0 {
-		took *= failed // It brought nothing in spite of the wait.
+		took *= failedFactor // The import failed in spite of the wait.
 	}
 	e.Link = mean(e.Link, float64(s.Bytes)/took)
 	if s.Predicted > 0 {
 		e.Slowdown = mean(e.Slowdown, max(took/s.Predicted, 1))
-		e.SlowdownUntil = now.Add(memory)
+		e.SlowdownUntil = now.Add(slowdownRetention)
 	}
 }
 
-// failed is how many times longer an import counts that brought nothing.
-const failed = 10
+// failedFactor is how many times longer a failed import counts.
+const failedFactor = 10
 
 func seconds(millis float64) float64 { return millis / 1000 }
 
--- a/reuse/reuse_test.go
+++ b/reuse/reuse_test.go
@@ -33,14 +33,14 @@
 		choice   reuse.Choice
 		want     int
 	}{
-		{"nothing known", reuse.Estimate{}, firstToken, reuse.Choice{Tokens: 3000, Found: found(0, 1)}, 2},
+		{"no estimate", reuse.Estimate{}, firstToken, reuse.Choice{Tokens: 3000, Found: found(0, 1)}, 2},
 		{"memory is faster than computing", known, firstToken, reuse.Choice{Tokens: 3000, Found: found(0, 0)}, 2},
 		{"disk is slower", known, firstToken, reuse.Choice{Tokens: 3000, Found: found(0, 0, 1)}, 2},
 		{"the engine is busy meanwhile", known, firstToken, reuse.Choice{Tokens: 3000, Found: found(0, 0, 1), Wait: 2 * time.Second}, 3},
-		{"recomputing weighs more", known, recompute, reuse.Choice{Tokens: 3000, Found: found(1)}, 1},
-		{"the link weighs most", known, links, reuse.Choice{Tokens: 3000, Found: found(0, 0)}, 0},
+		{"recomputing has a higher weight", known, recompute, reuse.Choice{Tokens: 3000, Found: found(1)}, 1},
+		{"the link has the highest weight", known, links, reuse.Choice{Tokens: 3000, Found: found(0, 0)}, 0},
 		{"the link has a queue", known, firstToken, reuse.Choice{Tokens: 3000, Found: queued}, 0},
-		{"slower than it says", reuse.Estimate{Prefill: 2000, Slowdown: 20, SlowdownUntil: now.Add(1)}, firstToken, reuse.Choice{Tokens: 3000, Found: found(0, 0)}, 0},
+		{"slower than it reports", reuse.Estimate{Prefill: 2000, Slowdown: 20, SlowdownUntil: now.Add(1)}, firstToken, reuse.Choice{Tokens: 3000, Found: found(0, 0)}, 0},
 		{"was slower long ago", reuse.Estimate{Prefill: 2000, Slowdown: 20, SlowdownUntil: now}, firstToken, reuse.Choice{Tokens: 3000, Found: found(0, 0)}, 2},
 	}
 	for _, tt := range tests {
--- a/revision/revision.go
+++ b/revision/revision.go
@@ -1,10 +1,10 @@
-// Package revision says how far the rows of the table service are known.
+// Package revision orders the changes of the table service's rows over its restores.
 //
-// The service numbers all changes in one rising order. When it is restored from an older
-// copy of its rows it goes on from the copy's number, so that a number alone may name two
-// changes. A Revision counts the restores as well, and orders changes over all of them:
+// The service numbers all changes in rising order. After a restore from an older copy of
+// its rows it continues from the copy's number, so that one number may name two changes.
+// A Revision therefore counts the restores as well:
 //
-//	if told.After(known) {
+//	if reported.After(known) {
 //		read()
 //	}
 package revision
@@ -14,27 +14,27 @@
 	"fmt"
 )
 
-// Revision is a point in the history of the table service's rows. The zero value comes
+// Revision is a point in the history of the table service's rows. The zero value is
 // before all changes.
 type Revision struct {
-	// Restores counts how often the service was restored from an older copy; zero if it does
-	// not tell.
+	// Restores is how often the service was restored from an older copy; zero if it does not
+	// report that.
 	Restores uint64 `cbor:"1,keyasint,omitempty"`
-	// Number is the service's own, of the history since the last restore. It says nothing
-	// beside another one without Restores.
+	// Number is the service's own change number since the last restore. Two numbers are
+	// comparable only for equal Restores.
 	Number uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Compare returns -1, 0 or 1, as r comes before o, is the same or comes after it. Whatever
-// was written before a restore comes before all that is written after it.
+// Compare returns -1, 0 or 1 if r is before o, the same or after it. Whatever was written
+// before a restore is before all that is written after it.
 func (r Revision) Compare(o Revision) int {
 	return cmp.Or(cmp.Compare(r.Restores, o.Restores), cmp.Compare(r.Number, o.Number))
 }
 
-// After says that r comes after o.
+// After reports whether r is after o.
 func (r Revision) After(o Revision) bool { return r.Compare(o) > 0 }
 
-// Max returns the later of two.
+// Max returns the later one.
 func Max(a, b Revision) Revision {
 	if b.After(a) {
 		return b
@@ -42,7 +42,7 @@
 	return a
 }
 
-// IsZero says that nothing is known.
+// IsZero reports whether nothing is known.
 func (r Revision) IsZero() bool { return r == Revision{} }
 
 // String returns both numbers, for logs.
--- a/revision/revision_test.go
+++ b/revision/revision_test.go
@@ -14,7 +14,7 @@
 		a, b revision.Revision
 		want int
 	}{
-		{"none", revision.Revision{}, revision.Revision{}, 0},
+		{"both zero", revision.Revision{}, revision.Revision{}, 0},
 		{"same", revision.Revision{Restores: 2, Number: 7}, revision.Revision{Restores: 2, Number: 7}, 0},
 		{"later", revision.Revision{Restores: 2, Number: 8}, revision.Revision{Restores: 2, Number: 7}, 1},
 		{"earlier", revision.Revision{Number: 6}, revision.Revision{Number: 7}, -1},
@@ -36,8 +36,9 @@
 	}
 }
 
-// TestTravels has a revision reach another box as it is, and none take no room.
-func TestTravels(t *testing.T) {
+// TestEncoding checks that a revision is unchanged by encoding and that a zero one takes
+// no bytes.
+func TestEncoding(t *testing.T) {
 	type message struct {
 		Known revision.Revision `cbor:"1,keyasint,omitempty"`
 	}
@@ -52,6 +53,6 @@
 	}
 	empty, err := cbor.Marshal(message{})
 	if err != nil || len(empty) != 1 {
-		t.Errorf("none takes %d bytes, %v", len(empty), err)
+		t.Errorf("a zero revision takes %d bytes, %v", len(empty), err)
 	}
 }
--- a/slowstart/warming_test.go
+++ b/slowstart/slowstart_test.go
@@ -15,7 +15,7 @@
 	"github.com/thymewind/thymewind/slowstart"
 )
 
-// What the platform's pool of 60 engines allows: a cold one bears 18 requests a
+// The platform's bounds for a pool of 60 engines: a cold one can serve 18 requests a
 // second, and gets 32 at most.
 const (
 	rate    = 18
@@ -33,77 +33,76 @@
 }
 
 func TestShare(t *testing.T) {
-	most := slowstart.Limit(rate, 1.5, 5)
+	limit := slowstart.Limit(rate, 1.5, 5)
 	tests := []struct {
-		name        string
-		most, boxes int
-		// least and highest are what the boxes may have each.
+		name         string
+		limit, boxes int
+		// least and highest are the smallest and largest share of a box.
 		least, highest int
 	}{
-		{"six hubs", most, 6, 4, 4},
-		{"ten hubs", most, 10, 2, 3},
-		{"more boxes than requests", most, 71, 0, 1},
-		{"one box", most, 1, most, most},
+		{"six hubs", limit, 6, 4, 4},
+		{"ten hubs", limit, 10, 2, 3},
+		{"more boxes than requests", limit, 71, 0, 1},
+		{"one box", limit, 1, limit, limit},
 		{"nothing to share", 0, 6, 0, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			for target := range uint64(50) {
 				all := boxes(tt.boxes)
-				sum, least, highest := 0, tt.most, 0
+				sum, least, highest := 0, tt.limit, 0
 				for _, box := range all {
-					share := slowstart.Share(tt.most, target, box, all)
+					share := slowstart.Share(tt.limit, target, box, all)
 					sum, least, highest = sum+share, min(least, share), max(highest, share)
 				}
-				if sum != tt.most || least != tt.least || highest != tt.highest {
-					t.Fatalf("target %d: %d to %d each, %d in all of %d", target, least, highest, sum, tt.most)
+				if sum != tt.limit || least != tt.least || highest != tt.highest {
+					t.Fatalf("target %d: %d to %d each, %d in all of %d", target, least, highest, sum, tt.limit)
 				}
 			}
 		})
 	}
-	if share := slowstart.Share(most, 1, "stranger", boxes(6)); share != 0 {
-		t.Errorf("a box that places nothing may send %d", share)
+	if share := slowstart.Share(limit, 1, "stranger", boxes(6)); share != 0 {
+		t.Errorf("a box outside the list may send %d", share)
 	}
 }
 
-// arrival is a request on its way to one target.
 type arrival struct{ sent, at time.Duration }
 
-// history plays some seconds in which many callers come while one target is cold and
-// looks the cheapest to every box. It returns what arrived there.
+// history simulates some seconds in which many requests arrive while one target is cold
+// and looks the cheapest to every box. It returns what arrives there.
 func history(seed uint64, n int, limited bool) []arrival {
 	random := rand.New(rand.NewPCG(seed, 1))
 	all := boxes(n)
 	gates := make([]slowstart.Limiter, n)
-	most := slowstart.Limit(rate, 1.5, 5)
+	limit := slowstart.Limit(rate, 1.5, 5)
 	target := placement.Hash(fmt.Sprint("target", seed))
-	// A box has joined that the others don't know of yet.
+	// One box has joined that the others do not know of yet.
 	joined := append(slices.Clone(all), "box-new")
-	late := slowstart.Limiter{}
+	newGate := slowstart.Limiter{}
 	var list []arrival
 	for now := time.Duration(0); now < 4*time.Second; now += time.Millisecond {
 		for range random.IntN(3) {
 			i := random.IntN(n + 1)
-			gate, share := &late, slowstart.Share(most, target, "box-new", joined)
+			gate, share := &newGate, slowstart.Share(limit, target, "box-new", joined)
 			if i < n {
-				gate, share = &gates[i], slowstart.Share(most, target, all[i], all)
+				gate, share = &gates[i], slowstart.Share(limit, target, all[i], all)
 			}
 			at := start.Add(now)
 			if limited && !gate.Allow(at, target, share) {
 				continue
 			}
 			gate.Take(at, target)
-			way := time.Duration(random.IntN(200)) * time.Millisecond
-			list = append(list, arrival{now, now + way})
+			delay := time.Duration(random.IntN(200)) * time.Millisecond
+			list = append(list, arrival{now, now + delay})
 		}
 	}
 	slices.SortFunc(list, func(a, b arrival) int { return int(a.at - b.at) })
 	return list
 }
 
-// worst returns the most requests that were sent and arrived within one second.
-func worst(list []arrival) int {
-	most := 0
+// maxPerSecond returns the most requests that were sent and arrived within one second.
+func maxPerSecond(list []arrival) int {
+	limit := 0
 	for _, first := range list {
 		n := 0
 		for _, x := range list {
@@ -111,31 +110,32 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		limit = max(limit, n)
 	}
-	return most
+	return limit
 }
 
-// TestHerd draws fleets and loads, of up to 2,000 requests a second that all would take
-// the one cold target, and a box more than the others know.
+// TestHerd guards against a cold target that gets more than its bound: up to 2,000
+// requests a second would all choose it, with a box that the others do not know of. Fleet
+// size and load are random.
 func TestHerd(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(7)
 	parameters.MinSuccessfulTests = 60
 	properties := gopter.NewProperties(parameters)
-	properties.Property("a cold target gets no more than it may", prop.ForAll(func(seed uint64, n int) bool {
+	properties.Property("a cold target gets no more than its bound", prop.ForAll(func(seed uint64, n int) bool {
 		list := history(seed, n, true)
-		return worst(list) <= allowed && len(list) > 2*rate
+		return maxPerSecond(list) <= allowed && len(list) > 2*rate
 	}, gen.UInt64(), gen.IntRange(2, 30)))
 	properties.TestingRun(t)
-	// The sister: without the gate each of these breaks the bound.
+	// Control: without the limiter each of these exceeds the bound.
 	for seed := range uint64(20) {
-		if n := worst(history(seed, 6, false)); n <= allowed {
-			t.Errorf("seed %d: without the gate %d arrive in a second", seed, n)
+		if n := maxPerSecond(history(seed, 6, false)); n <= allowed {
+			t.Errorf("seed %d: without the limiter %d arrive in a second", seed, n)
 		}
 	}
 }
 
-func TestGate(t *testing.T) {
+func TestLimiter(t *testing.T) {
 	var g slowstart.Limiter
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	tests := []struct {
@@ -155,7 +155,7 @@
 	}
 	for _, tt := range tests {
 		if room := g.Allow(at(tt.ms), 1, tt.share); room != tt.room {
-			t.Errorf("after %d ms, share %d: room %v", tt.ms, tt.share, room)
+			t.Errorf("after %d ms, share %d: allowed %v", tt.ms, tt.share, room)
 			continue
 		}
 		if tt.room {
@@ -163,10 +163,10 @@
 		}
 	}
 	if !g.Allow(at(1260), 2, 1) {
-		t.Error("another target has no room")
+		t.Error("another target is not allowed")
 	}
 	g.Expire(at(5000))
 	if !g.Allow(at(5000), 1, 1) {
-		t.Error("an expired target has no room")
+		t.Error("an expired target is not allowed")
 	}
 }
--- a/throughput/fit.go
+++ b/throughput/fit.go
@@ -3,34 +3,34 @@
 import "time"
 
 const (
-	// firstBase and firstToken are taken for true until requests tell: engines
-	// begin after some 50 ms, and those met first read 112 tokens a millisecond.
+	// firstBase and firstToken are the estimates before any sample: engines begin after some
+	// 50 ms, and the first ones measured prefilled 112 tokens a millisecond.
 	firstBase  = 50 * time.Millisecond
 	firstToken = time.Millisecond / 112
-	// keep is how much a sample counts after the next one: some fifty count.
-	keep = 0.98
-	// assumed is how many samples the first guess counts as, at each of two
-	// points: no token and assumedAt tokens.
+	// decay is the weight of a sample after the next one: about the last fifty count.
+	decay = 0.98
+	// assumed is how many samples the first guess counts as, at each of two points: zero
+	// tokens and assumedAt tokens.
 	assumed   = 1
 	assumedAt = 4000
-	// longestBase, least and most bound the line, as samples hold waits of other
-	// causes: a fifth of the first guess to the 30-fold.
-	longestBase = 500 * time.Millisecond
-	least       = firstToken / 5
-	most        = firstToken * 30
+	// maxBase, minToken and maxToken bound the line, as samples include waits of other
+	// causes: from a fifth of the first guess per token to 30 times it.
+	maxBase  = 500 * time.Millisecond
+	minToken = firstToken / 5
+	maxToken = firstToken * 30
 )
 
-// fit is a straight line through samples that fade, by least squares.
+// fit is a least-squares line through samples whose weight decays.
 type fit struct {
 	// n, x, y, xx and xy are the sums over the samples of 1, x, y, x*x and x*y.
 	n, x, y, xx, xy float64
 }
 
 func (f *fit) add(x, y float64) {
-	f.n, f.x, f.y, f.xx, f.xy = f.n*keep+1, f.x*keep+x, f.y*keep+y, f.xx*keep+x*x, f.xy*keep+x*y
+	f.n, f.x, f.y, f.xx, f.xy = f.n*decay+1, f.x*decay+x, f.y*decay+y, f.xx*decay+x*x, f.xy*decay+x*y
 }
 
-// line returns the line's value at zero and its slope.
+// line returns the line's value at zero tokens and its slope per token.
 func (f *fit) line() (base, slope time.Duration) {
 	const at = float64(assumedAt)
 	first := float64(firstBase) + at*float64(firstToken)
@@ -39,8 +39,8 @@
 	y := f.y + assumed*(float64(firstBase)+first)
 	xx := f.xx + assumed*at*at
 	xy := f.xy + assumed*at*first
-	slope = time.Duration((n*xy - x*y) / (n*xx - x*x)) // The assumed points keep the divisor above zero.
-	slope = min(max(slope, least), most)
+	slope = time.Duration((n*xy - x*y) / (n*xx - x*x)) // The assumed samples keep the divisor above zero.
+	slope = min(max(slope, minToken), maxToken)
 	base = time.Duration((y - float64(slope)*x) / n)
-	return min(max(base, 0), longestBase), slope
+	return min(max(base, 0), maxBase), slope
 }
--- a/versionlog/dated_test.go
+++ b/versionlog/versionlog_test.go
@@ -10,23 +10,23 @@
 
 var start = time.Unix(1000, 0)
 
-// clock is an hour ahead of this box's, and known to 2 ms.
+// clock returns one that is an hour ahead of this box's, known to 2 ms.
 func clock() *clockbound.Clock {
 	c := &clockbound.Clock{}
 	c.Observe(start, start.Add(time.Millisecond), time.Hour)
 	return c
 }
 
-// TestRows passes namings from one box to another by rows.
+// TestRows passes versions from one box to another by rows.
 func TestRows(t *testing.T) {
 	const near = 5 * time.Millisecond
 	tests := []struct {
 		name    string
 		note    func(n *versionlog.Log)
-		want    time.Duration // When version 5 was named, since start.
+		want    time.Duration // When version 5 was named, from start on.
 		assumed bool
 	}{
-		{"proved, and told by the common clock", func(n *versionlog.Log) { n.Prove(5, start, time.Hour+3*time.Second) }, 3 * time.Second, false},
+		{"proved, with a reading of the common clock", func(n *versionlog.Log) { n.Prove(5, start, time.Hour+3*time.Second) }, 3 * time.Second, false},
 		{"proved by this box's clock only", func(n *versionlog.Log) { n.Prove(5, start.Add(3*time.Second), 0) }, 3 * time.Second, false},
 		{"assumed", func(n *versionlog.Log) { n.Assume(5, start.Add(3*time.Second)) }, 3 * time.Second, true},
 		{"the later of two proofs", func(n *versionlog.Log) {
@@ -43,7 +43,7 @@
 			b.Read(start.Add(time.Minute), clock(), rows)
 			got := b.Since(start)
 			if len(got) != 1 || got[0].Assumed != tt.assumed {
-				t.Fatalf("read %+v", got)
+				t.Fatalf("read versions %+v", got)
 			}
 			if early := start.Add(tt.want).Sub(got[0].At); early < 0 || early > near {
 				t.Errorf("dated %v too early", early)
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestReadBeforeTheClock reads rows before the common clock is known.
-func TestReadBeforeTheClock(t *testing.T) {
+// TestReadBeforeClock reads rows before the common clock is known.
+func TestReadBeforeClock(t *testing.T) {
 	var n versionlog.Log
 	n.Read(start, &clockbound.Clock{}, []versionlog.Row{{Version: 5, AtMS: time.Hour.Milliseconds()}})
 	if got := n.Since(start.Add(-time.Hour)); len(got) != 0 {
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestMissing says when a naming has to be written.
+// TestMissing checks when a version has to be written.
 func TestMissing(t *testing.T) {
 	c := clock()
 	var n versionlog.Log
@@ -78,9 +78,9 @@
 		{"not written", func() {}, true},
 		{"being written", func() { n.Rows(start, c) }, true},
 		{"written", n.Written, false},
-		{"read without it", func() { n.Read(start, c, nil) }, true},
-		{"read with it", func() { n.Read(start, c, []versionlog.Row{{Version: 5, AtMS: 1}}) }, false},
-		{"the clock began anew", n.ForgetClock, true},
+		{"read rows without it", func() { n.Read(start, c, nil) }, true},
+		{"read rows with it", func() { n.Read(start, c, []versionlog.Row{{Version: 5, AtMS: 1}}) }, false},
+		{"the clock restarted", n.ForgetClock, true},
 	}
 	for _, s := range steps {
 		s.do()
@@ -93,11 +93,11 @@
 	}
 }
 
-// TestAhead shows that a time that lies ahead is not believed.
-func TestAhead(t *testing.T) {
+// TestFuture checks that a time in the future is ignored.
+func TestFuture(t *testing.T) {
 	var n versionlog.Log
 	n.Read(start, clock(), []versionlog.Row{{Version: 5, AtMS: (2 * time.Hour).Milliseconds()}})
 	if got := n.Since(start); len(got) != 0 {
-		t.Errorf("read %+v", got)
+		t.Errorf("read versions %+v", got)
 	}
 }
--- a/weights/weights.go
+++ b/weights/weights.go
@@ -1,7 +1,7 @@
-// Package weights rolls a pool over to another weight version, a few targets
-// at a time, so that capacity is kept and the weight store is not crowded.
+// Package weights rolls a pool out to another weight version, a few targets at a time, to
+// keep capacity and not to overload the weight store.
 //
-//	r := weights.Rollout{Patience: time.Minute}
+//	r := weights.Rollout{Timeout: time.Minute}
 //	for _, name := range r.Next(now, "v8", targets) { order(name, "v8") }
 package weights
 
@@ -13,18 +13,18 @@
 	"github.com/thymewind/thymewind/target"
 )
 
-// MaxLoading is how many targets of a pool load weights at once; more would
-// slow each other down.
+// MaxLoading is how many targets of a pool load weights at once; more would slow each
+// other down.
 const MaxLoading = 2
 
-// Rollout remembers which targets were ordered to load. Set the exported
-// fields before first use; it is not safe for concurrent use.
+// Rollout tracks which targets were ordered to load. Set the exported fields before first
+// use; it is not safe for concurrent use.
 type Rollout struct {
-	// Timeout is how long an ordered load counts as under way. After that the
-	// order is given again.
+	// Timeout is how long an ordered load counts as in progress. After that the order is
+	// repeated.
 	Timeout time.Duration
 
-	// ordered holds when each target was ordered to load which version.
+	// ordered holds the last order by target name.
 	ordered map[string]order
 }
 
@@ -33,8 +33,7 @@
 	at      time.Time
 }
 
-// Note records an order that was given, by this daemon or an earlier holder of
-// the duty.
+// Note records an order that was given, by this daemon or an earlier holder of the lease.
 func (r *Rollout) Note(name, version string, at time.Time) {
 	if r.ordered == nil {
 		r.ordered = make(map[string]order)
@@ -42,11 +41,11 @@
 	r.ordered[name] = order{version, at}
 }
 
-// Next returns the targets to order now, the least loaded first. Together with
-// those under way they are at most MaxLoading, and at most a third of the
-// targets, but at least one.
+// Next returns the targets to order now, the least loaded first. Together with those in
+// progress they are at most MaxLoading, and at most a third of the targets, but at least
+// one.
 func (r *Rollout) Next(now time.Time, version string, targets []*target.Target) []string {
-	var wrong []*target.Target
+	var outdated []*target.Target
 	loading, listed := 0, 0
 	for _, t := range targets {
 		if !t.Listed || t.Leaving {
@@ -54,26 +53,26 @@
 		}
 		listed++
 		switch {
-		case r.underWay(now, t) || t.Loading:
+		case r.inProgress(now, t) || t.Loading:
 			loading++
 		case t.Version != version && !t.ReportedAt.IsZero():
-			wrong = append(wrong, t)
+			outdated = append(outdated, t)
 		}
 	}
-	slices.SortFunc(wrong, func(a, b *target.Target) int {
+	slices.SortFunc(outdated, func(a, b *target.Target) int {
 		return cmp.Or(cmp.Compare(a.Load(), b.Load()), cmp.Compare(a.Name, b.Name))
 	})
 	room := min(MaxLoading, max(1, listed/3)) - loading
 	var names []string
-	for _, t := range wrong[:min(max(room, 0), len(wrong))] {
+	for _, t := range outdated[:min(max(room, 0), len(outdated))] {
 		names = append(names, t.Name)
 	}
 	return names
 }
 
-// underWay says whether a target was ordered to load a version that it does
-// not report yet. A report read before the order does not count.
-func (r *Rollout) underWay(now time.Time, t *target.Target) bool {
+// inProgress reports whether a target was ordered to load a version that it does not
+// report yet. A report from before the order does not count.
+func (r *Rollout) inProgress(now time.Time, t *target.Target) bool {
 	o, known := r.ordered[t.Name]
 	if !known {
 		return false
--- a/weights/weights_test.go
+++ b/weights/weights_test.go
@@ -17,10 +17,10 @@
 
 const loadTime = 1500 * time.Millisecond
 
-// rolled plays a rollout over targets whose reports lag and whose orders get
-// lost as generated. The duty's holder is replaced after each term; the new one
-// hears of the orders that were given.
-func rolled(n, term int, lost []bool, remembers bool) (most int, finished bool) {
+// simulate runs a rollout over targets whose reports lag and some of whose orders are
+// lost. The lease's holder is replaced after each term; if remembers is set, the new one
+// learns of the earlier orders.
+func simulate(n, term int, lost []bool, remembers bool) (most int, finished bool) {
 	now := time.Unix(1000, 0)
 	all := make([]*target.Target, n)
 	loads := make(map[string]time.Time)
@@ -69,7 +69,7 @@
 
 func fewAtOnce(remembers bool) gopter.Prop {
 	return prop.ForAll(func(n, term int, lost []bool) bool {
-		most, finished := rolled(n, term, append(lost, false, false, false), remembers)
+		most, finished := simulate(n, term, append(lost, false, false, false), remembers)
 		return finished && most <= min(weights.MaxLoading, max(1, n/3))
 	}, gen.IntRange(1, 40), gen.IntRange(120, 160), gen.SliceOfN(4, gen.Bool()))
 }
