--- a/admission/admission.go
+++ b/admission/admission.go
@@ -19,12 +19,12 @@
 // ready for use; it is not safe for concurrent use.
 type Gate struct {
 	// inFlight holds only counts above zero.
-	inFlight map[holder]int
+	inFlight map[accountPool]int
 	pools    map[string]int
 	buckets  map[string]*bucket
 }
 
-type holder struct{ account, pool string }
+type accountPool struct{ account, pool string }
 
 // bucket is an account's token bucket, refilled over time.
 type bucket struct {
@@ -63,7 +63,7 @@
 // Admit counts the request as in flight if it is admitted.
 func (g *Gate) Admit(r Request) Decision {
 	g.init()
-	key := holder{r.Account, r.Pool}
+	key := accountPool{r.Account, r.Pool}
 	if r.Concurrency > 0 && g.AccountInFlight(r.Account) >= r.Concurrency {
 		return Decision{Reason: "the account's concurrency limit is reached", After: time.Second}
 	}
@@ -84,13 +84,13 @@
 // AddAttempt counts a further attempt of an admitted request, unconditionally.
 func (g *Gate) AddAttempt(account, pool string) {
 	g.init()
-	g.inFlight[holder{account, pool}]++
+	g.inFlight[accountPool{account, pool}]++
 	g.pools[pool]++
 }
 
 // Release ends one admitted request or attempt.
 func (g *Gate) Release(account, pool string) {
-	key := holder{account, pool}
+	key := accountPool{account, pool}
 	if g.inFlight[key] == 0 {
 		return
 	}
@@ -122,7 +122,7 @@
 
 func (g *Gate) init() {
 	if g.inFlight == nil {
-		g.inFlight = make(map[holder]int)
+		g.inFlight = make(map[accountPool]int)
 		g.pools = make(map[string]int)
 		g.buckets = make(map[string]*bucket)
 	}
--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -34,7 +34,7 @@
 type Clock struct {
 	// Monotonic reads the runtime's monotonic clock, and with it the wall clock in
 	// nanoseconds.
-	Monotonic func() (now time.Time, day int64)
+	Monotonic func() (now time.Time, wall int64)
 	// Boot reads the kernel's clock that includes suspensions; false if it has none.
 	Boot func() (time.Duration, bool)
 
@@ -48,10 +48,10 @@
 
 // reference holds the readings of the clocks at the first use.
 type reference struct {
-	steady time.Time
-	day    int64
-	boot   time.Duration
-	known  bool
+	monotonic time.Time
+	wall      int64
+	boot      time.Duration
+	known     bool
 }
 
 // process is the process's clock.
@@ -92,9 +92,9 @@
 
 // Now returns the monotonic clock's time plus the suspensions.
 func (c *Clock) Now() time.Time {
-	now, day := c.Monotonic()
+	now, wall := c.Monotonic()
 	began := c.first()
-	skew := day - began.day - int64(now.Sub(began.steady))
+	skew := wall - began.wall - int64(now.Sub(began.monotonic))
 	if moved := time.Duration(skew - c.skew.Load()); moved > step || moved < -step {
 		c.skew.Store(skew)
 		c.measure(began)
@@ -116,7 +116,7 @@
 	}
 	first := &reference{}
 	first.boot, first.known = c.Boot()
-	first.steady, first.day = c.Monotonic()
+	first.monotonic, first.wall = c.Monotonic()
 	c.started.CompareAndSwap(nil, first)
 	return c.started.Load()
 }
@@ -129,7 +129,7 @@
 		return
 	}
 	now, _ := c.Monotonic()
-	stood := int64(boot - began.boot - now.Sub(began.steady))
+	stood := int64(boot - began.boot - now.Sub(began.monotonic))
 	for {
 		before := c.suspended.Load()
 		if stood-before < int64(noise) || c.suspended.CompareAndSwap(before, stood) {
--- a/canary/canary.go
+++ b/canary/canary.go
@@ -41,8 +41,8 @@
 // Same reports whether two rollouts are the same one: a restored table service has its
 // older rows again, and the operator writes the lost ones again, so that the same rollout
 // may have two order numbers.
-func (r Rollout) Same(b Rollout) bool {
-	return r.Order == b.Order || r.Pool == b.Pool && r.Version == b.Version && r.Order/restoreSpan != b.Order/restoreSpan
+func (r Rollout) Same(other Rollout) bool {
+	return r.Order == other.Order || r.Pool == other.Pool && r.Version == other.Version && r.Order/restoreSpan != other.Order/restoreSpan
 }
 
 // State is the progress of a rollout. It only rises, except that Completing may become
--- a/changelog/changelog.go
+++ b/changelog/changelog.go
@@ -114,8 +114,8 @@
 	}
 	batch.Next = Cursor{Number: l.number}
 	first, _ := slices.BinarySearchFunc(l.changes, c.Number+1, func(c change[K], number uint64) int { return cmp.Compare(c.number, number) })
-	for _, latest := range l.changes[first:] {
-		if l.at[latest.key] != latest.number {
+	for _, entry := range l.changes[first:] {
+		if l.at[entry.key] != entry.number {
 			continue
 		}
 		if len(batch.Changed) == most {
@@ -123,7 +123,7 @@
 			batch.Next = Cursor{l.at[batch.Changed[most-1]], c.SnapshotAt}
 			break
 		}
-		batch.Changed = append(batch.Changed, latest.key)
+		batch.Changed = append(batch.Changed, entry.key)
 	}
 	batch.Removed = l.removedSince(c.removedAfter())
 	return batch
--- a/changelog/changelog_test.go
+++ b/changelog/changelog_test.go
@@ -22,21 +22,21 @@
 }
 
 // apply applies a batch; values are the keys' values at that moment.
-func (f *follower) apply(part changelog.Batch[string], values map[string]int) {
-	if part.Snapshot {
+func (f *follower) apply(batch changelog.Batch[string], values map[string]int) {
+	if batch.Snapshot {
 		f.seen = make(map[string]bool)
 	}
-	for _, key := range part.Changed {
+	for _, key := range batch.Changed {
 		f.state[key] = values[key]
 		if f.seen != nil {
 			f.seen[key] = true
 		}
 	}
-	for _, key := range part.Removed {
+	for _, key := range batch.Removed {
 		delete(f.state, key)
 	}
-	f.cursor = part.Next
-	if !part.More && f.seen != nil {
+	f.cursor = batch.Next
+	if !batch.More && f.seen != nil {
 		maps.DeleteFunc(f.state, func(key string, _ int) bool { return !f.seen[key] })
 		f.seen = nil
 	}
@@ -44,7 +44,7 @@
 
 // simulate changes keys, sends the follower some batches in between, and at last all. It
 // reports whether the follower's state equals the log's.
-func simulate(seed uint64, take func(f *follower, part changelog.Batch[string], values map[string]int)) bool {
+func simulate(seed uint64, take func(f *follower, batch changelog.Batch[string], values map[string]int)) bool {
 	random := rand.New(rand.NewPCG(seed, 5))
 	l := changelog.New[string](random.Uint64N(1 << 40))
 	values := make(map[string]int)
@@ -63,9 +63,9 @@
 		}
 	}
 	for more := true; more; {
-		part := l.Since(f.cursor, 7)
-		take(f, part, values)
-		more = part.More
+		batch := l.Since(f.cursor, 7)
+		take(f, batch, values)
+		more = batch.More
 	}
 	return maps.Equal(f.state, values)
 }
@@ -82,9 +82,9 @@
 }
 
 func TestFollowersNeedTheRemovals(t *testing.T) {
-	if simulate(1, func(f *follower, part changelog.Batch[string], values map[string]int) {
-		part.Removed = nil
-		f.apply(part, values)
+	if simulate(1, func(f *follower, batch changelog.Batch[string], values map[string]int) {
+		batch.Removed = nil
+		f.apply(batch, values)
 	}) {
 		t.Error("a follower that ignores removals has the log's state")
 	}
@@ -96,15 +96,15 @@
 	l.Touch("a")
 	l.Touch("a")
 	l.Touch("b")
-	part := l.Since(changelog.Cursor{}, 10)
-	if !part.Snapshot || len(part.Changed) != 2 || part.More {
-		t.Errorf("the first batch is %+v", part)
+	batch := l.Since(changelog.Cursor{}, 10)
+	if !batch.Snapshot || len(batch.Changed) != 2 || batch.More {
+		t.Errorf("the first batch is %+v", batch)
 	}
-	if part = l.Since(part.Next, 10); part.Snapshot || len(part.Changed)+len(part.Removed) != 0 {
-		t.Errorf("sent again: %+v", part)
+	if batch = l.Since(batch.Next, 10); batch.Snapshot || len(batch.Changed)+len(batch.Removed) != 0 {
+		t.Errorf("sent again: %+v", batch)
 	}
-	if part = l.Since(changelog.Cursor{Number: l.Number() + 1}, 10); !part.Snapshot {
-		t.Errorf("a number of another log gets %+v", part)
+	if batch = l.Since(changelog.Cursor{Number: l.Number() + 1}, 10); !batch.Snapshot {
+		t.Errorf("a number of another log gets %+v", batch)
 	}
 }
 
@@ -121,9 +121,9 @@
 	}
 	f := &follower{state: make(map[string]int)}
 	for range 20 {
-		part := l.Since(f.cursor, 10)
-		f.apply(part, map[string]int{})
-		if !part.More {
+		batch := l.Since(f.cursor, 10)
+		f.apply(batch, map[string]int{})
+		if !batch.More {
 			break
 		}
 	}
--- a/crash/crash.go
+++ b/crash/crash.go
@@ -24,8 +24,8 @@
 	// RememberFor is how long an ended incarnation is remembered, for requests whose end is
 	// reported late: those that wait for a silent target do so for seconds.
 	RememberFor = time.Minute
-	// firstProbe is the delay until a suspect is first probed: its news, which comes at most
-	// every 0.4 s, and refused connections mostly show its state before. probeInterval is
+	// firstProbe is the delay until a suspect is first probed: its news, at intervals of
+	// 0.4 s at most, and refused connections mostly show its state before. probeInterval is
 	// the pause after that.
 	firstProbe    = 250 * time.Millisecond
 	probeInterval = time.Second
--- a/fair/fair.go
+++ b/fair/fair.go
@@ -41,7 +41,7 @@
 		w = &work{at: now}
 		m.accounts[account] = w
 	}
-	w.sum = w.faded(now, m.Window) + seconds
+	w.sum = w.decayed(now, m.Window) + seconds
 	w.at = now
 	w.weight = float64(max(weight, 1))
 	m.sweep(now)
@@ -53,7 +53,7 @@
 	if !known {
 		return 0
 	}
-	return w.faded(now, m.Window) / m.Window.Seconds()
+	return w.decayed(now, m.Window) / m.Window.Seconds()
 }
 
 // Accounts lists the accounts with work that has not decayed, in order.
@@ -107,18 +107,18 @@
 
 // sweep drops accounts whose work has decayed, once a window.
 func (m *Meter) sweep(now time.Time) {
-	const faded = 1e-4
+	const negligible = 1e-4
 	if now.Sub(m.swept) < m.Window {
 		return
 	}
 	m.swept = now
 	for name, w := range m.accounts {
-		if w.faded(now, m.Window) < faded {
+		if w.decayed(now, m.Window) < negligible {
 			delete(m.accounts, name)
 		}
 	}
 }
 
-func (w *work) faded(now time.Time, window time.Duration) float64 {
+func (w *work) decayed(now time.Time, window time.Duration) float64 {
 	return w.sum * math.Exp(-now.Sub(w.at).Seconds()/window.Seconds())
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -80,7 +80,7 @@
 // incarnation is known to have ended, and whether it is new. A later incarnation replaces
 // the one listed with all its state; a late entry of an earlier one changes nothing.
 func (f *Fleet) Upsert(now time.Time, e Entry) (*Target, bool) {
-	if previous, over := f.ended[e.ID]; over && !e.StartedAt.After(previous.startedAt) {
+	if previous, ended := f.ended[e.ID]; ended && !e.StartedAt.After(previous.startedAt) {
 		return nil, false
 	}
 	t, known := f.byID[e.ID]
--- a/fleet/target.go
+++ b/fleet/target.go
@@ -136,13 +136,13 @@
 }
 
 func (t *Target) score(now time.Time, failed bool) {
-	fade := 0.5
+	decay := 0.5
 	if passed := now.Sub(t.scoredAt); passed < 10*scoreHalfLife {
-		fade = halved(passed)
+		decay = decayed(passed)
 	} else {
 		t.bad, t.good = 0, 0
 	}
-	t.bad, t.good, t.scoredAt = t.bad*fade, t.good*fade, now
+	t.bad, t.good, t.scoredAt = t.bad*decay, t.good*decay, now
 	if failed {
 		t.bad++
 		return
@@ -150,9 +150,9 @@
 	t.good++
 }
 
-// halved returns the weight of a result after a time: exact at multiples of the
+// decayed returns the weight of a result after a time: exact at multiples of the
 // half-life, linear in between.
-func halved(passed time.Duration) float64 {
+func decayed(passed time.Duration) float64 {
 	share := 1.0
 	for ; passed >= scoreHalfLife; passed -= scoreHalfLife {
 		share /= 2
--- a/kvcache/kvcache_test.go
+++ b/kvcache/kvcache_test.go
@@ -50,8 +50,8 @@
 }
 
 func newBox() http.Handler {
-	s := store.Store{Fault: &fault.Switch{}, MemoryBytes: 4 << 10, DiskBytes: 4 << 10, MemoryRate: 1e6, DiskRate: 1e5}
-	return s.Handler()
+	box := store.Store{Fault: &fault.Switch{}, MemoryBytes: 4 << 10, DiskBytes: 4 << 10, MemoryRate: 1e6, DiskRate: 1e5}
+	return box.Handler()
 }
 
 // RoundTrip implements http.RoundTripper.
@@ -89,16 +89,16 @@
 	return bytes.Repeat(sum[:], 8)
 }
 
-// safeguards are what the tests of their necessity replace.
+// safeguards are replaced one by one in the tests that show that each is needed.
 type safeguards struct {
 	usable func(run []kvcache.Manifest, scope string, keys []string) []kvcache.Manifest
-	piece  func(s *kvcache.Client, p kvcache.Piece) ([]byte, error)
+	piece  func(client *kvcache.Client, p kvcache.Piece) ([]byte, error)
 }
 
 var inForce = safeguards{
 	usable: kvcache.Usable,
-	piece: func(s *kvcache.Client, p kvcache.Piece) ([]byte, error) {
-		return s.Piece(context.Background(), at, p)
+	piece: func(client *kvcache.Client, p kvcache.Piece) ([]byte, error) {
+		return client.Piece(context.Background(), at, p)
 	},
 }
 
@@ -121,27 +121,27 @@
 
 // write stores a prompt's cache: the pieces first, then the manifests. The writer dies
 // after a number of pieces.
-func write(s *kvcache.Client, p prompt, dies int) {
+func write(client *kvcache.Client, p prompt, dies int) {
 	ctx := context.Background()
 	var run []kvcache.Manifest
 	for i, key := range p.keys {
-		if i == dies || s.PutPiece(ctx, at, cache(key)) != nil {
+		if i == dies || client.PutPiece(ctx, at, cache(key)) != nil {
 			return
 		}
 		piece := kvcache.Piece{Digest: kvcache.Digest(cache(key)), Bytes: len(cache(key)), Tokens: pieceBytes / 4}
 		run = append(run, kvcache.Seal(kvcache.Manifest{Key: key, Scope: p.scope.String(), Depth: i, Piece: piece}))
 	}
-	_ = s.Put(ctx, at, run)
+	_ = client.Put(ctx, at, run)
 }
 
 // read imports a prompt's cache and reports whether all of it was its own.
-func (c safeguards) read(s *kvcache.Client, p prompt) bool {
-	found, err := s.Find(context.Background(), at, p.keys)
+func (c safeguards) read(client *kvcache.Client, p prompt) bool {
+	found, err := client.Find(context.Background(), at, p.keys)
 	if err != nil {
 		return true
 	}
 	for i, m := range c.usable(found.Run, p.scope.String(), p.keys) {
-		data, err := c.piece(s, m.Piece)
+		data, err := c.piece(client, m.Piece)
 		if err != nil {
 			return true
 		}
@@ -159,19 +159,19 @@
 		ok := true
 		synctest.Test(t, func(*testing.T) {
 			w := &transport{script: fake.Script{Kinds: faults}, box: newBox()}
-			s := &kvcache.Client{HTTP: &http.Client{Transport: w}}
+			client := &kvcache.Client{HTTP: &http.Client{Transport: w}}
 			for i, step := range steps {
 				p := promptOf(step)
 				switch i % 4 {
 				case 0, 1:
-					write(s, p, step%7+1)
+					write(client, p, step%7+1)
 				case 2:
-					ok = ok && c.read(s, p)
+					ok = ok && c.read(client, p)
 				case 3:
-					_ = s.Drop(context.Background(), at, p.keys[step%len(p.keys)])
+					_ = client.Drop(context.Background(), at, p.keys[step%len(p.keys)])
 					time.Sleep(time.Duration(step) * 10 * time.Second)
 				}
-				ok = ok && c.read(s, promptOf(step+1))
+				ok = ok && c.read(client, promptOf(step+1))
 			}
 		})
 		return ok
@@ -188,8 +188,8 @@
 
 func TestOnlyOwnWholePiecesNeedsTheDigest(t *testing.T) {
 	removed := inForce
-	removed.piece = func(s *kvcache.Client, p kvcache.Piece) ([]byte, error) {
-		response, err := s.HTTP.Get("http://" + at.String() + "/v1/pieces/" + p.Digest)
+	removed.piece = func(client *kvcache.Client, p kvcache.Piece) ([]byte, error) {
+		response, err := client.HTTP.Get("http://" + at.String() + "/v1/pieces/" + p.Digest)
 		if err != nil {
 			return nil, err
 		}
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -18,7 +18,7 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// safeguards are what the tests of their necessity replace.
+// safeguards are replaced one by one in the tests that show that each is needed.
 type safeguards struct {
 	commit func(*fake.Table) func(context.Context, table.Transaction) error
 	read   func(*fake.Table) func(context.Context, string) (table.Row, error)
@@ -43,32 +43,32 @@
 	wrong   bool
 }
 
-func (w *checker) note(box int, epoch uint64, held bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.acting, box)
+func (check *checker) observe(box int, epoch uint64, held bool) {
+	check.mu.Lock()
+	defer check.mu.Unlock()
+	delete(check.acting, box)
 	if !held {
 		return
 	}
-	w.acting[box] = epoch
-	if w.holders == nil {
-		w.holders = make(map[uint64]int)
+	check.acting[box] = epoch
+	if check.holders == nil {
+		check.holders = make(map[uint64]int)
 	}
-	if other, known := w.holders[epoch]; known && other != box {
-		w.wrong = true
+	if other, known := check.holders[epoch]; known && other != box {
+		check.wrong = true
 	}
-	w.holders[epoch] = box
-	if len(w.acting) > 1 || epoch < w.epoch {
-		w.wrong = true
+	check.holders[epoch] = box
+	if len(check.acting) > 1 || epoch < check.epoch {
+		check.wrong = true
 	}
-	w.epoch = max(w.epoch, epoch)
+	check.epoch = max(check.epoch, epoch)
 }
 
 // oneHolder has boxes step and freeze as generated. Each box's clock runs up to 1% fast
 // or slow.
 func oneHolder(t *testing.T, c safeguards) gopter.Prop {
 	return prop.ForAll(func(faults, freezes []int) bool {
-		w := &checker{acting: make(map[int]uint64)}
+		check := &checker{acting: make(map[int]uint64)}
 		synctest.Test(t, func(*testing.T) {
 			rows := &fake.Table{Fault: (&fake.Script{Kinds: faults}).Draw}
 			began := time.Now()
@@ -82,32 +82,32 @@
 					Nonce: func() string { n++; return fmt.Sprint(box, "-", n) },
 					Now:   func() time.Time { return began.Add(time.Duration(float64(time.Since(began)) * rate)) },
 				}
-				boxes.Go(func() { run(l, box, w, freezes) })
+				boxes.Go(func() { run(l, box, check, freezes) })
 			}
 			boxes.Wait()
 		})
-		return !w.wrong
+		return !check.wrong
 	}, gen.SliceOfN(11, gen.IntRange(0, int(fake.Kinds)-1)), gen.SliceOfN(40, gen.IntRange(0, 30)))
 }
 
 // run steps one box's lease. A freeze lies between a step and the next use of the lease;
 // a frozen box does not act.
-func run(l *lease.Lease, box int, w *checker, freezes []int) {
+func run(l *lease.Lease, box int, check *checker, freezes []int) {
 	for i, freeze := range freezes {
 		if l.Due() {
 			_ = l.AcquireOrRenew(context.Background())
 		}
 		epoch, _, held := l.Held()
-		w.note(box, epoch, held)
+		check.observe(box, epoch, held)
 		time.Sleep(300 * time.Millisecond)
 		epoch, _, held = l.Held()
-		w.note(box, epoch, held)
+		check.observe(box, epoch, held)
 		if (i+box)%4 == 0 {
-			w.note(box, 0, false)
+			check.observe(box, 0, false)
 			time.Sleep(time.Duration(freeze) * time.Second)
 		}
 	}
-	w.note(box, 0, false)
+	check.observe(box, 0, false)
 }
 
 func TestOneHolder(t *testing.T) { proof.Holds(t, oneHolder(t, inForce)) }
--- a/lease/restored_test.go
+++ b/lease/restored_test.go
@@ -22,7 +22,7 @@
 // old, in which renewals, another holder or the lease's row may be missing.
 func oneHolderRestored(t *testing.T, read func(*fake.Table) func(context.Context, string) (table.Row, error)) gopter.Prop {
 	return prop.ForAll(func(faults, freezes, ages []int) bool {
-		w := &checker{acting: make(map[int]uint64)}
+		check := &checker{acting: make(map[int]uint64)}
 		synctest.Test(t, func(*testing.T) {
 			rows := &fake.Table{Fault: (&fake.Script{Kinds: faults}).Draw}
 			began := time.Now()
@@ -36,12 +36,12 @@
 					Nonce: func() string { n++; return fmt.Sprint(box, "-", n) },
 					Now:   func() time.Time { return began.Add(time.Duration(float64(time.Since(began)) * rate)) },
 				}
-				boxes.Go(func() { run(l, box, w, freezes) })
+				boxes.Go(func() { run(l, box, check, freezes) })
 			}
 			boxes.Go(func() { restore(rows, ages) })
 			boxes.Wait()
 		})
-		return !w.wrong
+		return !check.wrong
 	}, gen.SliceOfN(11, gen.IntRange(0, int(fake.Kinds)-1)), gen.SliceOfN(40, gen.IntRange(0, 30)), gen.SliceOfN(6, gen.IntRange(0, 9)))
 }
 
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -25,8 +25,8 @@
 	// MaxBackoff bounds the backoff that a target asks for. Observed targets ask for some
 	// seconds; one that names a year must not be lost for that long.
 	MaxBackoff = 5 * time.Minute
-	// retention is how long a leaving target is remembered after its signal was read or
-	// looked up last. It is gone within a minute, but a stale list may name it again.
+	// retention is how long a leaving target is remembered after it last signalled or was
+	// listed. It is gone within a minute, but a stale list may name it again.
 	retention = time.Hour
 	// maxRecords bounds the targets remembered, at some 200 bytes each: several times the
 	// fleet's targets.
@@ -78,7 +78,7 @@
 	limit    Limit
 	newsAt   time.Time
 	newsRate float64
-	// usedAt is when the target was last heard from or looked up.
+	// usedAt is when the target last signalled or, by Touch, was listed.
 	usedAt time.Time
 }
 
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -56,12 +56,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var b Registry
+			var reg Registry
 			for _, h := range tt.answers {
-				b.Observe(start.Add(h.at), h.incarnation, h.signals)
+				reg.Observe(start.Add(h.at), h.incarnation, h.signals)
 			}
-			b.Expire(start.Add(tt.at))
-			if got := b.Allow(start.Add(tt.at), tt.incarnation); !errors.Is(got, tt.want) || (tt.want == nil) != (got == nil) {
+			reg.Expire(start.Add(tt.at))
+			if got := reg.Allow(start.Add(tt.at), tt.incarnation); !errors.Is(got, tt.want) || (tt.want == nil) != (got == nil) {
 				t.Errorf("Allow = %v, want %v", got, tt.want)
 			}
 		})
@@ -70,7 +70,7 @@
 
 // TestNews checks that each change is news exactly once.
 func TestNews(t *testing.T) {
-	var b Registry
+	var reg Registry
 	steps := []struct {
 		at            time.Duration
 		signals, want Signals
@@ -82,7 +82,7 @@
 		{4 * time.Second, Signals{Leaving: true}, Signals{}},
 	}
 	for _, s := range steps {
-		if got := b.Observe(start.Add(s.at), plain, s.signals); got != s.want {
+		if got := reg.Observe(start.Add(s.at), plain, s.signals); got != s.want {
 			t.Errorf("after %v: %+v, want %+v", s.at, got, s.want)
 		}
 	}
@@ -91,19 +91,19 @@
 // TestBounded checks that a full registry evicts the records used least recently, and
 // that records expire.
 func TestBounded(t *testing.T) {
-	var b Registry
+	var reg Registry
 	for i := range maxRecords + 10 {
-		b.Observe(start.Add(time.Duration(i)), fleet.Incarnation{ID: fmt.Sprint(i)}, Signals{Leaving: true})
+		reg.Observe(start.Add(time.Duration(i)), fleet.Incarnation{ID: fmt.Sprint(i)}, Signals{Leaving: true})
 	}
-	if n := len(b.byID); n != maxRecords {
+	if n := len(reg.byID); n != maxRecords {
 		t.Errorf("%d records", n)
 	}
-	if b.Leaving(fleet.Incarnation{ID: "9"}) || !b.Leaving(fleet.Incarnation{ID: "10"}) {
+	if reg.Leaving(fleet.Incarnation{ID: "9"}) || !reg.Leaving(fleet.Incarnation{ID: "10"}) {
 		t.Error("the records used least recently were not evicted")
 	}
-	b.Touch(start.Add(retention), fleet.Incarnation{ID: "10"})
-	b.Expire(start.Add(retention + time.Second))
-	if n := len(b.byID); n != 1 || !b.Leaving(fleet.Incarnation{ID: "10"}) {
+	reg.Touch(start.Add(retention), fleet.Incarnation{ID: "10"})
+	reg.Expire(start.Add(retention + time.Second))
+	if n := len(reg.byID); n != 1 || !reg.Leaving(fleet.Incarnation{ID: "10"}) {
 		t.Errorf("%d records after their retention", n)
 	}
 }
@@ -112,12 +112,12 @@
 func BenchmarkAllow(b *testing.B) {
 	for _, size := range []int{0, 1, 600} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			var book Registry
+			var reg Registry
 			for i := range size {
-				book.Observe(start, fleet.Incarnation{ID: fmt.Sprint(i)}, Signals{Leaving: true})
+				reg.Observe(start, fleet.Incarnation{ID: fmt.Sprint(i)}, Signals{Leaving: true})
 			}
 			for b.Loop() {
-				_ = book.Allow(start, plain)
+				_ = reg.Allow(start, plain)
 			}
 		})
 	}
--- a/overdue/overdue.go
+++ b/overdue/overdue.go
@@ -47,9 +47,9 @@
 // Tokens returns the tokens of a target's overdue prompts.
 func (t *Tracker) Tokens(now time.Time, target uint64) int {
 	sum := 0
-	for _, r := range t.waiting[target] {
-		if now.After(r.due) {
-			sum += r.tokens
+	for _, p := range t.waiting[target] {
+		if now.After(p.due) {
+			sum += p.tokens
 		}
 	}
 	return sum
--- a/peerload/peerload.go
+++ b/peerload/peerload.go
@@ -1,9 +1,9 @@
 // Package peerload sums up the load that the requests of other boxes put on each target,
 // as those boxes report it.
 //
-//	s := peerload.New()
-//	s.Set(now, "box-2", usage)   // replaces what box-2 reported before
-//	usage := s.Of(target)
+//	t := peerload.New()
+//	t.Set(now, "box-2", loads) // replaces what box-2 reported before
+//	load := t.Of(target)
 //
 // It holds one entry for each box and target, and the totals, so that a lookup costs the
 // same for any number of boxes.
@@ -26,7 +26,7 @@
 // box is the last report of one box.
 type box struct {
 	reportedAt time.Time
-	shares     map[uint64]peer.TargetLoad
+	loads      map[uint64]peer.TargetLoad
 }
 
 // New returns totals without any box.
@@ -35,74 +35,74 @@
 }
 
 // Set replaces what a box reported before.
-func (s *Totals) Set(now time.Time, name string, list []peer.TargetLoad) {
-	s.drop(name)
-	b := &box{reportedAt: now, shares: make(map[uint64]peer.TargetLoad, len(list))}
-	s.boxes[name] = b
-	for _, share := range list {
-		s.add(b, share)
+func (t *Totals) Set(now time.Time, name string, list []peer.TargetLoad) {
+	t.drop(name)
+	b := &box{reportedAt: now, loads: make(map[uint64]peer.TargetLoad, len(list))}
+	t.boxes[name] = b
+	for _, load := range list {
+		t.add(b, load)
 	}
 }
 
 // Add counts load for a box ahead of its next report. It changes nothing for a box that
 // has not reported.
-func (s *Totals) Add(name string, share peer.TargetLoad) {
-	if b := s.boxes[name]; b != nil {
-		s.add(b, share)
+func (t *Totals) Add(name string, load peer.TargetLoad) {
+	if b := t.boxes[name]; b != nil {
+		t.add(b, load)
 	}
 }
 
-func (s *Totals) add(b *box, share peer.TargetLoad) {
-	b.shares[share.Target] = share.Add(b.shares[share.Target])
-	s.total[share.Target] = share.Add(s.total[share.Target])
+func (t *Totals) add(b *box, load peer.TargetLoad) {
+	b.loads[load.Target] = load.Add(b.loads[load.Target])
+	t.total[load.Target] = load.Add(t.total[load.Target])
 }
 
 // sub subtracts a box's load from the total.
-func (s *Totals) sub(share peer.TargetLoad) {
-	left := s.total[share.Target].Sub(share)
+func (t *Totals) sub(load peer.TargetLoad) {
+	left := t.total[load.Target].Sub(load)
 	if left.IsZero() {
-		delete(s.total, share.Target)
+		delete(t.total, load.Target)
 		return
 	}
-	s.total[share.Target] = left
+	t.total[load.Target] = left
 }
 
 // Expire drops the boxes that have not reported since a time.
-func (s *Totals) Expire(since time.Time) {
-	for name, b := range s.boxes {
+func (t *Totals) Expire(since time.Time) {
+	for name, b := range t.boxes {
 		if b.reportedAt.Before(since) {
-			s.drop(name)
+			t.drop(name)
 		}
 	}
 }
 
-func (s *Totals) drop(name string) {
-	b := s.boxes[name]
+func (t *Totals) drop(name string) {
+	b := t.boxes[name]
 	if b == nil {
 		return
 	}
-	delete(s.boxes, name)
-	for _, share := range b.shares {
-		s.sub(share)
+	delete(t.boxes, name)
+	for _, load := range b.loads {
+		t.sub(load)
 	}
 }
 
 // Boxes returns how many boxes have reported.
-func (s *Totals) Boxes() int { return len(s.boxes) }
+func (t *Totals) Boxes() int { return len(t.boxes) }
 
 // Of returns the load of all boxes on a target or store.
-func (s *Totals) Of(target uint64) peer.TargetLoad { return s.total[target] }
+func (t *Totals) Of(target uint64) peer.TargetLoad { return t.total[target] }
 
 // Without returns the load by target, leaving out some boxes.
-func (s *Totals) Without(names []string) map[uint64]peer.TargetLoad {
-	rest := maps.Clone(s.total)
+func (t *Totals) Without(names []string) map[uint64]peer.TargetLoad {
+	rest := maps.Clone(t.total)
 	for _, name := range names {
-		b := s.boxes[name]
+		b := t.boxes[name]
 		if b == nil {
 			continue
 		}
-		for target, share := range b.shares {
-			rest[target] = rest[target].Sub(share)
+		for target, load := range b.loads {
+			rest[target] = rest[target].Sub(load)
 		}
 	}
 	return rest
--- a/peerload/peerload_test.go
+++ b/peerload/peerload_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1000, 0)
 
-func share(target uint64, tokens, backlog int) peer.TargetLoad {
+func load(target uint64, tokens, backlog int) peer.TargetLoad {
 	return peer.TargetLoad{Target: target, Tokens: tokens, PrefillBacklog: backlog}
 }
 
@@ -23,25 +23,25 @@
 		boxes           int
 	}{
 		{"reported", func(*peerload.Totals) {}, 30, 3, 2},
-		{"reported again", func(totals *peerload.Totals) { totals.Set(start, "a", []peer.TargetLoad{share(7, 5, 0)}) }, 25, 2, 2},
+		{"reported again", func(totals *peerload.Totals) { totals.Set(start, "a", []peer.TargetLoad{load(7, 5, 0)}) }, 25, 2, 2},
 		{"reports nothing", func(totals *peerload.Totals) { totals.Set(start, "a", nil) }, 20, 2, 2},
-		{"added ahead", func(totals *peerload.Totals) { totals.Add("a", share(7, 100, 50)) }, 130, 53, 2},
+		{"added ahead", func(totals *peerload.Totals) { totals.Add("a", load(7, 100, 50)) }, 130, 53, 2},
 		{"added ahead, then reported", func(totals *peerload.Totals) {
-			totals.Add("a", share(7, 100, 50))
-			totals.Set(start, "a", []peer.TargetLoad{share(7, 110, 0)})
+			totals.Add("a", load(7, 100, 50))
+			totals.Set(start, "a", []peer.TargetLoad{load(7, 110, 0)})
 		}, 130, 2, 2},
-		{"added for an unknown box", func(totals *peerload.Totals) { totals.Add("c", share(7, 100, 50)) }, 30, 3, 2},
+		{"added for an unknown box", func(totals *peerload.Totals) { totals.Add("c", load(7, 100, 50)) }, 30, 3, 2},
 		{"both expired", func(totals *peerload.Totals) { totals.Expire(start.Add(time.Second)) }, 0, 0, 0},
 		{"one expired", func(totals *peerload.Totals) {
-			totals.Set(start.Add(time.Second), "b", []peer.TargetLoad{share(7, 1, 1)})
+			totals.Set(start.Add(time.Second), "b", []peer.TargetLoad{load(7, 1, 1)})
 			totals.Expire(start.Add(time.Second))
 		}, 1, 1, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			totals := peerload.New()
-			totals.Set(start, "a", []peer.TargetLoad{share(7, 10, 1), share(8, 1, 1)})
-			totals.Set(start, "b", []peer.TargetLoad{share(7, 20, 2)})
+			totals.Set(start, "a", []peer.TargetLoad{load(7, 10, 1), load(8, 1, 1)})
+			totals.Set(start, "b", []peer.TargetLoad{load(7, 20, 2)})
 			tt.change(totals)
 			if got := totals.Of(7); got.Tokens != tt.tokens || got.PrefillBacklog != tt.backlog || totals.Boxes() != tt.boxes {
 				t.Errorf("%d, %d of %d boxes, want %d, %d of %d", got.Tokens, got.PrefillBacklog, totals.Boxes(), tt.tokens, tt.backlog, tt.boxes)
@@ -52,10 +52,10 @@
 
 func TestWithout(t *testing.T) {
 	totals := peerload.New()
-	totals.Set(start, "a", []peer.TargetLoad{share(7, 10, 1)})
-	totals.Set(start, "b", []peer.TargetLoad{share(7, 20, 2), share(8, 5, 0)})
+	totals.Set(start, "a", []peer.TargetLoad{load(7, 10, 1)})
+	totals.Set(start, "b", []peer.TargetLoad{load(7, 20, 2), load(8, 5, 0)})
 	without := totals.Without([]string{"a", "unknown"})
-	if without[7] != share(7, 20, 2) || without[8] != share(8, 5, 0) {
+	if without[7] != load(7, 20, 2) || without[8] != load(8, 5, 0) {
 		t.Errorf("without a: %v", without)
 	}
 	if got := totals.Of(7); got.Tokens != 30 {
@@ -74,21 +74,21 @@
 		if random.IntN(2) == 0 && reported[name] != nil {
 			target, tokens := random.Uint64N(5), random.IntN(100)
 			reported[name][target] += tokens
-			totals.Add(name, share(target, tokens, tokens))
+			totals.Add(name, load(target, tokens, tokens))
 		} else {
 			var list []peer.TargetLoad
 			reported[name] = make(map[uint64]int)
 			for target := range random.Uint64N(5) {
 				tokens := random.IntN(100)
 				reported[name][target] = tokens
-				list = append(list, share(target, tokens, tokens))
+				list = append(list, load(target, tokens, tokens))
 			}
 			totals.Set(start, name, list)
 		}
 		for target := range uint64(5) {
 			want := 0
-			for _, one := range reported {
-				want += one[target]
+			for _, loads := range reported {
+				want += loads[target]
 			}
 			if got := totals.Of(target); got.Tokens != want || got.PrefillBacklog != want {
 				t.Fatalf("target %d: %d, %d, want %d", target, got.Tokens, got.PrefillBacklog, want)
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -22,8 +22,8 @@
 
 const (
 	// Threshold is how many targets have to crash under a fingerprint until it is refused.
-	// The platform counts crashes after the third. With two, more requests would be refused
-	// that merely ran on crashing targets.
+	// The platform counts what a request does after the third crash. With two, more requests
+	// would be refused that merely ran on crashing targets.
 	Threshold = 3
 	// Retention is how long a fingerprint is kept after a target crashed under it or it was
 	// refused last. Afterwards it takes Threshold more crashes to refuse it again.
@@ -86,10 +86,10 @@
 // news.
 func (l *List) AddRemote(now time.Time, sum fingerprint.Sum) bool {
 	r := l.of(now, sum)
-	fresh := r.counts() < Threshold
+	news := r.counts() < Threshold
 	r.remote = true
-	l.changed = l.changed || fresh
-	return fresh
+	l.changed = l.changed || news
+	return news
 }
 
 // Answered records a complete answer to a request with the fingerprint. It reports
@@ -129,7 +129,7 @@
 	return 0
 }
 
-// Len is how many fingerprints are remembered.
+// Len returns the number of fingerprints.
 func (l *List) Len() int { return len(l.bySum) }
 
 // Refused returns the refused fingerprints, in order. The caller must not change the
@@ -156,8 +156,8 @@
 	l.changed = l.changed || len(l.bySum) < before
 }
 
-// evictedPart: an eighth of a full list is evicted at once, as a scan for each new record
-// would take the event loop a millisecond each time.
+// evictedPart divides a full list into the part that is evicted at once, an eighth: a sort for
+// each new record would take the event loop a millisecond each time.
 const evictedPart = 8
 
 // of returns the record of a fingerprint. In a full list those with the fewest crashes
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -23,14 +23,14 @@
 // TestRefuses checks which histories lead to a refusal.
 func TestRefuses(t *testing.T) {
 	ended := func(incarnations ...string) func(*quarantine.List) {
-		return func(b *quarantine.List) {
+		return func(l *quarantine.List) {
 			for _, incarnation := range incarnations {
-				b.Ended(start, sum(1), incarnation)
+				l.Ended(start, sum(1), incarnation)
 			}
 		}
 	}
-	answered := func(b *quarantine.List) { b.Answered(start, sum(1)) }
-	remote := func(b *quarantine.List) { b.AddRemote(start, sum(1)) }
+	answered := func(l *quarantine.List) { l.Answered(start, sum(1)) }
+	remote := func(l *quarantine.List) { l.AddRemote(start, sum(1)) }
 	tests := []struct {
 		name     string
 		steps    []func(*quarantine.List)
@@ -54,15 +54,15 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := quarantine.List{}
+			l := quarantine.List{}
 			for _, step := range tt.steps {
-				step(&b)
+				step(&l)
 			}
-			b.Expire(start.Add(tt.after))
-			if got := b.Refuses(start.Add(tt.after), sum(1), tt.suspects); got != tt.want {
+			l.Expire(start.Add(tt.after))
+			if got := l.Refuses(start.Add(tt.after), sum(1), tt.suspects); got != tt.want {
 				t.Errorf("refused: %v, want %v", got, tt.want)
 			}
-			if b.Refuses(start, sum(2), 0) {
+			if l.Refuses(start, sum(2), 0) {
 				t.Error("another fingerprint is refused")
 			}
 		})
@@ -71,26 +71,26 @@
 
 // TestNews checks that each refusal is news exactly once.
 func TestNews(t *testing.T) {
-	b := quarantine.List{}
+	l := quarantine.List{}
 	for i, want := range []bool{false, false, true, false} {
-		if got := b.Ended(start, sum(1), fmt.Sprint(i)); got != want {
+		if got := l.Ended(start, sum(1), fmt.Sprint(i)); got != want {
 			t.Errorf("crash %d: news %v, want %v", i, got, want)
 		}
 	}
-	if b.AddRemote(start, sum(1)) || !b.AddRemote(start, sum(2)) {
+	if l.AddRemote(start, sum(1)) || !l.AddRemote(start, sum(2)) {
 		t.Error("another box's refusal is news unless the fingerprint is refused already")
 	}
-	if got := b.Refused(); !slices.Equal(got, []fingerprint.Sum{sum(1), sum(2)}) {
+	if got := l.Refused(); !slices.Equal(got, []fingerprint.Sum{sum(1), sum(2)}) {
 		t.Errorf("refused: %v", got)
 	}
-	if !b.Answered(start, sum(1)) || b.Answered(start, sum(1)) {
+	if !l.Answered(start, sum(1)) || l.Answered(start, sum(1)) {
 		t.Error("an answer is news while a crash counts")
 	}
-	if got := b.Refused(); !slices.Equal(got, []fingerprint.Sum{sum(2)}) {
+	if got := l.Refused(); !slices.Equal(got, []fingerprint.Sum{sum(2)}) {
 		t.Errorf("refused after an answer: %v", got)
 	}
-	b.Expire(start.Add(quarantine.Retention + 1))
-	if got := b.Refused(); len(got) != 0 {
+	l.Expire(start.Add(quarantine.Retention + 1))
+	if got := l.Refused(); len(got) != 0 {
 		t.Errorf("refused after an hour: %v", got)
 	}
 }
@@ -98,15 +98,15 @@
 // TestKeptWhileRequested checks that a refused fingerprint does not expire while it is
 // requested.
 func TestKeptWhileRequested(t *testing.T) {
-	b := quarantine.List{}
+	l := quarantine.List{}
 	for i := range 3 {
-		b.Ended(start, sum(1), fmt.Sprint(i))
+		l.Ended(start, sum(1), fmt.Sprint(i))
 	}
 	now := start
 	for range 5 {
 		now = now.Add(quarantine.Retention - time.Second)
-		b.Expire(now)
-		if !b.Refuses(now, sum(1), 0) {
+		l.Expire(now)
+		if !l.Refuses(now, sum(1), 0) {
 			t.Fatal("expired though it was refused within the retention")
 		}
 	}
@@ -115,20 +115,20 @@
 // TestBounded fills the list with requests that merely ran on a crashed target: those
 // that are refused must stay.
 func TestBounded(t *testing.T) {
-	b := quarantine.List{}
+	l := quarantine.List{}
 	for i := range 3 {
-		b.Ended(start, sum(1), fmt.Sprint(i))
+		l.Ended(start, sum(1), fmt.Sprint(i))
 	}
 	for i := range 5 * quarantine.MaxEntries {
-		b.Ended(start.Add(time.Duration(i)), sum(2+i), "crowd")
-		if b.Len() > quarantine.MaxEntries {
-			t.Fatalf("%d entries", b.Len())
+		l.Ended(start.Add(time.Duration(i)), sum(2+i), "crowd")
+		if l.Len() > quarantine.MaxEntries {
+			t.Fatalf("%d entries", l.Len())
 		}
 	}
-	if !b.Refuses(start, sum(1), 0) {
+	if !l.Refuses(start, sum(1), 0) {
 		t.Error("a fingerprint with three crashes was evicted for some with one")
 	}
-	if b.Crashes(sum(1+5*quarantine.MaxEntries)) != 1 {
+	if l.Crashes(sum(1+5*quarantine.MaxEntries)) != 1 {
 		t.Error("the newest fingerprint is missing")
 	}
 }
--- a/reclaim/reclaim.go
+++ b/reclaim/reclaim.go
@@ -23,7 +23,7 @@
 	// shortFetch is the time-out on older weights, whose parts are freed soon, and on a box
 	// that cannot know which weights are the newest.
 	shortFetch = 2 * time.Second
-	// maxProofAge is the age of a box's proof of the operator's rows from which it cannot
+	// maxProofAge is the age of a box's proof of the operator's rows beyond which it cannot
 	// know the newest weights. Reads are long polls of 1.5 s, so a healthy box's proof is at
 	// most 3 s old.
 	maxProofAge = 3200 * time.Millisecond
--- a/retention/retention.go
+++ b/retention/retention.go
@@ -52,7 +52,7 @@
 // Observe records a prompt of an account and whether it returned, that is, was there
 // before. Older prompts decay, so that the share follows the account.
 func (p *Policy) Observe(account string, returned bool) {
-	const fade = 0.995
+	const decay = 0.995
 	if p.counts == nil {
 		p.counts = make(map[string]*counts)
 	}
@@ -61,8 +61,8 @@
 		s = &counts{all: priorWeight, returned: priorWeight * priorReturns}
 		p.counts[account] = s
 	}
-	s.all = s.all*fade + 1
-	s.returned *= fade
+	s.all = s.all*decay + 1
+	s.returned *= decay
 	if returned {
 		s.returned++
 	}
--- a/retryafter/retryafter.go
+++ b/retryafter/retryafter.go
@@ -33,9 +33,9 @@
 	MaxOutage = 1500 * time.Millisecond
 	// fromGoal and spanGoal are, as shares of the route's goal, the start and the length of
 	// the span for callers that found no memory free, so early that an answer can still come
-	// within the goal. With goals of 0.4 to 0.6 s that is about the same as soon; with 1.2
-	// s, 4 in 1,000 callers more were answered in time while engines loaded weights in turn.
-	// From 0.3 to 0.6 of the goal, 4 to 9 in 1,000 fewer were.
+	// within the goal. With goals of 0.4 to 0.6 s that is about the same as soon; with goals
+	// of 1.2 s, 4 in 1,000 callers more were answered in time while engines loaded weights
+	// in turn. With a span from 0.3 to 0.6 of the goal, 4 to 9 in 1,000 fewer were.
 	fromGoal = 0.1
 	spanGoal = 0.2
 	// pastGoal is the start and the length of the span for callers whose request would have
--- a/retryafter/simulation_test.go
+++ b/retryafter/simulation_test.go
@@ -33,7 +33,7 @@
 	capacity = 60000.0
 	// ends is when the last caller arrives; callers count from `from` on.
 	ends, from = 40 * time.Second, 10 * time.Second
-	histories  = 24
+	seeds      = 24
 	outage     = "outage"
 	noTarget   = "no target"
 )
@@ -107,24 +107,24 @@
 func estimated(p *simulation, b *box, c *caller, cause string) time.Duration {
 	switch {
 	case cause == "":
-		return b.returns.MemoryFull(c.goal, c.priority)
-	case cause == outage && slices.ContainsFunc(p.boxes, func(b *box) bool { return !b.out }):
-		return b.returns.Soon(c.priority)
+		return b.estimator.MemoryFull(c.goal, c.priority)
+	case cause == outage && slices.ContainsFunc(p.boxes, func(b *box) bool { return !b.down }):
+		return b.estimator.Soon(c.priority)
 	}
-	return b.returns.DuringOutage(p.time(), cause, c.priority)
+	return b.estimator.DuringOutage(p.time(), cause, c.priority)
 }
 
 // isolated is the same for boxes without gossip.
 func isolated(p *simulation, b *box, c *caller, cause string) time.Duration {
 	if cause == outage {
-		return b.returns.DuringOutage(p.time(), cause, c.priority)
+		return b.estimator.DuringOutage(p.time(), cause, c.priority)
 	}
 	return estimated(p, b, c, cause)
 }
 
 type box struct {
-	returns retryafter.Estimator
-	out     bool
+	estimator retryafter.Estimator
+	down      bool
 }
 
 // simulation is one run.
@@ -145,7 +145,7 @@
 func newSimulation(s scenario, w strategy, seed uint64) *simulation {
 	p := &simulation{scenario: s, strategy: w, arrivals: rand.New(rand.NewPCG(seed, 1)), rng: rand.New(rand.NewPCG(seed, 2))}
 	for range boxes {
-		p.boxes = append(p.boxes, &box{returns: retryafter.Estimator{Draw: p.rng.Float64}})
+		p.boxes = append(p.boxes, &box{estimator: retryafter.Estimator{Draw: p.rng.Float64}})
 	}
 	return p
 }
@@ -212,8 +212,8 @@
 		begin := time.Duration(i+1) * 10 * time.Second
 		length := p.shortest + time.Duration(p.arrivals.Float64()*float64(p.longest-p.shortest))
 		for _, b := range p.boxes[:int(p.hit*boxes)] {
-			p.after(begin, func() { b.out = true; b.returns.Started(p.time(), outage) })
-			p.after(begin+length, func() { b.out = false; b.returns.Ended(p.time(), outage) })
+			p.after(begin, func() { b.down = true; b.estimator.Started(p.time(), outage) })
+			p.after(begin+length, func() { b.down = false; b.estimator.Ended(p.time(), outage) })
 		}
 	}
 	for i := range engines {
@@ -231,20 +231,20 @@
 func (p *simulation) attempt(c *caller) {
 	c.attempts++
 	b := p.boxes[p.rng.IntN(boxes)]
-	if b.out && c.attempts > 1 {
+	if b.down && c.attempts > 1 {
 		b = p.boxes[boxes-1]
 	}
-	if b.out {
+	if b.down {
 		p.refused(c, p.strategy(p, b, c, outage))
 		return
 	}
 	best := p.best()
 	if best < 0 {
-		b.returns.Started(p.time(), noTarget)
+		b.estimator.Started(p.time(), noTarget)
 		p.refused(c, p.strategy(p, b, c, noTarget))
 		return
 	}
-	b.returns.Ended(p.time(), noTarget)
+	b.estimator.Ended(p.time(), noTarget)
 	fill := 1.15
 	if c.priority == len(kinds)-1 {
 		fill = 0.92
@@ -301,14 +301,14 @@
 // runs simulates a scenario with one strategy under several seeds.
 func runs(s scenario, w strategy) figures {
 	var all []*caller
-	for seed := range uint64(histories) {
+	for seed := range uint64(seeds) {
 		all = append(all, newSimulation(s, w, seed).run()...)
 	}
 	var times []time.Duration
 	var f figures
-	came, served := make([]float64, len(kinds)), make([]float64, len(kinds))
+	arrived, served := make([]float64, len(kinds)), make([]float64, len(kinds))
 	for _, c := range all {
-		came[c.priority]++
+		arrived[c.priority]++
 		if c.served == 0 {
 			continue
 		}
@@ -326,7 +326,7 @@
 	f.served = n / float64(len(all))
 	f.least = 1
 	for i := range kinds {
-		f.least = min(f.least, served[i]/came[i])
+		f.least = min(f.least, served[i]/arrived[i])
 	}
 	f.median, f.p95, f.worst = times[len(times)/2], times[len(times)*95/100], times[len(times)-1]
 	return f
--- a/slowstart/slowstart.go
+++ b/slowstart/slowstart.go
@@ -40,7 +40,7 @@
 
 // Limit returns how many requests all boxes may send to a cold target within the window,
 // if it can serve a rate a second, and the platform allows a factor of that plus extra.
-func Limit(rate, factor, more float64) int { return int(usable * (rate*factor + more)) }
+func Limit(rate, factor, extra float64) int { return int(usable * (rate*factor + extra)) }
 
 // Share returns how many of limit requests a box may send, of the boxes that place
 // requests, to the target with this hash. It is zero for a box that is not in the list.
--- a/slowstart/slowstart_test.go
+++ b/slowstart/slowstart_test.go
@@ -73,25 +73,25 @@
 func history(seed uint64, n int, limited bool) []arrival {
 	random := rand.New(rand.NewPCG(seed, 1))
 	all := boxes(n)
-	gates := make([]slowstart.Limiter, n)
+	limiters := make([]slowstart.Limiter, n)
 	limit := slowstart.Limit(rate, 1.5, 5)
 	target := placement.Hash(fmt.Sprint("target", seed))
 	// One box has joined that the others do not know of yet.
 	joined := append(slices.Clone(all), "box-new")
-	newGate := slowstart.Limiter{}
+	newLimiter := slowstart.Limiter{}
 	var list []arrival
 	for now := time.Duration(0); now < 4*time.Second; now += time.Millisecond {
 		for range random.IntN(3) {
 			i := random.IntN(n + 1)
-			gate, share := &newGate, slowstart.Share(limit, target, "box-new", joined)
+			limiter, share := &newLimiter, slowstart.Share(limit, target, "box-new", joined)
 			if i < n {
-				gate, share = &gates[i], slowstart.Share(limit, target, all[i], all)
+				limiter, share = &limiters[i], slowstart.Share(limit, target, all[i], all)
 			}
 			at := start.Add(now)
-			if limited && !gate.Allow(at, target, share) {
+			if limited && !limiter.Allow(at, target, share) {
 				continue
 			}
-			gate.Take(at, target)
+			limiter.Take(at, target)
 			delay := time.Duration(random.IntN(200)) * time.Millisecond
 			list = append(list, arrival{now, now + delay})
 		}
@@ -102,7 +102,7 @@
 
 // maxPerSecond returns the most requests that were sent and arrived within one second.
 func maxPerSecond(list []arrival) int {
-	limit := 0
+	most := 0
 	for _, first := range list {
 		n := 0
 		for _, x := range list {
@@ -110,9 +110,9 @@
 				n++
 			}
 		}
-		limit = max(limit, n)
+		most = max(most, n)
 	}
-	return limit
+	return most
 }
 
 // TestHerd guards against a cold target that gets more than its bound: up to 2,000
@@ -136,7 +136,7 @@
 }
 
 func TestLimiter(t *testing.T) {
-	var g slowstart.Limiter
+	var l slowstart.Limiter
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	tests := []struct {
 		ms, share int
@@ -154,19 +154,19 @@
 		{1260, 3, true},
 	}
 	for _, tt := range tests {
-		if room := g.Allow(at(tt.ms), 1, tt.share); room != tt.room {
+		if room := l.Allow(at(tt.ms), 1, tt.share); room != tt.room {
 			t.Errorf("after %d ms, share %d: allowed %v", tt.ms, tt.share, room)
 			continue
 		}
 		if tt.room {
-			g.Take(at(tt.ms), 1)
+			l.Take(at(tt.ms), 1)
 		}
 	}
-	if !g.Allow(at(1260), 2, 1) {
+	if !l.Allow(at(1260), 2, 1) {
 		t.Error("another target is not allowed")
 	}
-	g.Expire(at(5000))
-	if !g.Allow(at(5000), 1, 1) {
+	l.Expire(at(5000))
+	if !l.Allow(at(5000), 1, 1) {
 		t.Error("an expired target is not allowed")
 	}
 }
--- a/throughput/throughput.go
+++ b/throughput/throughput.go
@@ -81,15 +81,15 @@
 	base, token := e.Prefill()
 	took = max(took-base-time.Duration(s.Tokens)*token, 0)
 	var all time.Duration
-	for _, m := range s.Transfers {
-		all += m.Expected
+	for _, t := range s.Transfers {
+		all += t.Expected
 	}
 	if all <= 0 {
 		return
 	}
 	took = min(took, all) + max(took-all-scatter, 0)
-	for _, m := range s.Transfers {
-		e.of(now, m.Source).add(m.Expected, time.Duration(float64(took)*float64(m.Expected)/float64(all)))
+	for _, t := range s.Transfers {
+		e.of(now, t.Source).add(t.Expected, time.Duration(float64(took)*float64(t.Expected)/float64(all)))
 	}
 }
 
--- a/throughput/throughput_test.go
+++ b/throughput/throughput_test.go
@@ -73,7 +73,7 @@
 		// transfers is how many there were, expected how long each takes over an idle link,
 		// took how long it took.
 		transfers int
-		takes     time.Duration
+		expected  time.Duration
 		took      time.Duration
 		later     time.Duration
 		least     float64
@@ -94,7 +94,7 @@
 			var e throughput.Estimator
 			base, _ := e.Prefill()
 			for range tt.transfers {
-				e.Observe(start, throughput.Sample{Took: base + tt.took, Transfers: []throughput.Transfer{{Source: store, Expected: tt.takes}}})
+				e.Observe(start, throughput.Sample{Took: base + tt.took, Transfers: []throughput.Transfer{{Source: store, Expected: tt.expected}}})
 			}
 			got := throughput.Slowdown(e.Transferred(start.Add(tt.later), store))
 			if got < tt.least || got > tt.most {
--- a/versionlog/versionlog.go
+++ b/versionlog/versionlog.go
@@ -133,7 +133,7 @@
 // Trim drops readings of versions that the record no longer holds.
 func (l *Log) Trim() {
 	least := l.Least()
-	over := func(version int64, _ time.Duration) bool { return version < least }
-	maps.DeleteFunc(l.proved, over)
-	maps.DeleteFunc(l.assumed, over)
+	old := func(version int64, _ time.Duration) bool { return version < least }
+	maps.DeleteFunc(l.proved, old)
+	maps.DeleteFunc(l.assumed, old)
 }
