--- a/entry/departed.go
+++ b/entry/departed.go
@@ -26,21 +26,21 @@
 	until time.Time
 }
 
-// staleEntryFor is how long an entry whose target is gone may stand in a list that came from
+// staleEntryTTL is how long an entry whose target is gone may stand in a list that came from
 // an older copy: the platform drops one behind three heartbeats of silence, some 4 s.
-const staleEntryFor = 10 * time.Second
+const staleEntryTTL = 10 * time.Second
 
-// departedFor is how long departures are remembered: a copy is some seconds old.
-const departedFor = time.Minute
+// tombstoneTTL is how long departures are remembered: a copy is some seconds old.
+const tombstoneTTL = time.Minute
 
-// holdBack keeps an entry of a restored list from being taken over, if its target went from the
+// holdEntry keeps an entry of a restored list from being taken over, if its target went from the
 // list before: it may still serve, but nobody is to send it anything.
-func (d *Daemon) holdBack(now time.Time, t *tables, e fleet.Entry) bool {
+func (d *Daemon) holdEntry(now time.Time, t *tables, e fleet.Entry) bool {
 	last, known := t.tombstones[e.ID]
-	if !known || e.StartedAt.After(last.life.StartedAt) || now.Sub(last.at) > departedFor {
+	if !known || e.StartedAt.After(last.life.StartedAt) || now.Sub(last.at) > tombstoneTTL {
 		return false
 	}
-	held := heldEntry{entry: e, until: now.Add(staleEntryFor)}
+	held := heldEntry{entry: e, until: now.Add(staleEntryTTL)}
 	if last.leaving {
 		held.until = time.Time{}
 	}
@@ -60,5 +60,5 @@
 		d.Log.Info("target's entry is taken over, as the list kept it", "target", id)
 		d.listTarget(now, t, held.entry)
 	}
-	maps.DeleteFunc(t.tombstones, func(_ string, x tombstone) bool { return now.Sub(x.at) > departedFor })
+	maps.DeleteFunc(t.tombstones, func(_ string, x tombstone) bool { return now.Sub(x.at) > tombstoneTTL })
 }
--- a/entry/evacuate.go
+++ b/entry/evacuate.go
@@ -21,7 +21,7 @@
 	t.evacuatedAt = now
 	wanted := m.change.Evacuations
 	if m.change.Snapshot {
-		d.evacuationsMissing(now, t, m)
+		d.revokeMissing(now, t, m)
 	}
 	for _, domain := range slices.Sorted(maps.Keys(wanted)) {
 		delete(t.lostEvacuations, domain)
@@ -29,9 +29,9 @@
 	}
 }
 
-// evacuationsMissing takes back the evacuations that a whole read lacks, but for those that a
+// revokeMissing takes back the evacuations that a whole read lacks, but for those that a
 // restore lost: they stand until the operator has had the time to ask again.
-func (d *Daemon) evacuationsMissing(now time.Time, t *tables, m operatorRead) {
+func (d *Daemon) revokeMissing(now time.Time, t *tables, m operatorRead) {
 	for _, domain := range t.fleet.Evacuated() {
 		_, lost := t.lostEvacuations[domain]
 		switch {
@@ -56,9 +56,9 @@
 	}
 }
 
-// evacuationsFromHub takes over the domains that a hub knows to be evacuated, which
+// applyHubEvacuations takes over the domains that a hub knows to be evacuated, which
 // was so at a time at the earliest.
-func (d *Daemon) evacuationsFromHub(now time.Time, t *tables, hub string, proof time.Time, domains []string) {
+func (d *Daemon) applyHubEvacuations(now time.Time, t *tables, hub string, proof time.Time, domains []string) {
 	if proof.Before(t.evacuatedAt) {
 		return
 	}
--- a/entry/evacuate_test.go
+++ b/entry/evacuate_test.go
@@ -22,8 +22,8 @@
 	return d
 }
 
-// domainsUsed places some requests and returns the domains that got them.
-func domainsUsed(d *Daemon, now time.Time) []string {
+// placedDomains places some requests and returns the domains that got them.
+func placedDomains(d *Daemon, now time.Time) []string {
 	used := make(map[string]bool)
 	for range 12 {
 		ask := deliver.PlacementRequest{Job: &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{}, Pool: &routing.Pool{Name: "orders"}}}
@@ -51,7 +51,7 @@
 		}
 	}
 	hub := func(seconds int, domains ...string) func(*Daemon) {
-		return func(d *Daemon) { d.evacuationsFromHub(at(seconds), &d.tables, "hub", at(seconds), domains) }
+		return func(d *Daemon) { d.applyHubEvacuations(at(seconds), &d.tables, "hub", at(seconds), domains) }
 	}
 	enters := func(domain string) func(*Daemon) {
 		return func(d *Daemon) {
@@ -82,16 +82,16 @@
 			for _, step := range tt.steps {
 				step(d)
 			}
-			if got := domainsUsed(d, at(3)); !slices.Equal(got, tt.want) {
+			if got := placedDomains(d, at(3)); !slices.Equal(got, tt.want) {
 				t.Errorf("work goes to %v, want %v", got, tt.want)
 			}
 		})
 	}
 }
 
-// TestEvacuationTravels shows that a hub's view tells of evacuations, and that its
+// TestEvacuationInView shows that a hub's view tells of evacuations, and that its
 // place in an evacuated domain is not taken by a box that knows better.
-func TestEvacuationTravels(t *testing.T) {
+func TestEvacuationInView(t *testing.T) {
 	d := boxWithThreeDomains()
 	d.tables.fleet.Evacuate("b", true)
 	if v := d.view(start, &d.tables, changelog.Cursor{}); !slices.Equal(v.Evacuated, []string{"b"}) {
@@ -122,7 +122,7 @@
 		d.bounds.Store(&bounds)
 		proved := start
 		d.provedAt.Store(&proved)
-		if served := domainsUsed(d, start.Add(tt.ago)) != nil; served != tt.served {
+		if served := placedDomains(d, start.Add(tt.ago)) != nil; served != tt.served {
 			t.Errorf("bound %v and %v, proof %v old: served %v", tt.within, tt.stretch, tt.ago, served)
 		}
 	}
--- a/entry/follow.go
+++ b/entry/follow.go
@@ -13,20 +13,20 @@
 
 // How the sources of kept parts are followed.
 const (
-	// newsHold is how long a source holds a call without news. Calls held for
+	// eventsHold is how long a source holds a call without news. Calls held for
 	// less than 200 ms are priced; a longer one notices a dead source later.
-	newsHold = 400 * time.Millisecond
-	// newsEvery is the least time between two calls to one source: with some 14
+	eventsHold = 400 * time.Millisecond
+	// eventsInterval is the least time between two calls to one source: with some 14
 	// sources, 70 calls a second cost about a hundredth of a core.
-	newsEvery = 200 * time.Millisecond
-	// loneEvery is the time between two calls to one store by a box that hears no
+	eventsInterval = 200 * time.Millisecond
+	// hublessInterval is the time between two calls to one store by a box that hears no
 	// hub. They are not held and so priced.
-	loneEvery = time.Second
-	// newsAgain is the pause after a call that failed, newsLater the longest if the source
+	hublessInterval = time.Second
+	// eventsRetryDelay is the pause after a call that failed, newsLater the longest if the source
 	// turned it away and asked for more, which is what targets seen ask for: without news
 	// its parts are read again elsewhere.
-	newsAgain = 300 * time.Millisecond
-	newsLater = 3 * time.Second
+	eventsRetryDelay = 300 * time.Millisecond
+	maxEventsBackoff = 3 * time.Second
 )
 
 // configureStores takes the stores of kept parts from the configuration.
@@ -38,16 +38,16 @@
 		}
 		t.stores = append(t.stores, &affinity.Source{
 			Name: p.Name, Address: p.Store.Address, Domain: p.Store.Domain, Capacity: p.Store.Capacity,
-			Delay: p.Store.TransferDelay, PerToken: move(tokenBytes(table), p.Store.Megabits),
+			Delay: p.Store.TransferDelay, PerToken: transferTime(tokenBytes(table), p.Store.Megabits),
 		})
 	}
-	t.engineToken = move(tokenBytes(table), engineMegabits(table))
+	t.engineToken = transferTime(tokenBytes(table), engineMegabits(table))
 	slices.SortFunc(t.stores, func(a, b *affinity.Source) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// usualTokenBytes is the size of one token's memory, for stores without any
+// defaultTokenBytes is the size of one token's memory, for stores without any
 // pool of engines.
-const usualTokenBytes = 35136
+const defaultTokenBytes = 35136
 
 func tokenBytes(table *routing.Table) int {
 	for _, p := range table.Pools {
@@ -55,7 +55,7 @@
 			return p.Engine.TokenBytes
 		}
 	}
-	return usualTokenBytes
+	return defaultTokenBytes
 }
 
 func engineMegabits(table *routing.Table) float64 {
@@ -67,8 +67,8 @@
 	return 0
 }
 
-// move is the time to move some bytes over a link.
-func move(bytes int, megabits float64) time.Duration {
+// transferTime is the time to move some bytes over a link.
+func transferTime(bytes int, megabits float64) time.Duration {
 	if megabits <= 0 {
 		return time.Millisecond
 	}
@@ -82,13 +82,13 @@
 	wanted := make(map[string]netip.AddrPort)
 	lone := d.hubless(now, t)
 	if !t.membersKnown || d.spoke.Load() && !lone {
-		return d.followOnly(t, wanted, false)
+		return d.watchOnly(t, wanted, false)
 	}
 	for _, s := range t.stores {
 		wanted[s.Name] = s.Address
 	}
 	if lone {
-		return d.followOnly(t, wanted, true)
+		return d.watchOnly(t, wanted, true)
 	}
 	if table := d.current.Load(); table != nil {
 		for name, p := range table.Pools {
@@ -100,12 +100,12 @@
 			}
 		}
 	}
-	return d.followOnly(t, wanted, false)
+	return d.watchOnly(t, wanted, false)
 }
 
-// followOnly has just the sources given followed. What others keep is not used
+// watchOnly has just the sources given followed. What others keep is not used
 // any more, as it may change unheard.
-func (d *Daemon) followOnly(t *tables, wanted map[string]netip.AddrPort, alone bool) []effect {
+func (d *Daemon) watchOnly(t *tables, wanted map[string]netip.AddrPort, alone bool) []effect {
 	for name, stop := range t.watched {
 		if _, still := wanted[name]; !still || alone != t.followsHubless {
 			stop()
@@ -122,9 +122,9 @@
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		t.watched[name] = stop
-		effect := watchSource{ctx: ctx, name: name, at: at, hold: newsHold, every: newsEvery}
+		effect := watchSource{ctx: ctx, name: name, at: at, hold: eventsHold, every: eventsInterval}
 		if alone {
-			effect.hold, effect.every = 0, loneEvery
+			effect.hold, effect.every = 0, hublessInterval
 		}
 		effects = append(effects, effect)
 	}
@@ -151,7 +151,7 @@
 		}
 		d.postContext(ctx, m)
 		if m.err != nil {
-			d.sleep(ctx, max(newsAgain, min(m.events.Signals.Backoff, newsLater)))
+			d.sleep(ctx, max(eventsRetryDelay, min(m.events.Signals.Backoff, maxEventsBackoff)))
 			continue
 		}
 		since = m.events.Next
--- a/entry/follow_test.go
+++ b/entry/follow_test.go
@@ -11,9 +11,9 @@
 	"github.com/thymewind/thymewind/notice"
 )
 
-// TestNewsTurnedAway has a source turn the calls for its news away: it is asked again when
+// TestCacheEventsBackoff has a source turn the calls for its news away: it is asked again when
 // it said, within bounds.
-func TestNewsTurnedAway(t *testing.T) {
+func TestCacheEventsBackoff(t *testing.T) {
 	tests := []struct {
 		name  string
 		after time.Duration
@@ -36,7 +36,7 @@
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 6*time.Second-time.Millisecond)
 				defer cancel()
-				d.watchSource(ctx, watchSource{ctx: ctx, name: "a", hold: newsHold, every: newsEvery})
+				d.watchSource(ctx, watchSource{ctx: ctx, name: "a", hold: eventsHold, every: eventsInterval})
 				if calls != tt.calls {
 					t.Errorf("%d calls, want %d", calls, tt.calls)
 				}
--- a/entry/gossip.go
+++ b/entry/gossip.go
@@ -15,13 +15,13 @@
 
 // How boxes tell each other what their requests take up at the targets.
 const (
-	// gossipEvery is how often each pair of boxes exchanges shares; a request
+	// gossipInterval is how often each pair of boxes exchanges shares; a request
 	// takes some seconds.
-	gossipEvery = 150 * time.Millisecond
-	// hubsEvery is the same among hubs, each of which places some 200 requests a
+	gossipInterval = 150 * time.Millisecond
+	// hubGossipInterval is the same among hubs, each of which places some 200 requests a
 	// second: what the others do not know of meanwhile meets theirs at the same
 	// targets.
-	hubsEvery = 50 * time.Millisecond
+	hubGossipInterval = 50 * time.Millisecond
 	// spokeGossipInterval is how often a box tells its hub: some 40 do. What its requests no
 	// longer take up counts until then.
 	spokeGossipInterval = 150 * time.Millisecond
@@ -71,20 +71,20 @@
 	if now.Before(t.due.gossip) || d.credential.Load() == nil {
 		return nil
 	}
-	t.due.gossip = now.Add(d.gossipPause(t))
+	t.due.gossip = now.Add(d.nextGossipDelay(t))
 	message := peer.Message{
 		Kind: peer.KindGossip, From: d.Settings.Name, TargetLoads: d.gossipLoads(now, t), PrefillTotals: t.prefillBacklog.Totals(now),
-		EndedIncarnations: t.replacedLately(now), Stale: d.refusesKeyed(now), CrashReports: t.recentCrashes(now), Lifted: t.recentlyLifted(now), ListRevision: t.listChanged,
+		EndedIncarnations: t.recentlyReplaced(now), Stale: d.refusesKeyed(now), CrashReports: t.recentCrashes(now), Lifted: t.recentlyLifted(now), ListRevision: t.listChanged,
 		Domain: d.Settings.Domain, Unlisted: t.unlistedMet,
 	}
 	if !t.usesHubs() {
-		d.tellProof(now, t, &message)
+		d.addProof(now, t, &message)
 	}
-	return d.callPartners(now, t, message)
+	return d.callGossipPartners(now, t, message)
 }
 
-// tellProof tells what this box knows of the operator's rows, and since when.
-func (d *Daemon) tellProof(now time.Time, t *tables, m *peer.Message) {
+// addProof tells what this box knows of the operator's rows, and since when.
+func (d *Daemon) addProof(now time.Time, t *tables, m *peer.Message) {
 	m.OperatorRevision, m.ProofAgeMS, m.ConfigurationVersion = t.operatorChange, d.provedAgo(now).Milliseconds(), d.version()
 }
 
@@ -96,21 +96,21 @@
 	return d.gossipDue(now, t)
 }
 
-// gossipPause is how long this box waits until it tells others again.
-func (d *Daemon) gossipPause(t *tables) time.Duration {
+// nextGossipDelay is how long this box waits until it tells others again.
+func (d *Daemon) nextGossipDelay(t *tables) time.Duration {
 	switch {
 	case d.spoke.Load():
 		return spokeGossipInterval
 	case t.usesHubs():
-		return hubsEvery
+		return hubGossipInterval
 	}
-	return gossipEvery
+	return gossipInterval
 }
 
-// callPartners has a message sent to the boxes that this one calls.
-func (d *Daemon) callPartners(now time.Time, t *tables, message peer.Message) []effect {
+// callGossipPartners has a message sent to the boxes that this one calls.
+func (d *Daemon) callGossipPartners(now time.Time, t *tables, message peer.Message) []effect {
 	var effects []effect
-	for _, name := range d.partners(now, t) {
+	for _, name := range d.gossipPartners(now, t) {
 		m := t.members[name]
 		if !m.address.IsValid() || m.calling || now.Before(m.retryAt) {
 			continue
@@ -128,10 +128,10 @@
 	return effects
 }
 
-// partners are the boxes that this one calls.
-func (d *Daemon) partners(now time.Time, t *tables) []string {
+// gossipPartners are the boxes that this one calls.
+func (d *Daemon) gossipPartners(now time.Time, t *tables) []string {
 	if d.spoke.Load() {
-		if hub := d.myHub(now, t); hub != "" {
+		if hub := d.viewHub(now, t); hub != "" {
 			return []string{hub}
 		}
 		return nil
@@ -151,23 +151,23 @@
 	if !t.usesHubs() {
 		return slices.Sorted(maps.Keys(t.members))
 	}
-	t.freshRanks()
+	t.refreshRanks()
 	if t.topHubs == nil {
-		t.topHubs = t.firstOfEach()
+		t.topHubs = t.topOfEachDomain()
 	}
 	return t.topHubs
 }
 
-// firstOfEach lists the first boxes of each domain.
-func (t *tables) firstOfEach() []string {
+// topOfEachDomain lists the first boxes of each domain.
+func (t *tables) topOfEachDomain() []string {
 	var names []string
 	domains := make(map[string]bool)
 	for _, m := range t.members {
 		domains[m.domain] = true
 	}
 	for domain := range domains {
-		list := t.ranked(domain)
-		names = append(names, list[:min(standbys, len(list))]...)
+		list := t.rankedHubs(domain)
+		names = append(names, list[:min(hubsPerDomain, len(list))]...)
 	}
 	return names
 }
@@ -208,23 +208,23 @@
 		l := d.retryBudget.Load()
 		answer.RetryGranted = l != nil && l.local && d.sharedRetryBudget.Spend(m.RetryPool)
 	default:
-		d.meet(now, t, m)
-		d.hearReplaced(now, t, m)
+		d.meetUnlisted(now, t, m)
+		d.receiveReplaced(now, t, m)
 		d.receiveQuarantine(now, t, m)
 		d.receiveAdmitting(now, m)
 		d.receiveLimits(now, now, t, m)
-		t.heardFrom(now, m.From)
+		t.markHeard(now, m.From)
 		answer.RateLimits = d.limitsFor(now, t.members[m.From])
-		answer.EndedIncarnations, answer.Stale = t.replacedLately(now), d.refusesKeyed(now)
+		answer.EndedIncarnations, answer.Stale = t.recentlyReplaced(now), d.refusesKeyed(now)
 		answer.CrashReports, answer.Lifted = t.recentCrashes(now), t.recentlyLifted(now)
 		d.applyUsage(now, t, m)
 		if !t.usesHubs() || slices.Contains(t.hubs(), m.From) {
 			answer.TargetLoads, answer.PrefillTotals = d.gossipLoads(now, t), t.prefillBacklog.Totals(now)
-			d.tellProof(now, t, &answer)
-			d.hearSettled(t, m)
-			d.hearListed(now, t, m)
+			d.addProof(now, t, &answer)
+			d.receiveRewritten(t, m)
+			d.receiveListRevision(now, t, m)
 			answer.ListRevision, answer.Unlisted = t.listChanged, t.unlistedMet
-			t.hearCount(now, m)
+			t.receiveUnlistedCount(now, m)
 			d.receiveCanarySamples(now, t, m.CanarySamples)
 			if m.CanarySamples != nil {
 				answer.CanarySamples = d.canarySamples(t, now.Add(-2*canaryGossipEvery), true)
@@ -248,7 +248,7 @@
 	}
 	x.calling = false
 	if errors.Is(m.err, peer.ErrSilent) {
-		x.retryAt = now.Add(gossipEvery) // A new connection may work.
+		x.retryAt = now.Add(gossipInterval) // A new connection may work.
 		return nil
 	}
 	failed := m.err != nil || m.m.Error != ""
@@ -260,34 +260,34 @@
 		x.retryAt = now.Add(gossipRetryDelay)
 		return nil
 	}
-	d.hearReplaced(now, t, m.m)
+	d.receiveReplaced(now, t, m.m)
 	d.receiveQuarantine(now, t, m.m)
 	d.receiveAdmitting(now, m.m)
 	d.receiveLimits(now, m.asked, t, m.m)
 	x.heardAt = now
 	if d.spoke.Load() {
 		t.hubHeardAt = now
-		return d.viewRead(now, t, m.name, m.asked, m.m.View)
+		return d.applyView(now, t, m.name, m.asked, m.m.View)
 	}
 	d.applyUsage(now, t, m.m)
-	d.hearProof(t, m.asked, m.m)
-	d.hearSettled(t, m.m)
-	t.hearCount(now, m.m)
+	d.receiveProof(t, m.asked, m.m)
+	d.receiveRewritten(t, m.m)
+	t.receiveUnlistedCount(now, m.m)
 	d.receiveCanarySamples(now, t, m.m.CanarySamples)
-	d.hearListed(now, t, m.m)
+	d.receiveListRevision(now, t, m.m)
 	return nil
 }
 
-// heardFrom notes that a box called.
-func (t *tables) heardFrom(now time.Time, name string) {
+// markHeard notes that a box called.
+func (t *tables) markHeard(now time.Time, name string) {
 	if m := t.members[name]; m != nil {
 		m.heardAt = now
 	}
 }
 
-// replacedLately lists the targets that were found replaced so lately that other
+// recentlyReplaced lists the targets that were found replaced so lately that other
 // boxes may not know.
-func (t *tables) replacedLately(now time.Time) []peer.Incarnation {
+func (t *tables) recentlyReplaced(now time.Time) []peer.Incarnation {
 	var list []peer.Incarnation
 	for _, life := range t.fleet.Ended(now.Add(-announceFor)) {
 		list = append(list, peer.Incarnation{ID: life.ID, StartedMS: unixMS(life.StartedAt)})
@@ -311,8 +311,8 @@
 	return time.UnixMilli(ms)
 }
 
-// hearReplaced takes over which targets another box found replaced.
-func (d *Daemon) hearReplaced(now time.Time, t *tables, m peer.Message) {
+// receiveReplaced takes over which targets another box found replaced.
+func (d *Daemon) receiveReplaced(now time.Time, t *tables, m peer.Message) {
 	for _, life := range m.EndedIncarnations {
 		d.dropReplaced(now, t, fleet.Incarnation{ID: life.ID, StartedAt: fromUnixMS(life.StartedMS)}, m.From)
 	}
--- a/entry/hub.go
+++ b/entry/hub.go
@@ -15,27 +15,27 @@
 // Nobody elects hubs. Each box ranks the boxes of a domain in the same way, and
 // asks the first that answers.
 const (
-	// meshBoxes is the most boxes that do without hubs: a source serves 12
+	// maxMeshBoxes is the most boxes that do without hubs: a source serves 12
 	// followers, and a box spends about a hundredth of a core on 12 calls each
 	// 150 ms.
-	meshBoxes = 12
-	// standbys is how many boxes of a domain follow all along, so that one is
+	maxMeshBoxes = 12
+	// hubsPerDomain is how many boxes of a domain follow all along, so that one is
 	// warm when another ends.
-	standbys = 2
-	// hubFor is how long a box that was asked for a place goes on as a hub.
-	hubFor = 5 * time.Second
-	// hubTries is how many boxes of a domain are tried before others.
-	hubTries = 4
-	// viewFor is how old a hub's proof of the configuration may be before this
+	hubsPerDomain = 2
+	// hubLinger is how long a box that was asked for a place goes on as a hub.
+	hubLinger = 5 * time.Second
+	// maxOwnHubs is how many boxes of a domain are tried before others.
+	maxOwnHubs = 4
+	// viewTTL is how old a hub's proof of the configuration may be before this
 	// box reads the table service itself. A sound hub's is at most 1.1 s old, and
 	// the platform's bound for a change is 2 to 3 s.
-	viewFor = 1600 * time.Millisecond
-	// staleView is how old a hub's own proof may be before another hub is asked:
+	viewTTL = 1600 * time.Millisecond
+	// maxHubProofAge is how old a hub's own proof may be before another hub is asked:
 	// a sound hub's is at most twice the hold of its reads.
-	staleView = 3 * hubHold
-	// strong is the share of the strongest box's processor that a hub has at
+	maxHubProofAge = 3 * hubHold
+	// hubMinShare is the share of the strongest box's processor that a hub has at
 	// least: following all sources takes a weak box all of its own.
-	strong = 0.5
+	hubMinShare = 0.5
 	// hublessAfter is how long a box may hear no hub before it follows the stores
 	// of kept parts itself. Gossip with the next hub takes 0.6 s.
 	hublessAfter = time.Second
@@ -45,30 +45,30 @@
 )
 
 // usesHubs says that the fleet needs hubs.
-func (t *tables) usesHubs() bool { return len(t.members) > meshBoxes }
+func (t *tables) usesHubs() bool { return len(t.members) > maxMeshBoxes }
 
-// ranked lists the boxes of a domain that are fit for a hub, the strongest first. The caller
+// rankedHubs lists the boxes of a domain that are fit for a hub, the strongest first. The caller
 // must not change the list. It is kept, as each call between boxes asks for it, and changes
 // only when boxes join.
-func (t *tables) ranked(domain string) []string {
-	t.freshRanks()
+func (t *tables) rankedHubs(domain string) []string {
+	t.refreshRanks()
 	list, known := t.hubRanks[domain]
 	if !known {
-		list = t.rank(domain)
+		list = t.rankHubs(domain)
 		t.hubRanks[domain] = list
 	}
 	return list
 }
 
-// freshRanks forgets the ranks of boxes if others joined or went.
-func (t *tables) freshRanks() {
+// refreshRanks forgets the ranks of boxes if others joined or went.
+func (t *tables) refreshRanks() {
 	if t.hubRanks == nil || t.rankedMembers != len(t.members) {
 		t.hubRanks, t.topHubs, t.rankedMembers = make(map[string][]string), nil, len(t.members)
 	}
 }
 
-// rank works the list out.
-func (t *tables) rank(domain string) []string {
+// rankHubs works the list out.
+func (t *tables) rankHubs(domain string) []string {
 	var names []string
 	most := 0.0
 	for _, m := range t.members {
@@ -77,7 +77,7 @@
 		}
 	}
 	for name, m := range t.members {
-		if m.domain == domain && m.address.IsValid() && m.share >= most*strong {
+		if m.domain == domain && m.address.IsValid() && m.share >= most*hubMinShare {
 			names = append(names, name)
 		}
 	}
@@ -93,11 +93,11 @@
 
 // hub says whether this box follows the sources and the table service.
 func (d *Daemon) hub(now time.Time, t *tables) bool {
-	if !t.usesHubs() || now.Sub(t.lastHubRequest) < hubFor && !t.lastHubRequest.IsZero() {
+	if !t.usesHubs() || now.Sub(t.lastHubRequest) < hubLinger && !t.lastHubRequest.IsZero() {
 		return true
 	}
-	first := t.ranked(d.Settings.Domain)
-	return slices.Contains(first[:min(standbys, len(first))], d.Settings.Name)
+	first := t.rankedHubs(d.Settings.Domain)
+	return slices.Contains(first[:min(hubsPerDomain, len(first))], d.Settings.Name)
 }
 
 // surelySpoke says that this box is no hub, whatever boxes are not known yet: more of
@@ -108,9 +108,9 @@
 	return t.usesHubs() && !d.hub(now, t)
 }
 
-// myHub returns the box to tell and to take the view of, or an empty name if
+// viewHub returns the box to tell and to take the view of, or an empty name if
 // none answers.
-func (d *Daemon) myHub(now time.Time, t *tables) string {
+func (d *Daemon) viewHub(now time.Time, t *tables) string {
 	return d.firstHub(t, func(_ string, m *member) bool { return !now.Before(m.retryAt) })
 }
 
@@ -139,8 +139,8 @@
 
 // hubOrder lists the boxes that may be asked: those of the own domain first.
 func (t *tables) hubOrder(domain string) []string {
-	own := t.ranked(domain)
-	order := slices.Clone(own[:min(hubTries, len(own))])
+	own := t.rankedHubs(domain)
+	order := slices.Clone(own[:min(maxOwnHubs, len(own))])
 	var domains []string
 	for _, m := range t.members {
 		if m.domain != domain && !slices.Contains(domains, m.domain) {
@@ -149,8 +149,8 @@
 	}
 	slices.Sort(domains)
 	for _, other := range domains {
-		list := t.ranked(other)
-		order = append(order, list[:min(standbys, len(list))]...)
+		list := t.rankedHubs(other)
+		order = append(order, list[:min(hubsPerDomain, len(list))]...)
 	}
 	return order
 }
@@ -158,7 +158,7 @@
 // hasFreshView says whether this box lives on a hub's view for now, so that it need
 // not read the table service.
 func (d *Daemon) hasFreshView(now time.Time) bool {
-	return d.spoke.Load() && d.provedAgo(now) < viewFor
+	return d.spoke.Load() && d.provedAgo(now) < viewTTL
 }
 
 // updateRole takes this box's role in the fleet over when it changes.
@@ -171,13 +171,13 @@
 		d.roleSince.Store(&now)
 	}
 	d.hasSpokes.Store(hub && t.usesHubs())
-	d.peerProofMaxAge.Store(int64(d.vouchedFor(t)))
+	d.peerProofMaxAge.Store(int64(d.peerProofLifetime(t)))
 	if hub == !d.spoke.Load() {
 		return nil
 	}
 	d.spoke.Store(!hub)
 	t.hubHeardAt = now
-	d.Log.Info("role in the fleet", "hub", hub, "boxes", len(t.members), "of_domain", len(t.ranked(d.Settings.Domain)))
+	d.Log.Info("role in the fleet", "hub", hub, "boxes", len(t.members), "of_domain", len(t.rankedHubs(d.Settings.Domain)))
 	if !hub {
 		t.hub, t.hubList, t.hubSeen, t.hubQuarantineVersion = "", changelog.Cursor{}, nil, 0
 	}
--- a/entry/hub_test.go
+++ b/entry/hub_test.go
@@ -54,7 +54,7 @@
 			if got := !d.spoke.Load(); got != tt.hub {
 				t.Errorf("hub %v, want %v", got, tt.hub)
 			}
-			got := d.partners(start, &d.tables)
+			got := d.gossipPartners(start, &d.tables)
 			slices.Sort(got)
 			if !slices.Equal(got, tt.partner) {
 				t.Errorf("calls %v, want %v", got, tt.partner)
@@ -69,7 +69,7 @@
 	d := largeFleet("box-05")
 	var asked []string
 	for {
-		hub := d.myHub(start, &d.tables)
+		hub := d.viewHub(start, &d.tables)
 		if hub == "" {
 			break
 		}
@@ -81,7 +81,7 @@
 	if len(asked) != 4 || asked[0] != "box-00" || asked[1] != "box-01" || !slices.Contains(asked, "box-10") {
 		t.Errorf("asked %v", asked)
 	}
-	if got := d.myHub(start.Add(gossipRetryDelay), &d.tables); got != "box-00" {
+	if got := d.viewHub(start.Add(gossipRetryDelay), &d.tables); got != "box-00" {
 		t.Errorf("later %q is asked, want the first again", got)
 	}
 	d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "box-06"})
@@ -89,7 +89,7 @@
 	if d.spoke.Load() {
 		t.Error("a box that is asked does not act as a hub")
 	}
-	d.updateRole(start.Add(hubFor), &d.tables)
+	d.updateRole(start.Add(hubLinger), &d.tables)
 	if !d.spoke.Load() {
 		t.Error("a box that is asked no longer is still a hub")
 	}
@@ -101,7 +101,7 @@
 func TestWeakBoxes(t *testing.T) {
 	d := largeFleet("box-05")
 	for _, domain := range []string{"a", "b"} {
-		for _, name := range d.tables.ranked(domain) {
+		for _, name := range d.tables.rankedHubs(domain) {
 			if d.tables.members[name].share < 0.4 {
 				t.Errorf("%s is ranked with a share of %v", name, d.tables.members[name].share)
 			}
@@ -109,24 +109,24 @@
 	}
 }
 
-// TestOneMiss shows that a hub that misses one call is asked again.
-func TestOneMiss(t *testing.T) {
+// TestOneMissTolerated shows that a hub that misses one call is asked again.
+func TestOneMissTolerated(t *testing.T) {
 	d := largeFleet("box-05")
 	d.hubFailed(start, &d.tables, "box-00", errors.New("no answer"))
-	if got := d.myHub(start, &d.tables); got != "box-00" {
+	if got := d.viewHub(start, &d.tables); got != "box-00" {
 		t.Errorf("after one miss %q is asked", got)
 	}
 }
 
-// TestViewsAreYoung ties the times together: a hub that is cut off must be left
+// TestViewAgeBounds ties the times together: a hub that is cut off must be left
 // well within the platform's bound for changes, and a sound one never.
 // (Hunt on sonora-norte-grown, mix --seed 754427457844.)
-func TestViewsAreYoung(t *testing.T) {
+func TestViewAgeBounds(t *testing.T) {
 	const bound = 2 * time.Second
-	if own := viewFor + viewLook; own >= bound {
+	if own := viewTTL + viewPoll; own >= bound {
 		t.Errorf("a box reads for itself after %v", own)
 	}
-	if sound := 2*hubHold + spokeGossipInterval; sound >= viewFor {
+	if sound := 2*hubHold + spokeGossipInterval; sound >= viewTTL {
 		t.Errorf("a sound hub's proof is %v old", sound)
 	}
 }
@@ -180,9 +180,9 @@
 	}
 }
 
-// TestViewOfReplaced takes a hub's list that still holds a target that this box
+// TestViewListsReplacedTarget takes a hub's list that still holds a target that this box
 // knows to be replaced.
-func TestViewOfReplaced(t *testing.T) {
+func TestViewListsReplacedTarget(t *testing.T) {
 	spoke := boxWithEngines("box-05")
 	spoke.update(start, probed{probe{target: "a"}, ErrReplaced})
 	entries := []peer.Entry{{ID: "a", Pool: "models", Address: "10.1.0.1:1"}, {ID: "b", Pool: "models", Address: "10.1.0.2:1"}}
@@ -207,8 +207,8 @@
 		proof time.Duration
 		back  bool
 	}{
-		{"the hub is cut off", true, staleView + time.Millisecond, false},
-		{"the hub is sound", true, staleView, true},
+		{"the hub is cut off", true, maxHubProofAge + time.Millisecond, false},
+		{"the hub is sound", true, maxHubProofAge, true},
 		{"nothing is known yet", false, time.Minute, true},
 	}
 	for _, tt := range tests {
@@ -239,7 +239,7 @@
 	if spoke.keysFresh(late) || spoke.hasFreshView(late) {
 		t.Error("an old proof counts as new")
 	}
-	if got := spoke.myHub(late, &spoke.tables); got != "box-01" {
+	if got := spoke.viewHub(late, &spoke.tables); got != "box-01" {
 		t.Errorf("a hub that is cut off: %q is asked next", got)
 	}
 	spoke.update(late, peerAnswered{"box-00", late, peer.Message{View: &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, ConfigurationVersion: 3, ProofAgeMS: 0}}, nil})
@@ -349,8 +349,8 @@
 	return d, prompt
 }
 
-// TestLone has a box follow the stores while no hub answers, and only then.
-func TestLone(t *testing.T) {
+// TestHublessWatchesStores has a box follow the stores while no hub answers, and only then.
+func TestHublessWatchesStores(t *testing.T) {
 	d, prompt := spokeWithStore()
 	late := start.Add(hublessAfter + time.Millisecond)
 	if effects := d.reconcileSources(start.Add(hublessAfter), &d.tables); len(effects) != 0 {
@@ -375,8 +375,8 @@
 	}
 }
 
-// TestRolesFollow has a lone box that becomes a hub follow with held calls.
-func TestRolesFollow(t *testing.T) {
+// TestNewHubHoldsCalls has a lone box that becomes a hub follow with held calls.
+func TestNewHubHoldsCalls(t *testing.T) {
 	d, _ := spokeWithStore()
 	late := start.Add(hublessAfter + time.Millisecond)
 	d.reconcileSources(late, &d.tables)
@@ -385,13 +385,13 @@
 	for _, e := range d.reconcileSources(late, &d.tables) {
 		names[e.(watchSource).name] = e.(watchSource).hold
 	}
-	if len(names) != 3 || names["s"] != newsHold || d.knowsCache(&d.tables) {
+	if len(names) != 3 || names["s"] != eventsHold || d.knowsCache(&d.tables) {
 		t.Errorf("followed %v", names)
 	}
 }
 
-// TestPlacer asks only hubs that answered their last call for places.
-func TestPlacer(t *testing.T) {
+// TestPlacementHub asks only hubs that answered their last call for places.
+func TestPlacementHub(t *testing.T) {
 	d := boxWithEngines("box-05")
 	again := start.Add(gossipRetryDelay)
 	silent := errors.New("no answer")
@@ -401,7 +401,7 @@
 	if got := d.placementHub(again, &d.tables, nil); got != "box-01" {
 		t.Errorf("places are asked of %q", got)
 	}
-	if got := d.myHub(again, &d.tables); got != "box-00" {
+	if got := d.viewHub(again, &d.tables); got != "box-00" {
 		t.Errorf("gossip goes to %q", got)
 	}
 	d.update(again, peerAnswered{name: "box-00", asked: again})
@@ -410,9 +410,9 @@
 	}
 }
 
-// TestUnheardLoad takes each box that is not heard to use as much as this one,
+// TestPresumedLoad takes each box that is not heard to use as much as this one,
 // spread over the engines.
-func TestUnheardLoad(t *testing.T) {
+func TestPresumedLoad(t *testing.T) {
 	d := boxWithEngines("box-05")
 	d.tables.fleet.Target("a").Tokens = 100
 	d.tables.usual = d.tables.presumedOthers(start, d.tables.fleet.Pool("models"))
@@ -423,8 +423,8 @@
 	}
 }
 
-// TestSpoiltPlace has a hub's place passed over whose addresses can't be read.
-func TestSpoiltPlace(t *testing.T) {
+// TestMalformedPlacement has a hub's place passed over whose addresses can't be read.
+func TestMalformedPlacement(t *testing.T) {
 	tests := []struct {
 		name string
 		p    peer.PlacementResponse
@@ -446,9 +446,9 @@
 	}
 }
 
-// TestHubCounts shows that a hub counts what it placed for others before they
+// TestHubCountsOwnPlacements shows that a hub counts what it placed for others before they
 // tell, and what they tell once.
-func TestHubCounts(t *testing.T) {
+func TestHubCountsOwnPlacements(t *testing.T) {
 	hub := boxWithEngines("box-00")
 	hub.update(start, targetsRead{start, Targets{Gone: []string{"b"}}, false})
 	tokens := func() int {
@@ -472,8 +472,8 @@
 	}
 }
 
-// TestWalledByHub shows that a hub keeps a walled account's parts apart.
-func TestWalledByHub(t *testing.T) {
+// TestIsolatedAccountByHub shows that a hub keeps a walled account's parts apart.
+func TestIsolatedAccountByHub(t *testing.T) {
 	spoke := largeFleet("box-05")
 	spoke.update(start, operatorRead{start, Operator{Table: configuration(1)}})
 	walled := job("long", 1000)
@@ -484,8 +484,8 @@
 	}
 }
 
-// TestLinksTravel shows that a hub places by the connections of the box that asks.
-func TestLinksTravel(t *testing.T) {
+// TestHubUsesSpokesIdleConnections shows that a hub places by the connections of the box that asks.
+func TestHubUsesSpokesIdleConnections(t *testing.T) {
 	hub, spoke := largeFleet("box-00"), largeFleet("box-05")
 	linked := ""
 	spoke.Platform.HasIdleConnection = func(at netip.AddrPort) bool { return at.String() == linked }
--- a/entry/idle_test.go
+++ b/entry/idle_test.go
@@ -41,7 +41,7 @@
 		for _, system := range d.systems {
 			system(now, &d.tables)
 		}
-		d.partners(now, &d.tables)
+		d.gossipPartners(now, &d.tables)
 	}
 	for range 2 * time.Second / tick {
 		pass()
--- a/entry/join.go
+++ b/entry/join.go
@@ -34,10 +34,10 @@
 	Region string `json:"region,omitempty"`
 }
 
-// drawOneIn is the share of boxes, one in so many, that write the credential when
+// credentialWriterOneIn is the share of boxes, one in so many, that write the credential when
 // they first start and find none. When a fleet starts at once they all find none, one is enough,
 // and writes of all to one row would keep each other waiting.
-const drawOneIn = 16
+const credentialWriterOneIn = 16
 
 // ownRow is this box's row.
 func (d *Daemon) ownRow() table.Row {
@@ -53,10 +53,10 @@
 func (d *Daemon) join(ctx context.Context, rows []table.Row) {
 	own := d.ownRow()
 	if !hasRow(rows, own) {
-		d.insist(ctx, func() error { return d.write(ctx, own) })
+		d.retryWrite(ctx, func() error { return d.write(ctx, own) })
 	}
-	if !hasCredential(rows) && d.chance(drawOneIn) {
-		d.insist(ctx, func() error { return d.draw(ctx) })
+	if !hasCredential(rows) && d.chance(credentialWriterOneIn) {
+		d.retryWrite(ctx, func() error { return d.createCredential(ctx) })
 	}
 }
 
@@ -65,8 +65,8 @@
 	return slices.ContainsFunc(rows, func(r table.Row) bool { return r.Key == own.Key && bytes.Equal(r.Value, own.Value) })
 }
 
-// insist writes until that succeeds.
-func (d *Daemon) insist(ctx context.Context, write func() error) {
+// retryWrite writes until that succeeds.
+func (d *Daemon) retryWrite(ctx context.Context, write func() error) {
 	for ctx.Err() == nil {
 		err := write()
 		if err == nil {
@@ -82,8 +82,8 @@
 	return slices.ContainsFunc(rows, func(r table.Row) bool { return r.Key == credentialKey })
 }
 
-// draw writes the credential unless there is one.
-func (d *Daemon) draw(ctx context.Context) error {
+// createCredential writes the credential unless there is one.
+func (d *Daemon) createCredential(ctx context.Context) error {
 	value, err := json.Marshal(ulid.Make().String())
 	if err != nil {
 		return trace.Wrap(err)
--- a/entry/list.go
+++ b/entry/list.go
@@ -31,7 +31,7 @@
 	seen := make(map[string]bool, len(m.change.Listed))
 	for _, e := range m.change.Listed {
 		seen[e.ID] = true
-		if restored && d.holdBack(now, t, e) {
+		if restored && d.holdEntry(now, t, e) {
 			continue
 		}
 		delete(t.heldEntries, e.ID)
@@ -53,9 +53,9 @@
 	return d.reconcileSources(now, t)
 }
 
-// noteBehind notes weights older than the newest named with which a target comes
+// markStaleVersions notes weights older than the newest named with which a target comes
 // into the list.
-func (t *tables) noteBehind(x *fleet.Target) {
+func (t *tables) markStaleVersions(x *fleet.Target) {
 	for model, version := range x.Versions {
 		if version < t.rolloutOf(model).newestVersion {
 			x.StaleVersions[model] = version
@@ -87,41 +87,41 @@
 	case x == nil: // Its address is another replica's by now.
 	case fresh:
 		if before != nil {
-			d.reborn(now, t, before, x)
+			d.targetRestarted(now, t, before, x)
 		}
-		t.noteBehind(x)
-		d.noteIn(t, x)
+		t.markStaleVersions(x)
+		d.logTarget(t, x)
 	case x.Leaving && !wasLeaving:
 		d.Log.Info("target leaves", "target", e.ID, "pool", e.Pool)
 	}
 	return x
 }
 
-// inLines is how many targets a box logs as they come: of a list of thousands its number is
+// maxLoggedTargets is how many targets a box logs as they come: of a list of thousands its number is
 // told.
-const inLines = 600
+const maxLoggedTargets = 600
 
-// noteIn logs that a target is in the list.
-func (d *Daemon) noteIn(t *tables, x *fleet.Target) {
+// logTarget logs that a target is in the list.
+func (d *Daemon) logTarget(t *tables, x *fleet.Target) {
 	log := d.Log.Info
-	if t.fleet.Len() > inLines {
+	if t.fleet.Len() > maxLoggedTargets {
 		log = d.Log.Debug
 	}
 	log("target in", "target", x.ID, "born", x.StartedAt, "pool", x.Pool, "at", x.Address, "domain", x.Domain, "leaving", x.Leaving)
 }
 
-// reborn drops what is kept of a target's earlier life beside the fleet's table: what
+// targetRestarted drops what is kept of a target's earlier life beside the fleet's table: what
 // it kept, its news and that it was loading.
-func (d *Daemon) reborn(now time.Time, t *tables, before, x *fleet.Target) {
+func (d *Daemon) targetRestarted(now time.Time, t *tables, before, x *fleet.Target) {
 	d.Log.Warn("target has started again", "target", x.ID, "pool", x.Pool, "born", x.StartedAt, "before", before.StartedAt, "in_flight", before.InFlight)
 	d.incarnationEnded(now, t, incarnationKey(before.Incarnation()), "its entry")
-	t.doubtGone(now, before)
-	t.forget(x.ID)
+	t.markGoneUncertain(now, before)
+	t.forgetTarget(x.ID)
 }
 
-// forget drops what a target kept and what this box's requests took up there, and ends the following of its news, which begins
+// forgetTarget drops what a target kept and what this box's requests took up there, and ends the following of its news, which begins
 // anew if it is listed.
-func (t *tables) forget(id string) {
+func (t *tables) forgetTarget(id string) {
 	t.directory.Forget(id)
 	delete(t.loading, id)
 	delete(t.targetsInUse, id)
@@ -139,7 +139,7 @@
 		return
 	}
 	if !x.Leaving {
-		t.doubtGone(now, x)
+		t.markGoneUncertain(now, x)
 	}
 	if away && !x.Leaving {
 		d.Log.Warn("target's entry lapsed while the table service was away, or a restore lost it", "target", id, "kept_for", fleet.LapseGrace)
@@ -154,9 +154,9 @@
 	d.removeTarget(t, id)
 }
 
-// doubtGone notes that a target went from the list without notice: it may live,
+// markGoneUncertain notes that a target went from the list without notice: it may live,
 // and be used by boxes that have not read that yet.
-func (t *tables) doubtGone(now time.Time, x *fleet.Target) {
+func (t *tables) markGoneUncertain(now time.Time, x *fleet.Target) {
 	for model, version := range x.Versions {
 		if w := t.weights[model]; w != nil && version < w.newestVersion {
 			w.clearing.MarkIncomplete(now)
@@ -167,7 +167,7 @@
 func (d *Daemon) removeTarget(t *tables, id string) {
 	t.untouch(id)
 	t.fleet.Drop(id)
-	t.forget(id)
+	t.forgetTarget(id)
 }
 
 // dropReplaced forgets a target whose life is over, as another replica has its address or
@@ -178,11 +178,11 @@
 		return nil
 	}
 	if x != nil {
-		t.doubtGone(now, x) // It may be back, with its weights.
+		t.markGoneUncertain(now, x) // It may be back, with its weights.
 	}
 	d.Log.Warn("a target's life is over", "target", life.ID, "born", life.StartedAt, "told_by", from)
 	d.incarnationEnded(now, t, incarnationKey(life), from)
-	t.forget(life.ID)
+	t.forgetTarget(life.ID)
 	t.untouch(life.ID)
 	return d.reconcileSources(now, t)
 }
--- a/entry/overtaken.go
+++ b/entry/overtaken.go
@@ -18,16 +18,16 @@
 // list is behind, and boxes that live on it go to the next hub.
 
 const (
-	// overtakenRead is how long after another hub's word this one reads at once: a sound
+	// behindReadAfter is how long after another hub's word this one reads at once: a sound
 	// hub has the change by its own read within targetsEvery.
-	overtakenRead = targetsReadInterval + 50*time.Millisecond
-	// overtakenFor is how long after it its list is behind: overtakenRead and an answer of a
+	behindReadAfter = targetsReadInterval + 50*time.Millisecond
+	// behindAfter is how long after it its list is behind: overtakenRead and an answer of a
 	// slow table service, a quarter of a second.
-	overtakenFor = overtakenRead + 250*time.Millisecond
+	behindAfter = behindReadAfter + 250*time.Millisecond
 )
 
-// hearListed takes over how far another hub knows the list to have changed.
-func (d *Daemon) hearListed(now time.Time, t *tables, m peer.Message) {
+// receiveListRevision takes over how far another hub knows the list to have changed.
+func (d *Daemon) receiveListRevision(now time.Time, t *tables, m peer.Message) {
 	if t.listVersion == 0 || !m.ListRevision.After(t.listKnown) {
 		return
 	}
@@ -38,7 +38,7 @@
 
 // listBehind says that this box's list lacks a change that another hub told of for too long.
 func (t *tables) listBehind(now time.Time) bool {
-	return !t.listBehindSince.IsZero() && now.Sub(t.listBehindSince) >= overtakenFor
+	return !t.listBehindSince.IsZero() && now.Sub(t.listBehindSince) >= behindAfter
 }
 
 // noteListRead notes how far the list was read.
@@ -49,15 +49,15 @@
 		d.Log.Info("list of targets is not behind any more", "known", t.listKnown, "behind_for", now.Sub(t.listBehindSince))
 	}
 	t.listBehindSince, t.listBehindLogged = time.Time{}, false
-	d.listReads.done()
+	d.listReads.answered()
 }
 
 // rereadIfStale has the list read at once if it was overtaken.
 func (d *Daemon) rereadIfStale(now time.Time, t *tables) []effect {
-	if t.listBehindSince.IsZero() || now.Sub(t.listBehindSince) < overtakenRead {
+	if t.listBehindSince.IsZero() || now.Sub(t.listBehindSince) < behindReadAfter {
 		return nil
 	}
-	d.listReads.hurry()
+	d.listReads.interrupt()
 	if t.listBehind(now) && !t.listBehindLogged {
 		t.listBehindLogged = true
 		d.Log.Warn("list of targets is behind", "known", t.listKnown, "for", now.Sub(t.listBehindSince), "hub", !d.spoke.Load())
@@ -71,8 +71,8 @@
 	mu sync.Mutex
 	// cancel ends the read under way.
 	cancel context.CancelFunc
-	// hurrying says that the list was overtaken and not read since.
-	hurrying bool
+	// interrupting says that the list was overtaken and not read since.
+	interrupting bool
 }
 
 // begin returns the next read's context and how long it is held.
@@ -83,35 +83,35 @@
 		l.cancel()
 	}
 	ctx, l.cancel = context.WithCancel(ctx)
-	if l.hurrying {
+	if l.interrupting {
 		return ctx, 0
 	}
-	return ctx, hold
+	return ctx, readHold
 }
 
-// hurry breaks the read off, if it is held, and has the next ones not be held.
-func (l *listReads) hurry() {
+// interrupt breaks the read off, if it is held, and has the next ones not be held.
+func (l *listReads) interrupt() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.hurrying {
+	if l.interrupting {
 		return
 	}
-	l.hurrying = true
+	l.interrupting = true
 	if l.cancel != nil {
 		l.cancel()
 	}
 }
 
-// hurried says that reads are not held.
-func (l *listReads) hurried() bool {
+// interrupted says that reads are not held.
+func (l *listReads) interrupted() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.hurrying
+	return l.interrupting
 }
 
-// done notes that a read was answered.
-func (l *listReads) done() {
+// answered notes that a read was answered.
+func (l *listReads) answered() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hurrying = false
+	l.interrupting = false
 }
--- a/entry/overtaken_test.go
+++ b/entry/overtaken_test.go
@@ -14,17 +14,17 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// cutReaders is three boxes: box-11 reads the platform's list, box-00 is cut off from the
+// partitionedHubs is three boxes: box-11 reads the platform's list, box-00 is cut off from the
 // table service alone, and box-05 lives on hubs, of which box-00 is the first and box-01
 // the second.
-type cutReaders struct {
+type partitionedHubs struct {
 	sound, cut, second, spoke *Daemon
 	// version is the newest change of the list.
 	version uint64
 }
 
-func newCutReaders() *cutReaders {
-	x := &cutReaders{sound: hubOf("box-11"), cut: hubOf("box-00"), second: hubOf("box-01"), spoke: largeFleet("box-05"), version: 20}
+func newPartitionedHubs() *partitionedHubs {
+	x := &partitionedHubs{sound: boxOfFleet("box-11"), cut: boxOfFleet("box-00"), second: boxOfFleet("box-01"), spoke: largeFleet("box-05"), version: 20}
 	for _, d := range []*Daemon{x.sound, x.cut, x.second} {
 		d.update(start, operatorRead{start, Operator{Table: configuration(1), Changed: rev(3), Known: rev(9)}})
 		d.update(start, targetsRead{start, Targets{Snapshot: true, Changed: rev(x.version), Known: rev(x.version), Listed: []fleet.Entry{entryAt("a", "10.1.0.1:1"), entryAt("b", "10.1.0.2:1")}}, false})
@@ -43,9 +43,9 @@
 	from.update(now, peerAnswered{name: to.Settings.Name, asked: now, m: answer})
 }
 
-// play passes a time on, in which the operator's rows are read by box-11 for all and the
+// advance passes a time on, in which the operator's rows are read by box-11 for all and the
 // list by the boxes given.
-func (x *cutReaders) play(from, to time.Duration, read func(now time.Time, d *Daemon)) {
+func (x *partitionedHubs) advance(from, to time.Duration, read func(now time.Time, d *Daemon)) {
 	for ms := from; ms < to; ms += 50 * time.Millisecond {
 		now := start.Add(ms)
 		if ms%hubHold == 0 {
@@ -60,7 +60,7 @@
 		gossip(now, x.second, x.sound)
 		gossip(now, x.cut, x.second)
 		if ms%spokeGossipInterval == 0 {
-			if hub := x.spoke.myHub(now, &x.spoke.tables); hub == "box-00" {
+			if hub := x.spoke.viewHub(now, &x.spoke.tables); hub == "box-00" {
 				gossip(now, x.spoke, x.cut)
 			} else if hub == "box-01" {
 				gossip(now, x.spoke, x.second)
@@ -69,14 +69,14 @@
 	}
 }
 
-// TestCutReaderListsGone has a hub cut off from the table service alone, while another one
+// TestCutOffHubMissesDrain has a hub cut off from the table service alone, while another one
 // vouches for its configuration: a target that leaves meanwhile must be known to a box that
 // lives on that hub within the platform's bound of 2 s, as that box itself is in touch.
 // In series: when the cut ends, another target leaves and the next hub is cut off.
-func TestCutReaderListsGone(t *testing.T) {
+func TestCutOffHubMissesDrain(t *testing.T) {
 	const bound = 2 * time.Second
-	x := newCutReaders()
-	x.play(0, time.Second, func(time.Time, *Daemon) {})
+	x := newPartitionedHubs()
+	x.advance(0, time.Second, func(time.Time, *Daemon) {})
 	if x.spoke.tables.hub != "box-00" || x.spoke.tables.fleet.Target("a") == nil {
 		t.Fatalf("the box does not live on the first hub: %q", x.spoke.tables.hub)
 	}
@@ -88,23 +88,23 @@
 			d.update(now, targetsRead{now, Targets{Changed: rev(x.version), Known: rev(x.version), Listed: []fleet.Entry{e}}, false})
 		}
 	}
-	x.play(time.Second, time.Second+bound, leaving("a", "10.1.0.1:1"))
+	x.advance(time.Second, time.Second+bound, leaving("a", "10.1.0.1:1"))
 	if a := x.spoke.tables.fleet.Target("a"); a != nil && a.Available(start.Add(time.Second+bound)) {
 		t.Errorf("%v after the table service took that it leaves, a target gets work by the list of %q", bound, x.spoke.tables.hub)
 	}
 	x.cut.update(start.Add(3*time.Second), targetsRead{start.Add(3 * time.Second), Targets{Changed: rev(x.version), Known: rev(x.version)}, false})
-	x.play(3*time.Second, 5*time.Second, func(time.Time, *Daemon) {})
+	x.advance(3*time.Second, 5*time.Second, func(time.Time, *Daemon) {})
 	if x.spoke.tables.hub != "box-00" {
 		t.Errorf("the box lives on %q, though the first hub reads again", x.spoke.tables.hub)
 	}
-	x.play(5*time.Second, 5*time.Second+bound, leaving("b", "10.1.0.2:1"))
+	x.advance(5*time.Second, 5*time.Second+bound, leaving("b", "10.1.0.2:1"))
 	if b := x.spoke.tables.fleet.Target("b"); b != nil && b.Available(start.Add(5*time.Second+bound)) {
 		t.Error("a second target, in the second cut, gets work")
 	}
 }
 
-// TestOvertaken says when a hub's list counts as overtaken, and what it does about that.
-func TestOvertaken(t *testing.T) {
+// TestListBehind says when a hub's list counts as overtaken, and what it does about that.
+func TestListBehind(t *testing.T) {
 	tests := []struct {
 		name string
 		// listed is the newest change that another hub tells, known up to where this one has
@@ -116,25 +116,25 @@
 		{"nothing newer", 20, 20, time.Minute, false, false},
 		{"read further than the other", 20, 30, time.Minute, false, false},
 		{"newer, a moment ago", 21, 20, targetsReadInterval / 2, false, false},
-		{"newer, for longer than a sound read takes", 21, 20, overtakenRead, true, false},
-		{"newer, for too long", 21, 20, overtakenFor, true, true},
+		{"newer, for longer than a sound read takes", 21, 20, behindReadAfter, true, false},
+		{"newer, for too long", 21, 20, behindAfter, true, true},
 		{"another hub tells no list", 0, 20, time.Minute, false, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := hubOf("box-00")
+			d := boxOfFleet("box-00")
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Changed: rev(tt.known), Known: rev(tt.known), Listed: []fleet.Entry{entryAt("a", "10.1.0.1:1")}}, false})
 			d.update(start, peerAnswered{name: "box-11", asked: start, m: peer.Message{ListRevision: rev(tt.listed)}})
 			now := start.Add(tt.after)
 			d.rereadIfStale(now, &d.tables)
-			if got := d.listReads.hurried(); got != tt.again {
+			if got := d.listReads.interrupted(); got != tt.again {
 				t.Errorf("the list is read anew at once: %v", got)
 			}
 			if got := d.view(now, &d.tables, changelog.Cursor{}).ListBehind; got != tt.behind {
 				t.Errorf("tells that its list is behind: %v", got)
 			}
 			d.update(now, targetsRead{now, Targets{Known: rev(max(tt.listed, tt.known))}, false})
-			if d.view(now, &d.tables, changelog.Cursor{}).ListBehind || d.listReads.hurried() {
+			if d.view(now, &d.tables, changelog.Cursor{}).ListBehind || d.listReads.interrupted() {
 				t.Error("still behind after it has read as far")
 			}
 		})
@@ -148,11 +148,11 @@
 	return e
 }
 
-// TestOvertakenReadIsBrokenOff has a held read of the list hang while another hub tells of a
+// TestListBehindCancelsRead has a held read of the list hang while another hub tells of a
 // later change: the next read is made at once and is not held, those after it are held again.
-func TestOvertakenReadIsBrokenOff(t *testing.T) {
+func TestListBehindCancelsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := hubOf("box-00")
+		d := boxOfFleet("box-00")
 		d.now = time.Now
 		var holds []time.Duration
 		d.Platform.Targets = func(ctx context.Context, _ revision.Revision, hold time.Duration) (Targets, error) {
@@ -170,7 +170,7 @@
 		synctest.Wait()
 		d.update(time.Now(), targetsRead{time.Now(), Targets{Snapshot: true, Known: rev(20), Changed: rev(20)}, false})
 		d.update(time.Now(), peerAnswered{name: "box-11", asked: time.Now(), m: peer.Message{ListRevision: rev(21)}})
-		d.rereadIfStale(began.Add(overtakenRead), &d.tables)
+		d.rereadIfStale(began.Add(behindReadAfter), &d.tables)
 		read := (<-d.messages).(targetsRead)
 		if took := time.Since(began); took > time.Second {
 			t.Errorf("read anew after %v", took)
@@ -179,7 +179,7 @@
 		time.Sleep(time.Second)
 		cancel()
 		synctest.Wait()
-		if want := []time.Duration{hold, 0, hold}; !slices.Equal(holds, want) {
+		if want := []time.Duration{readHold, 0, readHold}; !slices.Equal(holds, want) {
 			t.Errorf("reads were held for %v, want %v", holds, want)
 		}
 	})
@@ -188,7 +188,7 @@
 // TestLapsedAtOneHub guards against targets that come back at boxes which know them to be gone,
 // as a hub that was cut off keeps them for a while like entries lost in an outage.
 func TestLapsedAtOneHub(t *testing.T) {
-	x := newCutReaders()
+	x := newPartitionedHubs()
 	read := func(after time.Duration, d *Daemon, change Targets, away bool) {
 		x.version++
 		d.update(start.Add(after), operatorRead{start.Add(after), Operator{Known: rev(9)}})
--- a/entry/powers_test.go
+++ b/entry/powers_test.go
@@ -11,17 +11,17 @@
 	"github.com/thymewind/thymewind/deliver"
 )
 
-// atSize is what boxes cost in a fleet of a size, a second.
-type atSize struct {
+// fleetCost is what boxes cost in a fleet of a size, a second.
+type fleetCost struct {
 	boxes int
 	// plain and hub are the bytes that a box sends, calls what a box asks of the table
 	// service, followed how many sources a hub follows.
 	plain, hub, calls, followed float64
 }
 
-// costAt plays a fleet with ten engines for each box, each of which sends a request a second,
+// costOfFleet plays a fleet with ten engines for each box, each of which sends a request a second,
 // while two engines in 1,000 are replaced a second.
-func costAt(boxes int) atSize {
+func costOfFleet(boxes int) fleetCost {
 	const length = 5
 	w := manyEngines(boxes, 10*boxes)
 	for _, d := range w.boxes {
@@ -52,8 +52,8 @@
 }
 
 // costs are the means over boxes a second.
-func (w *emulator) costs(seconds float64) atSize {
-	at := atSize{boxes: len(w.boxes)}
+func (w *emulator) costs(seconds float64) fleetCost {
+	at := fleetCost{boxes: len(w.boxes)}
 	hubs, plain := 0.0, 0.0
 	for _, d := range w.boxes {
 		c := w.cost[d.Settings.Name]
@@ -72,35 +72,35 @@
 	return at
 }
 
-// power is by which power of the size a cost grows between two.
-func power(small, large atSize, of func(atSize) float64) float64 {
+// growthExponent is by which power of the size a cost grows between two.
+func growthExponent(small, large fleetCost, of func(fleetCost) float64) float64 {
 	return math.Log(of(large)/of(small)) / math.Log(float64(large.boxes)/float64(small.boxes))
 }
 
-// TestPowers has fleets of 30, 100 and 300 boxes do the same work for each box: what a plain box
+// TestCostGrowth has fleets of 30, 100 and 300 boxes do the same work for each box: what a plain box
 // sends does not grow with the fleet, what a hub sends grows no more than the boxes that live on
 // it, and what a box asks of the table service falls.
-func TestPowers(t *testing.T) {
+func TestCostGrowth(t *testing.T) {
 	t.Parallel()
-	var all []atSize
+	var all []fleetCost
 	for _, boxes := range []int{30, 100, 300} {
-		at := costAt(boxes)
+		at := costOfFleet(boxes)
 		t.Logf("%d boxes: %.0f bytes a second sent by a plain box, %.0f by a hub, %.3f calls a box, %.0f sources followed", at.boxes, at.plain, at.hub, at.calls, at.followed)
 		all = append(all, at)
 	}
 	tests := []struct {
 		what string
-		of   func(atSize) float64
+		of   func(fleetCost) float64
 		most float64
 	}{
-		{"what a plain box sends", func(a atSize) float64 { return a.plain }, 0.15},
-		{"what a hub sends", func(a atSize) float64 { return a.hub }, 1.1},
-		{"calls of a box", func(a atSize) float64 { return a.calls }, 0},
+		{"what a plain box sends", func(a fleetCost) float64 { return a.plain }, 0.15},
+		{"what a hub sends", func(a fleetCost) float64 { return a.hub }, 1.1},
+		{"calls of a box", func(a fleetCost) float64 { return a.calls }, 0},
 	}
 	for _, tt := range tests {
 		for i := range all[1:] {
 			name := fmt.Sprintf("%s, from %d to %d boxes", tt.what, all[i].boxes, all[i+1].boxes)
-			if got := power(all[i], all[i+1], tt.of); got > tt.most {
+			if got := growthExponent(all[i], all[i+1], tt.of); got > tt.most {
 				t.Errorf("%s: grows by the power %.2f, want %.2f", name, got, tt.most)
 			}
 		}
@@ -111,9 +111,9 @@
 func BenchmarkFleet(b *testing.B) {
 	for _, boxes := range []int{300, 1000, 2000} {
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
-			var at atSize
+			var at fleetCost
 			for b.Loop() {
-				at = costAt(boxes)
+				at = costOfFleet(boxes)
 			}
 			b.ReportMetric(at.plain, "plain-bytes/s")
 			b.ReportMetric(at.hub, "hub-bytes/s")
--- a/entry/reads_test.go
+++ b/entry/reads_test.go
@@ -9,10 +9,10 @@
 	"github.com/thymewind/thymewind/placement"
 )
 
-// TestReads says what a hub takes a target to have unread: what it placed there
+// TestPrefillBacklog says what a hub takes a target to have unread: what it placed there
 // itself, for others too, what other hubs tell that they placed, and what is overdue,
 // each falling by itself or when a first event comes.
-func TestReads(t *testing.T) {
+func TestPrefillBacklog(t *testing.T) {
 	const tokens = 5000
 	target := placement.Hash("a")
 	ask := func() *peer.PlacementRequest {
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestReadsAreTold shows that hubs tell each other what they had targets read.
-func TestReadsAreTold(t *testing.T) {
+// TestPrefillTotalsGossiped shows that hubs tell each other what they had targets read.
+func TestPrefillTotalsGossiped(t *testing.T) {
 	hub := boxWithEngines("box-00")
 	hub.tables.prefillBacklog.Place(start, placement.Hash("a"), 700)
 	answer := hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-01"})
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestHubsTellOften shows that hubs tell each other as soon as it is time, and that
+// TestHubsGossipBetweenTicks shows that hubs tell each other as soon as it is time, and that
 // other boxes wait for their next tick.
-func TestHubsTellOften(t *testing.T) {
+func TestHubsGossipBetweenTicks(t *testing.T) {
 	hub, spoke := boxWithEngines("box-00"), boxWithEngines("box-05")
 	credential := "x"
 	for _, d := range []*Daemon{hub, spoke} {
@@ -93,7 +93,7 @@
 	if n := len(hub.gossipBetweenTicks(start, &hub.tables)); n != 3 {
 		t.Errorf("the hub calls %d others", n)
 	}
-	if n := len(hub.gossipBetweenTicks(start.Add(hubsEvery-time.Millisecond), &hub.tables)); n != 0 {
+	if n := len(hub.gossipBetweenTicks(start.Add(hubGossipInterval-time.Millisecond), &hub.tables)); n != 0 {
 		t.Errorf("the hub calls %d others before it is time", n)
 	}
 	if n := len(spoke.gossipBetweenTicks(start, &spoke.tables)); n != 0 {
--- a/entry/region_test.go
+++ b/entry/region_test.go
@@ -46,8 +46,8 @@
 	return e
 }
 
-// keep has sources keep the part that prompts share, under a scope.
-func keep(d *Daemon, scope string, sources ...string) {
+// cacheParts has sources keep the part that prompts share, under a scope.
+func cacheParts(d *Daemon, scope string, sources ...string) {
 	for _, source := range sources {
 		d.update(start, cacheEventsRead{source: source, events: CacheEvents{Epoch: 1, Changes: []CacheEvent{{Cached: true, Scope: scope, Part: "p", Tokens: 4000}}}})
 	}
@@ -74,8 +74,8 @@
 			for _, by := range []string{"route", "account"} {
 				t.Run(name+"/"+pool+"/"+by, func(t *testing.T) {
 					d := twoRegions(name)
-					keep(d, "m@1", "k-z", "e-z") // From before the limit, or of others.
-					keep(d, "m@1/in/north", "k-z", "k-y", "e-z", "e-y")
+					cacheParts(d, "m@1", "k-z", "e-z") // From before the limit, or of others.
+					cacheParts(d, "m@1/in/north", "k-z", "k-y", "e-z", "e-y")
 					j := limitedJob(pool, north, nil)
 					if by == "account" {
 						j = limitedJob(pool, nil, north)
--- a/entry/restored.go
+++ b/entry/restored.go
@@ -16,29 +16,29 @@
 	// operatorRewriteGrace is how long the operator may take to write again what a restore lost. The
 	// platform's own parts take some 2 s.
 	operatorRewriteGrace = 5 * time.Second
-	// settledWithin is how long after its first read a box that starts takes the operator's
+	// startRewriteGrace is how long after its first read a box that starts takes the operator's
 	// rows for such as may not be written again yet.
-	settledWithin = 2 * time.Second
-	// settledProof is how old the proof of another box may be that says that they are.
-	settledProof = time.Second
+	startRewriteGrace = 2 * time.Second
+	// maxRewrittenProofAge is how old the proof of another box may be that says that they are.
+	maxRewrittenProofAge = time.Second
 )
 
 // provesNewest says whether a read proves that the configuration in force is the newest.
 func (d *Daemon) provesNewest(now time.Time, t *tables, m operatorRead) bool {
-	older, unsettled := d.rowsOlder(now, t, m), t.unsettled(now, m)
+	older, unsettled := d.rowsOlder(now, t, m), t.rewritePending(now, m)
 	d.outage.setOlder(older || unsettled)
 	return !older && !unsettled
 }
 
-// unsettled says whether the operator's rows, read by a box that has just started, may be from
+// rewritePending says whether the operator's rows, read by a box that has just started, may be from
 // before the operator wrote again what a restore lost: the box knows nothing to compare them
 // with. They are settled once the operator writes, another box says so, or time has passed.
-func (t *tables) unsettled(now time.Time, m operatorRead) bool {
+func (t *tables) rewritePending(now time.Time, m operatorRead) bool {
 	switch {
 	case m.change.Known.Restores == 0:
 		return false
 	case t.operatorKnown.IsZero():
-		t.operatorRewrittenBy = now.Add(settledWithin)
+		t.operatorRewrittenBy = now.Add(startRewriteGrace)
 	case m.change.Table != nil && !m.change.Snapshot:
 		t.operatorRewrittenBy = time.Time{}
 	}
@@ -49,10 +49,10 @@
 	return false
 }
 
-// hearSettled takes over that the operator's rows are settled, from a box that has a young proof
+// receiveRewritten takes over that the operator's rows are settled, from a box that has a young proof
 // of them and no newer configuration.
-func (d *Daemon) hearSettled(t *tables, m peer.Message) {
-	if t.operatorRewrittenBy.IsZero() || m.OperatorRevision.Restores != t.operatorKnown.Restores || m.ProofAgeMS >= settledProof.Milliseconds() {
+func (d *Daemon) receiveRewritten(t *tables, m peer.Message) {
+	if t.operatorRewrittenBy.IsZero() || m.OperatorRevision.Restores != t.operatorKnown.Restores || m.ProofAgeMS >= maxRewrittenProofAge.Milliseconds() {
 		return
 	}
 	if m.ConfigurationVersion == 0 || m.ConfigurationVersion > d.version() {
--- a/entry/restored_drawn_test.go
+++ b/entry/restored_drawn_test.go
@@ -16,35 +16,35 @@
 	"github.com/thymewind/thymewind/internal/fake"
 )
 
-// restoreTroubles are what may befall the fleet around a restore; each returns what ends it.
-var restoreTroubles = []struct {
+// restoreFaults are what may befall the fleet around a restore; each returns what ends it.
+var restoreFaults = []struct {
 	name string
 	do   func(w *emulator, name string) func()
 }{
 	{"none", func(*emulator, string) func() { return func() {} }},
 	{"a box is cut off from the table service", func(w *emulator, name string) func() {
 		w.tableServiceDown[name] = true
-		return func() { w.readAnew(name) }
+		return func() { w.reconnect(name) }
 	}},
 	{"a box is dead", func(w *emulator, name string) func() {
 		w.dead[name] = true
-		return func() { w.startAnew(name) }
+		return func() { w.restart(name) }
 	}},
 }
 
-// older is what the operator and the targets had written at a moment.
-type older struct {
+// writtenState is what the operator and the targets had written at a moment.
+type writtenState struct {
 	operator Operator
 	listed   map[string]fleet.Entry
 }
 
-// wrote is what they have written.
-func (w *emulator) wrote() older { return older{w.operator, maps.Clone(w.targets)} }
+// writtenState is what they have written.
+func (w *emulator) writtenState() writtenState { return writtenState{w.operator, maps.Clone(w.targets)} }
 
-// restoreOlder has the table service come back from a copy with what they had written then, and
+// restoreCopy has the table service come back from a copy with what they had written then, and
 // after a time they write again what they had written since.
-func (w *emulator) restoreOlder(lost uint64, own fake.Copy, c older, again time.Duration) {
-	before := w.wrote()
+func (w *emulator) restoreCopy(lost uint64, own fake.Copy, c writtenState, again time.Duration) {
+	before := w.writtenState()
 	w.operator, w.targets = c.operator, maps.Clone(c.listed)
 	w.restore(lost, own)
 	w.advance(again, nil)
@@ -65,8 +65,8 @@
 	}
 }
 
-// readAnew has a box that was cut off from the table service read on.
-func (w *emulator) readAnew(name string) {
+// reconnect has a box that was cut off from the table service read on.
+func (w *emulator) reconnect(name string) {
 	delete(w.tableServiceDown, name)
 	d := w.byName[name]
 	rows, err := w.rows.ListAll(context.Background(), "")
@@ -77,8 +77,8 @@
 	w.perform(d, d.update(w.now, ownRead{OwnRows{Snapshot: true, Rows: rows, Known: w.revision()}, true}))
 }
 
-// startAnew has a box that was dead start again.
-func (w *emulator) startAnew(name string) {
+// restart has a box that was dead start again.
+func (w *emulator) restart(name string) {
 	delete(w.dead, name)
 	i := slices.IndexFunc(w.boxes, func(d *Daemon) bool { return d.Settings.Name == name })
 	old := w.boxes[i]
@@ -86,11 +86,11 @@
 	w.boxes = slices.Delete(w.boxes, len(w.boxes)-1, len(w.boxes))
 	w.boxes[i] = d
 	w.join(d)
-	w.readAnew(name)
+	w.reconnect(name)
 }
 
-// wentBack says what a box in touch believes that was so before the last change.
-func (w *emulator) wentBack() string {
+// reverted says what a box in touch believes that was so before the last change.
+func (w *emulator) reverted() string {
 	for _, d := range w.boxes {
 		name, f := d.Settings.Name, d.tables.fleet
 		if w.dead[name] || w.tableServiceDown[name] {
@@ -111,11 +111,11 @@
 	return ""
 }
 
-// TestRestoresDrawn draws how much restores lose, when they come, also two within a second, and
+// TestRandomRestores draws how much restores lose, when they come, also two within a second, and
 // what befalls a hub or another box meanwhile: what the operator writes is in force in time at
 // all boxes in touch, targets that serve are kept and those that went are not used, and all own
 // rows stand in the end.
-func TestRestoresDrawn(t *testing.T) {
+func TestRandomRestores(t *testing.T) {
 	t.Parallel()
 	// within is the platform's bound for a change where there are hubs.
 	const within = 3 * time.Second
@@ -134,7 +134,7 @@
 		w.addTargets(serviceAt("stays", "v1", 1), serviceAt("goes", "v1", 2))
 		w.writeOperator(func(o *Operator) { o.Evacuations = map[string]bool{} })
 		w.advance(2*time.Second, nil)
-		copied, had := w.rows.Copy(), w.wrote()
+		copied, had := w.rows.Copy(), w.writtenState()
 		if lost%2 == 0 {
 			copied = empty
 		}
@@ -144,13 +144,13 @@
 		w.writeOperator(func(o *Operator) { o.Evacuations = map[string]bool{"d2": true} })
 		w.advance(time.Second+time.Duration(pauseMS)*time.Millisecond, nil) // All boxes know.
 		name := w.boxes[victim%boxes].Settings.Name
-		end := restoreTroubles[trouble].do(w, name)
+		end := restoreFaults[trouble].do(w, name)
 		w.advance(time.Duration(pauseMS%700)*time.Millisecond, nil)
-		w.restoreOlder(lost, copied, had, time.Duration(again)*time.Millisecond)
+		w.restoreCopy(lost, copied, had, time.Duration(again)*time.Millisecond)
 		if again%3 == 0 {
-			w.restoreOlder(min(lost, 3), copied, had, time.Duration(again)*time.Millisecond)
+			w.restoreCopy(min(lost, 3), copied, had, time.Duration(again)*time.Millisecond)
 		}
-		if wrong := w.wentBack(); wrong != "" {
+		if wrong := w.reverted(); wrong != "" {
 			return wrong
 		}
 		for version := int64(2); version <= 4; version++ {
@@ -167,7 +167,7 @@
 			}
 		}
 		w.advance(rewriteSpread+2*time.Second, nil)
-		if wrong := w.wentBack(); wrong != "" {
+		if wrong := w.reverted(); wrong != "" {
 			return wrong
 		}
 		for _, d := range w.boxes {
@@ -176,6 +176,6 @@
 			}
 		}
 		return ""
-	}, gen.IntRange(0, 2), gen.IntRange(0, len(restoreTroubles)-1), gen.IntRange(0, 20), gen.UInt64Range(1, 110), gen.UInt64Range(0, 900), gen.UInt64Range(50, 1500)))
+	}, gen.IntRange(0, 2), gen.IntRange(0, len(restoreFaults)-1), gen.IntRange(0, 20), gen.UInt64Range(1, 110), gen.UInt64Range(0, 900), gen.UInt64Range(50, 1500)))
 	properties.TestingRun(t)
 }
--- a/entry/restored_start_test.go
+++ b/entry/restored_start_test.go
@@ -30,8 +30,8 @@
 		proved  bool
 	}{
 		{"never restored", 0, nil, false, 0, true},
-		{"nothing is heard", 2, nil, false, settledWithin - time.Millisecond, false},
-		{"nothing is heard for long", 2, nil, false, settledWithin, true},
+		{"nothing is heard", 2, nil, false, startRewriteGrace - time.Millisecond, false},
+		{"nothing is heard for long", 2, nil, false, startRewriteGrace, true},
 		{"the operator writes", 2, nil, true, time.Millisecond, true},
 		{"another box is proved", 2, &told, false, time.Millisecond, true},
 		{"another box has a newer configuration", 2, with(func(m *peer.Message) { m.ConfigurationVersion = 8 }), false, time.Millisecond, false},
--- a/entry/restored_targets_test.go
+++ b/entry/restored_targets_test.go
@@ -32,7 +32,7 @@
 		{"its entry is lost and written again", Targets{}, Targets{}, &listed, time.Hour, true},
 		{"it leaves, and is listed as before", Targets{Listed: []fleet.Entry{leaving}}, listed, nil, time.Hour, false},
 		{"it was gone, and is listed again", Targets{Gone: []string{"a"}}, listed, nil, 0, false},
-		{"it was gone, and the list keeps it", Targets{Gone: []string{"a"}}, listed, nil, staleEntryFor + time.Second, true},
+		{"it was gone, and the list keeps it", Targets{Gone: []string{"a"}}, listed, nil, staleEntryTTL + time.Second, true},
 		{"it was gone, and goes again", Targets{Gone: []string{"a"}}, listed, &Targets{Gone: []string{"a"}}, time.Hour, false},
 		{"it was gone, and writes its entry again", Targets{Gone: []string{"a"}}, listed, &listed, 0, true},
 	}
@@ -73,7 +73,7 @@
 	for _, read := range reads {
 		d.update(start, targetsRead{start, read, false})
 	}
-	for _, after := range []time.Duration{0, staleEntryFor, departedFor + time.Second} {
+	for _, after := range []time.Duration{0, staleEntryTTL, tombstoneTTL + time.Second} {
 		now := start.Add(after)
 		d.sweep(now, &d.tables)
 		if d.tables.fleet.Target("a") != nil {
@@ -98,11 +98,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			hub, spoke := newDaemon("box-00"), hubOf("box-05")
+			hub, spoke := newDaemon("box-00"), boxOfFleet("box-05")
 			hub.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{entryAt("a", "10.1.0.1:1")}, Known: revision.Revision{Restores: tt.hub, Number: 9}}, false})
 			view := hub.view(start, &hub.tables, changelog.Cursor{})
 			view.Restores = tt.hub
-			spoke.listFromHub(start, &spoke.tables, "box-00", view)
+			spoke.applyHubList(start, &spoke.tables, "box-00", view)
 			if spoke.tables.fleet.Target("a") == nil {
 				t.Fatal("the hub's list was not taken over")
 			}
--- a/entry/restored_test.go
+++ b/entry/restored_test.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestVouchedAfterRestore guards against a proof by numbers of another history: a hub believes
+// TestPeerProofAfterRestore guards against a proof by numbers of another history: a hub believes
 // one that has read the table service since it was restored as often as it has itself.
-func TestVouchedAfterRestore(t *testing.T) {
+func TestPeerProofAfterRestore(t *testing.T) {
 	known := revision.Revision{Restores: 2, Number: 50}
 	tests := []struct {
 		name string
@@ -87,7 +87,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := hubOf("box-10")
+			d := boxOfFleet("box-10")
 			for _, ago := range []time.Duration{time.Minute, 30 * time.Second} { // The first read proves nothing yet.
 				d.update(start.Add(-ago), operatorRead{start.Add(-ago), Operator{Changed: known, Known: known}})
 			}
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestOvertakenAfterRestore guards against a hub that keeps a list from before a restore, as
+// TestListBehindAfterRestore guards against a hub that keeps a list from before a restore, as
 // the number of a later change that it is told of is lower than what it has read.
-func TestOvertakenAfterRestore(t *testing.T) {
+func TestListBehindAfterRestore(t *testing.T) {
 	known := revision.Revision{Restores: 2, Number: 50}
 	tests := []struct {
 		name   string
@@ -118,12 +118,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := hubOf("box-00")
+			d := boxOfFleet("box-00")
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Changed: known, Known: known, Listed: []fleet.Entry{engine("a", 1)}}, false})
 			d.update(start, peerAnswered{name: "box-11", asked: start, m: peer.Message{ListRevision: tt.told}})
-			now := start.Add(overtakenFor)
+			now := start.Add(behindAfter)
 			d.rereadIfStale(now, &d.tables)
-			if got := d.listReads.hurried(); got != tt.behind {
+			if got := d.listReads.interrupted(); got != tt.behind {
 				t.Errorf("the list is read anew at once: %v", got)
 			}
 			d.update(now, targetsRead{now, Targets{Snapshot: true, Changed: revision.Max(tt.told, known), Known: revision.Max(tt.told, known)}, false})
@@ -134,9 +134,9 @@
 	}
 }
 
-// TestNothingGoesBack guards against what the operator asked for being undone for as long as a
+// TestNoRollbackAfterRestore guards against what the operator asked for being undone for as long as a
 // restored table service holds older rows than what boxes know.
-func TestNothingGoesBack(t *testing.T) {
+func TestNoRollbackAfterRestore(t *testing.T) {
 	copied := revision.Revision{Restores: 1, Number: 40}
 	later := revision.Revision{Restores: 1, Number: 41}
 	none := map[string]bool{}
@@ -244,7 +244,7 @@
 		}()
 		time.Sleep(4 * time.Second)
 		restores.Store(1)
-		time.Sleep(proofHold + againAfter + targetsReadInterval)
+		time.Sleep(proofHold + readRetryDelay + targetsReadInterval)
 		if listed.Load() != 1 || own.Load() != 1 {
 			t.Errorf("after %d restores the list was read at %d, the own rows at %d", restores.Load(), listed.Load(), own.Load())
 		}
--- a/entry/rewrite.go
+++ b/entry/rewrite.go
@@ -24,8 +24,8 @@
 	// credentialSpread is the same for what boxes show each other. A box that starts before it
 	// is written again may draw another one.
 	credentialSpread = 300 * time.Millisecond
-	// rewriteAgain is the pause after a write that failed.
-	rewriteAgain = time.Second
+	// rewriteRetryDelay is the pause after a write that failed.
+	rewriteRetryDelay = time.Second
 )
 
 // rewrite writes rows that a restore lost.
@@ -52,15 +52,15 @@
 	for _, row := range m.change.Rows {
 		stands[row.Key] = row.Value
 	}
-	t.noteRowsLost(d.Settings.Name, stands, m.change.Known.Restores)
-	d.reportAgain(now, t, func(key string) bool { return stands[key] == nil })
-	effects := d.rewriteLost(stands, m.change.Known.Restores)
+	t.markRowsLost(d.Settings.Name, stands, m.change.Known.Restores)
+	d.rewriteReports(now, t, func(key string) bool { return stands[key] == nil })
+	effects := d.rewriteEffects(stands, m.change.Known.Restores)
 	d.Log.Warn("this system's own rows were read after a restore", "revision", m.change.Known, "before", before, "rows", len(stands), "boxes_lost", len(t.lostRows), "written_again", len(effects))
 	return effects
 }
 
-// rewriteLost makes the effects that write again what this box means to stand and does not.
-func (d *Daemon) rewriteLost(stands map[string][]byte, restores uint64) []effect {
+// rewriteEffects makes the effects that write again what this box means to stand and does not.
+func (d *Daemon) rewriteEffects(stands map[string][]byte, restores uint64) []effect {
 	var effects []effect
 	if own := d.ownRow(); !d.unlisted.Load() && !bytes.Equal(stands[own.Key], own.Value) {
 		effects = append(effects, d.rewriteOwn())
@@ -71,9 +71,9 @@
 	return effects
 }
 
-// noteRowsLost notes which other boxes' rows a restore lost, and which rows the holder of the
+// markRowsLost notes which other boxes' rows a restore lost, and which rows the holder of the
 // lease is to write again.
-func (t *tables) noteRowsLost(self string, stands map[string][]byte, restores uint64) {
+func (t *tables) markRowsLost(self string, stands map[string][]byte, restores uint64) {
 	for _, w := range t.weights {
 		w.versionLog.Lost()
 	}
@@ -90,8 +90,8 @@
 	}
 }
 
-// reportAgain has this box's reports written again of which the rows are lost.
-func (d *Daemon) reportAgain(now time.Time, t *tables, lost func(key string) bool) {
+// rewriteReports has this box's reports written again of which the rows are lost.
+func (d *Daemon) rewriteReports(now time.Time, t *tables, lost func(key string) bool) {
 	for life, x := range t.reports.byIncarnation {
 		if lost(d.crashKey(life)) {
 			x.written = false
@@ -122,14 +122,14 @@
 	}, d.jitter(credentialSpread)}}
 }
 
-// heardRestored has this box write again what it does not read itself: its row, if its hub
+// receiveRestored has this box write again what it does not read itself: its row, if its hub
 // lacks that, and its reports.
-func (d *Daemon) heardRestored(now time.Time, t *tables, restores uint64, rowLost bool) []effect {
+func (d *Daemon) receiveRestored(now time.Time, t *tables, restores uint64, rowLost bool) []effect {
 	if restores <= max(t.hubRestores, t.ownRowsRevision.Restores) {
 		return nil
 	}
 	t.hubRestores = restores
-	d.reportAgain(now, t, func(string) bool { return true })
+	d.rewriteReports(now, t, func(string) bool { return true })
 	if !rowLost || d.unlisted.Load() {
 		return nil
 	}
@@ -157,6 +157,6 @@
 		return nil // Another box has done so.
 	}
 	d.Log.Warn("rows that a restore lost were not written; trying again", "rows", strings.Join(keys, " "), "err", m.err)
-	m.after = rewriteAgain
+	m.after = rewriteRetryDelay
 	return []effect{m.rewrite}
 }
--- a/entry/silent_test.go
+++ b/entry/silent_test.go
@@ -20,7 +20,7 @@
 		again  time.Duration
 	}{
 		{"answered", nil, false, 0},
-		{"silent", peer.ErrSilent, false, gossipEvery},
+		{"silent", peer.ErrSilent, false, gossipInterval},
 		{"unreachable", errors.New("refused"), true, gossipRetryDelay},
 	}
 	for _, tt := range tests {
--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -11,12 +11,12 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// TestStartReadsLittle has a box start and looks when it reads the list of targets, and what the
+// TestStartReads has a box start and looks when it reads the list of targets, and what the
 // operator wrote a second time, by what it learns of its role: one that comes to live on a hub
 // reads neither, one that is a hub reads at once, and one that learns nothing, or hears no hub,
 // after a while. Where a configuration stands the fleet runs, and a box that joins it reads the
 // list without waiting for its role.
-func TestStartReadsLittle(t *testing.T) {
+func TestStartReads(t *testing.T) {
 	tests := []struct {
 		name string
 		// alone says that the box can't be called by others, stands that there is a
@@ -32,12 +32,12 @@
 	}{
 		{"lives on a hub", false, false, 2 * time.Second, false, 2500 * time.Millisecond, 0, 0},
 		{"is a hub", false, false, 2 * time.Second, true, 0, 2 * time.Second, 2 * time.Second},
-		{"lives on hubs and hears none", false, false, 2 * time.Second, false, 0, 2*time.Second + listWithin, 2*time.Second + operatorWithin},
-		{"knows no role", false, false, 0, false, 0, roleWithin, roleWithin},
-		{"joins, and its role is not known for long", false, true, 4 * time.Second, true, 0, atOnceRead, atOnceRead},
+		{"lives on hubs and hears none", false, false, 2 * time.Second, false, 0, 2*time.Second + hubListTimeout, 2*time.Second + hubOperatorTimeout},
+		{"knows no role", false, false, 0, false, 0, roleTimeout, roleTimeout},
+		{"joins, and its role is not known for long", false, true, 4 * time.Second, true, 0, noWait, noWait},
 		{"joins and lives on a hub", false, true, 20 * time.Millisecond, false, 200 * time.Millisecond, 0, 0},
-		{"can't be called", true, false, 0, false, 0, atOnceRead, atOnceRead},
-		{"was there before", false, true, 20 * time.Millisecond, true, 0, atOnceRead, atOnceRead},
+		{"can't be called", true, false, 0, false, 0, noWait, noWait},
+		{"was there before", false, true, 20 * time.Millisecond, true, 0, noWait, noWait},
 	}
 	// The loop takes the configuration over before its reader goes on, or well after that.
 	for i := range 2 * len(tests) {
@@ -54,7 +54,7 @@
 				reads := 0
 				d.Platform.Targets = func(ctx context.Context, _ revision.Revision, _ time.Duration) (Targets, error) {
 					if list == 0 {
-						list = max(d.uptime(time.Now()), atOnceRead)
+						list = max(d.uptime(time.Now()), noWait)
 					}
 					<-ctx.Done()
 					return Targets{}, ctx.Err()
@@ -71,7 +71,7 @@
 						return Operator{Known: rev(1)}, nil
 					}
 					if operator == 0 {
-						operator = max(d.uptime(time.Now()), atOnceRead)
+						operator = max(d.uptime(time.Now()), noWait)
 					}
 					<-ctx.Done()
 					return Operator{}, ctx.Err()
@@ -109,7 +109,7 @@
 				cancel()
 				synctest.Wait()
 				within := func(got, want time.Duration) bool {
-					return want == 0 && got == 0 || want > 0 && got >= want && got <= want+storeAnswer+viewLook
+					return want == 0 && got == 0 || want > 0 && got >= want && got <= want+storeAnswer+viewPoll
 				}
 				if !within(list, tt.list) || !within(operator, tt.operator) {
 					t.Errorf("the list is read after %v, want %v; the operator's rows again after %v, want %v", list, tt.list, operator, tt.operator)
@@ -119,5 +119,5 @@
 	}
 }
 
-// atOnceRead stands for a read without any wait.
-const atOnceRead = time.Nanosecond
+// noWait stands for a read without any wait.
+const noWait = time.Nanosecond
--- a/entry/suspended.go
+++ b/entry/suspended.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// leastSuspension is the shortest suspension of the machine that is logged: shorter ones
+// minLoggedSuspension is the shortest suspension of the machine that is logged: shorter ones
 // change nothing that is believed.
-const leastSuspension = 100 * time.Millisecond
+const minLoggedSuspension = 100 * time.Millisecond
 
 // noteSuspension logs that the machine was suspended. All ages count that time anyway; the
 // kernel is asked here so that a step of the time of day can't hide it for longer than the
@@ -15,7 +15,7 @@
 	}
 	t.due.suspension = now.Add(reapInterval)
 	all := d.suspended()
-	if slept := all - t.suspended; slept >= leastSuspension {
+	if slept := all - t.suspended; slept >= minLoggedSuspension {
 		t.suspended = all
 		d.metrics.suspended.Add(slept.Seconds())
 		d.Log.Warn("this box was suspended", "for", slept, "proved_ago", d.provedAgo(d.now()), "configuration", d.version())
--- a/entry/unlisted.go
+++ b/entry/unlisted.go
@@ -16,9 +16,9 @@
 // know of them by their gossip, tell each other how many there are, and tell that to the boxes.
 
 const (
-	// unlistedFrom is how many boxes fit for hubs have to have their rows for a weaker one to
+	// minListedBoxes is how many boxes fit for hubs have to have their rows for a weaker one to
 	// go without: so many that the fleet is large, whichever domains they are of.
-	unlistedFrom = 3 * meshBoxes
+	minListedBoxes = 3 * maxMeshBoxes
 	// weakCores is the part of a core below which a box that starts, and finds few rows, waits
 	// whether stronger ones write theirs: weakWait, within which boxes that start at once
 	// have done so and know that they are hubs, and up to weakSpread more, so that their
@@ -26,31 +26,31 @@
 	weakCores  = 0.5
 	weakWait   = 2500 * time.Millisecond
 	weakSpread = time.Second
-	// metFor is how long a hub counts a box without a row after it was last heard, countedFor
+	// metTTL is how long a hub counts a box without a row after it was last heard, countedFor
 	// how long what another hub told counts.
-	metFor     = 10 * time.Second
-	countedFor = 5 * time.Second
+	metTTL     = 10 * time.Second
+	countTTL = 5 * time.Second
 	// sampledShare is how much of the retries that all boxes may save up together is given to
 	// boxes that are drawn by their names.
 	sampledShare = 0.45
 )
 
-// enter has this box be found by others, if it has to be, and returns the rows that it read.
-func (d *Daemon) enter(ctx context.Context) OwnRows {
-	rows := d.readOwn(ctx)
-	if d.weak() && !d.rowNeedless(rows.Rows) && !hasRow(rows.Rows, d.ownRow()) {
+// register has this box be found by others, if it has to be, and returns the rows that it read.
+func (d *Daemon) register(ctx context.Context) OwnRows {
+	rows := d.readOwnRows(ctx)
+	if d.weak() && !d.rowUnneeded(rows.Rows) && !hasRow(rows.Rows, d.ownRow()) {
 		if d.awaitStronger(ctx) {
-			rows = d.readOwn(ctx)
+			rows = d.readOwnRows(ctx)
 		}
 	}
-	if !hasRow(rows.Rows, d.ownRow()) && d.rowNeedless(rows.Rows) {
+	if !hasRow(rows.Rows, d.ownRow()) && d.rowUnneeded(rows.Rows) {
 		d.unlisted.Store(true)
 		d.Log.Info("this box needs no row, as there are hubs enough", "rows", len(rows.Rows))
 		d.postContext(ctx, ownRead{rows, true})
 		return rows
 	}
 	d.join(ctx, rows.Rows)
-	d.sleep(ctx, memberAfter)
+	d.sleep(ctx, membersReadDelay)
 	return rows
 }
 
@@ -63,7 +63,7 @@
 		if d.current.Load() != nil {
 			return false
 		}
-		d.sleep(ctx, min(left, viewLook))
+		d.sleep(ctx, min(left, viewPoll))
 	}
 	return true
 }
@@ -71,16 +71,16 @@
 // weak says that this box may be too weak for a hub.
 func (d *Daemon) weak() bool { return d.Settings.Box.Share < weakCores }
 
-// rowNeedless says that this box is no hub whatever happens, in a fleet of many, by the rows
+// rowUnneeded says that this box is no hub whatever happens, in a fleet of many, by the rows
 // of the others.
-func (d *Daemon) rowNeedless(rows []table.Row) bool {
+func (d *Daemon) rowUnneeded(rows []table.Row) bool {
 	fit, ofDomain := 0, 0
 	for _, row := range rows {
 		var other memberRow
 		if !strings.HasPrefix(row.Key, memberPrefix) || json.Unmarshal(row.Value, &other) != nil {
 			continue // ownRead logs those that can't be read.
 		}
-		if other.Share*strong <= d.Settings.Box.Share {
+		if other.Share*hubMinShare <= d.Settings.Box.Share {
 			continue
 		}
 		fit++
@@ -88,11 +88,11 @@
 			ofDomain++
 		}
 	}
-	return fit >= unlistedFrom && ofDomain >= standbys
+	return fit >= minListedBoxes && ofDomain >= hubsPerDomain
 }
 
-// meet notes a box without a row that asks this one.
-func (d *Daemon) meet(now time.Time, t *tables, m peer.Message) {
+// meetUnlisted notes a box without a row that asks this one.
+func (d *Daemon) meetUnlisted(now time.Time, t *tables, m peer.Message) {
 	if m.Domain == "" {
 		return
 	}
@@ -111,7 +111,7 @@
 	for name, x := range t.members {
 		switch {
 		case !x.unlisted:
-		case now.Sub(x.metAt) > metFor:
+		case now.Sub(x.metAt) > metTTL:
 			delete(t.members, name)
 		default:
 			t.unlistedMet++
@@ -130,35 +130,35 @@
 	if len(t.members) == 0 {
 		return assumedBoxes
 	}
-	return max(len(t.members)+t.countedElsewhere(now), t.hubBoxes)
+	return max(len(t.members)+t.unlistedElsewhere(now), t.hubBoxes)
 }
 
-// countedElsewhere is how many boxes without a row other hubs met.
-func (t *tables) countedElsewhere(now time.Time) int {
+// unlistedElsewhere is how many boxes without a row other hubs met.
+func (t *tables) unlistedElsewhere(now time.Time) int {
 	sum := 0
 	for _, x := range t.members {
-		if now.Sub(x.countedAt) < countedFor {
+		if now.Sub(x.countedAt) < countTTL {
 			sum += x.unlistedMet
 		}
 	}
 	return sum
 }
 
-// hearCount takes over how many boxes without a row another hub met.
-func (t *tables) hearCount(now time.Time, m peer.Message) {
+// receiveUnlistedCount takes over how many boxes without a row another hub met.
+func (t *tables) receiveUnlistedCount(now time.Time, m peer.Message) {
 	if x := t.members[m.From]; x != nil && !x.unlisted {
 		x.unlistedMet, x.countedAt = m.Unlisted, now
 	}
 }
 
-// rowless is how many boxes without a row there are in all, as far as this one knows.
-func (t *tables) rowless(now time.Time) int {
-	return max(t.unlistedMet+t.countedElsewhere(now), t.hubUnlisted)
+// unlistedTotal is how many boxes without a row there are in all, as far as this one knows.
+func (t *tables) unlistedTotal(now time.Time) int {
+	return max(t.unlistedMet+t.unlistedElsewhere(now), t.hubUnlisted)
 }
 
 // hasUnregistered says that boxes without a row share the work, so that nobody knows all names. A box
 // that has joined and whose row this one has not read is none of these.
-func (t *tables) hasUnregistered(now time.Time) bool { return t.rowless(now) > 0 }
+func (t *tables) hasUnregistered(now time.Time) bool { return t.unlistedTotal(now) > 0 }
 
 // sampledBurst is how many retries a box may save up where nobody knows all names: one, if its
 // name draws it. Over boxes that draw independently the sum stays below what all may save.
--- a/entry/unlisted_test.go
+++ b/entry/unlisted_test.go
@@ -25,7 +25,7 @@
 type startingFleet struct {
 	rows fake.Table
 	// calls and told count the calls to the table service and the rows that it told.
-	calls, told atomic.Int64
+	calls, rowsRead atomic.Int64
 	boxes       []*Daemon
 }
 
@@ -54,7 +54,7 @@
 				<-ctx.Done() // Nothing changes any more that a test looks at.
 				return OwnRows{}, ctx.Err()
 			}
-			f.told.Add(int64(len(rows)))
+			f.rowsRead.Add(int64(len(rows)))
 			return OwnRows{Snapshot: true, Rows: rows, Known: rev(version)}, err
 		}
 		f.boxes = append(f.boxes, d)
@@ -68,7 +68,7 @@
 	defer cancel()
 	for _, d := range f.boxes {
 		d.outage.start(ctx)
-		go d.watchOwn(ctx)
+		go d.watchOwnRows(ctx)
 		go func() {
 			for {
 				select {
@@ -110,7 +110,7 @@
 				if err != nil || len(rows) != tt.members {
 					t.Errorf("%d rows, want %d; %v", len(rows), tt.members, err)
 				}
-				calls, told := f.calls.Load()/int64(tt.boxes), f.told.Load()/int64(tt.boxes)
+				calls, told := f.calls.Load()/int64(tt.boxes), f.rowsRead.Load()/int64(tt.boxes)
 				t.Logf("%d calls and %d rows told a box", calls, told)
 				if calls > tt.calls || told > tt.told {
 					t.Errorf("%d calls and %d rows told a box, want %d and %d", calls, told, tt.calls, tt.told)
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestUnlistedAreCounted has hubs meet boxes without rows, tell each other how many, and the
+// TestUnlistedCounted has hubs meet boxes without rows, tell each other how many, and the
 // boxes; one that is not heard any more is not counted.
-func TestUnlistedAreCounted(t *testing.T) {
+func TestUnlistedCounted(t *testing.T) {
 	t.Parallel()
 	const boxes, domains = 120, 18
 	w := emulate(boxes, domains, configuration(1))
@@ -149,15 +149,15 @@
 	for _, d := range w.boxes[80:] {
 		w.dead[d.Settings.Name] = true
 	}
-	w.advance(metFor+2*time.Second, nil)
+	w.advance(metTTL+2*time.Second, nil)
 	if got := count(w.boxes[0]); got < 80 || got > 82 {
 		t.Errorf("%d of 80 boxes are counted after the others ended", got)
 	}
 }
 
-// drawnWithin says that boxes of any names and number, which count them a little wrong, save up
+// burstWithinTotal says that boxes of any names and number, which count them a little wrong, save up
 // no more retries than all may.
-func drawnWithin(burst func(name string, boxes int, all float64) float64) gopter.Prop {
+func burstWithinTotal(burst func(name string, boxes int, all float64) float64) gopter.Prop {
 	const all = 1040 * retryUse
 	return prop.ForAll(func(prefix string, boxes, wrong int) bool {
 		sum := 0.0
@@ -168,12 +168,12 @@
 	}, gen.Identifier(), gen.IntRange(800, 2500), gen.IntRange(-3, 10))
 }
 
-// TestDrawnRetries holds the sum of what boxes without rows save up; its sister has each save
+// TestSampledBurst holds the sum of what boxes without rows save up; its sister has each save
 // up one.
-func TestDrawnRetries(t *testing.T) { proof.Holds(t, drawnWithin(sampledBurst)) }
+func TestSampledBurst(t *testing.T) { proof.Holds(t, burstWithinTotal(sampledBurst)) }
 
-func TestDrawnRetriesNeedTheDrawing(t *testing.T) {
-	proof.Breaks(t, drawnWithin(func(string, int, float64) float64 { return 1 }))
+func TestSampledBurstNeedsSampling(t *testing.T) {
+	proof.Breaks(t, burstWithinTotal(func(string, int, float64) float64 { return 1 }))
 }
 
 // TestUnlistedBurst says what a box without a row saves up before it was told how many there are.
@@ -189,9 +189,9 @@
 	}
 }
 
-// TestUnlistedFollowNoRows has a box without a row hear a hub soon after it knows its role: it
+// TestUnlistedWatchNoRows has a box without a row hear a hub soon after it knows its role: it
 // reads the rows twice, to find that out, and does not follow them.
-func TestUnlistedFollowNoRows(t *testing.T) {
+func TestUnlistedWatchNoRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newStartingFleet(t, 60, 45)
 		last := f.boxes[59]
@@ -216,9 +216,9 @@
 	})
 }
 
-// TestJoinedIsNotRowless has a hub tell of a box more than another box has read the rows of: that
+// TestJoinedIsNotUnlisted has a hub tell of a box more than another box has read the rows of: that
 // one goes on by the names that it knows, also for cold targets of a service, which all boxes share.
-func TestJoinedIsNotRowless(t *testing.T) {
+func TestJoinedIsNotUnlisted(t *testing.T) {
 	d := largeFleet("box-05")
 	tell := func(boxes, rowless int) {
 		view := &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, Boxes: boxes, Unlisted: rowless}
@@ -253,7 +253,7 @@
 				return commit(ctx, tx)
 			}
 			f.run(t, 6*time.Second)
-			if runs && wrote > 2*viewLook || !runs && wrote < weakWait {
+			if runs && wrote > 2*viewPoll || !runs && wrote < weakWait {
 				t.Errorf("the fleet runs: %v; the box's row was written after %v", runs, wrote)
 			}
 		})
--- a/entry/vanish.go
+++ b/entry/vanish.go
@@ -17,23 +17,23 @@
 // taken for vanished too, as the kernel can't tell the two apart.
 const tcpUserTimeout = 6 * time.Second
 
-// probeAfter and probeEach are when a connection without traffic is probed first,
+// keepAliveIdle and probeEach are when a connection without traffic is probed first,
 // and then again.
 const (
-	probeAfter = 3 * time.Second
-	probeEach  = time.Second
+	keepAliveIdle = 3 * time.Second
+	keepAliveInterval  = time.Second
 )
 
 // listener accepts connections that end when their other side vanished.
 type listener struct {
 	*net.TCPListener
-	// vanished is how long the other side may acknowledge nothing.
-	vanished time.Duration
+	// userTimeout is how long the other side may acknowledge nothing.
+	userTimeout time.Duration
 }
 
 // listenTCP listens on an address.
 func listenTCP(address string, vanished time.Duration) (net.Listener, error) {
-	probes := net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEach, Count: int((vanished - probeAfter) / probeEach)}
+	probes := net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: int((vanished - keepAliveIdle) / keepAliveInterval)}
 	config := net.ListenConfig{KeepAliveConfig: probes}
 	l, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -54,7 +54,7 @@
 	}
 	// An option that can't be set leaves the kernel's own bound, of minutes.
 	_ = raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(l.vanished.Milliseconds()))
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(l.userTimeout.Milliseconds()))
 	})
 	return conn, nil
 }
--- a/entry/vanish_test.go
+++ b/entry/vanish_test.go
@@ -29,9 +29,9 @@
 	return conn.(*net.TCPConn)
 }
 
-// TestVanished has a caller take nothing any more, as one that is gone does: a
+// TestUnresponsiveCaller has a caller take nothing any more, as one that is gone does: a
 // write to it ends.
-func TestVanished(t *testing.T) {
+func TestUnresponsiveCaller(t *testing.T) {
 	conn := accepted(t, 4*time.Second)
 	if err := conn.SetWriteDeadline(time.Now().Add(time.Minute)); err != nil { // Far beyond.
 		t.Fatal(err)
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestProbes reads from the kernel how connections are probed.
-func TestProbes(t *testing.T) {
+// TestKeepAliveOptions reads from the kernel how connections are probed.
+func TestKeepAliveOptions(t *testing.T) {
 	raw, err := accepted(t, tcpUserTimeout).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
--- a/entry/view.go
+++ b/entry/view.go
@@ -10,14 +10,14 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// viewMost is how many targets one answer tells: 60 kB, which a link of 10 Mbit/s takes in 50 ms.
-const viewMost = 400
+// maxViewTargets is how many targets one answer tells: 60 kB, which a link of 10 Mbit/s takes in 50 ms.
+const maxViewTargets = 400
 
 // view is what this box read of the platform, for a box that was told of its list so far.
 func (d *Daemon) view(now time.Time, t *tables, have changelog.Cursor) *peer.View {
 	v := &peer.View{
 		ConfigurationVersion: d.version(), ProofAgeMS: d.provedAgo(now).Milliseconds(),
-		WeightVersions: make(map[string][]peer.WeightVersion, len(t.weights)), Evacuated: t.fleet.Evacuated(), ListBehind: t.listBehind(now), Canaries: t.canarySnapshot(), Boxes: t.boxCount(now), Unlisted: t.rowless(now),
+		WeightVersions: make(map[string][]peer.WeightVersion, len(t.weights)), Evacuated: t.fleet.Evacuated(), ListBehind: t.listBehind(now), Canaries: t.canarySnapshot(), Boxes: t.boxCount(now), Unlisted: t.unlistedTotal(now),
 	}
 	for model, w := range t.weights {
 		if w.newestVersion == 0 {
@@ -28,7 +28,7 @@
 	if t.changes == nil {
 		return v
 	}
-	part := t.changes.Since(have, viewMost)
+	part := t.changes.Since(have, maxViewTargets)
 	v.ListVersion, v.ListStartVersion, v.Delta, v.More, v.Removed = part.Next.Number, part.Next.SnapshotAt, !part.Snapshot, part.More, part.Removed
 	for _, id := range part.Changed {
 		v.Entries = append(v.Entries, entryOf(now, t.fleet.Target(id)))
@@ -36,13 +36,13 @@
 	return v
 }
 
-// viewRead takes over a hub's view, which was asked for at a time.
-func (d *Daemon) viewRead(now time.Time, t *tables, hub string, asked time.Time, v *peer.View) []effect {
+// applyView takes over a hub's view, which was asked for at a time.
+func (d *Daemon) applyView(now time.Time, t *tables, hub string, asked time.Time, v *peer.View) []effect {
 	if v == nil {
 		return nil
 	}
 	age := time.Duration(v.ProofAgeMS) * time.Millisecond
-	if age > staleView {
+	if age > maxHubProofAge {
 		d.Log.Warn("hub can't prove the configuration", "hub", hub, "proved_ago", age)
 		t.members[hub].retryAt = now.Add(gossipRetryDelay)
 	}
@@ -56,7 +56,7 @@
 		return nil
 	}
 	proof := asked.Add(-time.Duration(v.ProofAgeMS) * time.Millisecond)
-	effects := d.heardRestored(now, t, v.Restores, v.RowLost)
+	effects := d.receiveRestored(now, t, v.Restores, v.RowLost)
 	switch {
 	case v.ConfigurationVersion > d.version():
 		if at := t.members[hub].address; !t.loadingConfiguration {
@@ -70,19 +70,19 @@
 	d.applyHubCanaries(now, t, hub, v.Canaries)
 	t.hubBoxes, t.hubUnlisted = v.Boxes, v.Unlisted
 	d.applyHubVersions(now, t, hub, asked, v)
-	d.evacuationsFromHub(now, t, hub, proof, v.Evacuated)
+	d.applyHubEvacuations(now, t, hub, proof, v.Evacuated)
 	// The list of a hub that is cut off brings targets back that are gone, and work would
 	// be sent there for as long as that hub is asked: neither that of another hub is taken,
 	// nor one older than what this box read itself.
-	if age > staleView && (t.hubList.Number != 0 && t.hub != hub || proof.Before(t.listRead)) {
+	if age > maxHubProofAge && (t.hubList.Number != 0 && t.hub != hub || proof.Before(t.listRead)) {
 		return effects
 	}
-	d.listFromHub(now, t, hub, v)
+	d.applyHubList(now, t, hub, v)
 	return effects
 }
 
-// listFromHub takes over a part of a hub's list.
-func (d *Daemon) listFromHub(now time.Time, t *tables, hub string, v *peer.View) {
+// applyHubList takes over a part of a hub's list.
+func (d *Daemon) applyHubList(now time.Time, t *tables, hub string, v *peer.View) {
 	next := changelog.Cursor{Number: v.ListVersion, SnapshotAt: v.ListStartVersion}
 	if v.ListVersion == 0 || t.hub == hub && t.hubList == next || v.Delta && t.hub != hub {
 		return
@@ -102,12 +102,12 @@
 		return
 	}
 	if t.hubSeen != nil {
-		d.unlistUnseen(now, t)
+		d.removeUnseen(now, t)
 	}
 }
 
-// unlistUnseen drops the targets that a hub did not tell of when it told all.
-func (d *Daemon) unlistUnseen(now time.Time, t *tables) {
+// removeUnseen drops the targets that a hub did not tell of when it told all.
+func (d *Daemon) removeUnseen(now time.Time, t *tables) {
 	for _, id := range t.fleet.IDs() {
 		if !t.hubSeen[id] {
 			d.unlist(now, t, id, false)
--- a/entry/vouch.go
+++ b/entry/vouch.go
@@ -16,22 +16,22 @@
 // learn the same.
 
 const (
-	// vouchLeast is how old a proof gets before the second hub reads itself: the reading
+	// peerProofBase is how old a proof gets before the second hub reads itself: the reading
 	// one's is up to twice its hold old, and told within two gossips. Proofs then stay
 	// younger than staleView, at which boxes leave a hub.
-	vouchLeast = 2*hubHold + 2*hubsEvery
-	// vouchEach is how much later each further hub does, so that the second one's
+	peerProofBase = 2*hubHold + 2*hubGossipInterval
+	// peerProofStep is how much later each further hub does, so that the second one's
 	// proof, which is told as well, spares the others the read.
-	vouchEach = 2 * hubsEvery
-	// vouchMost bounds it.
-	vouchMost = vouchLeast + vouchEach
-	// vouchLook is how often a hub looks whether it is to read.
-	vouchLook = hubsEvery
+	peerProofStep = 2 * hubGossipInterval
+	// peerProofLimit bounds it.
+	peerProofLimit = peerProofBase + peerProofStep
+	// peerProofPoll is how often a hub looks whether it is to read.
+	peerProofPoll = hubGossipInterval
 )
 
-// vouchedFor is for how long this box goes by other hubs' proofs: not at all unless it is
+// peerProofLifetime is for how long this box goes by other hubs' proofs: not at all unless it is
 // a hub in a large fleet, and another one that answers reads before it.
-func (d *Daemon) vouchedFor(t *tables) time.Duration {
+func (d *Daemon) peerProofLifetime(t *tables) time.Duration {
 	hubs := t.hubs()
 	if !t.usesHubs() || !slices.Contains(hubs, d.Settings.Name) {
 		return 0
@@ -45,7 +45,7 @@
 	if before == 0 {
 		return 0
 	}
-	return min(vouchLeast+time.Duration(before-1)*vouchEach, vouchMost)
+	return min(peerProofBase+time.Duration(before-1)*peerProofStep, peerProofLimit)
 }
 
 // hasPeerProof says that another hub reads the operator's rows and has told lately that this
@@ -55,10 +55,10 @@
 	return wait > 0 && !d.operatorBehind.Load() && !d.outage.lost() && d.provedAgo(now) < wait
 }
 
-// hearProof takes over another hub's proof, if this box knows all that was known there. The
+// receiveProof takes over another hub's proof, if this box knows all that was known there. The
 // proof's age counts from when it was asked for, as the answer was made later. A hub that
 // has not read the table service since that was restored proves nothing to one that has.
-func (d *Daemon) hearProof(t *tables, asked time.Time, m peer.Message) {
+func (d *Daemon) receiveProof(t *tables, asked time.Time, m peer.Message) {
 	switch {
 	case m.OperatorRevision.IsZero() || d.peerProofMaxAge.Load() == 0:
 	case m.OperatorRevision.Restores < t.operatorKnown.Restores || !t.olderSince.IsZero():
--- a/entry/vouch_test.go
+++ b/entry/vouch_test.go
@@ -8,46 +8,46 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// hubOf makes a daemon one of 20 boxes, by its name in domain a or b.
-func hubOf(name string) *Daemon {
+// boxOfFleet makes a daemon one of 20 boxes, by its name in domain a or b.
+func boxOfFleet(name string) *Daemon {
 	d := largeFleet(name)
 	d.Settings.Domain = d.tables.members[name].domain
 	d.updateRole(start, &d.tables)
 	return d
 }
 
-// TestVouchedFor shows that one hub reads for all, the last by name, and who reads if it
+// TestPeerProofLifetime shows that one hub reads for all, the last by name, and who reads if it
 // does not answer.
-func TestVouchedFor(t *testing.T) {
+func TestPeerProofLifetime(t *testing.T) {
 	tests := []struct {
 		box    string
 		failed []string
 		want   time.Duration
 	}{
 		{"box-11", nil, 0},
-		{"box-10", nil, vouchLeast},
-		{"box-01", nil, vouchLeast + vouchEach},
-		{"box-00", nil, vouchMost},
+		{"box-10", nil, peerProofBase},
+		{"box-01", nil, peerProofBase + peerProofStep},
+		{"box-00", nil, peerProofLimit},
 		{"box-10", []string{"box-11"}, 0},
-		{"box-00", []string{"box-11", "box-10"}, vouchLeast},
+		{"box-00", []string{"box-11", "box-10"}, peerProofBase},
 		{"box-05", nil, 0}, // Lives on a hub.
 	}
 	for _, tt := range tests {
-		d := hubOf(tt.box)
+		d := boxOfFleet(tt.box)
 		for _, name := range tt.failed {
 			d.tables.members[name].failed = true
 		}
-		if got := d.vouchedFor(&d.tables); got != tt.want {
+		if got := d.peerProofLifetime(&d.tables); got != tt.want {
 			t.Errorf("%s, failed %v: waits for %v, want %v", tt.box, tt.failed, got, tt.want)
 		}
 	}
-	if most := vouchMost + vouchLook; most > staleView {
-		t.Errorf("a proof gets %v old before a hub reads: boxes leave it at %v", most, staleView)
+	if most := peerProofLimit + peerProofPoll; most > maxHubProofAge {
+		t.Errorf("a proof gets %v old before a hub reads: boxes leave it at %v", most, maxHubProofAge)
 	}
 }
 
-// TestVouched lists what a hub's answer must say for another not to read.
-func TestVouched(t *testing.T) {
+// TestHasPeerProof lists what a hub's answer must say for another not to read.
+func TestHasPeerProof(t *testing.T) {
 	const known = 7
 	tests := []struct {
 		name string
@@ -65,7 +65,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := hubOf("box-10")
+			d := boxOfFleet("box-10")
 			old := start.Add(-time.Minute)
 			d.provedAt.Store(&old)
 			d.update(start.Add(-time.Minute), operatorRead{old, Operator{Changed: rev(known - 2), Known: rev(known)}})
@@ -91,7 +91,7 @@
 	reads := make(map[string]int)
 	var all []*Daemon
 	for _, name := range []string{"box-00", "box-01", "box-10", "box-11"} {
-		d := hubOf(name)
+		d := boxOfFleet(name)
 		d.update(start, operatorRead{start, Operator{Changed: rev(3), Known: rev(9)}})
 		all = append(all, d)
 	}
@@ -134,7 +134,7 @@
 		t.Errorf("reads %v after the first is gone", reads)
 	}
 	for _, d := range all[:3] {
-		if age := d.provedAgo(start.Add(20 * time.Second)); age > vouchMost {
+		if age := d.provedAgo(start.Add(20 * time.Second)); age > peerProofLimit {
 			t.Errorf("%s has a proof %v old", d.Settings.Name, age)
 		}
 	}
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -22,39 +22,39 @@
 	// others' rows; it then reads twice within the time that keys are trusted, also
 	// if one connection goes silent.
 	startHold = 1800 * time.Millisecond
-	// hold is how long the other reads are held. A connection that went silent is
+	// readHold is how long the other reads are held. A connection that went silent is
 	// found out only behind it, and leaving targets have to be heeded 5 s after
 	// that (3 s in which it is excused, and 2 s): hold and the longest wait for an
 	// answer stay below.
-	hold = 3 * time.Second
-	// againAfter is the pause after a failed read; each call has its price.
-	againAfter = 250 * time.Millisecond
-	// emptyAgain is the pause after a read of a table service in which nothing was written
+	readHold = 3 * time.Second
+	// readRetryDelay is the pause after a failed read; each call has its price.
+	readRetryDelay = 250 * time.Millisecond
+	// emptyRetryDelay is the pause after a read of a table service in which nothing was written
 	// yet: it has no version from which a read could be held.
-	emptyAgain = 300 * time.Millisecond
-	// spokeAgain is the longest pause after failed reads of a box that lives on
+	emptyRetryDelay = 300 * time.Millisecond
+	// maxSpokeRetryDelay is the longest pause after failed reads of a box that lives on
 	// hubs. They read on and tell within 0.3 s that the service is back, and in an outage
 	// each call of many boxes has its price.
-	spokeAgain = time.Second
+	maxSpokeRetryDelay = time.Second
 	// targetsReadInterval is the least time between two reads of the list: many
 	// entries that change at once then cost one call.
 	targetsReadInterval = 400 * time.Millisecond
-	// targetsStart is the same while a box waits for the others' rows. When all
+	// targetsStartInterval is the same while a box waits for the others' rows. When all
 	// boxes and targets start at once, most of a large fleet's calls are these.
-	targetsStart = 1500 * time.Millisecond
-	// viewLook is how often a box that takes a hub's view looks whether that is
+	targetsStartInterval = 1500 * time.Millisecond
+	// viewPoll is how often a box that takes a hub's view looks whether that is
 	// fresh enough.
-	viewLook = 200 * time.Millisecond
-	// roleWithin is how long a box that starts waits to know its role before it reads what the
+	viewPoll = 200 * time.Millisecond
+	// roleTimeout is how long a box that starts waits to know its role before it reads what the
 	// operator and targets wrote; operatorWithin and listWithin are how long it then waits
 	// for a hub to tell that. Hubs that start with it read the list within a second.
-	roleWithin     = 7 * time.Second
-	operatorWithin = time.Second
-	listWithin     = 2 * time.Second
-	// memberAfter is how long after it wrote its own row a box reads the others':
+	roleTimeout     = 7 * time.Second
+	hubOperatorTimeout = time.Second
+	hubListTimeout     = 2 * time.Second
+	// membersReadDelay is how long after it wrote its own row a box reads the others':
 	// all are written by then, so that none reads them one by one. A table service
 	// that takes 340 writes a second has the rows of 330 boxes after one second.
-	memberAfter = 1500 * time.Millisecond
+	membersReadDelay = 1500 * time.Millisecond
 )
 
 // watch follows the table service until ctx ends.
@@ -62,7 +62,7 @@
 	var work sync.WaitGroup
 	work.Go(func() { d.watchOperator(ctx) })
 	work.Go(func() { d.watchTargets(ctx) })
-	work.Go(func() { d.watchOwn(ctx) })
+	work.Go(func() { d.watchOwnRows(ctx) })
 	work.Wait()
 }
 
@@ -75,28 +75,28 @@
 		asked := d.now()
 		if d.hasFreshView(asked) {
 			failed = 0
-			d.sleep(ctx, viewLook)
+			d.sleep(ctx, viewPoll)
 			continue
 		}
-		if !after.IsZero() && d.awaitsHub(asked, operatorWithin) {
-			d.sleep(ctx, viewLook)
+		if !after.IsZero() && d.awaitsHub(asked, hubOperatorTimeout) {
+			d.sleep(ctx, viewPoll)
 			continue
 		}
 		if d.hasPeerProof(asked) {
 			failed = 0
-			d.sleep(ctx, vouchLook)
+			d.sleep(ctx, peerProofPoll)
 			continue
 		}
 		change, err := d.Platform.Operator(ctx, after, d.operatorHold())
 		if err != nil {
 			failed++
-			d.lost(ctx, err)
-			d.waitToRead(ctx, failed)
+			d.reportLost(ctx, err)
+			d.backOffReads(ctx, failed)
 			continue
 		}
 		failed = 0
-		d.back(ctx)
-		d.outage.restored(ctx, change.Known.Restores)
+		d.reportBack(ctx)
+		d.outage.noteRestores(ctx, change.Known.Restores)
 		after = change.Known
 		if !change.Asked.IsZero() {
 			asked = change.Asked
@@ -104,22 +104,22 @@
 		d.postContext(ctx, operatorRead{asked, change})
 		switch {
 		case after.Number == 0:
-			d.sleep(ctx, emptyAgain)
+			d.sleep(ctx, emptyRetryDelay)
 		case d.roleSince.Load() == nil && d.Settings.Peers.IsValid():
-			d.sleep(ctx, viewLook) // Whether a hub tells what the next read would is known soon.
+			d.sleep(ctx, viewPoll) // Whether a hub tells what the next read would is known soon.
 		}
 	}
 }
 
-// waitToRead waits after some failed reads in a row of the operator's rows. A box
+// backOffReads waits after some failed reads in a row of the operator's rows. A box
 // that lives on hubs waits longer each time, until a hub's view is fresh again.
-func (d *Daemon) waitToRead(ctx context.Context, failed int) {
-	until := d.now().Add(againAfter)
+func (d *Daemon) backOffReads(ctx context.Context, failed int) {
+	until := d.now().Add(readRetryDelay)
 	if d.spoke.Load() {
-		until = d.now().Add(min(againAfter<<min(failed-1, 8), spokeAgain))
+		until = d.now().Add(min(readRetryDelay<<min(failed-1, 8), maxSpokeRetryDelay))
 	}
 	for now := d.now(); ctx.Err() == nil && now.Before(until) && !d.hasFreshView(now); now = d.now() {
-		d.sleep(ctx, min(until.Sub(now), againAfter))
+		d.sleep(ctx, min(until.Sub(now), readRetryDelay))
 	}
 }
 
@@ -145,32 +145,32 @@
 // targetsPause is the least time between two reads of the list.
 func (d *Daemon) targetsPause() time.Duration {
 	if d.roleUnknown.Load() {
-		return targetsStart
+		return targetsStartInterval
 	}
 	return targetsReadInterval
 }
 
-// lost notes that the table service does not answer and breaks off the reads
+// reportLost notes that the table service does not answer and breaks off the reads
 // that wait for it.
-func (d *Daemon) lost(ctx context.Context, err error) {
+func (d *Daemon) reportLost(ctx context.Context, err error) {
 	d.outage.mu.Lock()
 	defer d.outage.mu.Unlock()
-	if d.outage.away || ctx.Err() != nil {
+	if d.outage.down || ctx.Err() != nil {
 		return
 	}
-	d.outage.away = true
-	d.outage.seen = true
+	d.outage.down = true
+	d.outage.downSinceRead = true
 	d.outage.cancel()
 	d.postContext(ctx, tableServiceLost{err})
 }
 
-func (d *Daemon) back(ctx context.Context) {
+func (d *Daemon) reportBack(ctx context.Context) {
 	d.outage.mu.Lock()
 	defer d.outage.mu.Unlock()
-	if !d.outage.away {
+	if !d.outage.down {
 		return
 	}
-	d.outage.away = false
+	d.outage.down = false
 	d.outage.ctx, d.outage.cancel = context.WithCancel(ctx)
 	d.postContext(ctx, tableServiceBack{})
 }
@@ -178,14 +178,14 @@
 // outage is what the watchers know of the table service being away.
 type outage struct {
 	mu   sync.Mutex
-	away bool
-	// seen says that an outage happened since the list was last read.
-	seen bool
+	down bool
+	// downSinceRead says that an outage happened since the list was last read.
+	downSinceRead bool
 	// older says that the operator's rows may be older than the newest configuration.
 	older bool
 	// restores counts the restores that reads told of; told says that one did.
 	restores uint64
-	told     bool
+	restoresKnown     bool
 	// ctx ends when the service is lost.
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -200,7 +200,7 @@
 func (o *outage) lost() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.away
+	return o.down
 }
 
 // setOlder notes whether the operator's rows may be older than the newest configuration.
@@ -217,34 +217,34 @@
 	return o.older
 }
 
-// restored takes over how often the table service was restored, as a read told, and breaks
+// noteRestores takes over how often the table service was restored, as a read told, and breaks
 // off the other tables' reads if that is news: they may be held on connections that fell
 // silent, and all tables have to be read whole.
-func (o *outage) restored(ctx context.Context, restores uint64) {
+func (o *outage) noteRestores(ctx context.Context, restores uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	news := o.told && restores > o.restores
-	o.restores, o.told = max(restores, o.restores), true
-	if !news || o.away {
+	news := o.restoresKnown && restores > o.restores
+	o.restores, o.restoresKnown = max(restores, o.restores), true
+	if !news || o.down {
 		return
 	}
 	o.cancel()
 	o.ctx, o.cancel = context.WithCancel(ctx)
 }
 
-// reading returns a context that ends when the table service is lost.
-func (o *outage) reading() context.Context {
+// readContext returns a context that ends when the table service is lost.
+func (o *outage) readContext() context.Context {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.ctx
 }
 
-// takeSeen says whether an outage happened since the last call.
-func (o *outage) takeSeen() bool {
+// takeDownSinceRead says whether an outage happened since the last call.
+func (o *outage) takeDownSinceRead() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	seen := o.seen || o.away
-	o.seen = false
+	seen := o.downSinceRead || o.down
+	o.downSinceRead = false
 	return seen
 }
 
@@ -254,22 +254,22 @@
 		asked := d.now()
 		if d.hasFreshView(asked) {
 			after = revision.Revision{} // The list is read whole when the hub's view is lost.
-			d.sleep(ctx, viewLook)
+			d.sleep(ctx, viewPoll)
 			continue
 		}
-		if after.IsZero() && d.awaitsHub(asked, listWithin) {
-			d.sleep(ctx, viewLook)
+		if after.IsZero() && d.awaitsHub(asked, hubListTimeout) {
+			d.sleep(ctx, viewPoll)
 			continue
 		}
-		reading, held := d.listReads.begin(d.outage.reading())
+		reading, held := d.listReads.begin(d.outage.readContext())
 		change, err := d.Platform.Targets(reading, after, held)
 		if err != nil {
-			d.sleep(ctx, againAfter)
+			d.sleep(ctx, readRetryDelay)
 			continue
 		}
 		after = change.Known
-		d.outage.restored(ctx, after.Restores)
-		d.postContext(ctx, targetsRead{asked, change, d.outage.takeSeen()})
+		d.outage.noteRestores(ctx, after.Restores)
+		d.postContext(ctx, targetsRead{asked, change, d.outage.takeDownSinceRead()})
 		d.sleep(ctx, d.targetsPause())
 	}
 }
@@ -286,17 +286,17 @@
 	if role := d.roleSince.Load(); role != nil {
 		return d.spoke.Load() && now.Sub(*role) < within
 	}
-	return d.current.Load() == nil && d.uptime(now) < roleWithin
+	return d.current.Load() == nil && d.uptime(now) < roleTimeout
 }
 
-// readOwn reads the system's own rows as they are before this box writes its
+// readOwnRows reads the system's own rows as they are before this box writes its
 // own. If that stands there already, the box was there before and so were the
 // others.
-func (d *Daemon) readOwn(ctx context.Context) OwnRows {
+func (d *Daemon) readOwnRows(ctx context.Context) OwnRows {
 	for ctx.Err() == nil {
 		change, err := d.Platform.OwnRows(ctx, revision.Revision{}, 0)
 		if err != nil {
-			d.sleep(ctx, againAfter)
+			d.sleep(ctx, readRetryDelay)
 			continue
 		}
 		own := d.ownRow()
@@ -309,27 +309,27 @@
 	return OwnRows{}
 }
 
-func (d *Daemon) watchOwn(ctx context.Context) {
-	first := d.enter(ctx)
+func (d *Daemon) watchOwnRows(ctx context.Context) {
+	first := d.register(ctx)
 	after := first.Known
 	// Who shares the work, and its retries, has to be known to a box that lives on a
 	// hub's view, too.
 	read, drawn := d.unlisted.Load(), hasCredential(first.Rows)
 	for ctx.Err() == nil {
-		if now := d.now(); read && (d.hasFreshView(now) || d.awaitsHub(now, operatorWithin)) {
-			d.sleep(ctx, viewLook)
+		if now := d.now(); read && (d.hasFreshView(now) || d.awaitsHub(now, hubOperatorTimeout)) {
+			d.sleep(ctx, viewPoll)
 			continue
 		}
-		change, err := d.Platform.OwnRows(d.outage.reading(), after, hold)
+		change, err := d.Platform.OwnRows(d.outage.readContext(), after, readHold)
 		if err != nil {
-			d.sleep(ctx, againAfter)
+			d.sleep(ctx, readRetryDelay)
 			continue
 		}
 		after, read = change.Known, true
-		d.outage.restored(ctx, after.Restores)
+		d.outage.noteRestores(ctx, after.Restores)
 		d.postContext(ctx, ownRead{change, true})
 		if drawn = drawn || hasCredential(change.Rows); !drawn {
-			d.insist(ctx, func() error { return d.draw(ctx) })
+			d.retryWrite(ctx, func() error { return d.createCredential(ctx) })
 		}
 	}
 }
--- a/entry/watch_test.go
+++ b/entry/watch_test.go
@@ -11,8 +11,8 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// TestHolds bounds the calls to the table service by what a box is.
-func TestHolds(t *testing.T) {
+// TestReadHolds bounds the calls to the table service by what a box is.
+func TestReadHolds(t *testing.T) {
 	tests := []struct {
 		name    string
 		change  func(d *Daemon)
@@ -20,7 +20,7 @@
 		targets time.Duration
 	}{
 		{"at start, nothing known", func(*Daemon) {}, proofHold, targetsReadInterval},
-		{"new, the others' rows are to come", func(d *Daemon) { d.update(start, ownRead{OwnRows{}, false}) }, startHold, targetsStart},
+		{"new, the others' rows are to come", func(d *Daemon) { d.update(start, ownRead{OwnRows{}, false}) }, startHold, targetsStartInterval},
 		{"there before", func(d *Daemon) { d.update(start, ownRead{OwnRows{}, true}) }, proofHold, targetsReadInterval},
 		{"new, the others are known", func(d *Daemon) {
 			d.update(start, ownRead{OwnRows{}, false})
@@ -56,10 +56,10 @@
 	}
 }
 
-// TestAskedAgain has a read of the operator's rows made again, as its connection
+// TestRepeatedReadTime has a read of the operator's rows made again, as its connection
 // was silent: the loop learns when the read that was answered was sent, as that
 // one was not held and a change that it tells may be older.
-func TestAskedAgain(t *testing.T) {
+func TestRepeatedReadTime(t *testing.T) {
 	again := start.Add(time.Hour)
 	d := newDaemon("b1")
 	d.Platform.Operator = func(context.Context, revision.Revision, time.Duration) (Operator, error) {
@@ -142,7 +142,7 @@
 				if reads < tt.least || reads > tt.most {
 					t.Errorf("%d reads, want %d to %d", reads, tt.least, tt.most)
 				}
-				if late := time.Since(began) - lasts; late > spokeAgain {
+				if late := time.Since(began) - lasts; late > maxSpokeRetryDelay {
 					t.Errorf("read %v after the service was back", late)
 				}
 			})
@@ -150,8 +150,8 @@
 	}
 }
 
-// TestViewEndsTheWait has a hub's fresh view end the wait for the next read.
-func TestViewEndsTheWait(t *testing.T) {
+// TestFreshViewEndsBackoff has a hub's fresh view end the wait for the next read.
+func TestFreshViewEndsBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDaemon("b1")
 		d.now = time.Now
@@ -161,8 +161,8 @@
 			d.provedAt.Store(&now)
 		})
 		began := time.Now()
-		d.waitToRead(t.Context(), 9)
-		if took := time.Since(began); took > againAfter {
+		d.backOffReads(t.Context(), 9)
+		if took := time.Since(began); took > readRetryDelay {
 			t.Errorf("waited for %v", took)
 		}
 	})
