--- a/entry/news.go
+++ b/entry/cacheevents.go
@@ -6,10 +6,10 @@
 	"github.com/thymewind/thymewind/directory"
 )
 
-// cacheEventsRead takes over what a source says of its kept parts.
+// cacheEventsRead applies what a source reported of its cached parts.
 func (d *Daemon) cacheEventsRead(now time.Time, t *tables, m cacheEventsRead) []effect {
 	if t.watched[m.source] == nil {
-		return nil // It came while the following was stopped.
+		return nil // It arrived while the watcher was being stopped.
 	}
 	x := t.fleet.Target(m.source)
 	if x != nil {
@@ -37,12 +37,12 @@
 		return d.dropReplaced(now, t, x.Incarnation(), "its news")
 	}
 	if restarted {
-		d.Log.Warn("store restarted and lost what it kept", "store", m.source, "epoch", m.events.Epoch)
+		d.Log.Warn("store restarted and lost its cache", "store", m.source, "epoch", m.events.Epoch)
 	}
 	if x != nil {
 		d.signalsFromEvents(now, t, x, m.events.Signals)
 		x.Heard(now)
-		x.FeedLost = false // It is the life that it was.
+		x.FeedLost = false // It is still the same incarnation.
 	}
 	if m.events.Clock > 0 {
 		t.clock, t.clockKnown = m.events.Clock-d.uptime(now), true
--- a/entry/leave_test.go
+++ b/entry/callerleft_test.go
@@ -12,19 +12,19 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// TestCallerLeftUnplaced has the caller leave before its request has a place: none
-// is counted for it, no further hub is asked, and no hub is blamed.
+// TestCallerLeftUnplaced has the caller leave before its request is placed: no load is counted
+// for it, no further hub is asked, and no hub's miss is counted.
 func TestCallerLeftUnplaced(t *testing.T) {
 	tests := []struct {
 		name string
-		// asks is how many hubs are asked before the caller leaves; the last one's
-		// call then comes to err, or to a place.
+		// asks is how many hubs are asked before the caller leaves. The last one's call then
+		// ends in err, or in a place.
 		asks int
 		err  error
 	}{
-		{"before the loop took the request up", 0, nil},
+		{"before the loop received the request", 0, nil},
 		{"while a hub was asked, which then placed", 1, nil},
-		{"while a hub was asked, whose call was given up", 1, context.Canceled},
+		{"while a hub was asked, whose call was cancelled", 1, context.Canceled},
 		{"while the next hub was asked", 2, context.Canceled},
 	}
 	for _, tt := range tests {
@@ -58,7 +58,7 @@
 				}
 			}
 			if last := fmt.Sprintf("box-%02d", max(tt.asks-1, 0)); spoke.tables.members[last].misses != 0 {
-				t.Errorf("%s was blamed", last)
+				t.Errorf("a miss was counted for %s", last)
 			}
 		})
 	}
--- a/entry/powers_test.go
+++ b/entry/costgrowth_test.go
@@ -11,21 +11,21 @@
 	"github.com/thymewind/thymewind/deliver"
 )
 
-// fleetCost is what boxes cost in a fleet of a size, a second.
+// fleetCost is the cost of boxes in a fleet of some size, per second.
 type fleetCost struct {
 	boxes int
-	// plain and hub are the bytes that a box sends, calls what a box asks of the table
-	// service, followed how many sources a hub follows.
-	plain, hub, calls, followed float64
+	// spoke and hub are the bytes that a spoke and a hub send, calls the calls of a box to the
+	// table service, watched how many sources a hub watches.
+	spoke, hub, calls, watched float64
 }
 
-// costOfFleet plays a fleet with ten engines for each box, each of which sends a request a second,
-// while two engines in 1,000 are replaced a second.
+// costOfFleet runs a fleet with ten engines per box in which each box places a request a second
+// and two engines in 1,000 are replaced a second.
 func costOfFleet(boxes int) fleetCost {
 	const length = 5
 	w := manyEngines(boxes, 10*boxes)
 	for _, d := range w.boxes {
-		d.Platform.HasIdleConnection = func(at netip.AddrPort) bool { return at.Addr().As4()[3] == byte(len(d.Settings.Name)) } // Few rest.
+		d.Platform.HasIdleConnection = func(at netip.AddrPort) bool { return at.Addr().As4()[3] == byte(len(d.Settings.Name)) } // Few connections are idle.
 	}
 	w.advance(3*time.Second, nil)
 	for _, c := range w.cost {
@@ -51,7 +51,7 @@
 	return w.costs(length)
 }
 
-// costs are the means over boxes a second.
+// costs returns the means over boxes, per second.
 func (w *emulator) costs(seconds float64) fleetCost {
 	at := fleetCost{boxes: len(w.boxes)}
 	hubs, plain := 0.0, 0.0
@@ -60,32 +60,32 @@
 		at.calls += float64(c.storeCalls) / seconds / float64(len(w.boxes))
 		if d.spoke.Load() {
 			plain++
-			at.plain += float64(c.bytes) / seconds
+			at.spoke += float64(c.bytes) / seconds
 			continue
 		}
 		hubs++
 		at.hub += float64(c.bytes) / seconds
-		at.followed = max(at.followed, float64(c.followed))
+		at.watched = max(at.watched, float64(c.followed))
 	}
-	at.plain /= plain
+	at.spoke /= plain
 	at.hub /= hubs
 	return at
 }
 
-// growthExponent is by which power of the size a cost grows between two.
+// growthExponent is the exponent with which a cost grows from one fleet size to another.
 func growthExponent(small, large fleetCost, of func(fleetCost) float64) float64 {
 	return math.Log(of(large)/of(small)) / math.Log(float64(large.boxes)/float64(small.boxes))
 }
 
-// TestCostGrowth has fleets of 30, 100 and 300 boxes do the same work for each box: what a plain box
-// sends does not grow with the fleet, what a hub sends grows no more than the boxes that live on
-// it, and what a box asks of the table service falls.
+// TestCostGrowth checks how costs grow in fleets of 30, 100 and 300 boxes with the same work
+// per box: the bytes that a spoke sends don't grow with the fleet, those that a hub sends grow
+// no faster than its spokes, and the calls of a box to the table service fall.
 func TestCostGrowth(t *testing.T) {
 	t.Parallel()
 	var all []fleetCost
 	for _, boxes := range []int{30, 100, 300} {
 		at := costOfFleet(boxes)
-		t.Logf("%d boxes: %.0f bytes a second sent by a plain box, %.0f by a hub, %.3f calls a box, %.0f sources followed", at.boxes, at.plain, at.hub, at.calls, at.followed)
+		t.Logf("%d boxes: %.0f bytes a second sent by a spoke, %.0f by a hub, %.3f calls per box, %.0f sources watched", at.boxes, at.spoke, at.hub, at.calls, at.watched)
 		all = append(all, at)
 	}
 	tests := []struct {
@@ -93,21 +93,21 @@
 		of   func(fleetCost) float64
 		most float64
 	}{
-		{"what a plain box sends", func(a fleetCost) float64 { return a.plain }, 0.15},
-		{"what a hub sends", func(a fleetCost) float64 { return a.hub }, 1.1},
-		{"calls of a box", func(a fleetCost) float64 { return a.calls }, 0},
+		{"bytes sent by a spoke", func(a fleetCost) float64 { return a.spoke }, 0.15},
+		{"bytes sent by a hub", func(a fleetCost) float64 { return a.hub }, 1.1},
+		{"calls per box", func(a fleetCost) float64 { return a.calls }, 0},
 	}
 	for _, tt := range tests {
 		for i := range all[1:] {
 			name := fmt.Sprintf("%s, from %d to %d boxes", tt.what, all[i].boxes, all[i+1].boxes)
 			if got := growthExponent(all[i], all[i+1], tt.of); got > tt.most {
-				t.Errorf("%s: grows by the power %.2f, want %.2f", name, got, tt.most)
+				t.Errorf("%s: grows with exponent %.2f, want at most %.2f", name, got, tt.most)
 			}
 		}
 	}
 }
 
-// BenchmarkFleet is what boxes cost in emulated fleets, by hand up to 2,000 boxes.
+// BenchmarkFleet measures the cost of boxes in emulated fleets of up to 2,000 boxes.
 func BenchmarkFleet(b *testing.B) {
 	for _, boxes := range []int{300, 1000, 2000} {
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
@@ -115,10 +115,10 @@
 			for b.Loop() {
 				at = costOfFleet(boxes)
 			}
-			b.ReportMetric(at.plain, "plain-bytes/s")
+			b.ReportMetric(at.spoke, "plain-bytes/s")
 			b.ReportMetric(at.hub, "hub-bytes/s")
 			b.ReportMetric(at.calls, "calls/box/s")
-			b.ReportMetric(at.followed, "followed")
+			b.ReportMetric(at.watched, "followed")
 		})
 	}
 }
--- a/entry/evacuate.go
+++ b/entry/evacuate.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// An evacuation asks that nothing more be sent to the targets of a failure domain,
-// until it is taken back. Which domains are evacuated is part of what the operator
-// wrote, so boxes that live on a hub take it with the hub's proof. What runs there
-// ends in peace; kept parts are not fetched from there, as who evacuates a domain may
-// be about to switch it off. Targets there still load weights, to be fit to return.
-// If every domain is evacuated, requests are refused: the ask is the operator's.
+// An evacuation asks that nothing more be sent to the targets of a failure domain until it is
+// revoked. Which domains are evacuated is part of the operator's rows, so spokes apply it with
+// their hub's proof. Requests in flight there run to their end. Cached parts are not fetched
+// from there, as the operator may be about to switch the domain off. Targets there still load
+// weights, to be fit to return. If every domain is evacuated, requests are refused, as the
+// operator asked.
 
-// applyEvacuations takes over which domains the operator wants empty.
+// applyEvacuations applies which domains the operator wants evacuated.
 func (d *Daemon) applyEvacuations(now time.Time, t *tables, m operatorRead) {
 	if m.change.Evacuations == nil {
-		return // A configuration read from a hub tells nothing of it.
+		return // A configuration read from a hub does not include it.
 	}
 	t.evacuatedAt = now
 	wanted := m.change.Evacuations
@@ -29,15 +29,15 @@
 	}
 }
 
-// revokeMissing takes back the evacuations that a whole read lacks, but for those that a
-// restore lost: they stand until the operator has had the time to ask again.
+// revokeMissing revokes the evacuations that a snapshot lacks, except those that a restore
+// lost: they stay until the operator has had the time to ask again.
 func (d *Daemon) revokeMissing(now time.Time, t *tables, m operatorRead) {
 	for _, domain := range t.fleet.Evacuated() {
 		_, lost := t.lostEvacuations[domain]
 		switch {
 		case m.change.Evacuations[domain] || lost:
 		case m.change.Known.Restores > t.operatorKnown.Restores:
-			d.Log.Warn("a restore lost the ask for an evacuation; it stands until the operator has had the time to ask again", "domain", domain, "for", operatorRewriteGrace)
+			d.Log.Warn("a restore lost the ask for an evacuation; it stays until the operator has had the time to ask again", "domain", domain, "for", operatorRewriteGrace)
 			t.lostEvacuations[domain] = now
 		default:
 			d.evacuate(now, t, domain, false, "the operator")
@@ -45,8 +45,8 @@
 	}
 }
 
-// expireLostEvacuations opens the domains of which the operator did not ask again for the
-// evacuation that a restore lost.
+// expireLostEvacuations revokes evacuations that a restore lost and the operator did not ask
+// for again.
 func (d *Daemon) expireLostEvacuations(now time.Time, t *tables) {
 	for domain, at := range t.lostEvacuations {
 		if now.Sub(at) >= operatorRewriteGrace {
@@ -56,8 +56,7 @@
 	}
 }
 
-// applyHubEvacuations takes over the domains that a hub knows to be evacuated, which
-// was so at a time at the earliest.
+// applyHubEvacuations applies which domains a hub knows to be evacuated as of proof or later.
 func (d *Daemon) applyHubEvacuations(now time.Time, t *tables, hub string, proof time.Time, domains []string) {
 	if proof.Before(t.evacuatedAt) {
 		return
@@ -73,7 +72,7 @@
 	}
 }
 
-// evacuate closes a domain or opens it again, if that is news.
+// evacuate closes a domain or opens it again, if that changes its state.
 func (d *Daemon) evacuate(now time.Time, t *tables, domain string, closed bool, from string) {
 	if slices.Contains(t.fleet.Evacuated(), domain) == closed {
 		return
@@ -89,8 +88,8 @@
 	d.metrics.evacuated.Set(float64(len(t.fleet.Evacuated())))
 }
 
-// evacuationsUnknown says that this box's last proof of what the operator wrote is so
-// old that any domain may be evacuated by now. It then sends nothing to targets.
+// evacuationsUnknown says that this box's last proof of the operator's rows is so old that any
+// domain may have been evacuated since. It then sends nothing to targets.
 func (d *Daemon) evacuationsUnknown(now time.Time) bool {
 	bounds := d.bounds.Load()
 	return bounds.EvacuatedWithin > 0 && d.provedAgo(now) >= bounds.EvacuatedWithin+bounds.Stretch
--- a/entry/evacuate_test.go
+++ b/entry/evacuate_test.go
@@ -13,7 +13,7 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// boxWithThreeDomains makes a box before a service with a target in each of three domains.
+// boxWithThreeDomains returns a box with one target of a service in each of three domains.
 func boxWithThreeDomains() *Daemon {
 	d := newDaemon("box")
 	for _, domain := range []string{"a", "b", "c"} {
@@ -22,7 +22,7 @@
 	return d
 }
 
-// placedDomains places some requests and returns the domains that got them.
+// placedDomains places some requests and returns the domains that they were placed in.
 func placedDomains(d *Daemon, now time.Time) []string {
 	used := make(map[string]bool)
 	for range 12 {
@@ -41,8 +41,8 @@
 	return list
 }
 
-// TestEvacuate has domains evacuated and taken back, by the operator's own rows and
-// by a hub's view, and lists who gets work.
+// TestEvacuate evacuates domains and revokes that, by the operator's own rows and by a hub's
+// view, and checks which domains get work.
 func TestEvacuate(t *testing.T) {
 	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 	own := func(seconds int, whole bool, rows map[string]bool) func(*Daemon) {
@@ -65,16 +65,16 @@
 	}{
 		{"nothing asked", []func(*Daemon){own(0, true, map[string]bool{})}, []string{"a", "b", "c"}},
 		{"one", []func(*Daemon){own(0, false, map[string]bool{"b": true})}, []string{"a", "c"}},
-		{"taken back", []func(*Daemon){own(0, false, map[string]bool{"b": true}), own(1, false, map[string]bool{"b": false})}, []string{"a", "b", "c"}},
-		{"taken back unheard", []func(*Daemon){own(0, false, map[string]bool{"b": true}), own(1, true, map[string]bool{})}, []string{"a", "b", "c"}},
+		{"revoked by the operator", []func(*Daemon){own(0, false, map[string]bool{"b": true}), own(1, false, map[string]bool{"b": false})}, []string{"a", "b", "c"}},
+		{"revoked unnoticed", []func(*Daemon){own(0, false, map[string]bool{"b": true}), own(1, true, map[string]bool{})}, []string{"a", "b", "c"}},
 		{"a change elsewhere", []func(*Daemon){own(0, false, map[string]bool{"b": true}), own(1, false, map[string]bool{"a": true})}, []string{"c"}},
 		{"a target that comes later", []func(*Daemon){own(0, false, map[string]bool{"b": true}), enters("b")}, []string{"a", "c"}},
 		{"an unknown domain", []func(*Daemon){own(0, false, map[string]bool{"x": true})}, []string{"a", "b", "c"}},
 		{"all", []func(*Daemon){own(0, false, map[string]bool{"a": true, "b": true, "c": true})}, nil},
 		{"by a hub", []func(*Daemon){hub(0, "a")}, []string{"b", "c"}},
-		{"taken back by a hub", []func(*Daemon){hub(0, "a"), hub(1)}, []string{"a", "b", "c"}},
-		{"a hub that is behind", []func(*Daemon){own(2, false, map[string]bool{"a": true}), hub(1)}, []string{"b", "c"}},
-		{"a configuration by a hub", []func(*Daemon){hub(0, "a"), own(1, false, nil)}, []string{"b", "c"}},
+		{"revoked by a hub", []func(*Daemon){hub(0, "a"), hub(1)}, []string{"a", "b", "c"}},
+		{"a hub with an older proof", []func(*Daemon){own(2, false, map[string]bool{"a": true}), hub(1)}, []string{"b", "c"}},
+		{"a configuration from a hub", []func(*Daemon){hub(0, "a"), own(1, false, nil)}, []string{"b", "c"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -89,22 +89,22 @@
 	}
 }
 
-// TestEvacuationInView shows that a hub's view tells of evacuations, and that its
-// place in an evacuated domain is not taken by a box that knows better.
+// TestEvacuationInView shows that a hub's view contains evacuations, and that a box rejects a
+// hub's place in a domain that it knows to be evacuated.
 func TestEvacuationInView(t *testing.T) {
 	d := boxWithThreeDomains()
 	d.tables.fleet.Evacuate("b", true)
 	if v := d.view(start, &d.tables, changelog.Cursor{}); !slices.Equal(v.Evacuated, []string{"b"}) {
-		t.Errorf("the view tells of %v", v.Evacuated)
+		t.Errorf("the view names %v", v.Evacuated)
 	}
 	ask := deliver.PlacementRequest{Job: &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{}, Pool: &routing.Pool{Name: "orders"}}}
 	if _, ok := d.acceptHubPlace(start, &d.tables, ask, &peer.PlacementResponse{Target: "i-b"}); ok {
-		t.Error("a place in an evacuated domain is taken")
+		t.Error("a place in an evacuated domain is accepted")
 	}
 }
 
-// TestEvacuationsUnknown shows how long a box without a proof of what the operator
-// wrote goes on: as long as the bound and what it may be stretched by.
+// TestEvacuationsUnknown checks how long a box goes on without a proof of the operator's rows:
+// for the bound and the time by which it may be stretched.
 func TestEvacuationsUnknown(t *testing.T) {
 	tests := []struct {
 		within, stretch, ago time.Duration
--- a/entry/gossip.go
+++ b/entry/gossip.go
@@ -13,30 +13,30 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// How boxes tell each other what their requests take up at the targets.
+// Timing of the gossip in which boxes share the load of their requests at the targets.
 const (
-	// gossipInterval is how often each pair of boxes exchanges shares; a request
-	// takes some seconds.
+	// gossipInterval is how often each pair of boxes exchanges loads. A request takes some
+	// seconds.
 	gossipInterval = 150 * time.Millisecond
-	// hubGossipInterval is the same among hubs, each of which places some 200 requests a
-	// second: what the others do not know of meanwhile meets theirs at the same
+	// hubGossipInterval is gossipInterval among hubs, each of which places some 200 requests a
+	// second: those that other hubs do not know of yet compete with theirs for the same
 	// targets.
 	hubGossipInterval = 50 * time.Millisecond
-	// spokeGossipInterval is how often a box tells its hub: some 40 do. What its requests no
-	// longer take up counts until then.
+	// spokeGossipInterval is how often a spoke calls its hub, which some 40 do. Until then the
+	// hub still counts the load of requests that have ended.
 	spokeGossipInterval = 150 * time.Millisecond
-	// gossipTimeout is how long a call may take.
+	// gossipTimeout bounds one call.
 	gossipTimeout = 300 * time.Millisecond
-	// gossipRetryDelay is the pause after a call that failed.
+	// gossipRetryDelay is the pause after a failed call.
 	gossipRetryDelay = time.Second
-	// announceFor is how long boxes tell each other of a target that was replaced:
-	// some rounds, as calls fail.
+	// announceFor is how long boxes announce that a target was replaced: several rounds, as
+	// calls fail.
 	announceFor = 2 * time.Second
-	// peerLoadTTL is how long another box's shares count.
+	// peerLoadTTL is how long another box's loads count after it was last received.
 	peerLoadTTL = time.Second
 )
 
-// callPeer exchanges shares with another box.
+// callPeer exchanges gossip with another box.
 type callPeer struct {
 	name  string
 	at    netip.AddrPort
@@ -44,7 +44,7 @@
 	m     peer.Message
 }
 
-// peerAnswered tells what another box answered.
+// peerAnswered is the result of a call to another box.
 type peerAnswered struct {
 	name  string
 	asked time.Time
@@ -52,21 +52,20 @@
 	err   error
 }
 
-// peerRequest is another box's call; the loop answers on reply, which has room.
+// peerRequest is a call from another box. The loop answers on reply, which is buffered.
 type peerRequest struct {
 	m     peer.Message
 	reply chan<- peer.Message
 }
 
-// gossip exchanges shares. Without hubs, and among hubs, each box calls those
-// whose names come behind its own, so that each pair talks once; other boxes
-// call their hub.
+// gossip exchanges loads with other boxes. In a small fleet and among hubs, each box calls
+// those whose names sort after its own, so that each pair talks once. A spoke calls its hub.
 func (d *Daemon) gossip(now time.Time, t *tables) []effect {
 	t.othersUsage.Expire(now.Add(-peerLoadTTL))
 	return d.gossipDue(now, t)
 }
 
-// gossipDue does so if it is time.
+// gossipDue gossips if the interval is over.
 func (d *Daemon) gossipDue(now time.Time, t *tables) []effect {
 	if now.Before(t.due.gossip) || d.credential.Load() == nil {
 		return nil
@@ -83,12 +82,13 @@
 	return d.callGossipPartners(now, t, message)
 }
 
-// addProof tells what this box knows of the operator's rows, and since when.
+// addProof adds to a message what this box knows of the operator's rows and how old its proof
+// is.
 func (d *Daemon) addProof(now time.Time, t *tables, m *peer.Message) {
 	m.OperatorRevision, m.ProofAgeMS, m.ConfigurationVersion = t.operatorChange, d.provedAgo(now).Milliseconds(), d.version()
 }
 
-// gossipBetweenTicks has hubs tell each other between two ticks.
+// gossipBetweenTicks has hubs gossip as soon as it is due, without waiting for the next tick.
 func (d *Daemon) gossipBetweenTicks(now time.Time, t *tables) []effect {
 	if d.spoke.Load() || !t.usesHubs() {
 		return nil
@@ -96,7 +96,7 @@
 	return d.gossipDue(now, t)
 }
 
-// nextGossipDelay is how long this box waits until it tells others again.
+// nextGossipDelay is the interval between two rounds of gossip.
 func (d *Daemon) nextGossipDelay(t *tables) time.Duration {
 	switch {
 	case d.spoke.Load():
@@ -107,7 +107,7 @@
 	return gossipInterval
 }
 
-// callGossipPartners has a message sent to the boxes that this one calls.
+// callGossipPartners returns the calls that send a message to this box's gossip partners.
 func (d *Daemon) callGossipPartners(now time.Time, t *tables, message peer.Message) []effect {
 	var effects []effect
 	for _, name := range d.gossipPartners(now, t) {
@@ -145,8 +145,8 @@
 	return names
 }
 
-// hubs lists the boxes that exchange shares with each other: all in a small
-// fleet, the first of each domain in a large one. The caller must not change the list.
+// hubs lists the boxes that exchange loads with each other: all boxes of a small fleet, the
+// first of each domain in a large one. The caller must not change the list.
 func (t *tables) hubs() []string {
 	if !t.usesHubs() {
 		return slices.Sorted(maps.Keys(t.members))
@@ -179,7 +179,7 @@
 	return peerAnswered{e.name, e.asked, answer, err}
 }
 
-// answerPeer has the loop answer another box.
+// answerPeer has the loop answer another box's call.
 func (d *Daemon) answerPeer(ctx context.Context, m peer.Message) peer.Message {
 	reply := make(chan peer.Message, 1)
 	d.postContext(ctx, peerRequest{m, reply})
@@ -278,24 +278,24 @@
 	return nil
 }
 
-// markHeard notes that a box called.
+// markHeard records that a box called.
 func (t *tables) markHeard(now time.Time, name string) {
 	if m := t.members[name]; m != nil {
 		m.heardAt = now
 	}
 }
 
-// recentlyReplaced lists the targets that were found replaced so lately that other
-// boxes may not know.
+// recentlyReplaced lists the targets that were found replaced recently enough that other boxes
+// may not know.
 func (t *tables) recentlyReplaced(now time.Time) []peer.Incarnation {
 	var list []peer.Incarnation
-	for _, life := range t.fleet.Ended(now.Add(-announceFor)) {
-		list = append(list, peer.Incarnation{ID: life.ID, StartedMS: unixMS(life.StartedAt)})
+	for _, ended := range t.fleet.Ended(now.Add(-announceFor)) {
+		list = append(list, peer.Incarnation{ID: ended.ID, StartedMS: unixMS(ended.StartedAt)})
 	}
 	return list
 }
 
-// unixMS returns a time as it travels between boxes; zero for the zero time.
+// unixMS returns a time as boxes exchange it, in Unix milliseconds; zero for the zero time.
 func unixMS(at time.Time) int64 {
 	if at.IsZero() {
 		return 0
@@ -303,7 +303,7 @@
 	return at.UnixMilli()
 }
 
-// fromUnixMS returns the time that milliseconds stand for.
+// fromUnixMS is the inverse of unixMS.
 func fromUnixMS(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
@@ -311,9 +311,9 @@
 	return time.UnixMilli(ms)
 }
 
-// receiveReplaced takes over which targets another box found replaced.
+// receiveReplaced applies which targets another box found replaced.
 func (d *Daemon) receiveReplaced(now time.Time, t *tables, m peer.Message) {
-	for _, life := range m.EndedIncarnations {
-		d.dropReplaced(now, t, fleet.Incarnation{ID: life.ID, StartedAt: fromUnixMS(life.StartedMS)}, m.From)
+	for _, ended := range m.EndedIncarnations {
+		d.dropReplaced(now, t, fleet.Incarnation{ID: ended.ID, StartedAt: fromUnixMS(ended.StartedMS)}, m.From)
 	}
 }
--- a/entry/hub.go
+++ b/entry/hub.go
@@ -9,47 +9,47 @@
 	"github.com/thymewind/thymewind/placement"
 )
 
-// In a large fleet most boxes neither read the table service nor follow the
-// sources of kept parts: each failure domain has hubs that do, and the others
-// ask a hub of their own domain for places and take its view of the platform.
-// Nobody elects hubs. Each box ranks the boxes of a domain in the same way, and
+// In a large fleet most boxes neither read the table service nor watch the cache sources
+// (engines and stores that hold cached prompt parts). Each failure domain has hubs that do; the
+// other boxes, the spokes, ask a hub of their own domain to place requests and take its view of
+// the platform. There is no election: every box ranks the boxes of a domain the same way and
 // asks the first that answers.
 const (
-	// maxMeshBoxes is the most boxes that do without hubs: a source serves 12
-	// followers, and a box spends about a hundredth of a core on 12 calls each
-	// 150 ms.
+	// maxMeshBoxes is the largest fleet that works without hubs. A source serves 12 watchers,
+	// and 12 calls each 150 ms cost a box about a hundredth of a core.
 	maxMeshBoxes = 12
-	// hubsPerDomain is how many boxes of a domain follow all along, so that one is
-	// warm when another ends.
+	// hubsPerDomain is how many boxes of a domain act as hubs at all times, so that a second
+	// one is warm when the first ends.
 	hubsPerDomain = 2
-	// hubLinger is how long a box that was asked for a place goes on as a hub.
+	// hubLinger is how long a box goes on as a hub after another box last used it as one.
 	hubLinger = 5 * time.Second
-	// maxOwnHubs is how many boxes of a domain are tried before others.
+	// maxOwnHubs is how many hubs of the box's own domain are tried before those of other
+	// domains.
 	maxOwnHubs = 4
-	// viewTTL is how old a hub's proof of the configuration may be before this
-	// box reads the table service itself. A sound hub's is at most 1.1 s old, and
-	// the platform's bound for a change is 2 to 3 s.
+	// viewTTL is how old a hub's proof of the configuration may be before this box reads the
+	// table service itself. A healthy hub's proof is at most 1.1 s old, and the platform's
+	// bound for applying a change is 2 to 3 s.
 	viewTTL = 1600 * time.Millisecond
-	// maxHubProofAge is how old a hub's own proof may be before another hub is asked:
-	// a sound hub's is at most twice the hold of its reads.
+	// maxHubProofAge is how old a hub's own proof may be before another hub is asked. A healthy
+	// hub's is at most twice the hold of its reads.
 	maxHubProofAge = 3 * hubHold
-	// hubMinShare is the share of the strongest box's processor that a hub has at
-	// least: following all sources takes a weak box all of its own.
+	// hubMinShare is the least share of the strongest box's processor that a hub has. Watching
+	// all sources takes all of a weak box's processor.
 	hubMinShare = 0.5
-	// hublessAfter is how long a box may hear no hub before it follows the stores
-	// of kept parts itself. Gossip with the next hub takes 0.6 s.
+	// hublessAfter is how long a spoke may go without an answer from a hub before it watches
+	// the stores itself. Gossip with the next hub takes 0.6 s.
 	hublessAfter = time.Second
-	// maxHubMisses is how many calls in a row a hub may leave unanswered before
-	// another is asked; one may meet a pause.
+	// maxHubMisses is how many calls in a row a hub may leave unanswered before another is
+	// asked. A single miss may be a pause.
 	maxHubMisses = 2
 )
 
-// usesHubs says that the fleet needs hubs.
+// usesHubs says that the fleet is large enough to need hubs.
 func (t *tables) usesHubs() bool { return len(t.members) > maxMeshBoxes }
 
-// rankedHubs lists the boxes of a domain that are fit for a hub, the strongest first. The caller
-// must not change the list. It is kept, as each call between boxes asks for it, and changes
-// only when boxes join.
+// rankedHubs lists the boxes of a domain that are fit to be hubs, the strongest first. The
+// caller must not change the list. It is cached, as every call between boxes needs it and it
+// changes only when boxes join or leave.
 func (t *tables) rankedHubs(domain string) []string {
 	t.refreshRanks()
 	list, known := t.hubRanks[domain]
@@ -60,14 +60,14 @@
 	return list
 }
 
-// refreshRanks forgets the ranks of boxes if others joined or went.
+// refreshRanks drops the cached rankings if boxes joined or left.
 func (t *tables) refreshRanks() {
 	if t.hubRanks == nil || t.rankedMembers != len(t.members) {
 		t.hubRanks, t.topHubs, t.rankedMembers = make(map[string][]string), nil, len(t.members)
 	}
 }
 
-// rankHubs works the list out.
+// rankHubs computes the ranking of a domain.
 func (t *tables) rankHubs(domain string) []string {
 	var names []string
 	most := 0.0
@@ -91,7 +91,7 @@
 	return names
 }
 
-// hub says whether this box follows the sources and the table service.
+// hub says whether this box acts as a hub: it watches the sources and reads the table service.
 func (d *Daemon) hub(now time.Time, t *tables) bool {
 	if !t.usesHubs() || now.Sub(t.lastHubRequest) < hubLinger && !t.lastHubRequest.IsZero() {
 		return true
@@ -100,29 +100,29 @@
 	return slices.Contains(first[:min(hubsPerDomain, len(first))], d.Settings.Name)
 }
 
-// surelySpoke says that this box is no hub, whatever boxes are not known yet: more of
-// them only put it further behind. A box that joins a large fleet so asks hubs for
-// places at once. Without that it places alone for 3 s, knows of nothing kept, and
-// reads all prompts whole.
+// surelySpoke says that this box is no hub, whichever boxes are not known yet: more boxes can
+// only lower its rank. A box that joins a large fleet then asks hubs for places at once.
+// Without that it would place requests alone for 3 s, knowing nothing of cached parts, so that
+// all prompts would be prefilled in full.
 func (d *Daemon) surelySpoke(now time.Time, t *tables) bool {
 	return t.usesHubs() && !d.hub(now, t)
 }
 
-// viewHub returns the box to tell and to take the view of, or an empty name if
-// none answers.
+// viewHub returns the hub to gossip with and to take the view of, or an empty name if none
+// answers.
 func (d *Daemon) viewHub(now time.Time, t *tables) string {
 	return d.firstHub(t, func(_ string, m *member) bool { return !now.Before(m.retryAt) })
 }
 
-// placementHub returns the hub to ask for a place, or an empty name if none answers.
-// One that did not answer has to answer gossip first: a request can't wait.
+// placementHub returns the hub to ask for a place, or an empty name if none answers. A hub that
+// failed to answer must first answer gossip again, as a request can't wait for it.
 func (d *Daemon) placementHub(now time.Time, t *tables, asked []string) string {
 	return d.firstHub(t, func(name string, m *member) bool {
 		return !m.failed && !now.Before(m.retryAt) && !slices.Contains(asked, name)
 	})
 }
 
-// firstHub returns the first hub for which fits returns true.
+// firstHub returns the first hub for which fits returns true, or an empty name.
 func (d *Daemon) firstHub(t *tables, fits func(name string, m *member) bool) string {
 	for _, name := range t.hubOrder(d.Settings.Domain) {
 		if name != d.Settings.Name && fits(name, t.members[name]) {
@@ -132,12 +132,12 @@
 	return ""
 }
 
-// hubless says that this box lives on hubs, and that none answers.
+// hubless says that this box is a spoke and that no hub answers.
 func (d *Daemon) hubless(now time.Time, t *tables) bool {
 	return d.spoke.Load() && now.Sub(t.hubHeardAt) > hublessAfter
 }
 
-// hubOrder lists the boxes that may be asked: those of the own domain first.
+// hubOrder lists the hubs that a box of a domain may ask: those of its own domain first.
 func (t *tables) hubOrder(domain string) []string {
 	own := t.rankedHubs(domain)
 	order := slices.Clone(own[:min(maxOwnHubs, len(own))])
@@ -155,13 +155,13 @@
 	return order
 }
 
-// hasFreshView says whether this box lives on a hub's view for now, so that it need
-// not read the table service.
+// hasFreshView says whether this box has a hub's view that is recent enough to go without
+// reading the table service.
 func (d *Daemon) hasFreshView(now time.Time) bool {
 	return d.spoke.Load() && d.provedAgo(now) < viewTTL
 }
 
-// updateRole takes this box's role in the fleet over when it changes.
+// updateRole switches this box's role in the fleet between hub and spoke when it changes.
 func (d *Daemon) updateRole(now time.Time, t *tables) []effect {
 	if !t.membersKnown {
 		return nil
--- a/entry/hub_test.go
+++ b/entry/hub_test.go
@@ -19,8 +19,8 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// largeFleet makes a daemon one of 20 boxes in domains a and b; box-00 and
-// box-01 are the strongest of a, box-10 and box-11 those of b.
+// largeFleet returns the daemon of one of 20 boxes in domains a and b. box-00 and box-01 are
+// the strongest of a, box-10 and box-11 those of b.
 func largeFleet(name string) *Daemon {
 	d := newDaemon(name)
 	for i := range 20 {
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestHubEnds goes through the hubs of the own domain, then those of others,
-// and makes a box that is asked a hub for a while.
+// TestHubEnds goes through the hubs of the box's own domain, then those of others as each stops
+// answering, and has a box act as a hub for hubLinger after it was asked.
 func TestHubEnds(t *testing.T) {
 	d := largeFleet("box-05")
 	var asked []string
@@ -79,25 +79,24 @@
 		}
 	}
 	if len(asked) != 4 || asked[0] != "box-00" || asked[1] != "box-01" || !slices.Contains(asked, "box-10") {
-		t.Errorf("asked %v", asked)
+		t.Errorf("asked hubs %v", asked)
 	}
 	if got := d.viewHub(start.Add(gossipRetryDelay), &d.tables); got != "box-00" {
-		t.Errorf("later %q is asked, want the first again", got)
+		t.Errorf("after the retry delay %q is asked, want the first hub", got)
 	}
 	d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "box-06"})
 	d.updateRole(start, &d.tables)
 	if d.spoke.Load() {
-		t.Error("a box that is asked does not act as a hub")
+		t.Error("a box that was asked does not act as a hub")
 	}
 	d.updateRole(start.Add(hubLinger), &d.tables)
 	if !d.spoke.Load() {
-		t.Error("a box that is asked no longer is still a hub")
+		t.Error("a box that is no longer asked is still a hub")
 	}
 }
 
-// TestWeakBoxes shows that no weak box becomes a hub, however the strong ones
-// fail: it would follow all sources with a fifth of a core and answer nobody.
-// (Hunt on lbh-dispatch-grown, scale-1 --seed 1003505936487.)
+// TestWeakBoxes shows that no weak box becomes a hub, however the strong ones fail: it would
+// watch all sources with a fifth of a core and answer nobody.
 func TestWeakBoxes(t *testing.T) {
 	d := largeFleet("box-05")
 	for _, domain := range []string{"a", "b"} {
@@ -118,21 +117,20 @@
 	}
 }
 
-// TestViewAgeBounds ties the times together: a hub that is cut off must be left
-// well within the platform's bound for changes, and a sound one never.
-// (Hunt on sonora-norte-grown, mix --seed 754427457844.)
+// TestViewAgeBounds checks that the timing constants fit together: a hub that is cut off is
+// left well within the platform's bound for changes, and a healthy hub never is.
 func TestViewAgeBounds(t *testing.T) {
 	const bound = 2 * time.Second
 	if own := viewTTL + viewPoll; own >= bound {
-		t.Errorf("a box reads for itself after %v", own)
+		t.Errorf("a box reads the table service itself only after %v", own)
 	}
-	if sound := 2*hubHold + spokeGossipInterval; sound >= viewTTL {
-		t.Errorf("a sound hub's proof is %v old", sound)
+	if healthy := 2*hubHold + spokeGossipInterval; healthy >= viewTTL {
+		t.Errorf("a healthy hub's proof is %v old", healthy)
 	}
 }
 
-// TestView shows that a hub's view counts with its age, and that the list and a
-// newer configuration are taken over.
+// TestView shows that a hub's view counts with its age, and that its list and a newer
+// configuration are applied.
 func TestView(t *testing.T) {
 	hub, spoke := largeFleet("box-00"), largeFleet("box-05")
 	hub.update(start, operatorRead{start, Operator{Table: configuration(4), Raw: []byte("raw"), Weights: map[string]int64{"m": 2}}})
@@ -143,22 +141,22 @@
 	answer := hub.peerRequest(later, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05"})
 	effects := spoke.update(later, peerAnswered{"box-00", later, answer, nil})
 	if len(effects) != 1 {
-		t.Fatalf("the newer configuration is not read: %v", effects)
+		t.Fatalf("the newer configuration is not fetched: %v", effects)
 	}
 	if spoke.keysFresh(later) {
-		t.Error("fresh before the configuration was read")
+		t.Error("fresh before the configuration was fetched")
 	}
 	read := effects[0].(fetchConfiguration)
 	spoke.update(later, configurationFromHub{read.proof, Operator{Table: configuration(4)}, nil})
 	if spoke.version() != 4 || spoke.tables.fleet.Target("a") == nil || spoke.tables.rolloutOf("m").newestVersion != 2 {
-		t.Error("the view was not taken over")
+		t.Error("the view was not applied")
 	}
 	if got := spoke.provedAgo(later); got != time.Second {
 		t.Errorf("proved %v ago, want the age at the hub", got)
 	}
 	again := hub.peerRequest(later, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05", ListVersion: spoke.tables.hubList.Number})
 	if again.View.Entries != nil {
-		t.Error("the list is sent again")
+		t.Error("an unchanged list is sent again")
 	}
 	hub.update(later, targetsRead{later, Targets{Gone: []string{"a"}}, false})
 	last := hub.peerRequest(later, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05", ListVersion: spoke.tables.hubList.Number})
@@ -168,47 +166,46 @@
 	}
 }
 
-// TestHubWithoutList shows that a hub that has just started makes nobody drop
-// targets.
+// TestHubWithoutList shows that a hub that has just started, and has no list yet, makes no box
+// drop targets.
 func TestHubWithoutList(t *testing.T) {
 	hub, spoke := largeFleet("box-00"), largeFleet("box-05")
 	spoke.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 	answer := hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05"})
 	spoke.update(start, peerAnswered{"box-00", start, answer, nil})
 	if spoke.tables.fleet.Target("a") == nil {
-		t.Error("targets were dropped for a hub that knows no list")
+		t.Error("targets were dropped for a hub without a list")
 	}
 }
 
-// TestViewListsReplacedTarget takes a hub's list that still holds a target that this box
-// knows to be replaced.
+// TestViewListsReplacedTarget applies a hub's list that still has a target which this box knows
+// to be replaced.
 func TestViewListsReplacedTarget(t *testing.T) {
 	spoke := boxWithEngines("box-05")
 	spoke.update(start, probed{probe{target: "a"}, ErrReplaced})
 	entries := []peer.Entry{{ID: "a", Pool: "models", Address: "10.1.0.1:1"}, {ID: "b", Pool: "models", Address: "10.1.0.2:1"}}
 	spoke.update(start, peerAnswered{"box-00", start, peer.Message{View: &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, ConfigurationVersion: 1, ListVersion: 7, Entries: entries}}, nil})
 	if spoke.tables.fleet.Target("a") != nil || spoke.tables.fleet.Target("b") == nil {
-		t.Error("the list was not taken over as it is known to be")
+		t.Error("the list was not applied without the replaced target")
 	}
 }
 
-// TestStaleList has a box ask a hub that is cut off from the table service, after a
-// sound one told that a target is gone: the cut-off hub's list, which still has it,
-// must not bring it back. A box that has no list takes what it gets.
+// TestStaleList guards against a target that is gone coming back. A box asks a hub that is cut
+// off from the table service, after a healthy one reported the target gone; the cut-off hub's
+// list still has it. A box without any list takes what it gets.
 //
-// In a large fleet one request was seen to reach a target 3.2 s after that had said
-// that it leaves, while a hub was cut off; boxes took its list as they had given up
-// another hub.
+// In a large fleet a request reached a target 3.2 s after that had announced its drain: a hub
+// was cut off, and boxes took its list as they had given up another hub.
 func TestStaleList(t *testing.T) {
 	entries := []peer.Entry{{ID: "a", Pool: "models", Address: "10.1.0.1:1"}, {ID: "b", Pool: "models", Address: "10.1.0.2:1"}}
 	tests := []struct {
 		name  string
-		first bool // Whether a sound hub was heard before.
+		first bool // Whether a healthy hub answered before.
 		proof time.Duration
 		back  bool
 	}{
 		{"the hub is cut off", true, maxHubProofAge + time.Millisecond, false},
-		{"the hub is sound", true, maxHubProofAge, true},
+		{"the hub is healthy", true, maxHubProofAge, true},
 		{"nothing is known yet", false, time.Minute, true},
 	}
 	for _, tt := range tests {
@@ -223,24 +220,24 @@
 			}
 			hear("box-00", tt.proof, 3, entries)
 			if back := spoke.tables.fleet.Target("a") != nil; back != tt.back {
-				t.Errorf("the target is there: %v", back)
+				t.Errorf("the target is listed: %v", back)
 			}
 		})
 	}
 }
 
-// TestStaleView shows that a hub that is cut off from the table service makes
-// nobody's keys good, and that a box then reads for itself.
+// TestStaleView shows that the view of a hub that is cut off from the table service proves no
+// keys, and that a box then reads the table service itself.
 func TestStaleView(t *testing.T) {
 	spoke := largeFleet("box-05")
 	spoke.update(start, operatorRead{start, Operator{Table: configuration(4)}})
 	late := start.Add(10 * time.Second)
 	spoke.update(late, peerAnswered{"box-00", late, peer.Message{View: &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, ConfigurationVersion: 4, ProofAgeMS: 9000}}, nil})
 	if spoke.keysFresh(late) || spoke.hasFreshView(late) {
-		t.Error("an old proof counts as new")
+		t.Error("an old proof counts as fresh")
 	}
 	if got := spoke.viewHub(late, &spoke.tables); got != "box-01" {
-		t.Errorf("a hub that is cut off: %q is asked next", got)
+		t.Errorf("after a hub that is cut off, %q is asked", got)
 	}
 	spoke.update(late, peerAnswered{"box-00", late, peer.Message{View: &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, ConfigurationVersion: 3, ProofAgeMS: 0}}, nil})
 	if spoke.keysFresh(late) {
@@ -252,8 +249,8 @@
 	}
 }
 
-// boxWithEngines is a daemon of a large fleet that knows of two engines and, if it is a
-// hub, heard of what they keep.
+// boxWithEngines returns a daemon of a large fleet that knows two engines and, if it is a hub,
+// has the events of the parts that they cache.
 func boxWithEngines(name string) *Daemon {
 	d := largeFleet(name)
 	d.now = func() time.Time { return start }
@@ -265,17 +262,17 @@
 	return d
 }
 
-// TestPlaceByHub passes a request through a hub's decision and back. The first
-// hub asked is box-00, the next one box-01.
+// TestPlaceByHub passes a request through a hub's placement and back. box-00 is asked first,
+// then box-01.
 func TestPlaceByHub(t *testing.T) {
 	silent := errors.New("no answer")
 	tests := []struct {
 		name   string
 		change func(hub, next, spoke *Daemon)
-		// fails is what each hub's call comes to.
+		// fails is the error of each hub's call.
 		fails [2]error
 		code  string
-		// asks is how many hubs are asked, rule the beginning of the place's.
+		// asks is how many hubs are asked, rule the prefix of the place's rule.
 		asks int
 		rule string
 	}{
@@ -285,19 +282,19 @@
 				hub.tables.fleet.Target(id).Tokens = 200000
 			}
 		}, [2]error{}, "crowded", 1, ""},
-		{"the hub's engine is leaving, as this box knows", func(hub, _, spoke *Daemon) {
+		{"only this box knows that the hub's engine is leaving", func(hub, _, spoke *Daemon) {
 			hub.update(start, targetsRead{start, Targets{Gone: []string{"b"}}, false})
 			spoke.tables.fleet.Target("a").Leaving = true
 		}, [2]error{}, "", 2, "hub, "},
-		{"all engines are leaving, as this box knows", func(_, _, spoke *Daemon) {
+		{"only this box knows that all engines are leaving", func(_, _, spoke *Daemon) {
 			spoke.tables.fleet.Target("a").Leaving, spoke.tables.fleet.Target("b").Leaving = true, true
 		}, [2]error{}, "no_target", 1, ""},
 		{"the hub has no configuration", func(hub, _, _ *Daemon) { hub.current.Store(nil) }, [2]error{}, "", 2, "hub, "},
-		{"the hub has not heard of kept parts", func(hub, _, _ *Daemon) {
+		{"the hub has no cache events", func(hub, _, _ *Daemon) {
 			hub.tables.directory.Disconnected("a")
 			hub.tables.directory.Disconnected("b")
 		}, [2]error{}, "", 2, "hub, "},
-		{"the hub had heard of them, and an engine ended", func(hub, _, _ *Daemon) {
+		{"the hub had cache events, and an engine ended", func(hub, _, _ *Daemon) {
 			hub.knowsCache(&hub.tables)
 			hub.tables.directory.Disconnected("a")
 		}, [2]error{}, "", 1, "hub, "},
@@ -338,8 +335,8 @@
 	}
 }
 
-// spokeWithStore is a box that lives on hubs, in a deployment with a store that keeps
-// the shared part of a prompt.
+// spokeWithStore returns a spoke in a deployment with a store that caches the shared part of a
+// prompt.
 func spokeWithStore() (*Daemon, *deliver.Job) {
 	d := boxWithEngines("box-05")
 	d.tables.clockKnown = true
@@ -349,7 +346,7 @@
 	return d, prompt
 }
 
-// TestHublessWatchesStores has a box follow the stores while no hub answers, and only then.
+// TestHublessWatchesStores has a spoke watch the stores while no hub answers, and only then.
 func TestHublessWatchesStores(t *testing.T) {
 	d, prompt := spokeWithStore()
 	late := start.Add(hublessAfter + time.Millisecond)
@@ -367,15 +364,15 @@
 	}
 	d.update(late, peerAnswered{"box-00", late, peer.Message{View: &peer.View{ConfigurationVersion: 1}}, nil})
 	if effects := d.reconcileSources(late, &d.tables); len(effects) != 0 || len(d.tables.watched) != 0 {
-		t.Errorf("effects %v, followed %v", effects, d.tables.watched)
+		t.Errorf("effects %v, watched %v", effects, d.tables.watched)
 	}
 	d.update(late, cacheEventsRead{source: "s", events: CacheEvents{Epoch: 1}})
 	if place, _ := d.placeModel(late, &d.tables, deliver.PlacementRequest{Job: prompt}); place.Fetched != 0 {
-		t.Error("a store is used that is not followed any more")
+		t.Error("a store is used that is no longer watched")
 	}
 }
 
-// TestNewHubHoldsCalls has a lone box that becomes a hub follow with held calls.
+// TestNewHubHoldsCalls has a hubless spoke that becomes a hub watch with held calls.
 func TestNewHubHoldsCalls(t *testing.T) {
 	d, _ := spokeWithStore()
 	late := start.Add(hublessAfter + time.Millisecond)
@@ -386,11 +383,11 @@
 		names[e.(watchSource).name] = e.(watchSource).hold
 	}
 	if len(names) != 3 || names["s"] != eventsHold || d.knowsCache(&d.tables) {
-		t.Errorf("followed %v", names)
+		t.Errorf("watched %v", names)
 	}
 }
 
-// TestPlacementHub asks only hubs that answered their last call for places.
+// TestPlacementHub shows that only hubs that answered their last call are asked for places.
 func TestPlacementHub(t *testing.T) {
 	d := boxWithEngines("box-05")
 	again := start.Add(gossipRetryDelay)
@@ -410,8 +407,8 @@
 	}
 }
 
-// TestPresumedLoad takes each box that is not heard to use as much as this one,
-// spread over the engines.
+// TestPresumedLoad shows that boxes whose load is unknown are presumed to have as much as this
+// one, spread over the engines.
 func TestPresumedLoad(t *testing.T) {
 	d := boxWithEngines("box-05")
 	d.tables.fleet.Target("a").Tokens = 100
@@ -419,21 +416,21 @@
 	a, _ := d.load(start, &d.tables, d.tables.fleet.Target("a"))
 	b, _ := d.load(start, &d.tables, d.tables.fleet.Target("b"))
 	if a != 100+19*100/2 || b != 19*100/2 {
-		t.Errorf("loads %d and %d of 20 boxes before 2 engines", a, b)
+		t.Errorf("loads %d and %d of 20 boxes on 2 engines", a, b)
 	}
 }
 
-// TestMalformedPlacement has a hub's place passed over whose addresses can't be read.
+// TestMalformedPlacement rejects a hub's place with malformed addresses.
 func TestMalformedPlacement(t *testing.T) {
 	tests := []struct {
 		name string
 		p    peer.PlacementResponse
 		ok   bool
 	}{
-		{"no moves", peer.PlacementResponse{}, true},
-		{"some moves", peer.PlacementResponse{Fetch: []string{"", "10.0.0.1:1"}, Save: []string{"10.0.0.1:1", ""}}, true},
-		{"spoilt source", peer.PlacementResponse{Fetch: []string{"10.0.0.1"}}, false},
-		{"spoilt store", peer.PlacementResponse{Save: []string{"x"}}, false},
+		{"no transfers", peer.PlacementResponse{}, true},
+		{"some transfers", peer.PlacementResponse{Fetch: []string{"", "10.0.0.1:1"}, Save: []string{"10.0.0.1:1", ""}}, true},
+		{"malformed source", peer.PlacementResponse{Fetch: []string{"10.0.0.1"}}, false},
+		{"malformed store", peer.PlacementResponse{Save: []string{"x"}}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -446,8 +443,8 @@
 	}
 }
 
-// TestHubCountsOwnPlacements shows that a hub counts what it placed for others before they
-// tell, and what they tell once.
+// TestHubCountsOwnPlacements shows that a hub counts what it placed for other boxes until they
+// report it, and what they report once.
 func TestHubCountsOwnPlacements(t *testing.T) {
 	hub := boxWithEngines("box-00")
 	hub.update(start, targetsRead{start, Targets{Gone: []string{"b"}}, false})
@@ -464,31 +461,33 @@
 		t.Fatalf("placed %+v", got.PlacementResponse)
 	}
 	if got := tokens(); got != 600 {
-		t.Errorf("%d tokens, want what was told and placed", got)
+		t.Errorf("%d tokens, want the reported and the placed ones", got)
 	}
 	gossip(550)
 	if got := tokens(); got != 550 {
-		t.Errorf("%d tokens, want what is told now", got)
+		t.Errorf("%d tokens, want the reported ones", got)
 	}
 }
 
-// TestIsolatedAccountByHub shows that a hub keeps a walled account's parts apart.
+// TestIsolatedAccountByHub shows that a hub keeps the cached parts of an isolated account
+// apart.
 func TestIsolatedAccountByHub(t *testing.T) {
 	spoke := largeFleet("box-05")
 	spoke.update(start, operatorRead{start, Operator{Table: configuration(1)}})
-	walled := job("long", 1000)
-	walled.Account = &routing.Account{Name: "w", Isolated: true}
-	effects, remote := spoke.placeRemotely(start, &spoke.tables, placementRequest{ask: deliver.PlacementRequest{Job: walled}})
+	isolated := job("long", 1000)
+	isolated.Account = &routing.Account{Name: "w", Isolated: true}
+	effects, remote := spoke.placeRemotely(start, &spoke.tables, placementRequest{ask: deliver.PlacementRequest{Job: isolated}})
 	if !remote || effects[0].(askHub).ask.IsolatedAccount != "w" {
 		t.Errorf("effects %+v", effects)
 	}
 }
 
-// TestHubUsesSpokesIdleConnections shows that a hub places by the connections of the box that asks.
+// TestHubUsesSpokesIdleConnections shows that a hub places by the idle connections of the box
+// that asks.
 func TestHubUsesSpokesIdleConnections(t *testing.T) {
 	hub, spoke := largeFleet("box-00"), largeFleet("box-05")
-	linked := ""
-	spoke.Platform.HasIdleConnection = func(at netip.AddrPort) bool { return at.String() == linked }
+	idle := ""
+	spoke.Platform.HasIdleConnection = func(at netip.AddrPort) bool { return at.String() == idle }
 	for _, d := range []*Daemon{hub, spoke} {
 		d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
 		for i, id := range []string{"a", "b", "c"} {
@@ -499,21 +498,21 @@
 	}
 	hub.tables.hubWarm = true
 	for i, id := range []string{"a", "b", "c", "a"} {
-		linked = spoke.tables.fleet.Target(id).Address.String()
+		idle = spoke.tables.fleet.Target(id).Address.String()
 		effects := spoke.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: job("short", 100)}, reply: make(chan placeAnswer, 1)})
 		ask := effects[0].(askHub).ask
 		got := hub.peerRequest(start.Add(time.Duration(i)*time.Second), &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &ask})
 		if got.PlacementResponse == nil || got.PlacementResponse.Target != id {
-			t.Errorf("a connection rests to %s, placed on %+v", id, got.PlacementResponse)
+			t.Errorf("idle connection to %s, placed on %+v", id, got.PlacementResponse)
 		}
 	}
 }
 
-// TestOwnListIsNewer shows that the list of a hub that is cut off does not bring back
-// what this box itself read to be gone, whether it took a hub's list before or not.
+// TestOwnListIsNewer shows that the list of a hub that is cut off does not bring back a target
+// that this box itself read to be gone, whether or not it took a hub's list before.
 func TestOwnListIsNewer(t *testing.T) {
 	for _, heard := range []bool{true, false} {
-		t.Run(fmt.Sprintf("a hub was heard before: %v", heard), func(t *testing.T) {
+		t.Run(fmt.Sprintf("a hub answered before: %v", heard), func(t *testing.T) {
 			spoke := largeFleet("box-05")
 			entries := []peer.Entry{{ID: "a", Pool: "models", Address: "10.1.0.1:1"}}
 			hear := func(at time.Time, proof time.Duration, list uint64) {
@@ -527,11 +526,11 @@
 			spoke.update(later, targetsRead{later, Targets{Gone: []string{"a"}}, false})
 			hear(later.Add(time.Second), 4*time.Second, 4)
 			if spoke.tables.fleet.Target("a") != nil {
-				t.Error("a target that is gone is back by an older list")
+				t.Error("an older list brought back a target that is gone")
 			}
 			hear(later.Add(2*time.Second), 0, 5)
 			if spoke.tables.fleet.Target("a") == nil {
-				t.Error("a target that is back is not there")
+				t.Error("a target that came back is missing")
 			}
 		})
 	}
--- a/entry/idle_test.go
+++ b/entry/idle_test.go
@@ -10,7 +10,7 @@
 	"github.com/thymewind/thymewind/fleet"
 )
 
-// idleFleet makes a daemon one of a fleet that has nothing to do, with targets that have the
+// idleFleet returns the daemon of one box of a fleet without work, whose targets have the
 // newest weights.
 func idleFleet(name string, boxes, targets int) *Daemon {
 	d := newDaemon(name)
@@ -32,7 +32,7 @@
 	return d
 }
 
-// allocated returns the bytes that a box allocates in one tick with nothing to do.
+// allocated returns the bytes that a box allocates per tick without work.
 func allocated(d *Daemon) uint64 {
 	const ticks = 50
 	now := start
@@ -55,12 +55,12 @@
 	return (after.TotalAlloc - before.TotalAlloc) / ticks
 }
 
-// TestIdleTick has boxes of a small and of a large fleet do nothing: what a tick costs them
-// does not grow with the targets that stand there, nor with the boxes.
+// TestIdleTick checks that the allocations of a tick without work do not grow with the number
+// of targets or boxes.
 func TestIdleTick(t *testing.T) {
 	tests := []struct {
 		name, box string
-		// targets is how many the small fleet has: a hub follows 512 of more than these.
+		// targets is the count in the small fleet: of more than these a hub watches 512.
 		targets int
 	}{
 		{"a hub", "box-0000", 1000},
@@ -77,7 +77,7 @@
 	}
 }
 
-// BenchmarkTick is a tick with nothing to do.
+// BenchmarkTick measures a tick without work.
 func BenchmarkTick(b *testing.B) {
 	for _, targets := range []int{100, 1000, 10000} {
 		for _, name := range []string{"box-0000", "box-0007"} {
--- a/entry/join_test.go
+++ b/entry/join_test.go
@@ -8,8 +8,8 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// TestJoin says what a box writes when it starts: its row unless that stands there as
-// it would be written, and the credential if there is none and it falls to this box.
+// TestJoin lists what a box writes when it starts: its row unless that is stored with the same
+// value, and the credential if there is none and the box is chosen to write it.
 func TestJoin(t *testing.T) {
 	credential := table.Row{Key: credentialKey, Value: []byte(`"x"`)}
 	tests := []struct {
@@ -21,8 +21,8 @@
 		{"the first box", func(table.Row) []table.Row { return nil }, true, []string{"member/box-1", credentialKey}},
 		{"one of many that start at once", func(table.Row) []table.Row { return nil }, false, []string{"member/box-1"}},
 		{"a new box", func(table.Row) []table.Row { return []table.Row{credential} }, true, []string{"member/box-1"}},
-		{"was there before", func(own table.Row) []table.Row { return []table.Row{own, credential} }, true, nil},
-		{"was there before, elsewhere", func(own table.Row) []table.Row {
+		{"known before", func(own table.Row) []table.Row { return []table.Row{own, credential} }, true, nil},
+		{"known before at another address", func(own table.Row) []table.Row {
 			return []table.Row{{Key: own.Key, Value: []byte(`{}`)}, credential}
 		}, true, []string{"member/box-1"}},
 	}
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestNewBoxKnowsItsRole shows that a box which joins a large fleet lives on hubs at
-// once, if the rows that it finds show stronger boxes of its domain, and otherwise
-// waits for the rows of boxes that start with it.
+// TestNewBoxKnowsItsRole shows that a box that joins a large fleet becomes a spoke at once if
+// the rows show stronger boxes in its domain, and otherwise waits for the rows of boxes that
+// start with it.
 func TestNewBoxKnowsItsRole(t *testing.T) {
 	row := func(i int, domain string, share float64) table.Row {
 		return table.Row{
@@ -69,10 +69,10 @@
 		rows  []table.Row
 		spoke bool
 	}{
-		{"nobody there yet", nil, false},
+		{"first box", nil, false},
 		{"a small fleet", fleet(6, "a", 2), false},
 		{"a large fleet with hubs", fleet(20, "a", 2), true},
-		{"a large fleet, one hub known", fleet(20, "a", 1), true}, // A second one may come, this box is none.
+		{"a large fleet, one hub known", fleet(20, "a", 1), true}, // A second hub may come; it is not this box.
 		{"a large fleet of another domain", fleet(20, "b", 2), false},
 	}
 	for _, tt := range tests {
@@ -81,7 +81,7 @@
 			d.Settings.Domain = "a"
 			d.update(start, ownRead{OwnRows{Rows: append(tt.rows, row(99, "a", 0.2)), Known: rev(7), Snapshot: true}, false})
 			if got := d.spoke.Load(); got != tt.spoke || d.roleUnknown.Load() == tt.spoke {
-				t.Errorf("lives on hubs %v, want %v; waits %v", got, tt.spoke, d.roleUnknown.Load())
+				t.Errorf("spoke %v, want %v; waits %v", got, tt.spoke, d.roleUnknown.Load())
 			}
 		})
 	}
--- a/entry/list.go
+++ b/entry/list.go
@@ -10,7 +10,7 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// targetsRead takes over the list of targets.
+// targetsRead applies a read of the target list.
 func (d *Daemon) targetsRead(now time.Time, t *tables, m targetsRead) []effect {
 	if t.listVersion == 0 {
 		t.beginList()
@@ -19,7 +19,7 @@
 	restored := m.change.Known.Restores > t.listRestores
 	t.listRestores = m.change.Known.Restores
 	t.listRead = m.asked
-	t.hub, t.hubList, t.hubSeen = "", changelog.Cursor{}, nil // What it lacks of a hub's list is not known.
+	t.hub, t.hubList, t.hubSeen = "", changelog.Cursor{}, nil // What it lacks of a hub's list is unknown, so the next one is taken whole.
 	d.noteListRead(now, t, m)
 	for _, id := range slices.Sorted(maps.Keys(m.change.Unusable)) {
 		d.Log.Error("entry can't be used, so it names no target", "target", id, "err", m.change.Unusable[id])
@@ -53,8 +53,8 @@
 	return d.reconcileSources(now, t)
 }
 
-// markStaleVersions notes weights older than the newest named with which a target comes
-// into the list.
+// markStaleVersions records for a newly listed target which of its weights are older than the
+// newest version named.
 func (t *tables) markStaleVersions(x *fleet.Target) {
 	for model, version := range x.Versions {
 		if version < t.rolloutOf(model).newestVersion {
@@ -63,15 +63,15 @@
 	}
 }
 
-// listTarget takes an entry over. It returns nil if the target is known to be
-// replaced.
+// listTarget adds or updates a target by its entry. It returns nil if the target is known to
+// have been replaced.
 func (d *Daemon) listTarget(now time.Time, t *tables, e fleet.Entry) *fleet.Target {
 	before := t.fleet.Target(e.ID)
 	wasLeaving := before != nil && before.Leaving
 	wasCold := before != nil && before.Cold(now)
-	var told peer.Entry
+	var earlier peer.Entry
 	if before != nil {
-		told = entryOf(now, before)
+		earlier = entryOf(now, before)
 	}
 	x, fresh := t.fleet.Upsert(now, e)
 	if x != nil {
@@ -80,11 +80,11 @@
 	if x != nil && e.Cold > 0 && !wasCold {
 		d.Log.Info("target is cold", "target", e.ID, "pool", e.Pool, "domain", e.Domain, "for", e.Cold)
 	}
-	if x != nil && (fresh || differs(told, entryOf(now, x))) {
+	if x != nil && (fresh || differs(earlier, entryOf(now, x))) {
 		t.touch(e.ID)
 	}
 	switch {
-	case x == nil: // Its address is another replica's by now.
+	case x == nil: // Another replica has its address by now.
 	case fresh:
 		if before != nil {
 			d.targetRestarted(now, t, before, x)
@@ -97,8 +97,8 @@
 	return x
 }
 
-// maxLoggedTargets is how many targets a box logs as they come: of a list of thousands its number is
-// told.
+// maxLoggedTargets is the fleet size up to which each new target is logged at info level. For a
+// list of thousands the count is logged instead.
 const maxLoggedTargets = 600
 
 // logTarget logs that a target is in the list.
@@ -110,8 +110,8 @@
 	log("target in", "target", x.ID, "born", x.StartedAt, "pool", x.Pool, "at", x.Address, "domain", x.Domain, "leaving", x.Leaving)
 }
 
-// targetRestarted drops what is kept of a target's earlier life beside the fleet's table: what
-// it kept, its news and that it was loading.
+// targetRestarted drops the state of a target's earlier incarnation that is kept outside the
+// fleet's table: its cached parts, its feed of cache events and whether it was loading.
 func (d *Daemon) targetRestarted(now time.Time, t *tables, before, x *fleet.Target) {
 	d.Log.Warn("target has started again", "target", x.ID, "pool", x.Pool, "born", x.StartedAt, "before", before.StartedAt, "in_flight", before.InFlight)
 	d.incarnationEnded(now, t, incarnationKey(before.Incarnation()), "its entry")
@@ -119,8 +119,8 @@
 	t.forgetTarget(x.ID)
 }
 
-// forgetTarget drops what a target kept and what this box's requests took up there, and ends the following of its news, which begins
-// anew if it is listed.
+// forgetTarget drops which parts a target caches and the load that this box's requests have
+// there, and stops watching it. Watching starts anew if the target is listed.
 func (t *tables) forgetTarget(id string) {
 	t.directory.Forget(id)
 	delete(t.loading, id)
@@ -131,8 +131,8 @@
 	}
 }
 
-// unlist handles an entry that is gone. One that was lost while the table
-// service was away may come back.
+// unlist handles an entry that is gone from the list. With away, the entry may come back: it
+// was lost in an outage or a restore of the table service.
 func (d *Daemon) unlist(now time.Time, t *tables, id string, away bool) {
 	x := t.fleet.Target(id)
 	if x == nil {
@@ -154,8 +154,8 @@
 	d.removeTarget(t, id)
 }
 
-// markGoneUncertain notes that a target went from the list without notice: it may live,
-// and be used by boxes that have not read that yet.
+// markGoneUncertain records that a target left the list without draining: it may still run, and
+// boxes that have not read the change may still send to it.
 func (t *tables) markGoneUncertain(now time.Time, x *fleet.Target) {
 	for model, version := range x.Versions {
 		if w := t.weights[model]; w != nil && version < w.newestVersion {
@@ -170,19 +170,19 @@
 	t.forgetTarget(id)
 }
 
-// dropReplaced forgets a target whose life is over, as another replica has its address or
-// as it started again. Its next life comes with its entry.
-func (d *Daemon) dropReplaced(now time.Time, t *tables, life fleet.Incarnation, from string) []effect {
-	x := t.fleet.Incarnation(life)
-	if !t.fleet.MarkEnded(now, life) {
+// dropReplaced forgets a target whose incarnation is over, as another replica has its address
+// or it restarted. The next incarnation comes with its own entry.
+func (d *Daemon) dropReplaced(now time.Time, t *tables, ended fleet.Incarnation, from string) []effect {
+	x := t.fleet.Incarnation(ended)
+	if !t.fleet.MarkEnded(now, ended) {
 		return nil
 	}
 	if x != nil {
-		t.markGoneUncertain(now, x) // It may be back, with its weights.
+		t.markGoneUncertain(now, x) // It may come back with its old weights.
 	}
-	d.Log.Warn("a target's life is over", "target", life.ID, "born", life.StartedAt, "told_by", from)
-	d.incarnationEnded(now, t, incarnationKey(life), from)
-	t.forgetTarget(life.ID)
-	t.untouch(life.ID)
+	d.Log.Warn("a target's life is over", "target", ended.ID, "born", ended.StartedAt, "told_by", from)
+	d.incarnationEnded(now, t, incarnationKey(ended), from)
+	t.forgetTarget(ended.ID)
+	t.untouch(ended.ID)
 	return d.reconcileSources(now, t)
 }
--- a/entry/overtaken.go
+++ b/entry/listbehind.go
@@ -9,24 +9,25 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// A hub's list of targets has no proof with an age as the configuration has: a held read that
-// says nothing for 3 s is what a sound one and one that was cut off look like alike, and
-// shorter holds cost calls at every hub. So hubs tell each other how far the list is known to
-// have changed. One that hears of a later change than it has read for longer than a sound
-// read takes breaks its read off and reads at once. If that brings nothing either, it is cut
-// off from the table service, though other hubs vouch for its configuration: it says that its
-// list is behind, and boxes that live on it go to the next hub.
+// A hub's target list has no proof with an age as the configuration has: a held read that
+// returns nothing for 3 s looks the same whether the hub is healthy or cut off, and shorter
+// holds would cost calls at every hub. So hubs tell each other the newest change of the list
+// that they have read. A hub that has not read a reported change within the time of a healthy
+// read cancels its held read and reads at once. If that brings nothing, it is cut off from the
+// table service, though other hubs prove its configuration: it reports its list as behind, and
+// its spokes move to the next hub.
 
 const (
-	// behindReadAfter is how long after another hub's word this one reads at once: a sound
-	// hub has the change by its own read within targetsEvery.
+	// behindReadAfter is the delay between another hub's report and the immediate read. A
+	// healthy hub has the change by its own read within targetsReadInterval.
 	behindReadAfter = targetsReadInterval + 50*time.Millisecond
-	// behindAfter is how long after it its list is behind: overtakenRead and an answer of a
-	// slow table service, a quarter of a second.
+	// behindAfter is the delay after which the list is behind: behindReadAfter and a quarter of
+	// a second for the answer of a slow table service.
 	behindAfter = behindReadAfter + 250*time.Millisecond
 )
 
-// receiveListRevision takes over how far another hub knows the list to have changed.
+// receiveListRevision compares the newest list change that another hub has read with this box's
+// own.
 func (d *Daemon) receiveListRevision(now time.Time, t *tables, m peer.Message) {
 	if t.listVersion == 0 || !m.ListRevision.After(t.listKnown) {
 		return
@@ -36,23 +37,24 @@
 	}
 }
 
-// listBehind says that this box's list lacks a change that another hub told of for too long.
+// listBehind says that this box's list has lacked a change that another hub reported for too
+// long.
 func (t *tables) listBehind(now time.Time) bool {
 	return !t.listBehindSince.IsZero() && now.Sub(t.listBehindSince) >= behindAfter
 }
 
-// noteListRead notes how far the list was read.
+// noteListRead records up to which revision the list was read.
 func (d *Daemon) noteListRead(now time.Time, t *tables, m targetsRead) {
 	t.listKnown = revision.Max(t.listKnown, m.change.Known)
 	t.listChanged = revision.Max(t.listChanged, m.change.Changed)
 	if t.listBehind(now) {
-		d.Log.Info("list of targets is not behind any more", "known", t.listKnown, "behind_for", now.Sub(t.listBehindSince))
+		d.Log.Info("list of targets is no longer behind", "known", t.listKnown, "behind_for", now.Sub(t.listBehindSince))
 	}
 	t.listBehindSince, t.listBehindLogged = time.Time{}, false
 	d.listReads.answered()
 }
 
-// rereadIfStale has the list read at once if it was overtaken.
+// rereadIfStale has the list read at once if another hub has read a later change.
 func (d *Daemon) rereadIfStale(now time.Time, t *tables) []effect {
 	if t.listBehindSince.IsZero() || now.Sub(t.listBehindSince) < behindReadAfter {
 		return nil
@@ -65,17 +67,18 @@
 	return nil
 }
 
-// listReads breaks a held read of the list off when another hub knows of a later change. It
+// listReads cancels a held read of the target list when another hub knows of a later change. It
 // is safe for concurrent use.
 type listReads struct {
 	mu sync.Mutex
-	// cancel ends the read under way.
+	// cancel ends the read in flight.
 	cancel context.CancelFunc
-	// interrupting says that the list was overtaken and not read since.
+	// interrupting says that another hub has read a later change and no read was answered
+	// since.
 	interrupting bool
 }
 
-// begin returns the next read's context and how long it is held.
+// begin returns the next read's context and hold.
 func (l *listReads) begin(ctx context.Context) (context.Context, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +92,7 @@
 	return ctx, readHold
 }
 
-// interrupt breaks the read off, if it is held, and has the next ones not be held.
+// interrupt cancels the read in flight and makes further reads unheld until answered.
 func (l *listReads) interrupt() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,7 +112,7 @@
 	return l.interrupting
 }
 
-// answered notes that a read was answered.
+// answered records that a read was answered.
 func (l *listReads) answered() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/overtaken_test.go
+++ b/entry/listbehind_test.go
@@ -14,18 +14,18 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// partitionedHubs is three boxes: box-11 reads the platform's list, box-00 is cut off from the
-// table service alone, and box-05 lives on hubs, of which box-00 is the first and box-01
-// the second.
+// partitionedHubs is four boxes: the hub box-11 reads the target list, the hub box-00 alone is
+// cut off from the table service, and the spoke box-05 has box-00 as its first hub and box-01
+// as its second.
 type partitionedHubs struct {
-	sound, cut, second, spoke *Daemon
-	// version is the newest change of the list.
+	healthy, cut, second, spoke *Daemon
+	// version is the revision of the newest change of the list.
 	version uint64
 }
 
 func newPartitionedHubs() *partitionedHubs {
-	x := &partitionedHubs{sound: boxOfFleet("box-11"), cut: boxOfFleet("box-00"), second: boxOfFleet("box-01"), spoke: largeFleet("box-05"), version: 20}
-	for _, d := range []*Daemon{x.sound, x.cut, x.second} {
+	x := &partitionedHubs{healthy: boxOfFleet("box-11"), cut: boxOfFleet("box-00"), second: boxOfFleet("box-01"), spoke: largeFleet("box-05"), version: 20}
+	for _, d := range []*Daemon{x.healthy, x.cut, x.second} {
 		d.update(start, operatorRead{start, Operator{Table: configuration(1), Changed: rev(3), Known: rev(9)}})
 		d.update(start, targetsRead{start, Targets{Snapshot: true, Changed: rev(x.version), Known: rev(x.version), Listed: []fleet.Entry{entryAt("a", "10.1.0.1:1"), entryAt("b", "10.1.0.2:1")}}, false})
 	}
@@ -33,7 +33,7 @@
 	return x
 }
 
-// gossip has a box call another one.
+// gossip has one box call another.
 func gossip(now time.Time, from, to *Daemon) {
 	m := peer.Message{Kind: peer.KindGossip, From: from.Settings.Name, ListVersion: from.tables.hubList.Number, ListStartVersion: from.tables.hubList.SnapshotAt, ListRevision: from.tables.listChanged}
 	if from.tables.hub != to.Settings.Name {
@@ -43,21 +43,21 @@
 	from.update(now, peerAnswered{name: to.Settings.Name, asked: now, m: answer})
 }
 
-// advance passes a time on, in which the operator's rows are read by box-11 for all and the
-// list by the boxes given.
+// advance runs the boxes for a time in which box-11 reads the operator's rows for all and the
+// healthy hubs read the list.
 func (x *partitionedHubs) advance(from, to time.Duration, read func(now time.Time, d *Daemon)) {
 	for ms := from; ms < to; ms += 50 * time.Millisecond {
 		now := start.Add(ms)
 		if ms%hubHold == 0 {
-			x.sound.update(now, operatorRead{now, Operator{Known: rev(9)}})
+			x.healthy.update(now, operatorRead{now, Operator{Known: rev(9)}})
 		}
-		for _, d := range []*Daemon{x.sound, x.second} {
+		for _, d := range []*Daemon{x.healthy, x.second} {
 			if ms%targetsReadInterval == 0 {
 				read(now, d)
 			}
 		}
-		gossip(now, x.cut, x.sound)
-		gossip(now, x.second, x.sound)
+		gossip(now, x.cut, x.healthy)
+		gossip(now, x.second, x.healthy)
 		gossip(now, x.cut, x.second)
 		if ms%spokeGossipInterval == 0 {
 			if hub := x.spoke.viewHub(now, &x.spoke.tables); hub == "box-00" {
@@ -69,16 +69,16 @@
 	}
 }
 
-// TestCutOffHubMissesDrain has a hub cut off from the table service alone, while another one
-// vouches for its configuration: a target that leaves meanwhile must be known to a box that
-// lives on that hub within the platform's bound of 2 s, as that box itself is in touch.
-// In series: when the cut ends, another target leaves and the next hub is cut off.
+// TestCutOffHubMissesDrain guards against work for a target that drains while a spoke's hub
+// alone is cut off from the table service, and another hub proves that hub's configuration. The
+// spoke is connected itself, so it must know of the drain within the platform's bound of 2 s.
+// After the cut, a second target drains while the next hub is cut off.
 func TestCutOffHubMissesDrain(t *testing.T) {
 	const bound = 2 * time.Second
 	x := newPartitionedHubs()
 	x.advance(0, time.Second, func(time.Time, *Daemon) {})
 	if x.spoke.tables.hub != "box-00" || x.spoke.tables.fleet.Target("a") == nil {
-		t.Fatalf("the box does not live on the first hub: %q", x.spoke.tables.hub)
+		t.Fatalf("the spoke does not use the first hub: %q", x.spoke.tables.hub)
 	}
 	leaving := func(id, at string) func(time.Time, *Daemon) {
 		e := entryAt(id, at)
@@ -90,25 +90,25 @@
 	}
 	x.advance(time.Second, time.Second+bound, leaving("a", "10.1.0.1:1"))
 	if a := x.spoke.tables.fleet.Target("a"); a != nil && a.Available(start.Add(time.Second+bound)) {
-		t.Errorf("%v after the table service took that it leaves, a target gets work by the list of %q", bound, x.spoke.tables.hub)
+		t.Errorf("%v after its drain was written, a target gets work by the list of %q", bound, x.spoke.tables.hub)
 	}
 	x.cut.update(start.Add(3*time.Second), targetsRead{start.Add(3 * time.Second), Targets{Changed: rev(x.version), Known: rev(x.version)}, false})
 	x.advance(3*time.Second, 5*time.Second, func(time.Time, *Daemon) {})
 	if x.spoke.tables.hub != "box-00" {
-		t.Errorf("the box lives on %q, though the first hub reads again", x.spoke.tables.hub)
+		t.Errorf("the spoke uses %q, though the first hub reads again", x.spoke.tables.hub)
 	}
 	x.advance(5*time.Second, 5*time.Second+bound, leaving("b", "10.1.0.2:1"))
 	if b := x.spoke.tables.fleet.Target("b"); b != nil && b.Available(start.Add(5*time.Second+bound)) {
-		t.Error("a second target, in the second cut, gets work")
+		t.Error("a second target that drains gets work in the second cut")
 	}
 }
 
-// TestListBehind says when a hub's list counts as overtaken, and what it does about that.
+// TestListBehind lists when a hub's list counts as behind and what the hub does about it.
 func TestListBehind(t *testing.T) {
 	tests := []struct {
 		name string
-		// listed is the newest change that another hub tells, known up to where this one has
-		// read, after how long afterwards it is looked at.
+		// listed is the newest change that another hub reports, known the revision that this
+		// one has read, after the time from the report to the check.
 		listed, known uint64
 		after         time.Duration
 		again, behind bool
@@ -116,9 +116,9 @@
 		{"nothing newer", 20, 20, time.Minute, false, false},
 		{"read further than the other", 20, 30, time.Minute, false, false},
 		{"newer, a moment ago", 21, 20, targetsReadInterval / 2, false, false},
-		{"newer, for longer than a sound read takes", 21, 20, behindReadAfter, true, false},
+		{"newer, for longer than a healthy read takes", 21, 20, behindReadAfter, true, false},
 		{"newer, for too long", 21, 20, behindAfter, true, true},
-		{"another hub tells no list", 0, 20, time.Minute, false, false},
+		{"another hub reports no list", 0, 20, time.Minute, false, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -128,10 +128,10 @@
 			now := start.Add(tt.after)
 			d.rereadIfStale(now, &d.tables)
 			if got := d.listReads.interrupted(); got != tt.again {
-				t.Errorf("the list is read anew at once: %v", got)
+				t.Errorf("the list is reread at once: %v", got)
 			}
 			if got := d.view(now, &d.tables, changelog.Cursor{}).ListBehind; got != tt.behind {
-				t.Errorf("tells that its list is behind: %v", got)
+				t.Errorf("reports its list as behind: %v", got)
 			}
 			d.update(now, targetsRead{now, Targets{Known: rev(max(tt.listed, tt.known))}, false})
 			if d.view(now, &d.tables, changelog.Cursor{}).ListBehind || d.listReads.interrupted() {
@@ -148,8 +148,8 @@
 	return e
 }
 
-// TestListBehindCancelsRead has a held read of the list hang while another hub tells of a
-// later change: the next read is made at once and is not held, those after it are held again.
+// TestListBehindCancelsRead has a held read of the list hang while another hub reports a later
+// change: the next read is made at once and not held, those after it are held again.
 func TestListBehindCancelsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := boxOfFleet("box-00")
@@ -173,7 +173,7 @@
 		d.rereadIfStale(began.Add(behindReadAfter), &d.tables)
 		read := (<-d.messages).(targetsRead)
 		if took := time.Since(began); took > time.Second {
-			t.Errorf("read anew after %v", took)
+			t.Errorf("reread after %v", took)
 		}
 		d.update(time.Now(), read)
 		time.Sleep(time.Second)
@@ -185,8 +185,8 @@
 	})
 }
 
-// TestLapsedAtOneHub guards against targets that come back at boxes which know them to be gone,
-// as a hub that was cut off keeps them for a while like entries lost in an outage.
+// TestLapsedAtOneHub guards against targets coming back at boxes that know them to be gone, as
+// a hub that was cut off keeps them for a while like entries lost in an outage.
 func TestLapsedAtOneHub(t *testing.T) {
 	x := newPartitionedHubs()
 	read := func(after time.Duration, d *Daemon, change Targets, away bool) {
@@ -200,19 +200,19 @@
 	read(time.Second, x.second, Targets{Gone: []string{"a"}}, false)
 	gossip(start.Add(time.Second), x.spoke, x.second)
 	if knows(x.spoke) {
-		t.Fatal("the box does not know that the target is gone")
+		t.Fatal("the spoke does not know that the target is gone")
 	}
 	read(2*time.Second, x.cut, Targets{Gone: []string{"a"}}, true)
 	gossip(start.Add(2*time.Second), x.spoke, x.cut)
 	if x.spoke.tables.hub != "box-00" {
-		t.Fatalf("the box lives on %q", x.spoke.tables.hub)
+		t.Fatalf("the spoke uses %q", x.spoke.tables.hub)
 	}
 	if knows(x.spoke) {
-		t.Error("the target is back by the list of a hub that was cut off")
+		t.Error("the list of a hub that was cut off brought the target back")
 	}
 	read(3*time.Second, x.cut, Targets{Listed: []fleet.Entry{entryAt("a", "10.1.0.1:1")}}, false)
 	gossip(start.Add(3*time.Second), x.spoke, x.cut)
 	if !knows(x.spoke) {
-		t.Error("the target's entry came back, and the box does not know")
+		t.Error("the target's entry came back, but not at the spoke")
 	}
 }
--- a/entry/vouch.go
+++ b/entry/peerproof.go
@@ -8,29 +8,28 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// Each hub needs a proof, a second old at most, that what the operator wrote is still
-// what it knows. One hub reads for all, the last by name, which all others call each 50 ms
-// anyway. Its answer tells the newest change that it knows and how old its proof of that
-// is: who has read as far as that change knows as much. Another hub reads itself if it
-// hears of a later change, or if proofs stay out. Each read has its price, and all of them
-// learn the same.
+// Each hub needs a proof, at most a second old, that it knows the newest of what the operator
+// wrote. One hub, the last by name, reads for all; the others call it each 50 ms anyway. Its
+// answer carries the newest change that it knows and the age of its proof. A hub that has read
+// up to that change takes the proof as its own. A hub reads itself when it hears of a later
+// change or when no proof comes. Reads are billed, and all of them would learn the same.
 
 const (
-	// peerProofBase is how old a proof gets before the second hub reads itself: the reading
-	// one's is up to twice its hold old, and told within two gossips. Proofs then stay
-	// younger than staleView, at which boxes leave a hub.
+	// peerProofBase is the proof age at which the second hub reads itself. The reading hub's
+	// proof is up to twice its hold old and arrives within two rounds of gossip. Proofs then
+	// stay younger than maxHubProofAge, at which boxes leave a hub.
 	peerProofBase = 2*hubHold + 2*hubGossipInterval
-	// peerProofStep is how much later each further hub does, so that the second one's
-	// proof, which is told as well, spares the others the read.
+	// peerProofStep is how much later each further hub reads, so that the second hub's proof,
+	// which is shared as well, saves the others the read.
 	peerProofStep = 2 * hubGossipInterval
-	// peerProofLimit bounds it.
+	// peerProofLimit bounds the delay for any number of hubs.
 	peerProofLimit = peerProofBase + peerProofStep
-	// peerProofPoll is how often a hub looks whether it is to read.
+	// peerProofPoll is how often a hub checks whether it has to read.
 	peerProofPoll = hubGossipInterval
 )
 
-// peerProofLifetime is for how long this box goes by other hubs' proofs: not at all unless it is
-// a hub in a large fleet, and another one that answers reads before it.
+// peerProofLifetime is for how long this box relies on other hubs' proofs. It is zero unless
+// the box is a hub of a large fleet and another hub that answers reads before it.
 func (d *Daemon) peerProofLifetime(t *tables) time.Duration {
 	hubs := t.hubs()
 	if !t.usesHubs() || !slices.Contains(hubs, d.Settings.Name) {
@@ -48,16 +47,16 @@
 	return min(peerProofBase+time.Duration(before-1)*peerProofStep, peerProofLimit)
 }
 
-// hasPeerProof says that another hub reads the operator's rows and has told lately that this
-// box knows the newest.
+// hasPeerProof says that another hub reads the operator's rows and has confirmed recently that
+// this box knows the newest.
 func (d *Daemon) hasPeerProof(now time.Time) bool {
 	wait := time.Duration(d.peerProofMaxAge.Load())
 	return wait > 0 && !d.operatorBehind.Load() && !d.outage.lost() && d.provedAgo(now) < wait
 }
 
-// receiveProof takes over another hub's proof, if this box knows all that was known there. The
-// proof's age counts from when it was asked for, as the answer was made later. A hub that
-// has not read the table service since that was restored proves nothing to one that has.
+// receiveProof takes another hub's proof if this box knows all that was known there. The
+// proof's age counts from when it was requested, as the answer was made later. A hub that has
+// not read the table service since a restore proves nothing to one that has.
 func (d *Daemon) receiveProof(t *tables, asked time.Time, m peer.Message) {
 	switch {
 	case m.OperatorRevision.IsZero() || d.peerProofMaxAge.Load() == 0:
@@ -70,8 +69,8 @@
 	}
 }
 
-// countProof counts by whose word this box holds its configuration for the newest, and logs of which
-// change that told.
+// countProof counts whether a proof of the configuration came from this box's own read or from
+// another box, and logs when another box's proof is of a change not logged before.
 func (d *Daemon) countProof(t *tables, box string, newest revision.Revision) {
 	by := "read"
 	if box != d.Settings.Name {
--- a/entry/vouch_test.go
+++ b/entry/peerproof_test.go
@@ -8,7 +8,7 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// boxOfFleet makes a daemon one of 20 boxes, by its name in domain a or b.
+// boxOfFleet returns the daemon of one of 20 boxes, whose name sets its domain, a or b.
 func boxOfFleet(name string) *Daemon {
 	d := largeFleet(name)
 	d.Settings.Domain = d.tables.members[name].domain
@@ -16,8 +16,8 @@
 	return d
 }
 
-// TestPeerProofLifetime shows that one hub reads for all, the last by name, and who reads if it
-// does not answer.
+// TestPeerProofLifetime shows that one hub, the last by name, reads for all, and which one
+// reads if it does not answer.
 func TestPeerProofLifetime(t *testing.T) {
 	tests := []struct {
 		box    string
@@ -30,7 +30,7 @@
 		{"box-00", nil, peerProofLimit},
 		{"box-10", []string{"box-11"}, 0},
 		{"box-00", []string{"box-11", "box-10"}, peerProofBase},
-		{"box-05", nil, 0}, // Lives on a hub.
+		{"box-05", nil, 0}, // A spoke.
 	}
 	for _, tt := range tests {
 		d := boxOfFleet(tt.box)
@@ -42,17 +42,17 @@
 		}
 	}
 	if most := peerProofLimit + peerProofPoll; most > maxHubProofAge {
-		t.Errorf("a proof gets %v old before a hub reads: boxes leave it at %v", most, maxHubProofAge)
+		t.Errorf("a proof gets %v old before a hub reads, but boxes leave the hub at %v", most, maxHubProofAge)
 	}
 }
 
-// TestHasPeerProof lists what a hub's answer must say for another not to read.
+// TestHasPeerProof lists the answers of a hub that save another one its read.
 func TestHasPeerProof(t *testing.T) {
 	const known = 7
 	tests := []struct {
 		name string
 		m    peer.Message
-		// after is how long after the answer's call the hub looks.
+		// after is the time from the call to the check.
 		after time.Duration
 		want  bool
 	}{
@@ -71,22 +71,22 @@
 			d.update(start.Add(-time.Minute), operatorRead{old, Operator{Changed: rev(known - 2), Known: rev(known)}})
 			d.update(start.Add(50*time.Millisecond), peerAnswered{name: "box-11", asked: start, m: tt.m})
 			if got := d.hasPeerProof(start.Add(tt.after)); got != tt.want {
-				t.Errorf("vouched %v", got)
+				t.Errorf("has a peer's proof: %v", got)
 			}
 			if d.operatorHold() != 0 {
-				t.Errorf("the next read is held %v", d.operatorHold())
+				t.Errorf("the next read is held for %v", d.operatorHold())
 			}
 			d.update(start.Add(time.Second), operatorRead{start.Add(time.Second), Operator{Known: rev(known + 1)}})
 			d.update(start.Add(time.Second), peerAnswered{name: "box-11", asked: start, m: tt.m})
 			if !d.hasPeerProof(start.Add(time.Second)) {
-				t.Error("reads again, although it has read all that the other knows")
+				t.Error("reads again, though it has read all that the other hub knows")
 			}
 		})
 	}
 }
 
-// TestOneHubReads has four hubs whose reads change nothing for 10 s: the operator's rows
-// are read by one of them, and by the next once that one is gone.
+// TestOneHubReads has four hubs without any change for 20 s: one of them reads the operator's
+// rows, and the next one does once that one is gone.
 func TestOneHubReads(t *testing.T) {
 	reads := make(map[string]int)
 	var all []*Daemon
--- a/entry/reads_test.go
+++ b/entry/prefill_test.go
@@ -9,9 +9,9 @@
 	"github.com/thymewind/thymewind/placement"
 )
 
-// TestPrefillBacklog says what a hub takes a target to have unread: what it placed there
-// itself, for others too, what other hubs tell that they placed, and what is overdue,
-// each falling by itself or when a first event comes.
+// TestPrefillBacklog checks a hub's estimate of the prompt tokens that a target still has to
+// prefill: those that it placed itself, also for other boxes, those that other hubs report, and
+// those overdue. Each falls with time or at the first event of the answer.
 func TestPrefillBacklog(t *testing.T) {
 	const tokens = 5000
 	target := placement.Hash("a")
@@ -28,14 +28,14 @@
 		{"placed for another box", func(hub *Daemon) {
 			hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: ask()})
 		}, 0, tokens},
-		{"read by now, though nobody told", func(hub *Daemon) {
+		{"prefilled by now, though not reported", func(hub *Daemon) {
 			hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: ask()})
 		}, time.Second, 0},
 		{"placed by another hub", func(hub *Daemon) {
 			hub.tables.receivePrefill(start, "box-01", nil)
 			hub.tables.receivePrefill(start, "box-01", []peer.PrefillTotal{{Target: target, Total: tokens}})
 		}, 0, tokens},
-		{"told by a box that is not known", func(hub *Daemon) {
+		{"reported by an unknown box", func(hub *Daemon) {
 			hub.tables.receivePrefill(start, "stranger", nil)
 			hub.tables.receivePrefill(start, "stranger", []peer.PrefillTotal{{Target: target, Total: tokens}})
 		}, 0, 0},
@@ -45,7 +45,7 @@
 		{"overdue here", func(hub *Daemon) {
 			hub.tables.countSent(start, deliver.Placement{Target: "a", PlacedAt: start, PrefillTokens: tokens})
 		}, time.Second, tokens},
-		{"overdue here, then begun", func(hub *Daemon) {
+		{"overdue here, then answered", func(hub *Daemon) {
 			p := deliver.Placement{Target: "a", PlacedAt: start, PrefillTokens: tokens}
 			hub.tables.countSent(start, p)
 			hub.answerBegan(start.Add(time.Second), &hub.tables, p)
@@ -66,24 +66,25 @@
 			tt.happen(hub)
 			_, got := hub.load(start.Add(tt.after), &hub.tables, hub.tables.fleet.Target("a"))
 			if got < tt.want*9/10 || got > tt.want {
-				t.Errorf("%d tokens unread, want %d", got, tt.want)
+				t.Errorf("%d tokens to prefill, want %d", got, tt.want)
 			}
 		})
 	}
 }
 
-// TestPrefillTotalsGossiped shows that hubs tell each other what they had targets read.
+// TestPrefillTotalsGossiped shows that hubs report to each other the prompt tokens that they
+// placed.
 func TestPrefillTotalsGossiped(t *testing.T) {
 	hub := boxWithEngines("box-00")
 	hub.tables.prefillBacklog.Place(start, placement.Hash("a"), 700)
 	answer := hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-01"})
 	if len(answer.PrefillTotals) != 1 || answer.PrefillTotals[0].Total != 700 {
-		t.Errorf("the answer to another hub tells %v", answer.PrefillTotals)
+		t.Errorf("the answer to another hub reports %v", answer.PrefillTotals)
 	}
 }
 
-// TestHubsGossipBetweenTicks shows that hubs tell each other as soon as it is time, and that
-// other boxes wait for their next tick.
+// TestHubsGossipBetweenTicks shows that hubs gossip as soon as it is due, and that other boxes
+// wait for their next tick.
 func TestHubsGossipBetweenTicks(t *testing.T) {
 	hub, spoke := boxWithEngines("box-00"), boxWithEngines("box-05")
 	credential := "x"
@@ -94,9 +95,9 @@
 		t.Errorf("the hub calls %d others", n)
 	}
 	if n := len(hub.gossipBetweenTicks(start.Add(hubGossipInterval-time.Millisecond), &hub.tables)); n != 0 {
-		t.Errorf("the hub calls %d others before it is time", n)
+		t.Errorf("the hub calls %d others before it is due", n)
 	}
 	if n := len(spoke.gossipBetweenTicks(start, &spoke.tables)); n != 0 {
-		t.Errorf("a box behind a hub calls %d others between ticks", n)
+		t.Errorf("a spoke calls %d others between ticks", n)
 	}
 }
--- a/entry/region.go
+++ b/entry/region.go
@@ -8,28 +8,28 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// A route or an account may be limited to regions: its requests are run, and what is kept of
-// them is kept and stored, there only. Targets and stores elsewhere are passed over at each
-// placing, at first and further tries and for streams that are taken up. What is kept has a scope
-// of its own, so that nothing kept of other requests, or from before the limit, is used or moved
-// for it. Boxes are limited by nothing: they pass a request on and keep none of it. A domain
-// whose region no box tells is in none that is allowed.
-
-// codeRegion is the refusal's code where no target lies in a region that is allowed.
+// A route or a client account may be limited to regions: its requests run, and their cached
+// parts are kept, only there. Targets and stores elsewhere are skipped each time a request is
+// placed, for first attempts, retries and resumed streams. Such parts have a cache scope of
+// their own, so that no parts of other requests, or from before the limit, are used or
+// transferred for them. Boxes are not limited: they pass a request on and keep none of it. A
+// domain whose region no box reports is in no allowed region.
+
+// codeRegion is the refusal's code when no target lies in an allowed region.
 const codeRegion = "region"
 
-// allowedRegions is where a request may be run, kept and stored.
+// allowedRegions are those in which a request may run and its parts may be cached.
 func allowedRegions(job *deliver.Job) routing.Regions {
 	return routing.AllowedRegions(job.Route, job.Account)
 }
 
-// inRegions says whether a failure domain lies in one of some regions.
+// inRegions says whether a failure domain lies in one of the regions.
 func (t *tables) inRegions(regions routing.Regions, domain string) bool {
 	return !regions.Limited() || regions.Allow(t.regions[domain])
 }
 
-// refuseRegion refuses a request that may be run nowhere, as far as this box knows; nil if it
-// may somewhere.
+// refuseRegion refuses a request for which this box knows no domain in an allowed region; nil
+// if there is one.
 func (d *Daemon) refuseRegion(t *tables, job *deliver.Job) *refusal.Refusal {
 	regions := allowedRegions(job)
 	if !regions.Limited() {
@@ -43,7 +43,7 @@
 	return d.refusePermanently(job, codeRegion, "requests on route %q may be run in %q only, and nothing is there", job.Route.Name, regions)
 }
 
-// regionScope separates what is kept of requests that are limited to regions.
+// regionScope is the cache scope that separates the parts of requests limited to regions.
 func regionScope(regions routing.Regions) string {
 	if !regions.Limited() {
 		return ""
--- a/entry/region_test.go
+++ b/entry/region_test.go
@@ -15,9 +15,9 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// twoRegions is a box in domain a, of the region north, which knows domain z in the south and
-// domain y of which no box tells a region. Each has an engine, a target of the service and a
-// store; what the prompt shares with others is kept at the engine and the store in the south.
+// twoRegions returns a box in domain a of region north. It knows domain z in region south and
+// domain y, whose region no box reports. Each domain has an engine, a target of the service and
+// a store.
 func twoRegions(name string) *Daemon {
 	d := boxWithEngines(name)
 	d.tables.regions["a"], d.tables.regions["z"] = "north", "south"
@@ -46,14 +46,14 @@
 	return e
 }
 
-// cacheParts has sources keep the part that prompts share, under a scope.
+// cacheParts has sources cache the part that prompts share, under a scope.
 func cacheParts(d *Daemon, scope string, sources ...string) {
 	for _, source := range sources {
 		d.update(start, cacheEventsRead{source: source, events: CacheEvents{Epoch: 1, Changes: []CacheEvent{{Cached: true, Scope: scope, Part: "p", Tokens: 4000}}}})
 	}
 }
 
-// limitedJob is a request of a route and an account with limits.
+// limitedJob is a request whose route and client account are limited to regions.
 func limitedJob(pool string, route, account routing.Regions) *deliver.Job {
 	j := job("long", 8000)
 	limited := *j.Route
@@ -65,8 +65,8 @@
 	return j
 }
 
-// TestRegions goes through the ways by which a request that is limited to the north, or what
-// is kept of it, could leave it.
+// TestRegions checks the ways by which a request limited to region north, or its cached parts,
+// could leave it.
 func TestRegions(t *testing.T) {
 	north := routing.Regions{"north"}
 	for _, name := range []string{"box-00", "box-05"} {
@@ -74,7 +74,7 @@
 			for _, by := range []string{"route", "account"} {
 				t.Run(name+"/"+pool+"/"+by, func(t *testing.T) {
 					d := twoRegions(name)
-					cacheParts(d, "m@1", "k-z", "e-z") // From before the limit, or of others.
+					cacheParts(d, "m@1", "k-z", "e-z") // From before the limit, or of other requests.
 					cacheParts(d, "m@1/in/north", "k-z", "k-y", "e-z", "e-y")
 					j := limitedJob(pool, north, nil)
 					if by == "account" {
@@ -90,10 +90,10 @@
 						}
 					}
 					if pool == "models" && place.Scope != "m@1/in/north" {
-						t.Errorf("kept under %q, as what is not limited", place.Scope)
+						t.Errorf("cached under scope %q, want that of the region", place.Scope)
 					}
 					if _, err := d.place(start, &d.tables, deliver.PlacementRequest{Job: j, Attempted: []string{place.Target}}); err == nil {
-						t.Error("a further try is placed elsewhere")
+						t.Error("a retry is placed outside the region")
 					}
 				})
 			}
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestRegionsByHub has a hub place for a box, and a hub that knows nothing of regions place
-// where the box may not send.
+// TestRegionsByHub has a hub place a limited request, and a box reject a place by a hub that
+// does not know of regions.
 func TestRegionsByHub(t *testing.T) {
 	hub, spoke := twoRegions("box-00"), twoRegions("box-05")
 	j := limitedJob("models", routing.Regions{"south"}, nil)
@@ -113,11 +113,11 @@
 		t.Errorf("the hub places on %+v", got)
 	}
 	if _, ok := spoke.acceptHubPlace(start, &spoke.tables, deliver.PlacementRequest{Job: j}, &peer.PlacementResponse{Target: "e-a", Version: 1}); ok {
-		t.Error("a place in another region is taken")
+		t.Error("a place in another region is accepted")
 	}
 }
 
-// TestNoRegion refuses at once what may be run nowhere.
+// TestNoRegion refuses a request at once if no target can lie in an allowed region.
 func TestNoRegion(t *testing.T) {
 	tests := []struct {
 		name           string
@@ -125,9 +125,9 @@
 		refused        bool
 	}{
 		{"no limit", nil, nil, false},
-		{"a region that there is", routing.Regions{"south"}, nil, false},
+		{"a known region", routing.Regions{"south"}, nil, false},
 		{"an empty list", routing.Regions{}, nil, true},
-		{"a name that no region bears", routing.Regions{"nowhere"}, nil, true},
+		{"an unknown region", routing.Regions{"nowhere"}, nil, true},
 		{"an empty name", routing.Regions{""}, nil, true},
 		{"nothing in common", routing.Regions{"north"}, routing.Regions{"south"}, true},
 	}
--- a/entry/restored.go
+++ b/entry/restored.go
@@ -8,31 +8,33 @@
 )
 
 // The table service may be away for a moment and come back from a copy some seconds old. Only
-// then does it lose what it acknowledged: the operator and the targets write theirs again, this
-// system's own rows are gone unless their boxes do. docs/design/restores.md tells what each
-// part of the daemon makes of that.
+// then does it lose writes that it acknowledged. The operator and the targets write theirs
+// again; this system's own rows stay lost unless the boxes write them again.
+// docs/design/restores.md describes how each part of the daemon handles that.
 
 const (
-	// operatorRewriteGrace is how long the operator may take to write again what a restore lost. The
-	// platform's own parts take some 2 s.
+	// operatorRewriteGrace is how long the operator may take to write again what a restore
+	// lost. The platform's own parts take some 2 s.
 	operatorRewriteGrace = 5 * time.Second
-	// startRewriteGrace is how long after its first read a box that starts takes the operator's
-	// rows for such as may not be written again yet.
+	// startRewriteGrace is how long after its first read a starting box assumes that the
+	// operator may not have written lost rows again yet.
 	startRewriteGrace = 2 * time.Second
-	// maxRewrittenProofAge is how old the proof of another box may be that says that they are.
+	// maxRewrittenProofAge is the greatest age of another box's proof that they are written
+	// again.
 	maxRewrittenProofAge = time.Second
 )
 
 // provesNewest says whether a read proves that the configuration in force is the newest.
 func (d *Daemon) provesNewest(now time.Time, t *tables, m operatorRead) bool {
-	older, unsettled := d.rowsOlder(now, t, m), t.rewritePending(now, m)
-	d.outage.setOlder(older || unsettled)
-	return !older && !unsettled
+	older, pending := d.rowsOlder(now, t, m), t.rewritePending(now, m)
+	d.outage.setOlder(older || pending)
+	return !older && !pending
 }
 
-// rewritePending says whether the operator's rows, read by a box that has just started, may be from
-// before the operator wrote again what a restore lost: the box knows nothing to compare them
-// with. They are settled once the operator writes, another box says so, or time has passed.
+// rewritePending says whether the operator's rows, as read by a box that has just started, may
+// lack what the operator has yet to write again after a restore: the box has nothing to compare
+// them with. That ends once the operator writes, another box confirms it, or startRewriteGrace
+// is over.
 func (t *tables) rewritePending(now time.Time, m operatorRead) bool {
 	switch {
 	case m.change.Known.Restores == 0:
@@ -49,8 +51,8 @@
 	return false
 }
 
-// receiveRewritten takes over that the operator's rows are settled, from a box that has a young proof
-// of them and no newer configuration.
+// receiveRewritten records that the operator has written its rows again if the message's sender
+// has a recent proof of them and no newer configuration.
 func (d *Daemon) receiveRewritten(t *tables, m peer.Message) {
 	if t.operatorRewrittenBy.IsZero() || m.OperatorRevision.Restores != t.operatorKnown.Restores || m.ProofAgeMS >= maxRewrittenProofAge.Milliseconds() {
 		return
@@ -59,12 +61,12 @@
 		return
 	}
 	t.operatorRewrittenBy = time.Time{}
-	d.Log.Info("the operator's rows are settled, another box says", "box", m.From, "proved_there", time.Duration(m.ProofAgeMS)*time.Millisecond, "configuration", d.version())
+	d.Log.Info("the operator has written its rows again, as another box confirms", "box", m.From, "proved_there", time.Duration(m.ProofAgeMS)*time.Millisecond, "configuration", d.version())
 }
 
-// rowsOlder says whether the operator's rows are older than what this box has in force, since
-// they were lost and are not written again: to read that nothing changed then proves nothing.
-// Where they stay so for longer than the operator takes, they are what counts.
+// rowsOlder says whether the operator's rows are older than the configuration in force, as a
+// restore lost them and they are not written again yet. A read without changes then proves
+// nothing. If they stay older for longer than operatorRewriteGrace, they count as the newest.
 func (d *Daemon) rowsOlder(now time.Time, t *tables, m operatorRead) bool {
 	next, inForce := m.change.Table, d.version()
 	switch {
@@ -80,8 +82,7 @@
 	return !t.olderSince.IsZero()
 }
 
-// noteRestore notes that a read was answered by a table service that had been restored since the
-// last one.
+// noteRestore records that a read was answered by a table service restored since the last one.
 func (d *Daemon) noteRestore(now time.Time, t *tables, known revision.Revision) {
 	if !d.lease.Restored(known.Restores, now) {
 		return
--- a/entry/restored_drawn_test.go
+++ b/entry/restored_random_test.go
@@ -16,7 +16,8 @@
 	"github.com/thymewind/thymewind/internal/fake"
 )
 
-// restoreFaults are what may befall the fleet around a restore; each returns what ends it.
+// restoreFaults are faults that may coincide with a restore. Each returns a function that ends
+// it.
 var restoreFaults = []struct {
 	name string
 	do   func(w *emulator, name string) func()
@@ -32,17 +33,19 @@
 	}},
 }
 
-// writtenState is what the operator and the targets had written at a moment.
+// writtenState is what the operator and the targets had written at some time.
 type writtenState struct {
 	operator Operator
 	listed   map[string]fleet.Entry
 }
 
-// writtenState is what they have written.
-func (w *emulator) writtenState() writtenState { return writtenState{w.operator, maps.Clone(w.targets)} }
+// writtenState returns what the operator and the targets have written.
+func (w *emulator) writtenState() writtenState {
+	return writtenState{w.operator, maps.Clone(w.targets)}
+}
 
-// restoreCopy has the table service come back from a copy with what they had written then, and
-// after a time they write again what they had written since.
+// restoreCopy restores the table service from a copy c, and after a time has the operator and
+// the targets write again what they had written since.
 func (w *emulator) restoreCopy(lost uint64, own fake.Copy, c writtenState, again time.Duration) {
 	before := w.writtenState()
 	w.operator, w.targets = c.operator, maps.Clone(c.listed)
@@ -65,7 +68,7 @@
 	}
 }
 
-// reconnect has a box that was cut off from the table service read on.
+// reconnect reconnects a box that was cut off from the table service.
 func (w *emulator) reconnect(name string) {
 	delete(w.tableServiceDown, name)
 	d := w.byName[name]
@@ -77,7 +80,7 @@
 	w.perform(d, d.update(w.now, ownRead{OwnRows{Snapshot: true, Rows: rows, Known: w.revision()}, true}))
 }
 
-// restart has a box that was dead start again.
+// restart restarts a box that was dead.
 func (w *emulator) restart(name string) {
 	delete(w.dead, name)
 	i := slices.IndexFunc(w.boxes, func(d *Daemon) bool { return d.Settings.Name == name })
@@ -89,7 +92,8 @@
 	w.reconnect(name)
 }
 
-// reverted says what a box in touch believes that was so before the last change.
+// reverted describes the first connected box whose state is older than the last change, or
+// returns an empty text.
 func (w *emulator) reverted() string {
 	for _, d := range w.boxes {
 		name, f := d.Settings.Name, d.tables.fleet
@@ -102,7 +106,7 @@
 			}
 		}
 		if x := f.Target("goes"); x != nil && x.Active(w.now) {
-			return name + " uses a target that went"
+			return name + " uses a target that was removed"
 		}
 		if len(f.Evacuated()) != 1 {
 			return name + " sends work to a domain that is evacuated"
@@ -111,18 +115,18 @@
 	return ""
 }
 
-// TestRandomRestores draws how much restores lose, when they come, also two within a second, and
-// what befalls a hub or another box meanwhile: what the operator writes is in force in time at
-// all boxes in touch, targets that serve are kept and those that went are not used, and all own
-// rows stand in the end.
+// TestRandomRestores varies how much restores lose, when they come (also two within a second)
+// and which fault a hub or another box has meanwhile. What the operator writes must be in force
+// in time at all connected boxes, targets that serve are kept, removed ones are not used, and
+// all boxes' rows exist in the end.
 func TestRandomRestores(t *testing.T) {
 	t.Parallel()
-	// within is the platform's bound for a change where there are hubs.
+	// within is the platform's bound for a change in a fleet with hubs.
 	const within = 3 * time.Second
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	parameters.MinSuccessfulTests = 20
 	properties := gopter.NewProperties(parameters)
-	properties.Property("in force, and nothing comes back", prop.ForAll(func(size, trouble, victim int, lost, again, pauseMS uint64) string {
+	properties.Property("in force, and no state reverts", prop.ForAll(func(size, trouble, victim int, lost, again, pauseMS uint64) string {
 		boxes := []int{3, 16, 60}[size]
 		w := emulate(boxes, 3, configuration(1))
 		empty := w.rows.Copy()
@@ -142,7 +146,7 @@
 		w.addTargets(serviceAt("comes", "v1", 3))
 		w.removeTargets("goes")
 		w.writeOperator(func(o *Operator) { o.Evacuations = map[string]bool{"d2": true} })
-		w.advance(time.Second+time.Duration(pauseMS)*time.Millisecond, nil) // All boxes know.
+		w.advance(time.Second+time.Duration(pauseMS)*time.Millisecond, nil) // All boxes have read it.
 		name := w.boxes[victim%boxes].Settings.Name
 		end := restoreFaults[trouble].do(w, name)
 		w.advance(time.Duration(pauseMS%700)*time.Millisecond, nil)
--- a/entry/restored_rows_test.go
+++ b/entry/restored_rows_test.go
@@ -15,11 +15,12 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// TestOwnRowsAfterRestore guards against boxes that nobody finds any more, as a restore lost
-// their rows and none of them writes it again: each does, once, spread over some seconds.
+// TestOwnRowsAfterRestore guards against boxes that no other box can find, as a restore lost
+// their rows: each writes its row again, once, and the writes are spread over some seconds.
 func TestOwnRowsAfterRestore(t *testing.T) {
 	t.Parallel()
-	// writesEach is what one part of a table service for 330 boxes takes a second, for each.
+	// writesEach is the writes per box and second that one part of a table service for 330
+	// boxes takes.
 	const writesEach = 200.0 / 330
 	for _, boxes := range []int{3, 16, 60, 300} {
 		t.Run(fmt.Sprint(boxes, "_boxes"), func(t *testing.T) {
@@ -54,20 +55,20 @@
 				}
 			}
 			if got, err := w.rows.Read(context.Background(), credentialKey); err != nil || !bytes.Equal(got.Value, credential.Value) {
-				t.Errorf("what boxes show each other is %s, %v", got.Value, err)
+				t.Errorf("the boxes' credential is %s, %v", got.Value, err)
 			}
 			if _, err := w.rows.Read(context.Background(), reporter.crashKey("i-1")); err != nil {
-				t.Errorf("which requests ran on a target that ended is lost: %v", err)
+				t.Errorf("the report of the requests that ran on a target that ended is lost: %v", err)
 			}
 			if most := writesEach*float64(boxes) + 10; written > most {
-				t.Errorf("%v writes in a second, at most %v are taken", written, most)
+				t.Errorf("%v writes in a second, the table service takes %v", written, most)
 			}
 		})
 	}
 }
 
-// TestOrdersAfterRestore guards against orders of two boxes to one target within the platform's
-// bound: a restore lost the row that tells which targets an earlier holder ordered lately.
+// TestOrdersAfterRestore guards against two boxes ordering one target within the platform's
+// bound, after a restore lost the row that names the targets an earlier lease holder ordered.
 func TestOrdersAfterRestore(t *testing.T) {
 	const restores = 2
 	row := func(epoch uint64) *table.Row {
@@ -81,7 +82,7 @@
 		name     string
 		restores uint64
 		row      *table.Row
-		// waits says that no order is given as the lease is taken.
+		// waits says that no order is given when the lease is acquired.
 		waits bool
 	}{
 		{"never restored", 0, nil, false},
@@ -118,7 +119,7 @@
 			early := d.replicas(now, &d.tables, "m", d.tables.rolloutOf("m"))[0].Barred
 			late := d.replicas(may, &d.tables, "m", d.tables.rolloutOf("m"))[0].Barred
 			if early != tt.waits || late {
-				t.Errorf("barred as the lease is taken %v, want %v; and %v later: %v", early, tt.waits, may.Sub(now), late)
+				t.Errorf("barred when the lease is acquired %v, want %v; and %v later: %v", early, tt.waits, may.Sub(now), late)
 			}
 		})
 	}
--- a/entry/restored_start_test.go
+++ b/entry/restored_start_test.go
@@ -8,34 +8,34 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// TestStartsAfterRestore guards against a box that starts right after a restore and serves keys
-// that were taken away, as it takes older rows for the newest before the operator has written
-// them again.
+// TestStartsAfterRestore guards against a box that starts right after a restore and serves
+// revoked keys, as it takes older rows for the newest before the operator has written them
+// again.
 func TestStartsAfterRestore(t *testing.T) {
 	known := revision.Revision{Restores: 2, Number: 40}
-	told := peer.Message{From: "b2", OperatorRevision: known, ProofAgeMS: 300, ConfigurationVersion: 7}
+	answer := peer.Message{From: "b2", OperatorRevision: known, ProofAgeMS: 300, ConfigurationVersion: 7}
 	with := func(change func(m *peer.Message)) *peer.Message {
-		m := told
+		m := answer
 		change(&m)
 		return &m
 	}
 	tests := []struct {
 		name     string
 		restores uint64
-		// heard is what another box tells after the first read, written what the operator
-		// writes; then another read is sent after a time.
-		heard   *peer.Message
+		// message is the message of another box after the first read; written says that the
+		// operator writes. Another read is sent a time after.
+		message *peer.Message
 		written bool
 		after   time.Duration
 		proved  bool
 	}{
 		{"never restored", 0, nil, false, 0, true},
-		{"nothing is heard", 2, nil, false, startRewriteGrace - time.Millisecond, false},
-		{"nothing is heard for long", 2, nil, false, startRewriteGrace, true},
+		{"no message", 2, nil, false, startRewriteGrace - time.Millisecond, false},
+		{"no message for long", 2, nil, false, startRewriteGrace, true},
 		{"the operator writes", 2, nil, true, time.Millisecond, true},
-		{"another box is proved", 2, &told, false, time.Millisecond, true},
+		{"another box has a proof", 2, &answer, false, time.Millisecond, true},
 		{"another box has a newer configuration", 2, with(func(m *peer.Message) { m.ConfigurationVersion = 8 }), false, time.Millisecond, false},
-		{"another box tells no configuration", 2, with(func(m *peer.Message) { m.ConfigurationVersion = 0 }), false, time.Millisecond, false},
+		{"another box reports no configuration", 2, with(func(m *peer.Message) { m.ConfigurationVersion = 0 }), false, time.Millisecond, false},
 		{"another box has an old proof", 2, with(func(m *peer.Message) { m.ProofAgeMS = 1500 }), false, time.Millisecond, false},
 		{"another box has not read since", 2, with(func(m *peer.Message) { m.OperatorRevision.Restores = 1 }), false, time.Millisecond, false},
 	}
@@ -48,8 +48,8 @@
 			if first := d.keysFresh(start); first != (tt.restores == 0) {
 				t.Errorf("proved by its first read: %v", first)
 			}
-			if tt.heard != nil {
-				d.update(start, peerAnswered{name: "b2", asked: start, m: *tt.heard})
+			if tt.message != nil {
+				d.update(start, peerAnswered{name: "b2", asked: start, m: *tt.message})
 			}
 			next := Operator{Known: at}
 			if tt.written {
@@ -61,7 +61,7 @@
 				t.Errorf("proved %v", got)
 			}
 			if !tt.proved && d.operatorHold() == 0 {
-				t.Error("reads again and again without a pause")
+				t.Error("reads in a loop without a pause")
 			}
 		})
 	}
--- a/entry/restored_targets_test.go
+++ b/entry/restored_targets_test.go
@@ -9,20 +9,20 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// TestTargetsAfterRestore guards against a list from an older copy being taken for the present
-// one: a target that it lacks serves on, one that had gone or said that it leaves gets nothing.
+// TestTargetsAfterRestore guards against taking a list from an older copy for the current one:
+// a target that it lacks goes on serving, one that was gone or draining gets nothing.
 func TestTargetsAfterRestore(t *testing.T) {
 	leaving := engine("a", 1)
 	leaving.Leaving = true
 	listed := Targets{Listed: []fleet.Entry{engine("a", 1)}}
 	tests := []struct {
 		name string
-		// before is read after the target came into the list, and copied in the whole list
-		// after the restore.
+		// before is read after the target was listed, copied is the snapshot read after the
+		// restore.
 		before, copied Targets
-		// then is read later, if it is not nil.
+		// then is read later unless it is nil.
 		then *Targets
-		// after is how long after the restore the target is looked at.
+		// after is the time from the restore to the check.
 		after time.Duration
 		open  bool
 	}{
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestLeftAfterRestore guards against a target that had said that it leaves, and had gone,
-// getting requests again for as long as a restored list has its older entry.
+// TestLeftAfterRestore guards against a target that had drained and gone getting requests again
+// while a restored list has its older entry.
 func TestLeftAfterRestore(t *testing.T) {
 	d := newDaemon("b1")
 	leaving := engine("a", 1)
@@ -77,18 +77,18 @@
 		now := start.Add(after)
 		d.sweep(now, &d.tables)
 		if d.tables.fleet.Target("a") != nil {
-			t.Errorf("it is used %v after the restore", after)
+			t.Errorf("the target is used %v after the restore", after)
 		}
 	}
 }
 
-// TestListAfterHubs guards against a target that went being kept as one whose entry a restore
-// lost, at a box that reads the list itself for the first time since it lived on a hub: the table
-// service was restored before, but not since the hub read it.
+// TestListAfterHubs guards against keeping a target that is gone as one whose entry a restore
+// lost. A box reads the list itself for the first time since it was a spoke: the table service
+// was restored before, but not since the hub read it.
 func TestListAfterHubs(t *testing.T) {
 	tests := []struct {
 		name string
-		// hub and own are how many restores the hub's list and this box's read know of.
+		// hub and own are the counts of restores in the hub's list and in this box's read.
 		hub, own uint64
 		kept     bool
 	}{
@@ -104,7 +104,7 @@
 			view.Restores = tt.hub
 			spoke.applyHubList(start, &spoke.tables, "box-00", view)
 			if spoke.tables.fleet.Target("a") == nil {
-				t.Fatal("the hub's list was not taken over")
+				t.Fatal("the hub's list was not applied")
 			}
 			spoke.update(start, targetsRead{start, Targets{Snapshot: true, Known: revision.Revision{Restores: tt.own, Number: 9}}, false})
 			if got := spoke.tables.fleet.Target("a") != nil; got != tt.kept {
--- a/entry/restored_test.go
+++ b/entry/restored_test.go
@@ -17,7 +17,7 @@
 // appliedWithin is the platform's least bound for a change of the configuration.
 const appliedWithin = 2 * time.Second
 
-// inForce counts the boxes that have a version of the configuration.
+// inForce counts the boxes that have a version of the configuration in force.
 func (w *emulator) inForce(version int64) int {
 	n := 0
 	for _, d := range w.boxes {
@@ -28,13 +28,13 @@
 	return n
 }
 
-// TestConfigurationReachesAllHubsAfterRestore guards against hubs that take each other's
-// word that nothing changed, as versions were given out again by a restored table service.
+// TestConfigurationReachesAllHubsAfterRestore guards against hubs that prove to each other that
+// nothing changed, as a restored table service gave out the same revisions again.
 func TestConfigurationReachesAllHubsAfterRestore(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		boxes int
-		// lost is how many versions are given out again, written how many of them before the
+		// lost is how many revisions are given out again, written how many of them before the
 		// new configuration.
 		lost, written uint64
 	}{
@@ -67,14 +67,16 @@
 	}
 }
 
-// TestPeerProofAfterRestore guards against a proof by numbers of another history: a hub believes
-// one that has read the table service since it was restored as often as it has itself.
+// TestPeerProofAfterRestore guards against a proof by the revision numbers of another history.
+// A hub only accepts one from a hub that read the table service after as many restores as
+// itself.
 func TestPeerProofAfterRestore(t *testing.T) {
 	known := revision.Revision{Restores: 2, Number: 50}
 	tests := []struct {
-		name string
-		told revision.Revision
-		// proved says that the word proves the configuration, behind that this box reads again.
+		name     string
+		reported revision.Revision
+		// proved says that the message proves the configuration, behind that this box reads
+		// again.
 		proved, behind bool
 	}{
 		{"as far", known, true, false},
@@ -91,7 +93,7 @@
 			for _, ago := range []time.Duration{time.Minute, 30 * time.Second} { // The first read proves nothing yet.
 				d.update(start.Add(-ago), operatorRead{start.Add(-ago), Operator{Changed: known, Known: known}})
 			}
-			d.update(start, peerAnswered{name: "box-11", asked: start, m: peer.Message{OperatorRevision: tt.told, ProofAgeMS: 10}})
+			d.update(start, peerAnswered{name: "box-11", asked: start, m: peer.Message{OperatorRevision: tt.reported, ProofAgeMS: 10}})
 			if got := d.provedAgo(start) < time.Second; got != tt.proved {
 				t.Errorf("proved %v", got)
 			}
@@ -103,13 +105,13 @@
 }
 
 // TestListBehindAfterRestore guards against a hub that keeps a list from before a restore, as
-// the number of a later change that it is told of is lower than what it has read.
+// the number of a later change is lower than that of its last read.
 func TestListBehindAfterRestore(t *testing.T) {
 	known := revision.Revision{Restores: 2, Number: 50}
 	tests := []struct {
-		name   string
-		told   revision.Revision
-		behind bool
+		name     string
+		reported revision.Revision
+		behind   bool
 	}{
 		{"as far", known, false},
 		{"further", revision.Revision{Restores: 2, Number: 51}, true},
@@ -120,13 +122,13 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := boxOfFleet("box-00")
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Changed: known, Known: known, Listed: []fleet.Entry{engine("a", 1)}}, false})
-			d.update(start, peerAnswered{name: "box-11", asked: start, m: peer.Message{ListRevision: tt.told}})
+			d.update(start, peerAnswered{name: "box-11", asked: start, m: peer.Message{ListRevision: tt.reported}})
 			now := start.Add(behindAfter)
 			d.rereadIfStale(now, &d.tables)
 			if got := d.listReads.interrupted(); got != tt.behind {
-				t.Errorf("the list is read anew at once: %v", got)
+				t.Errorf("the list is reread at once: %v", got)
 			}
-			d.update(now, targetsRead{now, Targets{Snapshot: true, Changed: revision.Max(tt.told, known), Known: revision.Max(tt.told, known)}, false})
+			d.update(now, targetsRead{now, Targets{Snapshot: true, Changed: revision.Max(tt.reported, known), Known: revision.Max(tt.reported, known)}, false})
 			if d.tables.listBehind(now.Add(time.Minute)) {
 				t.Error("still behind after it has read as far")
 			}
@@ -134,8 +136,8 @@
 	}
 }
 
-// TestNoRollbackAfterRestore guards against what the operator asked for being undone for as long as a
-// restored table service holds older rows than what boxes know.
+// TestNoRollbackAfterRestore guards against undoing what the operator asked for while a
+// restored table service has older rows than the boxes know.
 func TestNoRollbackAfterRestore(t *testing.T) {
 	copied := revision.Revision{Restores: 1, Number: 40}
 	later := revision.Revision{Restores: 1, Number: 41}
@@ -143,7 +145,7 @@
 	asked := map[string]bool{"a": true}
 	tests := []struct {
 		name string
-		// copied is the whole read after the restore, then the next one, if it is not nil.
+		// copied is the snapshot read after the restore, then the next one unless it is nil.
 		copied Operator
 		then   *Operator
 		after  time.Duration
@@ -154,14 +156,14 @@
 		{"nothing was lost", Operator{Table: configuration(7), Evacuations: asked}, nil, 0, true, true},
 		{"an older configuration", Operator{Table: configuration(6), Evacuations: asked}, nil, 0, false, true},
 		{"no configuration", Operator{Evacuations: asked}, nil, 0, false, true},
-		{"older, and nothing changed", Operator{Table: configuration(6), Evacuations: asked}, &Operator{}, time.Second, false, true},
-		{"older, and written again", Operator{Table: configuration(6), Evacuations: asked}, &Operator{Table: configuration(7)}, time.Second, true, true},
-		{"older for longer than the operator takes", Operator{Table: configuration(6), Evacuations: asked}, &Operator{}, operatorRewriteGrace, true, true},
+		{"older and unchanged", Operator{Table: configuration(6), Evacuations: asked}, &Operator{}, time.Second, false, true},
+		{"older and written again", Operator{Table: configuration(6), Evacuations: asked}, &Operator{Table: configuration(7)}, time.Second, true, true},
+		{"older for longer than the grace", Operator{Table: configuration(6), Evacuations: asked}, &Operator{}, operatorRewriteGrace, true, true},
 		{"an evacuation is lost", Operator{Table: configuration(7), Evacuations: none}, nil, 0, true, true},
 		{"an evacuation is lost and asked for again", Operator{Table: configuration(7), Evacuations: none}, &Operator{Evacuations: asked}, time.Minute, true, true},
-		{"an evacuation is lost, and all is read whole again", Operator{Table: configuration(7), Evacuations: none}, &Operator{Snapshot: true, Evacuations: none}, time.Second, true, true},
+		{"an evacuation is lost, and a snapshot is read again", Operator{Table: configuration(7), Evacuations: none}, &Operator{Snapshot: true, Evacuations: none}, time.Second, true, true},
 		{"an evacuation is lost for good", Operator{Table: configuration(7), Evacuations: none}, nil, operatorRewriteGrace, true, false},
-		{"an evacuation is lost and taken back", Operator{Table: configuration(7), Evacuations: none}, &Operator{Evacuations: map[string]bool{"a": false}}, 0, true, false},
+		{"an evacuation is lost and revoked", Operator{Table: configuration(7), Evacuations: none}, &Operator{Evacuations: map[string]bool{"a": false}}, 0, true, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -186,15 +188,15 @@
 				t.Errorf("version %d is in force", d.version())
 			}
 			if older := !tt.proved; older && d.operatorHold() == 0 {
-				t.Error("reads again and again without a pause")
+				t.Error("reads in a loop without a pause")
 			}
 		})
 	}
 }
 
 // TestTablesReadAfterRestore guards against a table that is not read after a restore until its
-// held read ends: the reads of the list and of the own rows, on connections that fell silent,
-// are broken off once the read of the operator's rows tells of the restore.
+// held read ends. The reads of the target list and of the own rows, on connections that went
+// silent, are cancelled once the read of the operator's rows reports the restore.
 func TestTablesReadAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDaemon("b1")
@@ -246,7 +248,7 @@
 		restores.Store(1)
 		time.Sleep(proofHold + readRetryDelay + targetsReadInterval)
 		if listed.Load() != 1 || own.Load() != 1 {
-			t.Errorf("after %d restores the list was read at %d, the own rows at %d", restores.Load(), listed.Load(), own.Load())
+			t.Errorf("%d restores, but the list was last read after %d, the own rows after %d", restores.Load(), listed.Load(), own.Load())
 		}
 		cancel()
 		synctest.Wait()
--- a/entry/silent_test.go
+++ b/entry/silent_test.go
@@ -10,8 +10,9 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// TestSilentBox has gossip with a box fail: over a silent connection it is called
-// again in the next round, as a new one may work; otherwise after a pause.
+// TestSilentBox has gossip with a box fail. After a silent connection the box is called again
+// in the next round, as a new connection may work, and after other errors once a longer pause
+// is over.
 func TestSilentBox(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -39,7 +40,7 @@
 	}
 }
 
-// TestLooksDead says when a request that waits should ask another target.
+// TestLooksDead lists when a waiting request should move on to another target.
 func TestLooksDead(t *testing.T) {
 	at := netip.MustParseAddrPort("10.0.0.9:80")
 	tests := []struct {
@@ -67,15 +68,15 @@
 			}
 			d.sweep(start.Add(time.Hour), &d.tables)
 			if n := len(d.tables.silences); n != 0 {
-				t.Errorf("%d silences are remembered", n)
+				t.Errorf("%d silences are still recorded", n)
 			}
 		})
 	}
 }
 
-// TestEngineSaysNothing has a request wait at an engine, as in a queue: only an
-// engine that does not answer for its news either looks dead, which only a box that
-// follows them can tell.
+// TestEngineSaysNothing has a request wait at an engine, as in a queue. The engine looks dead
+// only if it does not answer calls for its cache events either, which only a box that watches
+// it knows.
 func TestEngineSaysNothing(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -83,9 +84,9 @@
 		after    time.Duration
 		want     bool
 	}{
-		{"news are asked for, for a while", true, time.Second, false},
-		{"news are asked for, for longer", true, 1300 * time.Millisecond, true},
-		{"news are not asked for", false, 10 * time.Second, false},
+		{"watched, silent for a while", true, time.Second, false},
+		{"watched, silent for longer", true, 1300 * time.Millisecond, true},
+		{"not watched", false, 10 * time.Second, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/entry/follow.go
+++ b/entry/sources.go
@@ -11,25 +11,25 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// How the sources of kept parts are followed.
+// Timing of the calls that watch the cache sources.
 const (
-	// eventsHold is how long a source holds a call without news. Calls held for
-	// less than 200 ms are priced; a longer one notices a dead source later.
+	// eventsHold is how long a source holds a call while nothing changes. Calls held for less
+	// than 200 ms are billed; a longer hold detects a dead source later.
 	eventsHold = 400 * time.Millisecond
-	// eventsInterval is the least time between two calls to one source: with some 14
-	// sources, 70 calls a second cost about a hundredth of a core.
+	// eventsInterval is the least time between two calls to one source. With some 14 sources,
+	// 70 calls a second cost about a hundredth of a core.
 	eventsInterval = 200 * time.Millisecond
-	// hublessInterval is the time between two calls to one store by a box that hears no
-	// hub. They are not held and so priced.
+	// hublessInterval is the time between two calls to one store by a spoke that no hub
+	// answers. These are not held and so are billed.
 	hublessInterval = time.Second
-	// eventsRetryDelay is the pause after a call that failed, newsLater the longest if the source
-	// turned it away and asked for more, which is what targets seen ask for: without news
-	// its parts are read again elsewhere.
+	// eventsRetryDelay is the pause after a failed call. maxEventsBackoff is the longest pause
+	// if the source rejected the call and asked for more; targets were seen to ask for 3 s.
+	// Without its cache events, the parts that it holds are prefilled again elsewhere.
 	eventsRetryDelay = 300 * time.Millisecond
 	maxEventsBackoff = 3 * time.Second
 )
 
-// configureStores takes the stores of kept parts from the configuration.
+// configureStores takes the stores of cached parts from the configuration.
 func (d *Daemon) configureStores(t *tables, table *routing.Table) {
 	t.stores = t.stores[:0]
 	for _, p := range table.Pools {
@@ -45,8 +45,7 @@
 	slices.SortFunc(t.stores, func(a, b *affinity.Source) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// defaultTokenBytes is the size of one token's memory, for stores without any
-// pool of engines.
+// defaultTokenBytes is the size of one token's cache entry if no pool of engines sets it.
 const defaultTokenBytes = 35136
 
 func tokenBytes(table *routing.Table) int {
@@ -67,7 +66,7 @@
 	return 0
 }
 
-// transferTime is the time to move some bytes over a link.
+// transferTime is the time to transfer a number of bytes over a link.
 func transferTime(bytes int, megabits float64) time.Duration {
 	if megabits <= 0 {
 		return time.Millisecond
@@ -75,19 +74,19 @@
 	return time.Duration(float64(bytes) * 8 / megabits * float64(time.Microsecond))
 }
 
-// reconcileSources starts and stops the reading of sources' news: a hub follows the stores
-// and the engines that are listed, a box that hears no hub only the stores, and
-// not with calls that are held, as each source takes few of them.
+// reconcileSources starts and stops the watchers of cache sources. A hub watches the stores and
+// the listed engines. A spoke that no hub answers watches only the stores, without held calls,
+// as each source accepts few of those.
 func (d *Daemon) reconcileSources(now time.Time, t *tables) []effect {
 	wanted := make(map[string]netip.AddrPort)
-	lone := d.hubless(now, t)
-	if !t.membersKnown || d.spoke.Load() && !lone {
+	hubless := d.hubless(now, t)
+	if !t.membersKnown || d.spoke.Load() && !hubless {
 		return d.watchOnly(t, wanted, false)
 	}
 	for _, s := range t.stores {
 		wanted[s.Name] = s.Address
 	}
-	if lone {
+	if hubless {
 		return d.watchOnly(t, wanted, true)
 	}
 	if table := d.current.Load(); table != nil {
@@ -103,18 +102,18 @@
 	return d.watchOnly(t, wanted, false)
 }
 
-// watchOnly has just the sources given followed. What others keep is not used
-// any more, as it may change unheard.
-func (d *Daemon) watchOnly(t *tables, wanted map[string]netip.AddrPort, alone bool) []effect {
+// watchOnly watches exactly the wanted sources. The cached parts of the others are no longer
+// used, as they may change unnoticed.
+func (d *Daemon) watchOnly(t *tables, wanted map[string]netip.AddrPort, hubless bool) []effect {
 	for name, stop := range t.watched {
-		if _, still := wanted[name]; !still || alone != t.followsHubless {
+		if _, still := wanted[name]; !still || hubless != t.followsHubless {
 			stop()
 			delete(t.watched, name)
 			t.directory.Disconnected(name)
 		}
 	}
-	t.followsHubless = alone
-	t.hubWarm = t.hubWarm && !alone && len(wanted) > 0
+	t.followsHubless = hubless
+	t.hubWarm = t.hubWarm && !hubless && len(wanted) > 0
 	var effects []effect
 	for name, at := range wanted {
 		if t.watched[name] != nil {
@@ -123,7 +122,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		t.watched[name] = stop
 		effect := watchSource{ctx: ctx, name: name, at: at, hold: eventsHold, every: eventsInterval}
-		if alone {
+		if hubless {
 			effect.hold, effect.every = 0, hublessInterval
 		}
 		effects = append(effects, effect)
@@ -131,7 +130,7 @@
 	return effects
 }
 
-// watchSource reads one source's news until either context ends.
+// watchSource reads one source's cache events until either context ends.
 func (d *Daemon) watchSource(ctx context.Context, e watchSource) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/entry/follow_test.go
+++ b/entry/sources_test.go
@@ -11,18 +11,18 @@
 	"github.com/thymewind/thymewind/notice"
 )
 
-// TestCacheEventsBackoff has a source turn the calls for its news away: it is asked again when
-// it said, within bounds.
+// TestCacheEventsBackoff has a source reject the calls for its cache events: they are repeated
+// after the backoff that it asks for, within bounds.
 func TestCacheEventsBackoff(t *testing.T) {
 	tests := []struct {
 		name  string
 		after time.Duration
 		calls int // Within 6 s.
 	}{
-		{"it says nothing", 0, 20},
-		{"it says less than the usual pause", 100 * time.Millisecond, 20},
-		{"it says when", time.Second, 6},
-		{"it says an hour", time.Hour, 2},
+		{"no backoff", 0, 20},
+		{"shorter than the usual pause", 100 * time.Millisecond, 20},
+		{"within bounds", time.Second, 6},
+		{"an hour", time.Hour, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -11,42 +11,42 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// TestStartReads has a box start and looks when it reads the list of targets, and what the
-// operator wrote a second time, by what it learns of its role: one that comes to live on a hub
-// reads neither, one that is a hub reads at once, and one that learns nothing, or hears no hub,
-// after a while. Where a configuration stands the fleet runs, and a box that joins it reads the
-// list without waiting for its role.
+// TestStartReads checks when a starting box reads the target list, and the operator's rows a
+// second time, by what it learns of its role. A spoke that a hub answers reads neither, a hub
+// reads at once, and a box that learns no role, or a spoke that no hub answers, reads after a
+// while. Where a configuration exists the fleet runs, and a box that joins reads the list
+// without waiting for its role.
 func TestStartReads(t *testing.T) {
 	tests := []struct {
 		name string
-		// alone says that the box can't be called by others, stands that there is a
+		// unreachable says that other boxes can't call this one, configured that there is a
 		// configuration.
-		alone, stands bool
-		// role is when the box knows its role, hub which one that is, told when a hub first
-		// tells; zero is never.
-		role time.Duration
-		hub  bool
-		told time.Duration
-		// list and operator are when each is read, zero if it is not within 10 s.
+		unreachable, configured bool
+		// role is when the box learns its role, hub whether that is a hub, hubAnswers when a hub
+		// first answers; zero is never.
+		role       time.Duration
+		hub        bool
+		hubAnswers time.Duration
+		// list and operator are the times of the reads; zero is none within 10 s.
 		list, operator time.Duration
 	}{
-		{"lives on a hub", false, false, 2 * time.Second, false, 2500 * time.Millisecond, 0, 0},
-		{"is a hub", false, false, 2 * time.Second, true, 0, 2 * time.Second, 2 * time.Second},
-		{"lives on hubs and hears none", false, false, 2 * time.Second, false, 0, 2*time.Second + hubListTimeout, 2*time.Second + hubOperatorTimeout},
-		{"knows no role", false, false, 0, false, 0, roleTimeout, roleTimeout},
-		{"joins, and its role is not known for long", false, true, 4 * time.Second, true, 0, noWait, noWait},
-		{"joins and lives on a hub", false, true, 20 * time.Millisecond, false, 200 * time.Millisecond, 0, 0},
-		{"can't be called", true, false, 0, false, 0, noWait, noWait},
-		{"was there before", false, true, 20 * time.Millisecond, true, 0, noWait, noWait},
+		{"a spoke", false, false, 2 * time.Second, false, 2500 * time.Millisecond, 0, 0},
+		{"a hub", false, false, 2 * time.Second, true, 0, 2 * time.Second, 2 * time.Second},
+		{"a spoke that no hub answers", false, false, 2 * time.Second, false, 0, 2*time.Second + hubListTimeout, 2*time.Second + hubOperatorTimeout},
+		{"no role", false, false, 0, false, 0, roleTimeout, roleTimeout},
+		{"joins, with no role for long", false, true, 4 * time.Second, true, 0, noWait, noWait},
+		{"joins as a spoke", false, true, 20 * time.Millisecond, false, 200 * time.Millisecond, 0, 0},
+		{"no address for other boxes", true, false, 0, false, 0, noWait, noWait},
+		{"known before", false, true, 20 * time.Millisecond, true, 0, noWait, noWait},
 	}
-	// The loop takes the configuration over before its reader goes on, or well after that.
+	// The loop applies the configuration before its reader goes on, or well after that.
 	for i := range 2 * len(tests) {
 		tt, loopFirst := tests[i/2], i%2 == 0
 		t.Run(fmt.Sprintf("%s, loop first %v", tt.name, loopFirst), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				d := newDaemon("b1")
 				d.now = time.Now
-				if !tt.alone {
+				if !tt.unreachable {
 					d.Settings.Peers = netip.MustParseAddrPort("10.0.0.1:1")
 				}
 				d.startedAt = time.Now()
@@ -62,7 +62,7 @@
 				d.Platform.Operator = func(ctx context.Context, _ revision.Revision, _ time.Duration) (Operator, error) {
 					if reads++; reads == 1 {
 						d.sleep(ctx, storeAnswer)
-						if tt.stands {
+						if tt.configured {
 							if loopFirst {
 								d.current.Store(configuration(1))
 							}
@@ -98,7 +98,7 @@
 					d.spoke.Store(!tt.hub)
 					d.roleSince.Store(&now)
 				})
-				at(tt.told, func(time.Time) {
+				at(tt.hubAnswers, func(time.Time) {
 					for ctx.Err() == nil {
 						now := time.Now()
 						d.provedAt.Store(&now)
--- a/entry/suspended.go
+++ b/entry/suspended.go
@@ -3,12 +3,12 @@
 import "time"
 
 // minLoggedSuspension is the shortest suspension of the machine that is logged: shorter ones
-// change nothing that is believed.
+// change nothing that is trusted.
 const minLoggedSuspension = 100 * time.Millisecond
 
-// noteSuspension logs that the machine was suspended. All ages count that time anyway; the
-// kernel is asked here so that a step of the time of day can't hide it for longer than the
-// time between two looks.
+// noteSuspension logs that the machine was suspended. All ages include that time anyway; the
+// kernel is asked here so that a step of the wall clock can't hide it for longer than the
+// interval between two checks.
 func (d *Daemon) noteSuspension(now time.Time, t *tables) []effect {
 	if now.Before(t.due.suspension) {
 		return nil
--- a/entry/suspended_test.go
+++ b/entry/suspended_test.go
@@ -10,14 +10,14 @@
 	"github.com/thymewind/thymewind/rollout"
 )
 
-// TestSuspendedBox suspends a box between two looks: each age counts that time, and nothing
-// that was proved before is trusted, whatever arrives first.
+// TestSuspendedBox suspends a box between two checks: all ages include that time, and no
+// earlier proof is trusted past its bound, whichever message arrives first.
 func TestSuspendedBox(t *testing.T) {
 	d := newDaemon("b1")
-	asleep := time.Duration(0)
-	awake := start
-	d.now = func() time.Time { return awake.Add(asleep) }
-	d.suspended = func() time.Duration { return asleep }
+	suspendedFor := time.Duration(0)
+	base := start
+	d.now = func() time.Time { return base.Add(suspendedFor) }
+	d.suspended = func() time.Duration { return suspendedFor }
 	d.buildLease()
 	d.update(d.now(), operatorRead{d.now(), Operator{Table: configuration(1), Weights: map[string]int64{"m": 1}}})
 	if err := d.lease.AcquireOrRenew(context.Background()); err != nil {
@@ -25,11 +25,11 @@
 	}
 	held := func() bool { _, _, ok := d.lease.Held(); return ok }
 	tests := []struct {
-		name   string
-		asleep time.Duration
-		fresh  bool
-		held   bool
-		weigh  bool
+		name         string
+		suspendedFor time.Duration
+		fresh        bool
+		held         bool
+		weigh        bool
 	}{
 		{"awake", 0, true, true, true},
 		{"for less than any bound", time.Second, true, true, true},
@@ -39,7 +39,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			asleep = tt.asleep
+			suspendedFor = tt.suspendedFor
 			if got := d.keysFresh(d.now()); got != tt.fresh {
 				t.Errorf("keys are trusted: %v", got)
 			}
@@ -50,27 +50,27 @@
 				t.Errorf("weights are known: %v", got)
 			}
 			d.noteSuspension(d.now(), &d.tables)
-			if d.tables.suspended != tt.asleep {
-				t.Errorf("noted %v", d.tables.suspended)
+			if d.tables.suspended != tt.suspendedFor {
+				t.Errorf("logged a suspension of %v", d.tables.suspended)
 			}
 		})
 	}
 }
 
-// TestReadAcrossSuspension has an answer wait in the machine while that is suspended: what
-// it proves is as old as the question.
+// TestReadAcrossSuspension has an answer wait in the machine while that is suspended: its proof
+// is as old as the request.
 func TestReadAcrossSuspension(t *testing.T) {
 	d := newDaemon("b1")
 	asked := start
 	d.now = func() time.Time { return asked.Add(10 * time.Second) }
 	d.update(d.now(), operatorRead{asked, Operator{Table: configuration(1)}})
 	if d.keysFresh(d.now()) {
-		t.Error("keys are trusted by an answer that was 10 s old when it was read")
+		t.Error("keys are trusted by an answer to a request sent 10 s before")
 	}
 }
 
-// TestOrderEndsWithLease gives an order its lease's end, behind which it must not leave the
-// box: a machine that is suspended while the connection is made would send it later.
+// TestOrderEndsWithLease checks that an order carries the end of its lease, after which it must
+// not be sent: a machine suspended while the connection is made would otherwise send it later.
 func TestOrderEndsWithLease(t *testing.T) {
 	d := newDaemon("b1")
 	d.now = func() time.Time { return start }
--- a/entry/vanish_test.go
+++ b/entry/tcptimeout_test.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// accepted connects a caller to a listener and returns the box's end.
+// accepted connects a caller to a listener and returns the accepted connection.
 func accepted(t *testing.T, vanished time.Duration) *net.TCPConn {
 	t.Helper()
 	l, err := listenTCP("127.0.0.1:0", vanished)
@@ -29,11 +29,11 @@
 	return conn.(*net.TCPConn)
 }
 
-// TestUnresponsiveCaller has a caller take nothing any more, as one that is gone does: a
-// write to it ends.
+// TestUnresponsiveCaller has a caller stop reading, as one that is gone does: a write to it
+// fails.
 func TestUnresponsiveCaller(t *testing.T) {
 	conn := accepted(t, 4*time.Second)
-	if err := conn.SetWriteDeadline(time.Now().Add(time.Minute)); err != nil { // Far beyond.
+	if err := conn.SetWriteDeadline(time.Now().Add(time.Minute)); err != nil { // Far beyond the user timeout.
 		t.Fatal(err)
 	}
 	began := time.Now()
@@ -46,7 +46,7 @@
 	}
 }
 
-// TestKeepAliveOptions reads from the kernel how connections are probed.
+// TestKeepAliveOptions checks the kernel's keep-alive options of a connection.
 func TestKeepAliveOptions(t *testing.T) {
 	raw, err := accepted(t, tcpUserTimeout).SyscallConn()
 	if err != nil {
@@ -57,7 +57,7 @@
 		option int
 		want   int
 	}{
-		{"unacknowledged, in ms", unix.TCP_USER_TIMEOUT, 6000},
+		{"user timeout, in ms", unix.TCP_USER_TIMEOUT, 6000},
 		{"first probe, in s", unix.TCP_KEEPIDLE, 3},
 		{"between probes, in s", unix.TCP_KEEPINTVL, 1},
 		{"probes", unix.TCP_KEEPCNT, 3},
--- a/entry/unlisted.go
+++ b/entry/unlisted.go
@@ -11,31 +11,31 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// In a fleet with many boxes that are fit for hubs, the others write no row: nobody needs to
-// find them, and rows of all that are read by all grow with the square of the boxes. Hubs
-// know of them by their gossip, tell each other how many there are, and tell that to the boxes.
+// In a fleet with enough boxes fit to be hubs, the other boxes write no row: nobody needs their
+// address, and rows of all boxes that all boxes read grow with the square of the fleet. Hubs
+// learn of these boxes by their gossip, exchange the counts and tell their spokes the total.
 
 const (
-	// minListedBoxes is how many boxes fit for hubs have to have their rows for a weaker one to
-	// go without: so many that the fleet is large, whichever domains they are of.
+	// minListedBoxes is how many boxes fit to be hubs must have rows for a weaker box to go
+	// without one. The fleet is then large, whichever domains they are in.
 	minListedBoxes = 3 * maxMeshBoxes
-	// weakCores is the part of a core below which a box that starts, and finds few rows, waits
-	// whether stronger ones write theirs: weakWait, within which boxes that start at once
-	// have done so and know that they are hubs, and up to weakSpread more, so that their
-	// reads are spread.
+	// weakCores is the share of a core below which a starting box that finds few rows waits for
+	// stronger boxes to write theirs. weakWait is how long: boxes that start at once have
+	// written theirs by then and know that they are hubs. Up to weakSpread is added to spread
+	// the reads.
 	weakCores  = 0.5
 	weakWait   = 2500 * time.Millisecond
 	weakSpread = time.Second
-	// metTTL is how long a hub counts a box without a row after it was last heard, countedFor
-	// how long what another hub told counts.
-	metTTL     = 10 * time.Second
+	// metTTL is how long a hub counts an unlisted box after its last call, countTTL how long
+	// another hub's count is valid.
+	metTTL   = 10 * time.Second
 	countTTL = 5 * time.Second
-	// sampledShare is how much of the retries that all boxes may save up together is given to
-	// boxes that are drawn by their names.
+	// sampledShare is the part of the fleet's total retry burst that is given to boxes sampled
+	// by the hash of their names.
 	sampledShare = 0.45
 )
 
-// register has this box be found by others, if it has to be, and returns the rows that it read.
+// register registers this box by a row if it needs one, and returns the rows that it read.
 func (d *Daemon) register(ctx context.Context) OwnRows {
 	rows := d.readOwnRows(ctx)
 	if d.weak() && !d.rowUnneeded(rows.Rows) && !hasRow(rows.Rows, d.ownRow()) {
@@ -54,9 +54,9 @@
 	return rows
 }
 
-// awaitStronger waits until stronger boxes that start with this one have written their rows. It
-// returns false at once if there is a configuration: the fleet runs, and a box that joins it has
-// to hear soon what others write.
+// awaitStronger waits until stronger boxes that start at the same time have written their rows.
+// It returns false at once if there is a configuration: the fleet already runs, and a box that
+// joins must soon receive what others write.
 func (d *Daemon) awaitStronger(ctx context.Context) bool {
 	until := d.now().Add(weakWait + d.jitter(weakSpread))
 	for left := until.Sub(d.now()); ctx.Err() == nil && left > 0; left = until.Sub(d.now()) {
@@ -68,17 +68,17 @@
 	return true
 }
 
-// weak says that this box may be too weak for a hub.
+// weak says that this box may be too weak to be a hub.
 func (d *Daemon) weak() bool { return d.Settings.Box.Share < weakCores }
 
-// rowUnneeded says that this box is no hub whatever happens, in a fleet of many, by the rows
-// of the others.
+// rowUnneeded says that, by the rows of the others, the fleet is large and this box can be no
+// hub in it.
 func (d *Daemon) rowUnneeded(rows []table.Row) bool {
 	fit, ofDomain := 0, 0
 	for _, row := range rows {
 		var other memberRow
 		if !strings.HasPrefix(row.Key, memberPrefix) || json.Unmarshal(row.Value, &other) != nil {
-			continue // ownRead logs those that can't be read.
+			continue // ownRead logs rows that can't be decoded.
 		}
 		if other.Share*hubMinShare <= d.Settings.Box.Share {
 			continue
@@ -91,7 +91,7 @@
 	return fit >= minListedBoxes && ofDomain >= hubsPerDomain
 }
 
-// meetUnlisted notes a box without a row that asks this one.
+// meetUnlisted records a call from another box. One without a row becomes an unlisted member.
 func (d *Daemon) meetUnlisted(now time.Time, t *tables, m peer.Message) {
 	if m.Domain == "" {
 		return
@@ -100,12 +100,12 @@
 	if x == nil {
 		x = &member{domain: m.Domain, unlisted: true}
 		t.members[m.From] = x
-		d.Log.Debug("box without a row met", "name", m.From, "domain", m.Domain)
+		d.Log.Debug("unlisted box met", "name", m.From, "domain", m.Domain)
 	}
 	x.metAt = now
 }
 
-// recountBoxes keeps how many boxes there are, and what of the retries this one may save up.
+// recountBoxes updates how many boxes there are and this box's retry burst.
 func (d *Daemon) recountBoxes(now time.Time, t *tables) {
 	t.unlistedMet = 0
 	for name, x := range t.members {
@@ -124,8 +124,8 @@
 	}
 }
 
-// boxCount is how many boxes share the work: those with a row, and those without that this one
-// or other hubs met, or as a hub told. One that changed its hub may count twice for metFor.
+// boxCount is how many boxes share the work: those with a row, and those without that this box
+// or other hubs met, or a hub's total. One that changed its hub may count twice for metTTL.
 func (t *tables) boxCount(now time.Time) int {
 	if len(t.members) == 0 {
 		return assumedBoxes
@@ -133,7 +133,7 @@
 	return max(len(t.members)+t.unlistedElsewhere(now), t.hubBoxes)
 }
 
-// unlistedElsewhere is how many boxes without a row other hubs met.
+// unlistedElsewhere is how many unlisted boxes other hubs met.
 func (t *tables) unlistedElsewhere(now time.Time) int {
 	sum := 0
 	for _, x := range t.members {
@@ -144,28 +144,29 @@
 	return sum
 }
 
-// receiveUnlistedCount takes over how many boxes without a row another hub met.
+// receiveUnlistedCount applies how many unlisted boxes another hub met.
 func (t *tables) receiveUnlistedCount(now time.Time, m peer.Message) {
 	if x := t.members[m.From]; x != nil && !x.unlisted {
 		x.unlistedMet, x.countedAt = m.Unlisted, now
 	}
 }
 
-// unlistedTotal is how many boxes without a row there are in all, as far as this one knows.
+// unlistedTotal is how many unlisted boxes this one knows of in total.
 func (t *tables) unlistedTotal(now time.Time) int {
 	return max(t.unlistedMet+t.unlistedElsewhere(now), t.hubUnlisted)
 }
 
-// hasUnregistered says that boxes without a row share the work, so that nobody knows all names. A box
-// that has joined and whose row this one has not read is none of these.
+// hasUnregistered says that unlisted boxes share the work, so that no box knows all names. A
+// box that has just joined and whose row this one has not read is not unlisted.
 func (t *tables) hasUnregistered(now time.Time) bool { return t.unlistedTotal(now) > 0 }
 
-// sampledBurst is how many retries a box may save up where nobody knows all names: one, if its
-// name draws it. Over boxes that draw independently the sum stays below what all may save.
+// sampledBurst is the retry burst of a box in a fleet where no box knows all names: one if its
+// name's hash is in the sample. As boxes are sampled independently, the sum stays below the
+// fleet's total burst.
 func sampledBurst(name string, boxes int, all float64) float64 {
 	const span = 1 << 32
-	drawn := float64(placement.Hash("retries/"+name)%span) / span
-	if drawn < sampledShare*all/float64(boxes) {
+	sample := float64(placement.Hash("retries/"+name)%span) / span
+	if sample < sampledShare*all/float64(boxes) {
 		return 1
 	}
 	return 0
--- a/entry/unlisted_test.go
+++ b/entry/unlisted_test.go
@@ -21,12 +21,12 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// startingFleet is boxes that start at once and know nothing, before one table.
+// startingFleet is a fleet of boxes that start at once and know nothing, sharing one table.
 type startingFleet struct {
 	rows fake.Table
-	// calls and told count the calls to the table service and the rows that it told.
+	// calls counts the calls to the table service, rowsRead the rows that it returned.
 	calls, rowsRead atomic.Int64
-	boxes       []*Daemon
+	boxes           []*Daemon
 }
 
 func newStartingFleet(t *testing.T, boxes, strong int) *startingFleet {
@@ -51,7 +51,7 @@
 			rows, err := f.rows.ListAll(ctx, "")
 			version := uint64(1 + len(rows))
 			if after == rev(version) {
-				<-ctx.Done() // Nothing changes any more that a test looks at.
+				<-ctx.Done() // No later change matters to a test.
 				return OwnRows{}, ctx.Err()
 			}
 			f.rowsRead.Add(int64(len(rows)))
@@ -62,7 +62,7 @@
 	return f
 }
 
-// run has all boxes read and write their rows for a while.
+// run has all boxes read and write their rows for a time.
 func (f *startingFleet) run(t *testing.T, length time.Duration) {
 	ctx, cancel := context.WithTimeout(t.Context(), length)
 	defer cancel()
@@ -84,17 +84,17 @@
 	synctest.Wait()
 }
 
-// TestManyBoxesStart has fleets start at once. In a small one each box writes its row and
-// reads those of all; in one with hubs enough the others write none, know at once that they
-// live on hubs, and are told some dozen rows whatever the fleet's size.
+// TestManyBoxesStart starts fleets at once. In a small fleet each box writes its row and reads
+// all others'. In one with enough hubs the other boxes write none, know at once that they are
+// spokes, and read some dozen rows whatever the fleet's size.
 func TestManyBoxesStart(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		boxes, strong int
-		// members is how many rows there are in the end, calls how many calls each box makes at
-		// most, told how many rows each is told at most.
-		members     int
-		calls, told int64
+		// members is the number of rows in the end, calls the most calls of a box, rowsRead the
+		// most rows returned to a box.
+		members         int
+		calls, rowsRead int64
 	}{
 		{9, 3, 9, 5, 20},
 		{60, 6, 60, 5, 160},
@@ -110,10 +110,10 @@
 				if err != nil || len(rows) != tt.members {
 					t.Errorf("%d rows, want %d; %v", len(rows), tt.members, err)
 				}
-				calls, told := f.calls.Load()/int64(tt.boxes), f.rowsRead.Load()/int64(tt.boxes)
-				t.Logf("%d calls and %d rows told a box", calls, told)
-				if calls > tt.calls || told > tt.told {
-					t.Errorf("%d calls and %d rows told a box, want %d and %d", calls, told, tt.calls, tt.told)
+				calls, rowsRead := f.calls.Load()/int64(tt.boxes), f.rowsRead.Load()/int64(tt.boxes)
+				t.Logf("%d calls and %d rows read per box", calls, rowsRead)
+				if calls > tt.calls || rowsRead > tt.rowsRead {
+					t.Errorf("%d calls and %d rows read per box, want at most %d and %d", calls, rowsRead, tt.calls, tt.rowsRead)
 				}
 				for i, d := range f.boxes {
 					if d.roleSince.Load() == nil || tt.boxes > 12 && d.spoke.Load() == d.hub(time.Now(), &d.tables) {
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestUnlistedCounted has hubs meet boxes without rows, tell each other how many, and the
-// boxes; one that is not heard any more is not counted.
+// TestUnlistedCounted has hubs meet unlisted boxes, exchange their counts and report the total
+// to their spokes. A box that no longer calls is not counted.
 func TestUnlistedCounted(t *testing.T) {
 	t.Parallel()
 	const boxes, domains = 120, 18
@@ -155,8 +155,8 @@
 	}
 }
 
-// burstWithinTotal says that boxes of any names and number, which count them a little wrong, save up
-// no more retries than all may.
+// burstWithinTotal says that the retry bursts of unlisted boxes stay within the fleet's total,
+// for any names and number of boxes and counts that are slightly wrong.
 func burstWithinTotal(burst func(name string, boxes int, all float64) float64) gopter.Prop {
 	const all = 1040 * retryUse
 	return prop.ForAll(func(prefix string, boxes, wrong int) bool {
@@ -168,29 +168,30 @@
 	}, gen.Identifier(), gen.IntRange(800, 2500), gen.IntRange(-3, 10))
 }
 
-// TestSampledBurst holds the sum of what boxes without rows save up; its sister has each save
-// up one.
+// TestSampledBurst bounds the sum of the sampled retry bursts; without the sampling, in the
+// next test, the bound breaks.
 func TestSampledBurst(t *testing.T) { proof.Holds(t, burstWithinTotal(sampledBurst)) }
 
 func TestSampledBurstNeedsSampling(t *testing.T) {
 	proof.Breaks(t, burstWithinTotal(func(string, int, float64) float64 { return 1 }))
 }
 
-// TestUnlistedBurst says what a box without a row saves up before it was told how many there are.
+// TestUnlistedBurst checks the retry burst of an unlisted box before and after it knows the
+// number of boxes.
 func TestUnlistedBurst(t *testing.T) {
 	d := largeFleet("box-05")
 	d.unlisted.Store(true)
 	if got := d.retryBurst(start, &d.tables); got != 0 {
-		t.Errorf("saves up %v before it knows of how many", got)
+		t.Errorf("burst %v before it knows the number of boxes", got)
 	}
 	d.update(start, peerAnswered{"box-00", start, peer.Message{View: &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, Boxes: 22}}, nil})
 	if got := d.retryBurst(start, &d.tables); got <= 0 {
-		t.Errorf("saves up %v of 35 for 22 boxes", got)
+		t.Errorf("burst %v of 35 for 22 boxes", got)
 	}
 }
 
-// TestUnlistedWatchNoRows has a box without a row hear a hub soon after it knows its role: it
-// reads the rows twice, to find that out, and does not follow them.
+// TestUnlistedWatchNoRows has an unlisted box hear a hub soon after it knows its role. It reads
+// the rows twice, to learn that it needs none, and does not watch them.
 func TestUnlistedWatchNoRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newStartingFleet(t, 60, 45)
@@ -211,30 +212,32 @@
 		}()
 		f.run(t, 8*time.Second)
 		if reads > 2 || !last.unlisted.Load() {
-			t.Errorf("%d reads of the rows; goes without one: %v", reads, last.unlisted.Load())
+			t.Errorf("%d reads of the rows; unlisted: %v", reads, last.unlisted.Load())
 		}
 	})
 }
 
-// TestJoinedIsNotUnlisted has a hub tell of a box more than another box has read the rows of: that
-// one goes on by the names that it knows, also for cold targets of a service, which all boxes share.
+// TestJoinedIsNotUnlisted has a hub report one box more than another box has read the rows of.
+// That box goes on with the names that it knows, also for cold targets of a service, which all
+// boxes share.
 func TestJoinedIsNotUnlisted(t *testing.T) {
 	d := largeFleet("box-05")
-	tell := func(boxes, rowless int) {
-		view := &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, Boxes: boxes, Unlisted: rowless}
+	report := func(boxes, unlisted int) {
+		view := &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, Boxes: boxes, Unlisted: unlisted}
 		d.update(start, peerAnswered{"box-00", start, peer.Message{View: view}, nil})
 	}
 	shares := func() int { return len(d.tables.placing(start, &routing.Pool{Name: "orders"})) }
-	if tell(21, 0); shares() != 20 {
+	if report(21, 0); shares() != 20 {
 		t.Errorf("%d boxes share a cold target of a service, want 20", shares())
 	}
-	if tell(60, 40); shares() != 4 {
-		t.Errorf("%d boxes share it where 40 are not known by name, want the hubs", shares())
+	if report(60, 40); shares() != 4 {
+		t.Errorf("%d boxes share it while 40 are unlisted, want the hubs", shares())
 	}
 }
 
-// TestWeakBoxJoins has a weak box start where a fleet starts and where one runs: it waits for
-// stronger boxes' rows only in the former, and else writes its own and goes on reading at once.
+// TestWeakBoxJoins starts a weak box in a fleet that starts and in one that runs. Only in the
+// former does it wait for stronger boxes' rows; in the latter it writes its row at once and
+// reads on.
 func TestWeakBoxJoins(t *testing.T) {
 	for _, runs := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
--- a/entry/view.go
+++ b/entry/view.go
@@ -10,10 +10,10 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// maxViewTargets is how many targets one answer tells: 60 kB, which a link of 10 Mbit/s takes in 50 ms.
+// maxViewTargets is the most targets in one view: 60 kB, 50 ms on a 10 Mbit/s link.
 const maxViewTargets = 400
 
-// view is what this box read of the platform, for a box that was told of its list so far.
+// view is this box's view of the platform for a box that has the target list up to have.
 func (d *Daemon) view(now time.Time, t *tables, have changelog.Cursor) *peer.View {
 	v := &peer.View{
 		ConfigurationVersion: d.version(), ProofAgeMS: d.provedAgo(now).Milliseconds(),
@@ -21,7 +21,7 @@
 	}
 	for model, w := range t.weights {
 		if w.newestVersion == 0 {
-			continue // Only named by callers.
+			continue // Only callers have named it, not the operator.
 		}
 		v.WeightVersions[model] = w.versionsSnapshot(now, d.bounds.Load().WeightsWithin)
 	}
@@ -36,14 +36,14 @@
 	return v
 }
 
-// applyView takes over a hub's view, which was asked for at a time.
+// applyView applies a hub's view that was requested at asked.
 func (d *Daemon) applyView(now time.Time, t *tables, hub string, asked time.Time, v *peer.View) []effect {
 	if v == nil {
 		return nil
 	}
 	age := time.Duration(v.ProofAgeMS) * time.Millisecond
 	if age > maxHubProofAge {
-		d.Log.Warn("hub can't prove the configuration", "hub", hub, "proved_ago", age)
+		d.Log.Warn("hub's proof of the configuration is too old", "hub", hub, "proved_ago", age)
 		t.members[hub].retryAt = now.Add(gossipRetryDelay)
 	}
 	if v.ListBehind {
@@ -52,7 +52,7 @@
 		return nil
 	}
 	if v.WeightVersions == nil {
-		d.Log.Warn("hub tells no weights, so its view proves nothing", "hub", hub)
+		d.Log.Warn("hub's view ignored, as it names no weights", "hub", hub)
 		return nil
 	}
 	proof := asked.Add(-time.Duration(v.ProofAgeMS) * time.Millisecond)
@@ -71,9 +71,9 @@
 	t.hubBoxes, t.hubUnlisted = v.Boxes, v.Unlisted
 	d.applyHubVersions(now, t, hub, asked, v)
 	d.applyHubEvacuations(now, t, hub, proof, v.Evacuated)
-	// The list of a hub that is cut off brings targets back that are gone, and work would
-	// be sent there for as long as that hub is asked: neither that of another hub is taken,
-	// nor one older than what this box read itself.
+	// A hub that is cut off still lists targets that are gone, and work would be sent to them
+	// for as long as that hub is asked. Its list is ignored if this box has another hub's list
+	// or read a newer one itself.
 	if age > maxHubProofAge && (t.hubList.Number != 0 && t.hub != hub || proof.Before(t.listRead)) {
 		return effects
 	}
@@ -81,7 +81,7 @@
 	return effects
 }
 
-// applyHubList takes over a part of a hub's list.
+// applyHubList applies one part of a hub's target list.
 func (d *Daemon) applyHubList(now time.Time, t *tables, hub string, v *peer.View) {
 	next := changelog.Cursor{Number: v.ListVersion, SnapshotAt: v.ListStartVersion}
 	if v.ListVersion == 0 || t.hub == hub && t.hubList == next || v.Delta && t.hub != hub {
@@ -98,7 +98,7 @@
 		d.unlist(now, t, id, false)
 	}
 	if v.More {
-		t.due.gossip = now // The rest is asked for at once.
+		t.due.gossip = now // The rest is requested at once.
 		return
 	}
 	if t.hubSeen != nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// removeUnseen drops the targets that a hub did not tell of when it told all.
+// removeUnseen drops the targets that were missing from a hub's whole list.
 func (d *Daemon) removeUnseen(now time.Time, t *tables) {
 	for _, id := range t.fleet.IDs() {
 		if !t.hubSeen[id] {
@@ -114,10 +114,10 @@
 		}
 	}
 	t.hubSeen = nil
-	d.Log.Info("hub's list taken over", "hub", t.hub, "targets", t.fleet.Len())
+	d.Log.Info("hub's list applied", "hub", t.hub, "targets", t.fleet.Len())
 }
 
-// noteProof notes when the configuration in force was known to be the newest.
+// noteProof records when the configuration in force was known to be the newest.
 func (d *Daemon) noteProof(at time.Time) {
 	if last := d.provedAt.Load(); last == nil || at.After(*last) {
 		d.provedAt.Store(&at)
@@ -125,7 +125,7 @@
 	d.logAdmitting(d.now())
 }
 
-// applyHubEntries takes over targets of a hub's list.
+// applyHubEntries applies the targets of a hub's list.
 func (d *Daemon) applyHubEntries(now time.Time, t *tables, entries []peer.Entry) {
 	for _, e := range entries {
 		d.applyHubEntry(now, t, e)
@@ -135,14 +135,14 @@
 func (d *Daemon) applyHubEntry(now time.Time, t *tables, e peer.Entry) {
 	at, err := netip.ParseAddrPort(e.Address)
 	if err != nil {
-		d.Log.Error("a hub's entry can't be used", "target", e.ID, "err", err)
+		d.Log.Error("hub sent an entry with an invalid address", "target", e.ID, "err", err)
 		return
 	}
 	if t.hubSeen != nil {
 		t.hubSeen[e.ID] = true
 	}
 	if e.Lapsed && t.fleet.Target(e.ID) == nil {
-		return // Another hub's list said that it is gone; a hub that was cut off can't tell that from an outage.
+		return // Another hub's list had it removed; a hub that was cut off can't tell that from an outage.
 	}
 	x := d.listTarget(now, t, fleet.Entry{
 		ID: e.ID, Pool: e.Pool, Address: at, Domain: e.Domain, Slots: e.Slots, Leaving: e.Leaving, Software: e.Software, Versions: e.Versions,
@@ -157,14 +157,14 @@
 	}
 }
 
-// fetchConfiguration reads the configuration from a hub that has a newer one; proof is
-// when it was known to be the newest.
+// fetchConfiguration reads the configuration from a hub that has a newer one. proof is when
+// that was known to be the newest.
 type fetchConfiguration struct {
 	at    netip.AddrPort
 	proof time.Time
 }
 
-// configurationFromHub is what came of it.
+// configurationFromHub is the result of fetchConfiguration.
 type configurationFromHub struct {
 	proof  time.Time
 	change Operator
@@ -185,7 +185,7 @@
 func (d *Daemon) configurationFromHub(now time.Time, t *tables, m configurationFromHub) []effect {
 	t.loadingConfiguration = false
 	if m.err != nil || m.change.Table == nil {
-		d.Log.Warn("the configuration was not read from the hub", "err", m.err)
+		d.Log.Warn("fetching the configuration from the hub failed", "err", m.err)
 		return nil
 	}
 	return d.operatorRead(now, t, operatorRead{m.proof, m.change})
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -10,49 +10,47 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// How the table service is read.
+// Timing of the reads of the table service.
 const (
-	// proofHold is how long a read of the operator's rows is held. A proof that
-	// the configuration is the newest is then at most twice as old, well within
-	// the 5 s after which keys are no longer trusted.
+	// proofHold is how long a read of the operator's rows is held. A proof that the
+	// configuration is the newest is then at most twice as old, well within the 5 s after which
+	// keys are no longer trusted.
 	proofHold = 1500 * time.Millisecond
-	// hubHold is the same at a hub, whose proofs have to reach others in time.
+	// hubHold is proofHold for a hub, whose proofs have to reach other boxes in time.
 	hubHold = 300 * time.Millisecond
-	// startHold is the same while a box that was never there before waits for the
-	// others' rows; it then reads twice within the time that keys are trusted, also
-	// if one connection goes silent.
+	// startHold is proofHold while a new box waits for the other boxes' rows. It allows two
+	// reads within the time that keys are trusted, even if one connection goes silent.
 	startHold = 1800 * time.Millisecond
-	// readHold is how long the other reads are held. A connection that went silent is
-	// found out only behind it, and leaving targets have to be heeded 5 s after
-	// that (3 s in which it is excused, and 2 s): hold and the longest wait for an
-	// answer stay below.
+	// readHold is how long all other reads are held. A connection that went silent is found
+	// only after the hold, and a target that leaves has to be heeded within 5 s of that (3 s
+	// that are excused and 2 s): readHold and the longest wait for an answer stay below.
 	readHold = 3 * time.Second
-	// readRetryDelay is the pause after a failed read; each call has its price.
+	// readRetryDelay is the pause after a failed read. Each call is billed.
 	readRetryDelay = 250 * time.Millisecond
-	// emptyRetryDelay is the pause after a read of a table service in which nothing was written
-	// yet: it has no version from which a read could be held.
+	// emptyRetryDelay is the pause after reading a table service to which nothing was written
+	// yet: it has no revision after which a read could be held.
 	emptyRetryDelay = 300 * time.Millisecond
-	// maxSpokeRetryDelay is the longest pause after failed reads of a box that lives on
-	// hubs. They read on and tell within 0.3 s that the service is back, and in an outage
-	// each call of many boxes has its price.
+	// maxSpokeRetryDelay is the longest pause of a spoke after failed reads. Its hubs go on
+	// reading and report within 0.3 s that the service is back, and the calls of many boxes in
+	// an outage are billed.
 	maxSpokeRetryDelay = time.Second
-	// targetsReadInterval is the least time between two reads of the list: many
-	// entries that change at once then cost one call.
+	// targetsReadInterval is the least time between two reads of the target list, so that many
+	// entries that change at once cost one call.
 	targetsReadInterval = 400 * time.Millisecond
-	// targetsStartInterval is the same while a box waits for the others' rows. When all
-	// boxes and targets start at once, most of a large fleet's calls are these.
+	// targetsStartInterval is the same while a box waits for the other boxes' rows. When all
+	// boxes and targets start at once, these reads are most of a large fleet's calls.
 	targetsStartInterval = 1500 * time.Millisecond
-	// viewPoll is how often a box that takes a hub's view looks whether that is
-	// fresh enough.
+	// viewPoll is how often a spoke checks whether its hub's view is still fresh enough.
 	viewPoll = 200 * time.Millisecond
-	// roleTimeout is how long a box that starts waits to know its role before it reads what the
-	// operator and targets wrote; operatorWithin and listWithin are how long it then waits
-	// for a hub to tell that. Hubs that start with it read the list within a second.
-	roleTimeout     = 7 * time.Second
+	// roleTimeout is how long a starting box waits to learn its role before it reads the
+	// operator's rows and the target list itself. hubOperatorTimeout and hubListTimeout are how
+	// long it then waits for a hub to send them. Hubs that start with it read the list within a
+	// second.
+	roleTimeout        = 7 * time.Second
 	hubOperatorTimeout = time.Second
 	hubListTimeout     = 2 * time.Second
-	// membersReadDelay is how long after it wrote its own row a box reads the others':
-	// all are written by then, so that none reads them one by one. A table service
+	// membersReadDelay is how long a box waits after writing its own row before it reads the
+	// others'. All are written by then, so that no box reads them one by one. A table service
 	// that takes 340 writes a second has the rows of 330 boxes after one second.
 	membersReadDelay = 1500 * time.Millisecond
 )
@@ -66,8 +64,8 @@
 	work.Wait()
 }
 
-// watchOperator follows the operator's rows. It is the one that notices that
-// the table service is lost or back.
+// watchOperator follows the operator's rows. It is the watcher that detects that the table
+// service is lost or back.
 func (d *Daemon) watchOperator(ctx context.Context) {
 	var after revision.Revision
 	failed := 0
@@ -106,13 +104,13 @@
 		case after.Number == 0:
 			d.sleep(ctx, emptyRetryDelay)
 		case d.roleSince.Load() == nil && d.Settings.Peers.IsValid():
-			d.sleep(ctx, viewPoll) // Whether a hub tells what the next read would is known soon.
+			d.sleep(ctx, viewPoll) // The box learns soon whether a hub supplies what the next read would.
 		}
 	}
 }
 
-// backOffReads waits after some failed reads in a row of the operator's rows. A box
-// that lives on hubs waits longer each time, until a hub's view is fresh again.
+// backOffReads waits after a number of consecutive failed reads of the operator's rows. A spoke
+// backs off exponentially, until a hub's view is fresh again.
 func (d *Daemon) backOffReads(ctx context.Context, failed int) {
 	until := d.now().Add(readRetryDelay)
 	if d.spoke.Load() {
@@ -123,11 +121,11 @@
 	}
 }
 
-// operatorHold is how long a read of the operator's rows is held: not at all while
-// the table service is lost, so that its return is known within the time of one
-// answer, 1.5 s at most, and not after a hold on a connection that stays silent. Nor is
-// one held at a hub for which another one reads as a rule, unless the operator's rows may
-// be older than the newest configuration: then a change is waited for.
+// operatorHold is how long the next read of the operator's rows is held. It is zero while the
+// table service is lost, so that its return is noticed within the time of one answer, 1.5 s at
+// most, rather than after a hold on a connection that stays silent. It is also zero at a hub
+// that usually relies on another hub's proofs. While the operator's rows may be older than the
+// newest configuration it is hubHold, to wait for a change.
 func (d *Daemon) operatorHold() time.Duration {
 	switch {
 	case d.outage.isOlder():
@@ -142,7 +140,7 @@
 	return proofHold
 }
 
-// targetsPause is the least time between two reads of the list.
+// targetsPause is the least time between two reads of the target list.
 func (d *Daemon) targetsPause() time.Duration {
 	if d.roleUnknown.Load() {
 		return targetsStartInterval
@@ -150,8 +148,8 @@
 	return targetsReadInterval
 }
 
-// reportLost notes that the table service does not answer and breaks off the reads
-// that wait for it.
+// reportLost records that the table service does not answer and cancels the reads that wait for
+// it.
 func (d *Daemon) reportLost(ctx context.Context, err error) {
 	d.outage.mu.Lock()
 	defer d.outage.mu.Unlock()
@@ -175,17 +173,19 @@
 	d.postContext(ctx, tableServiceBack{})
 }
 
-// outage is what the watchers know of the table service being away.
+// outage is what the watchers know of an outage of the table service. It is safe for concurrent
+// use.
 type outage struct {
 	mu   sync.Mutex
 	down bool
-	// downSinceRead says that an outage happened since the list was last read.
+	// downSinceRead says that an outage happened since the target list was last read.
 	downSinceRead bool
 	// older says that the operator's rows may be older than the newest configuration.
 	older bool
-	// restores counts the restores that reads told of; told says that one did.
-	restores uint64
-	restoresKnown     bool
+	// restores is the highest count of restores that a read reported, restoresKnown whether any
+	// did.
+	restores      uint64
+	restoresKnown bool
 	// ctx ends when the service is lost.
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -196,36 +196,36 @@
 	o.ctx, o.cancel = context.WithCancel(ctx)
 }
 
-// lost says that the table service is away.
+// lost says that the table service does not answer.
 func (o *outage) lost() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.down
 }
 
-// setOlder notes whether the operator's rows may be older than the newest configuration.
+// setOlder sets whether the operator's rows may be older than the newest configuration.
 func (o *outage) setOlder(older bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.older = older
 }
 
-// isOlder says so.
+// isOlder returns what setOlder set.
 func (o *outage) isOlder() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.older
 }
 
-// noteRestores takes over how often the table service was restored, as a read told, and breaks
-// off the other tables' reads if that is news: they may be held on connections that fell
-// silent, and all tables have to be read whole.
+// noteRestores records how often the table service was restored, as a read reported it. If that
+// is new, the other tables' reads are cancelled: they may be held on connections that went
+// silent, and after a restore all tables have to be read as snapshots.
 func (o *outage) noteRestores(ctx context.Context, restores uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	news := o.restoresKnown && restores > o.restores
+	increased := o.restoresKnown && restores > o.restores
 	o.restores, o.restoresKnown = max(restores, o.restores), true
-	if !news || o.down {
+	if !increased || o.down {
 		return
 	}
 	o.cancel()
@@ -253,7 +253,7 @@
 	for ctx.Err() == nil {
 		asked := d.now()
 		if d.hasFreshView(asked) {
-			after = revision.Revision{} // The list is read whole when the hub's view is lost.
+			after = revision.Revision{} // The list is read whole once the hub's view is stale.
 			d.sleep(ctx, viewPoll)
 			continue
 		}
@@ -274,14 +274,15 @@
 	}
 }
 
-// awaitsHub says that the table service need not be read yet: a fleet starts, as there is no
-// configuration, and the box does not know its role, or lives on hubs and was not told by one
-// within a time. A hub tells what the box needs, and when all boxes of a fleet of 1,000 start at
-// once, each would read the configuration and 10,000 entries, to use some hundred. A box that
-// joins finds a configuration, and waits for a hub only if it lives on hubs.
+// awaitsHub says that the table service need not be read yet, as a hub may send what the box
+// needs. A spoke waits for within after it took its role; a box that knows neither its role nor
+// a configuration waits for roleTimeout after it started. When all boxes of a fleet of 1,000
+// start at once, each would otherwise read the configuration and 10,000 entries to use some
+// hundred of them. A box that joins a running fleet finds a configuration and so waits only as
+// a spoke.
 func (d *Daemon) awaitsHub(now time.Time, within time.Duration) bool {
 	if !d.Settings.Peers.IsValid() {
-		return false // No box can tell it anything.
+		return false // No box can reach it.
 	}
 	if role := d.roleSince.Load(); role != nil {
 		return d.spoke.Load() && now.Sub(*role) < within
@@ -289,9 +290,8 @@
 	return d.current.Load() == nil && d.uptime(now) < roleTimeout
 }
 
-// readOwnRows reads the system's own rows as they are before this box writes its
-// own. If that stands there already, the box was there before and so were the
-// others.
+// readOwnRows reads the system's own rows before this box writes its own. If that is there
+// already, the box was part of the fleet before and the others' rows are there too.
 func (d *Daemon) readOwnRows(ctx context.Context) OwnRows {
 	for ctx.Err() == nil {
 		change, err := d.Platform.OwnRows(ctx, revision.Revision{}, 0)
@@ -301,9 +301,9 @@
 		}
 		own := d.ownRow()
 		before := slices.ContainsFunc(change.Rows, func(r table.Row) bool { return r.Key == own.Key })
-		told := change
-		told.Rows = append(slices.Clone(change.Rows), own) // The box knows itself.
-		d.postContext(ctx, ownRead{told, before})
+		withOwn := change
+		withOwn.Rows = append(slices.Clone(change.Rows), own) // The box counts itself as a member.
+		d.postContext(ctx, ownRead{withOwn, before})
 		return change
 	}
 	return OwnRows{}
@@ -312,9 +312,8 @@
 func (d *Daemon) watchOwnRows(ctx context.Context) {
 	first := d.register(ctx)
 	after := first.Known
-	// Who shares the work, and its retries, has to be known to a box that lives on a
-	// hub's view, too.
-	read, drawn := d.unlisted.Load(), hasCredential(first.Rows)
+	// A spoke, too, has to know which boxes share the work and its retry budget.
+	read, credentialKnown := d.unlisted.Load(), hasCredential(first.Rows)
 	for ctx.Err() == nil {
 		if now := d.now(); read && (d.hasFreshView(now) || d.awaitsHub(now, hubOperatorTimeout)) {
 			d.sleep(ctx, viewPoll)
@@ -328,13 +327,13 @@
 		after, read = change.Known, true
 		d.outage.noteRestores(ctx, after.Restores)
 		d.postContext(ctx, ownRead{change, true})
-		if drawn = drawn || hasCredential(change.Rows); !drawn {
+		if credentialKnown = credentialKnown || hasCredential(change.Rows); !credentialKnown {
 			d.retryWrite(ctx, func() error { return d.createCredential(ctx) })
 		}
 	}
 }
 
-// sleep waits unless ctx ends first.
+// sleep waits for a time or until ctx ends.
 func (d *Daemon) sleep(ctx context.Context, length time.Duration) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
--- a/entry/watch_empty_test.go
+++ b/entry/watch_empty_test.go
@@ -9,9 +9,8 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// TestEmptyTableService guards against boxes that ask a table service for its rows again and
-// again, without a pause, while nothing was written there yet: a fleet starts before its
-// configuration does, and each call has its price.
+// TestEmptyTableService guards against boxes that read an empty table service in a busy loop: a
+// fleet starts before its configuration is written, and each call is billed.
 func TestEmptyTableService(t *testing.T) {
 	const (
 		empty   = 3 * time.Second
--- a/entry/watch_test.go
+++ b/entry/watch_test.go
@@ -11,7 +11,7 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// TestReadHolds bounds the calls to the table service by what a box is.
+// TestReadHolds bounds the calls to the table service by a box's role and state.
 func TestReadHolds(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -20,9 +20,9 @@
 		targets time.Duration
 	}{
 		{"at start, nothing known", func(*Daemon) {}, proofHold, targetsReadInterval},
-		{"new, the others' rows are to come", func(d *Daemon) { d.update(start, ownRead{OwnRows{}, false}) }, startHold, targetsStartInterval},
+		{"new, waits for the others' rows", func(d *Daemon) { d.update(start, ownRead{OwnRows{}, false}) }, startHold, targetsStartInterval},
 		{"there before", func(d *Daemon) { d.update(start, ownRead{OwnRows{}, true}) }, proofHold, targetsReadInterval},
-		{"new, the others are known", func(d *Daemon) {
+		{"new, the others' rows are known", func(d *Daemon) {
 			d.update(start, ownRead{OwnRows{}, false})
 			d.update(start, ownRead{OwnRows{}, true})
 		}, proofHold, targetsReadInterval},
@@ -36,18 +36,18 @@
 				t.Errorf("reads of the operator's rows are held for %v, want %v", got, tt.hold)
 			}
 			if got := d.targetsPause(); got != tt.targets {
-				t.Errorf("the list is read each %v, want %v", got, tt.targets)
+				t.Errorf("the list is read every %v, want %v", got, tt.targets)
 			}
 		})
 	}
 }
 
-// TestProofsInTime has a read of the operator's rows sent right behind the last
-// one, and its connection silent: it is given up, and made again, before the keys
-// that the last one proved are refused.
+// TestProofsInTime checks the times for the worst case: a read of the operator's rows goes out
+// right after the last one, and its connection goes silent. It is given up and repeated before
+// the keys proved by the last read expire.
 func TestProofsInTime(t *testing.T) {
-	// silent is the least wait of the table service's client behind a hold, again
-	// what the second read and the way to the loop take in a slow hour.
+	// silent is the least time-out of the table service's client after a hold, again what the
+	// second read and its way to the loop take under load.
 	const trusted, silent, again = 5 * time.Second, 500 * time.Millisecond, 200 * time.Millisecond
 	for _, each := range []time.Duration{proofHold, hubHold, startHold} {
 		if age := 2*each + silent + again; age > trusted-proofMargin {
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestRepeatedReadTime has a read of the operator's rows made again, as its connection
-// was silent: the loop learns when the read that was answered was sent, as that
-// one was not held and a change that it tells may be older.
+// TestRepeatedReadTime has a read of the operator's rows repeated, as its connection was
+// silent. The loop must learn when the answered read was sent: that one was not held, and a
+// change that it reports may be older.
 func TestRepeatedReadTime(t *testing.T) {
 	again := start.Add(time.Hour)
 	d := newDaemon("b1")
@@ -73,15 +73,14 @@
 	cancel()
 	<-ended
 	if !ok || !m.asked.Equal(again) {
-		t.Errorf("asked %v, want %v", m.asked, again)
+		t.Errorf("asked at %v, want %v", m.asked, again)
 	}
 }
 
-// TestReadsInAnOutage shows that a box that lost the table service asks it with
-// calls that are not held: one that is held when the service comes back, on a
-// connection that stays silent, would be given up only 3 s later, and a
-// configuration has to be in force within 2 s. The first held call has the box wait
-// for changes again.
+// TestReadsInAnOutage shows that a box that lost the table service polls it with calls that are
+// not held. A held call on a connection that stays silent would be given up only 3 s after the
+// service is back, and a configuration has to be in force within 2 s. After the first answer
+// reads are held again.
 func TestReadsInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDaemon("b1")
@@ -105,10 +104,9 @@
 	})
 }
 
-// TestFewReadsInAnOutage bounds the reads in an outage of 8 s of a box that lives on
-// hubs: they are as many as such boxes, and each call has its price. It reads again
-// within a second of the service's return if no hub tells of that, and stops at once
-// if one does.
+// TestFewReadsInAnOutage bounds the reads of a spoke in an outage of 8 s: there are many
+// spokes, and each call is billed. It reads again within a second after the service is back, or
+// stops at once if a hub has a fresh view.
 func TestFewReadsInAnOutage(t *testing.T) {
 	const lasts = 8 * time.Second
 	tests := []struct {
@@ -118,7 +116,7 @@
 		most  int
 	}{
 		{"a hub", false, 30, 33},
-		{"a box behind hubs", true, 8, 11},
+		{"a spoke", true, 8, 11},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -143,14 +141,14 @@
 					t.Errorf("%d reads, want %d to %d", reads, tt.least, tt.most)
 				}
 				if late := time.Since(began) - lasts; late > maxSpokeRetryDelay {
-					t.Errorf("read %v after the service was back", late)
+					t.Errorf("first read %v after the service was back", late)
 				}
 			})
 		})
 	}
 }
 
-// TestFreshViewEndsBackoff has a hub's fresh view end the wait for the next read.
+// TestFreshViewEndsBackoff has a hub's fresh view end the backoff after failed reads.
 func TestFreshViewEndsBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDaemon("b1")
