--- a/entry/watch_test.go
+++ b/entry/watch_test.go
@@ -46,7 +46,7 @@
 // right after the last one, and its connection goes silent. It is given up and repeated before
 // the keys proved by the last read expire.
 func TestProofsInTime(t *testing.T) {
-	// silent is the least time-out of the table service's client after a hold, again what the
+	// silent is the least timeout of the table service's client after a hold, again what the
 	// second read and its way to the loop take under load.
 	const trusted, silent, again = 5 * time.Second, 500 * time.Millisecond, 200 * time.Millisecond
 	for _, each := range []time.Duration{proofHold, hubHold, startHold} {
