--- a/entry/costgrowth_test.go
+++ b/entry/costgrowth_test.go
@@ -107,7 +107,8 @@
 	}
 }
 
-// BenchmarkFleet measures the cost of boxes in emulated fleets of up to 2,000 boxes.
+// BenchmarkFleet measures the cost of boxes in emulated fleets of up to 2,000 boxes. It is run by
+// hand.
 func BenchmarkFleet(b *testing.B) {
 	for _, boxes := range []int{300, 1000, 2000} {
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
--- a/entry/unlisted.go
+++ b/entry/unlisted.go
@@ -35,7 +35,7 @@
 	sampledShare = 0.45
 )
 
-// register registers this box by a row if it needs one, and returns the rows that it read.
+// register writes this box's row if it needs one, and returns the rows that it read.
 func (d *Daemon) register(ctx context.Context) OwnRows {
 	rows := d.readOwnRows(ctx)
 	if d.weak() && !d.rowUnneeded(rows.Rows) && !hasRow(rows.Rows, d.ownRow()) {
