--- /dev/null
+++ b/entry/costgrowth_test.go
@@ -0,0 +1,125 @@
+package entry
+
+import (
+	"context"
+	"fmt"
+	"math"
+	"net/netip"
+	"testing"
+	"time"
+
+	"github.com/thymewind/thymewind/deliver"
+)
+
+// fleetCost is the cost of boxes in a fleet of some size, per second.
+type fleetCost struct {
+	boxes int
+	// spoke and hub are the bytes that a spoke and a hub send, calls the calls of a box to the
+	// table service, watched how many sources a hub watches.
+	spoke, hub, calls, watched float64
+}
+
+// costOfFleet runs a fleet with ten engines per box in which each box places a request a second
+// and two engines in 1,000 are replaced a second.
+func costOfFleet(boxes int) fleetCost {
+	const length = 5
+	w := manyEngines(boxes, 10*boxes)
+	for _, d := range w.boxes {
+		d.Platform.HasIdleConnection = func(at netip.AddrPort) bool { return at.Addr().As4()[3] == byte(len(d.Settings.Name)) } // Few connections are idle.
+	}
+	w.advance(3*time.Second, nil)
+	for _, c := range w.cost {
+		*c = emulatedCost{followed: c.followed}
+	}
+	steps := 0
+	for i := range length {
+		for j := range max(boxes/50, 1) {
+			k := i*boxes + j
+			w.addTargets(engineAt(10*boxes + k))
+			w.removeTargets(engineAt(k).ID)
+		}
+		w.advance(time.Second, func() {
+			steps++
+			for n, d := range w.boxes {
+				if (n+steps)%int(time.Second/emulatedStep) == 0 {
+					ask := deliver.PlacementRequest{Job: job("short", 100)}
+					w.perform(d, d.update(w.now, placementRequest{ctx: context.Background(), ask: ask, reply: make(chan placeAnswer, 1)}))
+				}
+			}
+		})
+	}
+	return w.costs(length)
+}
+
+// costs returns the means over boxes, per second.
+func (w *emulator) costs(seconds float64) fleetCost {
+	at := fleetCost{boxes: len(w.boxes)}
+	hubs, plain := 0.0, 0.0
+	for _, d := range w.boxes {
+		c := w.cost[d.Settings.Name]
+		at.calls += float64(c.storeCalls) / seconds / float64(len(w.boxes))
+		if d.spoke.Load() {
+			plain++
+			at.spoke += float64(c.bytes) / seconds
+			continue
+		}
+		hubs++
+		at.hub += float64(c.bytes) / seconds
+		at.watched = max(at.watched, float64(c.followed))
+	}
+	at.spoke /= plain
+	at.hub /= hubs
+	return at
+}
+
+// growthExponent is the exponent with which a cost grows from one fleet size to another.
+func growthExponent(small, large fleetCost, of func(fleetCost) float64) float64 {
+	return math.Log(of(large)/of(small)) / math.Log(float64(large.boxes)/float64(small.boxes))
+}
+
+// TestCostGrowth checks how costs grow in fleets of 30, 100 and 300 boxes with the same work
+// per box: the bytes that a spoke sends don't grow with the fleet, those that a hub sends grow
+// no faster than its spokes, and the calls of a box to the table service fall.
+func TestCostGrowth(t *testing.T) {
+	t.Parallel()
+	var all []fleetCost
+	for _, boxes := range []int{30, 100, 300} {
+		at := costOfFleet(boxes)
+		t.Logf("%d boxes: %.0f bytes a second sent by a spoke, %.0f by a hub, %.3f calls per box, %.0f sources watched", at.boxes, at.spoke, at.hub, at.calls, at.watched)
+		all = append(all, at)
+	}
+	tests := []struct {
+		what string
+		of   func(fleetCost) float64
+		most float64
+	}{
+		{"bytes sent by a spoke", func(a fleetCost) float64 { return a.spoke }, 0.15},
+		{"bytes sent by a hub", func(a fleetCost) float64 { return a.hub }, 1.1},
+		{"calls per box", func(a fleetCost) float64 { return a.calls }, 0},
+	}
+	for _, tt := range tests {
+		for i := range all[1:] {
+			name := fmt.Sprintf("%s, from %d to %d boxes", tt.what, all[i].boxes, all[i+1].boxes)
+			if got := growthExponent(all[i], all[i+1], tt.of); got > tt.most {
+				t.Errorf("%s: grows with exponent %.2f, want at most %.2f", name, got, tt.most)
+			}
+		}
+	}
+}
+
+// BenchmarkFleet measures the cost of boxes in emulated fleets of up to 2,000 boxes. It is run by
+// hand.
+func BenchmarkFleet(b *testing.B) {
+	for _, boxes := range []int{300, 1000, 2000} {
+		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
+			var at fleetCost
+			for b.Loop() {
+				at = costOfFleet(boxes)
+			}
+			b.ReportMetric(at.spoke, "plain-bytes/s")
+			b.ReportMetric(at.hub, "hub-bytes/s")
+			b.ReportMetric(at.calls, "calls/box/s")
+			b.ReportMetric(at.watched, "followed")
+		})
+	}
+}
--- /dev/null
+++ b/entry/peerproof.go
@@ -0,0 +1,84 @@
+package entry
+
+import (
+	"slices"
+	"time"
+
+	"github.com/thymewind/thymewind/peer"
+	"github.com/thymewind/thymewind/revision"
+)
+
+// Each hub needs a proof, at most a second old, that it knows the newest of what the operator
+// wrote. One hub, the last by name, reads for all; the others call it each 50 ms anyway. Its
+// answer carries the newest change that it knows and the age of its proof. A hub that has read
+// up to that change takes the proof as its own. A hub reads itself when it hears of a later
+// change or when no proof comes. Reads are billed, and all of them would learn the same.
+
+const (
+	// peerProofBase is the proof age at which the second hub reads itself. The reading hub's
+	// proof is up to twice its hold old and arrives within two rounds of gossip. Proofs then
+	// stay younger than maxHubProofAge, at which boxes leave a hub.
+	peerProofBase = 2*hubHold + 2*hubGossipInterval
+	// peerProofStep is how much later each further hub reads, so that the second hub's proof,
+	// which is shared as well, saves the others the read.
+	peerProofStep = 2 * hubGossipInterval
+	// peerProofLimit bounds the delay for any number of hubs.
+	peerProofLimit = peerProofBase + peerProofStep
+	// peerProofPoll is how often a hub checks whether it has to read.
+	peerProofPoll = hubGossipInterval
+)
+
+// peerProofLifetime is for how long this box relies on other hubs' proofs. It is zero unless
+// the box is a hub of a large fleet and another hub that answers reads before it.
+func (d *Daemon) peerProofLifetime(t *tables) time.Duration {
+	hubs := t.hubs()
+	if !t.usesHubs() || !slices.Contains(hubs, d.Settings.Name) {
+		return 0
+	}
+	before := 0
+	for _, name := range hubs {
+		if name > d.Settings.Name && !t.members[name].failed {
+			before++
+		}
+	}
+	if before == 0 {
+		return 0
+	}
+	return min(peerProofBase+time.Duration(before-1)*peerProofStep, peerProofLimit)
+}
+
+// hasPeerProof says that another hub reads the operator's rows and has confirmed recently that
+// this box knows the newest.
+func (d *Daemon) hasPeerProof(now time.Time) bool {
+	wait := time.Duration(d.peerProofMaxAge.Load())
+	return wait > 0 && !d.operatorBehind.Load() && !d.outage.lost() && d.provedAgo(now) < wait
+}
+
+// receiveProof takes another hub's proof if this box knows all that was known there. The
+// proof's age counts from when it was requested, as the answer was made later. A hub that has
+// not read the table service since a restore proves nothing to one that has.
+func (d *Daemon) receiveProof(t *tables, asked time.Time, m peer.Message) {
+	switch {
+	case m.OperatorRevision.IsZero() || d.peerProofMaxAge.Load() == 0:
+	case m.OperatorRevision.Restores < t.operatorKnown.Restores || !t.olderSince.IsZero():
+	case !m.OperatorRevision.After(t.operatorKnown):
+		d.countProof(t, m.From, m.OperatorRevision)
+		d.noteProof(asked.Add(-time.Duration(m.ProofAgeMS) * time.Millisecond))
+	default:
+		d.operatorBehind.Store(true)
+	}
+}
+
+// countProof counts whether a proof of the configuration came from this box's own read or from
+// another box, and logs when another box's proof is of a change not logged before.
+func (d *Daemon) countProof(t *tables, box string, newest revision.Revision) {
+	by := "read"
+	if box != d.Settings.Name {
+		by = "another"
+	}
+	d.metrics.proofs.WithLabelValues(by).Inc()
+	if by == "another" && newest != t.provedNewest {
+		d.Log.Info("configuration proved by another box", "box", box, "newest_there", newest, "known", t.operatorKnown, "configuration", d.version())
+		t.provedNewest = newest
+	}
+}
--- a/entry/restored_drawn_test.go
+++ b/entry/restored_random_test.go
@@ -16,35 +16,38 @@
 	"github.com/thymewind/thymewind/internal/fake"
 )
 
-// restoreTroubles are what may befall the fleet around a restore; each returns what ends it.
-var restoreTroubles = []struct {
+// restoreFaults are faults that may coincide with a restore. Each returns a function that ends
+// it.
+var restoreFaults = []struct {
 	name string
 	do   func(w *emulator, name string) func()
 }{
 	{"none", func(*emulator, string) func() { return func() {} }},
 	{"a box is cut off from the table service", func(w *emulator, name string) func() {
 		w.tableServiceDown[name] = true
-		return func() { w.readAnew(name) }
+		return func() { w.reconnect(name) }
 	}},
 	{"a box is dead", func(w *emulator, name string) func() {
 		w.dead[name] = true
-		return func() { w.startAnew(name) }
+		return func() { w.restart(name) }
 	}},
 }
 
-// older is what the operator and the targets had written at a moment.
-type older struct {
+// writtenState is what the operator and the targets had written at some time.
+type writtenState struct {
 	operator Operator
 	listed   map[string]fleet.Entry
 }
 
-// wrote is what they have written.
-func (w *emulator) wrote() older { return older{w.operator, maps.Clone(w.targets)} }
+// writtenState returns what the operator and the targets have written.
+func (w *emulator) writtenState() writtenState {
+	return writtenState{w.operator, maps.Clone(w.targets)}
+}
 
-// restoreOlder has the table service come back from a copy with what they had written then, and
-// after a time they write again what they had written since.
-func (w *emulator) restoreOlder(lost uint64, own fake.Copy, c older, again time.Duration) {
-	before := w.wrote()
+// restoreCopy restores the table service from a copy c, and after a time has the operator and
+// the targets write again what they had written since.
+func (w *emulator) restoreCopy(lost uint64, own fake.Copy, c writtenState, again time.Duration) {
+	before := w.writtenState()
 	w.operator, w.targets = c.operator, maps.Clone(c.listed)
 	w.restore(lost, own)
 	w.advance(again, nil)
@@ -65,8 +68,8 @@
 	}
 }
 
-// readAnew has a box that was cut off from the table service read on.
-func (w *emulator) readAnew(name string) {
+// reconnect reconnects a box that was cut off from the table service.
+func (w *emulator) reconnect(name string) {
 	delete(w.tableServiceDown, name)
 	d := w.byName[name]
 	rows, err := w.rows.ListAll(context.Background(), "")
@@ -77,8 +80,8 @@
 	w.perform(d, d.update(w.now, ownRead{OwnRows{Snapshot: true, Rows: rows, Known: w.revision()}, true}))
 }
 
-// startAnew has a box that was dead start again.
-func (w *emulator) startAnew(name string) {
+// restart restarts a box that was dead.
+func (w *emulator) restart(name string) {
 	delete(w.dead, name)
 	i := slices.IndexFunc(w.boxes, func(d *Daemon) bool { return d.Settings.Name == name })
 	old := w.boxes[i]
@@ -86,11 +89,12 @@
 	w.boxes = slices.Delete(w.boxes, len(w.boxes)-1, len(w.boxes))
 	w.boxes[i] = d
 	w.join(d)
-	w.readAnew(name)
+	w.reconnect(name)
 }
 
-// wentBack says what a box in touch believes that was so before the last change.
-func (w *emulator) wentBack() string {
+// reverted describes the first connected box whose state is older than the last change, or
+// returns an empty text.
+func (w *emulator) reverted() string {
 	for _, d := range w.boxes {
 		name, f := d.Settings.Name, d.tables.fleet
 		if w.dead[name] || w.tableServiceDown[name] {
@@ -102,7 +106,7 @@
 			}
 		}
 		if x := f.Target("goes"); x != nil && x.Active(w.now) {
-			return name + " uses a target that went"
+			return name + " uses a target that was removed"
 		}
 		if len(f.Evacuated()) != 1 {
 			return name + " sends work to a domain that is evacuated"
@@ -111,18 +115,18 @@
 	return ""
 }
 
-// TestRestoresDrawn draws how much restores lose, when they come, also two within a second, and
-// what befalls a hub or another box meanwhile: what the operator writes is in force in time at
-// all boxes in touch, targets that serve are kept and those that went are not used, and all own
-// rows stand in the end.
-func TestRestoresDrawn(t *testing.T) {
+// TestRandomRestores varies how much restores lose, when they come (also two within a second)
+// and which fault a hub or another box has meanwhile. What the operator writes must be in force
+// in time at all connected boxes, targets that serve are kept, removed ones are not used, and
+// all boxes' rows exist in the end.
+func TestRandomRestores(t *testing.T) {
 	t.Parallel()
-	// within is the platform's bound for a change where there are hubs.
+	// within is the platform's bound for a change in a fleet with hubs.
 	const within = 3 * time.Second
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	parameters.MinSuccessfulTests = 20
 	properties := gopter.NewProperties(parameters)
-	properties.Property("in force, and nothing comes back", prop.ForAll(func(size, trouble, victim int, lost, again, pauseMS uint64) string {
+	properties.Property("in force, and no state reverts", prop.ForAll(func(size, trouble, victim int, lost, again, pauseMS uint64) string {
 		boxes := []int{3, 16, 60}[size]
 		w := emulate(boxes, 3, configuration(1))
 		empty := w.rows.Copy()
@@ -134,7 +138,7 @@
 		w.addTargets(serviceAt("stays", "v1", 1), serviceAt("goes", "v1", 2))
 		w.writeOperator(func(o *Operator) { o.Evacuations = map[string]bool{} })
 		w.advance(2*time.Second, nil)
-		copied, had := w.rows.Copy(), w.wrote()
+		copied, had := w.rows.Copy(), w.writtenState()
 		if lost%2 == 0 {
 			copied = empty
 		}
@@ -142,15 +146,15 @@
 		w.addTargets(serviceAt("comes", "v1", 3))
 		w.removeTargets("goes")
 		w.writeOperator(func(o *Operator) { o.Evacuations = map[string]bool{"d2": true} })
-		w.advance(time.Second+time.Duration(pauseMS)*time.Millisecond, nil) // All boxes know.
+		w.advance(time.Second+time.Duration(pauseMS)*time.Millisecond, nil) // All boxes have read it.
 		name := w.boxes[victim%boxes].Settings.Name
-		end := restoreTroubles[trouble].do(w, name)
+		end := restoreFaults[trouble].do(w, name)
 		w.advance(time.Duration(pauseMS%700)*time.Millisecond, nil)
-		w.restoreOlder(lost, copied, had, time.Duration(again)*time.Millisecond)
+		w.restoreCopy(lost, copied, had, time.Duration(again)*time.Millisecond)
 		if again%3 == 0 {
-			w.restoreOlder(min(lost, 3), copied, had, time.Duration(again)*time.Millisecond)
+			w.restoreCopy(min(lost, 3), copied, had, time.Duration(again)*time.Millisecond)
 		}
-		if wrong := w.wentBack(); wrong != "" {
+		if wrong := w.reverted(); wrong != "" {
 			return wrong
 		}
 		for version := int64(2); version <= 4; version++ {
@@ -167,7 +171,7 @@
 			}
 		}
 		w.advance(rewriteSpread+2*time.Second, nil)
-		if wrong := w.wentBack(); wrong != "" {
+		if wrong := w.reverted(); wrong != "" {
 			return wrong
 		}
 		for _, d := range w.boxes {
@@ -176,6 +180,6 @@
 			}
 		}
 		return ""
-	}, gen.IntRange(0, 2), gen.IntRange(0, len(restoreTroubles)-1), gen.IntRange(0, 20), gen.UInt64Range(1, 110), gen.UInt64Range(0, 900), gen.UInt64Range(50, 1500)))
+	}, gen.IntRange(0, 2), gen.IntRange(0, len(restoreFaults)-1), gen.IntRange(0, 20), gen.UInt64Range(1, 110), gen.UInt64Range(0, 900), gen.UInt64Range(50, 1500)))
 	properties.TestingRun(t)
 }
