--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -21,38 +21,38 @@
 
 // What things cost, as time.
 const (
-	// againToken is what reading a token again is worth avoiding, beyond the
+	// recomputeTokenCost is what reading a token again is worth avoiding, beyond the
 	// time: at the platform's prices 1,000 of them cost a third of a request.
-	againToken = 50 * time.Microsecond
+	recomputeTokenCost = 50 * time.Microsecond
 	// Slack is the usual difference in cost that is not worth leaving the
 	// best-ranked engine for; a request's first event takes some 50 ms.
 	Slack = 25 * time.Millisecond
-	// elsewhere is the cost of an engine in another failure domain than the box:
+	// otherDomainCost is the cost of an engine in another failure domain than the box:
 	// the bytes between domains have their price, a box that uses a fifth of the
 	// engines opens a fifth of the connections, and what other boxes send there is
 	// known later. It is above Slack, so that the rank does not outweigh it. On 195
 	// boxes before 99 engines 13 in 1,000 answers were late with it and 22 with 30 ms,
 	// for 9,300 connections in place of 11,600.
-	elsewhere = 80 * time.Millisecond
-	// unlinked is the cost of a connection that has to be made: a round trip, and its
+	otherDomainCost = 80 * time.Millisecond
+	// newConnectionCost is the cost of a connection that has to be made: a round trip, and its
 	// price. It is above Slack, as otherwise the rank outweighs it.
-	unlinked = 30 * time.Millisecond
-	// oldWeights is the cost of running on weights older than the newest.
-	oldWeights = 80 * time.Millisecond
-	// late is the cost of a first event behind the goal: callers count such an answer
+	newConnectionCost = 30 * time.Millisecond
+	// oldWeightsCost is the cost of running on weights older than the newest.
+	oldWeightsCost = 80 * time.Millisecond
+	// lateCost is the cost of a first event behind the goal: callers count such an answer
 	// for a fifth, which is as much as reading 4,000 tokens again. It rises from
 	// nearly of the goal on, as what is reckoned misses by some tenths of it.
-	late   = 200 * time.Millisecond
-	nearly = 0.5
-	// doubt is the cost of a target that failed lately.
-	doubt = 2 * time.Second
-	// crowded is the cost of an engine whose memory is taken up, waiting what
+	lateCost   = 200 * time.Millisecond
+	lateFrom = 0.5
+	// failureCost is the cost of a target that failed lately.
+	failureCost = 2 * time.Second
+	// memoryCost is the cost of an engine whose memory is taken up, waiting what
 	// comes on top of it for each share beyond full.
-	crowded = 100 * time.Millisecond
-	waiting = 2 * time.Second
-	full    = 0.85
-	// peerFirst is what a move from another engine waits at least.
-	peerFirst = 2 * time.Millisecond
+	memoryCost = 100 * time.Millisecond
+	overfullCost = 2 * time.Second
+	overfullShare    = 0.85
+	// engineTransferDelay is what a move from another engine waits at least.
+	engineTransferDelay = 2 * time.Millisecond
 	// SilenceTimeout is how long an engine with requests may say nothing. Its
 	// events are asked for all the time, which it answers within a second.
 	SilenceTimeout = 1200 * time.Millisecond
@@ -108,11 +108,11 @@
 	Skip func(id string) bool
 }
 
-// within says whether the prompt may be in a failure domain.
-func (a Request) within(domain string) bool { return a.DomainAllowed == nil || a.DomainAllowed(domain) }
+// domainAllowed says whether the prompt may be in a failure domain.
+func (a Request) domainAllowed(domain string) bool { return a.DomainAllowed == nil || a.DomainAllowed(domain) }
 
-// last is the number of the part that is the request's own.
-func (a Request) last() int { return len(a.Parts) - 1 }
+// ownPart is the number of the part that is the request's own.
+func (a Request) ownPart() int { return len(a.Parts) - 1 }
 
 // Choice is the engine and what it does with the prompt.
 type Choice struct {
@@ -163,11 +163,11 @@
 type candidate struct {
 	target  *fleet.Target
 	version int64
-	// kept counts the leading parts that the engine keeps, reached those that it
+	// cached counts the leading parts that the engine keeps, reached those that it
 	// keeps or can fetch.
-	kept, reached int
-	// ahead are the tokens that the engine has to read for other requests.
-	ahead int
+	cached, available int
+	// prefillBacklog are the tokens that the engine has to read for other requests.
+	prefillBacklog int
 	full  bool
 	cost  time.Duration
 	rank  uint64
@@ -175,28 +175,28 @@
 
 // Choose returns the engine for a prompt, or false if none takes new work.
 func (c *Chooser) Choose(now time.Time, ask Request, targets []*fleet.Target) (Choice, bool) {
-	s := search{Chooser: c, now: now, ask: ask, targets: targets, read: c.PrefillPerToken()}
+	s := search{Chooser: c, now: now, ask: ask, targets: targets, tokenTime: c.PrefillPerToken()}
 	if c.FirstEventBase != nil {
-		s.base = c.FirstEventBase()
+		s.firstEventBase = c.FirstEventBase()
 	}
 	var all []candidate
 	for _, t := range targets {
 		if usable(now, ask, t) {
-			all = append(all, s.weigh(t))
+			all = append(all, s.evaluate(t))
 		}
 	}
 	if len(all) == 0 {
 		return Choice{}, false
 	}
 	home := slices.MaxFunc(all, func(a, b candidate) int { return cmp.Compare(a.rank, b.rank) })
-	best := c.best(withRoom(all))
+	best := c.best(notFull(all))
 	choice := s.plan(best)
-	choice.Rule = rule(best.target == home.target, best.reached > best.kept)
+	choice.Rule = rule(best.target == home.target, best.available > best.cached)
 	return choice, true
 }
 
-// withRoom returns the candidates that are not full, or all if each is.
-func withRoom(all []candidate) []candidate {
+// notFull returns the candidates that are not full, or all if each is.
+func notFull(all []candidate) []candidate {
 	var list []candidate
 	for _, one := range all {
 		if !one.full {
@@ -235,7 +235,7 @@
 }
 
 func usable(now time.Time, ask Request, t *fleet.Target) bool {
-	if !t.Available(now) || !ask.within(t.Domain) || t.Loading(now) || t.Silent(now, SilenceTimeout) || (ask.Skip != nil && ask.Skip(t.ID)) {
+	if !t.Available(now) || !ask.domainAllowed(t.Domain) || t.Loading(now) || t.Silent(now, SilenceTimeout) || (ask.Skip != nil && ask.Skip(t.ID)) {
 		return false
 	}
 	return t.Versions[ask.Model] >= ask.MinVersion
@@ -246,21 +246,21 @@
 	if goal <= 0 {
 		return 0
 	}
-	share := (float64(first)/float64(goal) - nearly) / (1 - nearly)
-	return time.Duration(min(max(share, 0), 1) * float64(late))
+	share := (float64(first)/float64(goal) - lateFrom) / (1 - lateFrom)
+	return time.Duration(min(max(share, 0), 1) * float64(lateCost))
 }
 
-// crowding is the cost of memory that requests take up: what is left keeps
+// memoryPressure is the cost of memory that requests take up: what is left keeps
 // parts, and when none is left requests wait for others to end, for some
 // hundred milliseconds.
-func crowding(tokens, capacity int) time.Duration {
+func memoryPressure(tokens, capacity int) time.Duration {
 	if capacity <= 0 {
 		return 0
 	}
 	share := float64(tokens) / float64(capacity)
-	cost := time.Duration(share * float64(crowded))
-	if share > full {
-		cost += time.Duration((share - full) * float64(waiting))
+	cost := time.Duration(share * float64(memoryCost))
+	if share > overfullShare {
+		cost += time.Duration((share - overfullShare) * float64(overfullCost))
 	}
 	return cost
 }
--- a/affinity/affinity_test.go
+++ b/affinity/affinity_test.go
@@ -12,8 +12,8 @@
 
 var start = time.Unix(1000, 0)
 
-// bench is two engines, a quick small store and a slow large one.
-type bench struct {
+// fixture is two engines, a quick small store and a slow large one.
+type fixture struct {
 	d       *directory.Directory
 	a, b    *fleet.Target
 	stores  []*affinity.Source
@@ -28,8 +28,8 @@
 
 func key(version int64, i int) directory.Key { return directory.Key(100*version + int64(i)) }
 
-func newBench() *bench {
-	x := &bench{d: directory.New()}
+func newFixture() *fixture {
+	x := &fixture{d: directory.New()}
 	x.a = &fleet.Target{ID: "a", Domain: "z", Versions: map[string]int64{"m": 1}}
 	x.b = &fleet.Target{ID: "b", Domain: "z", Versions: map[string]int64{"m": 1}}
 	x.stores = []*affinity.Source{
@@ -52,7 +52,7 @@
 	return x
 }
 
-func (x *bench) keeps(source string, version int64, parts ...int) {
+func (x *fixture) keeps(source string, version int64, parts ...int) {
 	x.d.Connected(source, 1)
 	for _, i := range parts {
 		x.d.Add(source, key(version, i), x.ask.Parts[i].Tokens)
@@ -61,7 +61,7 @@
 
 // keepsAlone has an engine keep the shared parts, beside a store that is too slow to
 // fetch them from, and have little memory left.
-func (x *bench) keepsAlone(e *fleet.Target) {
+func (x *fixture) keepsAlone(e *fleet.Target) {
 	x.keeps(e.ID, 1, 0, 1)
 	x.keeps("large", 1, 0, 1)
 	x.stretch = map[string]float64{"large": 50}
@@ -69,7 +69,7 @@
 	e.Tokens = 175000
 }
 
-func (x *bench) choose(t *testing.T) affinity.Choice {
+func (x *fixture) choose(t *testing.T) affinity.Choice {
 	t.Helper()
 	choice, ok := x.chooser.Choose(start, x.ask, []*fleet.Target{x.a, x.b})
 	if !ok {
@@ -80,66 +80,66 @@
 
 // TestChoose says which engine gets a prompt.
 func TestChoose(t *testing.T) {
-	home := newBench().choose(t).Target.ID
+	home := newFixture().choose(t).Target.ID
 	other := map[string]string{"a": "b", "b": "a"}[home]
 	tests := []struct {
 		name   string
-		change func(x *bench, home, other *fleet.Target)
+		change func(x *fixture, home, other *fleet.Target)
 		want   string
 	}{
-		{"nothing known: home", func(*bench, *fleet.Target, *fleet.Target) {}, home},
-		{"kept elsewhere, no way to fetch it", func(x *bench, _, other *fleet.Target) { x.keeps(other.ID, 1, 0, 1); x.stores = nil }, home},
-		{"home has much to read", func(_ *bench, home, _ *fleet.Target) { home.PrefillBacklog = 20000 }, other},
-		{"home's memory is taken up", func(_ *bench, home, _ *fleet.Target) { home.Tokens = 175000 }, other},
-		{"home leaves", func(_ *bench, home, _ *fleet.Target) { home.Leaving = true }, other},
-		{"home failed lately", func(_ *bench, home, _ *fleet.Target) { home.Fail(start) }, other},
-		{"home loads weights", func(_ *bench, home, _ *fleet.Target) { home.LoadingUntil = start.Add(time.Second) }, other},
-		{"home is in another domain", func(x *bench, home, _ *fleet.Target) { home.Domain, x.ask.Domain = "y", "z" }, other},
-		{"home is in another domain, the own one is busy", func(x *bench, home, other *fleet.Target) {
+		{"nothing known: home", func(*fixture, *fleet.Target, *fleet.Target) {}, home},
+		{"kept elsewhere, no way to fetch it", func(x *fixture, _, other *fleet.Target) { x.keeps(other.ID, 1, 0, 1); x.stores = nil }, home},
+		{"home has much to read", func(_ *fixture, home, _ *fleet.Target) { home.PrefillBacklog = 20000 }, other},
+		{"home's memory is taken up", func(_ *fixture, home, _ *fleet.Target) { home.Tokens = 175000 }, other},
+		{"home leaves", func(_ *fixture, home, _ *fleet.Target) { home.Leaving = true }, other},
+		{"home failed lately", func(_ *fixture, home, _ *fleet.Target) { home.Fail(start) }, other},
+		{"home loads weights", func(_ *fixture, home, _ *fleet.Target) { home.LoadingUntil = start.Add(time.Second) }, other},
+		{"home is in another domain", func(x *fixture, home, _ *fleet.Target) { home.Domain, x.ask.Domain = "y", "z" }, other},
+		{"home is in another domain, the own one is busy", func(x *fixture, home, other *fleet.Target) {
 			home.Domain, x.ask.Domain = "y", "z"
 			other.PrefillBacklog = 20000
 		}, home},
-		{"home is a little busy, the other in another domain", func(_ *bench, home, other *fleet.Target) {
+		{"home is a little busy, the other in another domain", func(_ *fixture, home, other *fleet.Target) {
 			home.PrefillBacklog, other.Domain = 7000, "y"
 		}, home},
-		{"and home's first event would come behind the goal", func(x *bench, home, other *fleet.Target) {
+		{"and home's first event would come behind the goal", func(x *fixture, home, other *fleet.Target) {
 			home.PrefillBacklog, other.Domain = 7000, "y"
 			x.ask.Goal = 150 * time.Millisecond
 		}, other},
-		{"only to the other a connection rests", func(x *bench, _, other *fleet.Target) {
+		{"only to the other a connection rests", func(x *fixture, _, other *fleet.Target) {
 			x.ask.HasIdleConnection = func(t *fleet.Target) bool { return t == other }
 		}, other},
-		{"only to the other a connection rests, and it has some more to read", func(x *bench, _, other *fleet.Target) {
+		{"only to the other a connection rests, and it has some more to read", func(x *fixture, _, other *fleet.Target) {
 			x.ask.HasIdleConnection = func(t *fleet.Target) bool { return t == other }
 			other.PrefillBacklog = 2000
 		}, home},
-		{"to neither a connection rests", func(x *bench, _, _ *fleet.Target) {
+		{"to neither a connection rests", func(x *fixture, _, _ *fleet.Target) {
 			x.ask.HasIdleConnection = func(*fleet.Target) bool { return false }
 		}, home},
-		{"home has old weights", func(x *bench, _, other *fleet.Target) { x.ask.NewestVersion = 2; other.Versions["m"] = 2 }, other},
-		{"home has old weights, the other is busy", func(x *bench, _, other *fleet.Target) {
+		{"home has old weights", func(x *fixture, _, other *fleet.Target) { x.ask.NewestVersion = 2; other.Versions["m"] = 2 }, other},
+		{"home has old weights, the other is busy", func(x *fixture, _, other *fleet.Target) {
 			x.ask.NewestVersion = 2
 			other.Versions["m"] = 2
 			other.PrefillBacklog = 50000
 		}, home},
-		{"old weights are overdue", func(x *bench, _, other *fleet.Target) {
+		{"old weights are overdue", func(x *fixture, _, other *fleet.Target) {
 			x.ask.NewestVersion, x.ask.MinVersion = 2, 2
 			other.Versions["m"] = 2
 			other.PrefillBacklog = 50000
 		}, other},
-		{"cheaper where it is kept, though little memory is left", func(x *bench, home, _ *fleet.Target) { x.keepsAlone(home) }, home},
-		{"cheaper where it is kept, but no memory is left", func(x *bench, home, _ *fleet.Target) {
+		{"cheaper where it is kept, though little memory is left", func(x *fixture, home, _ *fleet.Target) { x.keepsAlone(home) }, home},
+		{"cheaper where it is kept, but no memory is left", func(x *fixture, home, _ *fleet.Target) {
 			x.keepsAlone(home)
 			x.ask.Full = func(taken int) bool { return taken > 170000 }
 		}, other},
-		{"no memory is left anywhere", func(x *bench, home, _ *fleet.Target) {
+		{"no memory is left anywhere", func(x *fixture, home, _ *fleet.Target) {
 			x.keepsAlone(home)
 			x.ask.Full = func(int) bool { return true }
 		}, home},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			x := newBench()
+			x := newFixture()
 			engines := map[string]*fleet.Target{"a": x.a, "b": x.b}
 			tt.change(x, engines[home], engines[other])
 			if got := x.choose(t).Target.ID; got != tt.want {
@@ -151,34 +151,34 @@
 
 // TestParts says what is fetched, read and saved.
 func TestParts(t *testing.T) {
-	home := newBench().choose(t).Target.ID
+	home := newFixture().choose(t).Target.ID
 	other := map[string]string{"a": "b", "b": "a"}[home]
 	tests := []struct {
 		name        string
-		change      func(x *bench)
+		change      func(x *fixture)
 		fetch, save [3]string
 		unread      int
 	}{
-		{"first time: all is read, shared parts are saved", func(*bench) {}, [3]string{}, [3]string{"quick", "large", ""}, 10500},
-		{"kept in stores", func(x *bench) { x.keeps("quick", 1, 0); x.keeps("large", 1, 1) }, [3]string{"quick", "large", ""}, [3]string{}, 2000},
-		{"kept at home, and in stores in case it was dropped", func(x *bench) { x.keeps(home, 1, 0, 1); x.keeps("large", 1, 0, 1) }, [3]string{"large", "large", ""}, [3]string{}, 2000},
-		{"kept by the other engine only", func(x *bench) { x.keeps(other, 1, 0, 1) }, [3]string{other, other, ""}, [3]string{"quick", "large", ""}, 2000},
-		{"the first part is nowhere: what follows is read", func(x *bench) { x.keeps("large", 1, 1) }, [3]string{}, [3]string{"quick", "", ""}, 10500},
-		{"kept under other weights only", func(x *bench) { x.keeps("large", 9, 0, 1) }, [3]string{}, [3]string{"quick", "large", ""}, 10500},
-		{"old weights: their parts are not saved any more", func(x *bench) { x.ask.NewestVersion = 2 }, [3]string{}, [3]string{}, 10500},
-		{"the store fell silent", func(x *bench) { x.keeps("large", 1, 0, 1); x.d.Disconnected("large") }, [3]string{}, [3]string{"quick", "large", ""}, 10500},
-		{"no room", func(x *bench) { x.stores[0].Capacity, x.stores[1].Capacity = 100, 100 }, [3]string{}, [3]string{}, 10500},
-		{"the large store has turned slow", func(x *bench) { x.keeps("large", 1, 0, 1); x.stretch = map[string]float64{"large": 50} }, [3]string{}, [3]string{}, 10500},
-		{"the large store has turned slow, the other engine has it too", func(x *bench) {
+		{"first time: all is read, shared parts are saved", func(*fixture) {}, [3]string{}, [3]string{"quick", "large", ""}, 10500},
+		{"kept in stores", func(x *fixture) { x.keeps("quick", 1, 0); x.keeps("large", 1, 1) }, [3]string{"quick", "large", ""}, [3]string{}, 2000},
+		{"kept at home, and in stores in case it was dropped", func(x *fixture) { x.keeps(home, 1, 0, 1); x.keeps("large", 1, 0, 1) }, [3]string{"large", "large", ""}, [3]string{}, 2000},
+		{"kept by the other engine only", func(x *fixture) { x.keeps(other, 1, 0, 1) }, [3]string{other, other, ""}, [3]string{"quick", "large", ""}, 2000},
+		{"the first part is nowhere: what follows is read", func(x *fixture) { x.keeps("large", 1, 1) }, [3]string{}, [3]string{"quick", "", ""}, 10500},
+		{"kept under other weights only", func(x *fixture) { x.keeps("large", 9, 0, 1) }, [3]string{}, [3]string{"quick", "large", ""}, 10500},
+		{"old weights: their parts are not saved any more", func(x *fixture) { x.ask.NewestVersion = 2 }, [3]string{}, [3]string{}, 10500},
+		{"the store fell silent", func(x *fixture) { x.keeps("large", 1, 0, 1); x.d.Disconnected("large") }, [3]string{}, [3]string{"quick", "large", ""}, 10500},
+		{"no room", func(x *fixture) { x.stores[0].Capacity, x.stores[1].Capacity = 100, 100 }, [3]string{}, [3]string{}, 10500},
+		{"the large store has turned slow", func(x *fixture) { x.keeps("large", 1, 0, 1); x.stretch = map[string]float64{"large": 50} }, [3]string{}, [3]string{}, 10500},
+		{"the large store has turned slow, the other engine has it too", func(x *fixture) {
 			x.keeps("large", 1, 0, 1)
 			x.keeps(other, 1, 0, 1)
 			x.stretch = map[string]float64{"large": 50}
 		}, [3]string{other, other, ""}, [3]string{}, 2000},
-		{"the large store's link is slower than reading", func(x *bench) { x.keeps("large", 1, 0, 1); x.stores[1].PerToken = time.Millisecond }, [3]string{}, [3]string{}, 10500},
+		{"the large store's link is slower than reading", func(x *fixture) { x.keeps("large", 1, 0, 1); x.stores[1].PerToken = time.Millisecond }, [3]string{}, [3]string{}, 10500},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			x := newBench()
+			x := newFixture()
 			tt.change(x)
 			got := x.choose(t)
 			if got.Target.ID != home {
--- a/affinity/parts.go
+++ b/affinity/plan.go
@@ -12,10 +12,10 @@
 // plan says what the engine chosen does with the prompt's parts.
 func (s *search) plan(one candidate) Choice {
 	l := s.locate(one.version)
-	choice := Choice{Target: one.target, Version: one.version, Keys: l.keys, CachedParts: one.kept, PrefillBacklog: one.ahead}
+	choice := Choice{Target: one.target, Version: one.version, Keys: l.keys, CachedParts: one.cached, PrefillBacklog: one.prefillBacklog}
 	s.planFetch(l, one, &choice)
 	s.planMoves(&choice, one)
-	s.planSpare(l, &choice)
+	s.planFallbackFetch(l, &choice)
 	if one.version >= s.ask.NewestVersion { // Parts of older weights are about to be freed.
 		s.planSave(&choice)
 	}
@@ -24,26 +24,26 @@
 
 // planFetch names sources for the parts that the engine lacks and can fetch.
 // The others are read.
-func (s *search) planFetch(l *located, one candidate, choice *Choice) {
-	for i := one.kept; i < one.reached; i++ {
+func (s *search) planFetch(l *location, one candidate, choice *Choice) {
+	for i := one.cached; i < one.available; i++ {
 		s.fetch(l, i, choice)
 	}
-	for _, p := range s.ask.Parts[one.reached:] {
+	for _, p := range s.ask.Parts[one.available:] {
 		choice.PrefillTokens += p.Tokens
 	}
 }
 
-// planSpare names sources for the parts that the engine is thought to keep as
+// planFallbackFetch names sources for the parts that the engine is thought to keep as
 // well. It takes only what it lacks, so this costs nothing unless it dropped
 // them meanwhile, as it does when its memory is short.
-func (s *search) planSpare(l *located, choice *Choice) {
-	for i := range min(choice.CachedParts, s.ask.last()) {
+func (s *search) planFallbackFetch(l *location, choice *Choice) {
+	for i := range min(choice.CachedParts, s.ask.ownPart()) {
 		s.fetch(l, i, choice)
 	}
 }
 
 // fetch names the source of one part, if there is one.
-func (s *search) fetch(l *located, part int, choice *Choice) {
+func (s *search) fetch(l *location, part int, choice *Choice) {
 	from, _ := s.best(l, part, choice.Target)
 	if from == nil {
 		return
@@ -54,8 +54,8 @@
 	choice.Fetch[part] = &from.Source
 }
 
-// move is how long moving some tokens to an engine takes.
-func (s *Source) move(tokens int, t *fleet.Target) time.Duration {
+// transferTime is how long moving some tokens to an engine takes.
+func (s *Source) transferTime(tokens int, t *fleet.Target) time.Duration {
 	took := s.Delay + time.Duration(tokens)*s.PerToken
 	if s.Domain != t.Domain {
 		took *= 2
@@ -65,26 +65,26 @@
 
 // planMoves lists the moves that the engine waits for.
 func (s *search) planMoves(choice *Choice, one candidate) {
-	for i := one.kept; i < one.reached; i++ {
+	for i := one.cached; i < one.available; i++ {
 		from := choice.Fetch[i]
 		choice.Transfers = append(choice.Transfers, throughput.Transfer{
-			Source: placement.Hash(from.Name), Expected: from.move(s.ask.Parts[i].Tokens, choice.Target),
+			Source: placement.Hash(from.Name), Expected: from.transferTime(s.ask.Parts[i].Tokens, choice.Target),
 		})
 	}
 }
 
-// saveTokens is the smallest part that is worth a place in a store. Even short
+// minSaveTokens is the smallest part that is worth a place in a store. Even short
 // ones count, as the parts behind one that is missing are read as well.
-const saveTokens = 64
+const minSaveTokens = 64
 
 // planSave chooses stores for the parts that will be read and that no store
 // keeps.
 func (s *search) planSave(choice *Choice) {
-	for i := range s.ask.last() {
-		if s.ask.Parts[i].Tokens < saveTokens {
+	for i := range s.ask.ownPart() {
+		if s.ask.Parts[i].Tokens < minSaveTokens {
 			continue
 		}
-		store := s.room(choice.Keys[i], s.ask.Parts[i].Tokens)
+		store := s.storeFor(choice.Keys[i], s.ask.Parts[i].Tokens)
 		if store == nil {
 			continue
 		}
@@ -95,13 +95,13 @@
 	}
 }
 
-// shortPart is the longest part, in tokens, that goes where a move begins
+// maxShortPart is the longest part, in tokens, that goes where a move begins
 // soonest. Longer ones go where most room is left, as they fill a small store.
-const shortPart = 2048
+const maxShortPart = 2048
 
-// room returns the store with room for a part that suits it best, or nil if a
+// storeFor returns the store with room for a part that suits it best, or nil if a
 // store keeps it already or none has room.
-func (s *search) room(key directory.Key, tokens int) *Source {
+func (s *search) storeFor(key directory.Key, tokens int) *Source {
 	var best *Source
 	var rank float64
 	for _, x := range s.Stores() {
@@ -109,11 +109,11 @@
 			return nil
 		}
 		free := x.Capacity - s.Directory.Tokens(x.Name)
-		if free < tokens*2 || !s.ask.within(x.Domain) || !s.AllowSave(x) {
+		if free < tokens*2 || !s.ask.domainAllowed(x.Domain) || !s.AllowSave(x) {
 			continue
 		}
 		weight := float64(placement.Weight(uint64(key), placement.Hash(x.Name))>>1 + 1<<62)
-		if tokens > shortPart {
+		if tokens > maxShortPart {
 			weight *= float64(free)
 		} else {
 			weight /= float64(x.Delay + time.Duration(tokens)*x.PerToken)
--- a/affinity/search.go
+++ b/affinity/search.go
@@ -16,14 +16,14 @@
 	now     time.Time
 	ask     Request
 	targets []*fleet.Target
-	// read is the time to read one token, base that to a first event beside it.
-	read, base time.Duration
-	// found holds what was looked up, for each weight version in use.
-	found []located
+	// tokenTime is the time to read one token, base that to a first event beside it.
+	tokenTime, firstEventBase time.Duration
+	// locations holds what was looked up, for each weight version in use.
+	locations []location
 }
 
-// located tells where a prompt's parts are kept that were made on one version.
-type located struct {
+// location tells where a prompt's parts are kept that were made on one version.
+type location struct {
 	version int64
 	keys    []directory.Key
 	parts   []holders
@@ -39,38 +39,38 @@
 // holder is where a part can be fetched from.
 type holder struct {
 	Source
-	// stretch is by how much moves from there take longer than they should.
-	stretch float64
+	// slowdown is by how much moves from there take longer than they should.
+	slowdown float64
 }
 
 // locate returns where the prompt's parts of a version are kept.
-func (s *search) locate(version int64) *located {
-	for i := range s.found {
-		if s.found[i].version == version {
-			return &s.found[i]
+func (s *search) locate(version int64) *location {
+	for i := range s.locations {
+		if s.locations[i].version == version {
+			return &s.locations[i]
 		}
 	}
-	l := located{version: version, keys: s.ask.Keys(version)}
+	l := location{version: version, keys: s.ask.Keys(version)}
 	l.parts = make([]holders, len(l.keys))
-	for i := range s.ask.last() {
+	for i := range s.ask.ownPart() {
 		l.parts[i] = s.holders(l.keys[i])
 	}
-	s.found = append(s.found, l)
-	return &s.found[len(s.found)-1]
+	s.locations = append(s.locations, l)
+	return &s.locations[len(s.locations)-1]
 }
 
 func (s *search) holders(key directory.Key) holders {
 	var h holders
 	for _, store := range s.Stores() {
-		if s.ask.within(store.Domain) && s.AllowStoreFetch(store) && s.Directory.Has(store.Name, key) {
+		if s.ask.domainAllowed(store.Domain) && s.AllowStoreFetch(store) && s.Directory.Has(store.Name, key) {
 			h.stores = append(h.stores, holder{*store, s.Slowdown(s.now, store.Name)})
 		}
 	}
 	for _, t := range s.targets {
-		if !s.ask.within(t.Domain) || !s.Directory.Has(t.ID, key) || t.Leaving || t.Evacuated || t.Ejected(s.now) {
+		if !s.ask.domainAllowed(t.Domain) || !s.Directory.Has(t.ID, key) || t.Leaving || t.Evacuated || t.Ejected(s.now) {
 			continue
 		}
-		peer := Source{Name: t.ID, Address: t.Address, Domain: t.Domain, Delay: peerFirst, PerToken: s.TransferPerToken()}
+		peer := Source{Name: t.ID, Address: t.Address, Domain: t.Domain, Delay: engineTransferDelay, PerToken: s.TransferPerToken()}
 		if !s.AllowEngineFetch(&peer) {
 			continue
 		}
@@ -79,67 +79,67 @@
 	return h
 }
 
-// weigh returns what the prompt would cost at an engine.
-func (s *search) weigh(t *fleet.Target) candidate {
+// evaluate returns what the prompt would cost at an engine.
+func (s *search) evaluate(t *fleet.Target) candidate {
 	version := t.Versions[s.ask.Model]
 	l := s.locate(version)
 	one := candidate{target: t, version: version, rank: placement.Weight(s.ask.Home, placement.Hash(t.ID))}
-	one.kept = s.Directory.LeadingParts(t.ID, l.keys, s.now)
+	one.cached = s.Directory.LeadingParts(t.ID, l.keys, s.now)
 	running, unread := s.Load(s.now, t)
-	one.ahead = unread
+	one.prefillBacklog = unread
 	one.full = s.ask.Full != nil && s.ask.Full(running)
-	wait := time.Duration(unread) * s.read
+	wait := time.Duration(unread) * s.tokenTime
 	var moves time.Duration
-	one.reached, moves = s.reach(l, t, one.kept)
-	read, again := s.reading(l, one.reached)
+	one.available, moves = s.availableParts(l, t, one.cached)
+	read, again := s.prefillCost(l, one.available)
 	one.cost = wait + moves + read + again
-	one.cost += lateness(s.base+wait+moves+read, s.ask.Goal)
-	one.cost += crowding(running+s.ask.Tokens, s.ask.Capacity)
+	one.cost += lateness(s.firstEventBase+wait+moves+read, s.ask.Goal)
+	one.cost += memoryPressure(running+s.ask.Tokens, s.ask.Capacity)
 	if t.Domain != s.ask.Domain {
-		one.cost += elsewhere
+		one.cost += otherDomainCost
 	}
 	if s.ask.HasIdleConnection != nil && !s.ask.HasIdleConnection(t) {
-		one.cost += unlinked
+		one.cost += newConnectionCost
 	}
 	if version < s.ask.NewestVersion {
-		one.cost += oldWeights
+		one.cost += oldWeightsCost
 	}
 	if t.Grey(s.now) || t.Ejected(s.now) {
-		one.cost += doubt
+		one.cost += failureCost
 	}
 	return one
 }
 
-// reach counts the leading parts that an engine keeps or can fetch, and the time
+// availableParts counts the leading parts that an engine keeps or can fetch, and the time
 // that the moves take. It uses a part only together with all parts before it.
-func (s *search) reach(l *located, t *fleet.Target, kept int) (int, time.Duration) {
+func (s *search) availableParts(l *location, t *fleet.Target, kept int) (int, time.Duration) {
 	var took time.Duration
-	for i := kept; i < s.ask.last(); i++ {
+	for i := kept; i < s.ask.ownPart(); i++ {
 		from, cost := s.best(l, i, t)
 		if from == nil {
 			return i, took
 		}
 		took += cost
 	}
-	return max(kept, s.ask.last()), took
+	return max(kept, s.ask.ownPart()), took
 }
 
 // best returns where an engine should fetch a part from and how long that takes,
 // or nil if it had better read the part.
-func (s *search) best(l *located, part int, t *fleet.Target) (*holder, time.Duration) {
+func (s *search) best(l *location, part int, t *fleet.Target) (*holder, time.Duration) {
 	if behind, late := t.StaleVersions[s.ask.Model]; late && behind == l.version {
 		return nil, 0
 	}
-	return l.parts[part].best(s.ask.Parts[part].Tokens, s.read, t)
+	return l.parts[part].best(s.ask.Parts[part].Tokens, s.tokenTime, t)
 }
 
-// reading is the time to read the parts from one on, and what it costs beyond that
+// prefillCost is the time to read the parts from one on, and what it costs beyond that
 // to read those again that are kept somewhere.
-func (s *search) reading(l *located, from int) (took, again time.Duration) {
+func (s *search) prefillCost(l *location, from int) (took, again time.Duration) {
 	for i := from; i < len(s.ask.Parts); i++ {
-		took += time.Duration(s.ask.Parts[i].Tokens) * s.read
+		took += time.Duration(s.ask.Parts[i].Tokens) * s.tokenTime
 		if l.parts[i].any() {
-			again += time.Duration(s.ask.Parts[i].Tokens) * againToken
+			again += time.Duration(s.ask.Parts[i].Tokens) * recomputeTokenCost
 		}
 	}
 	return took, again
@@ -149,23 +149,23 @@
 // sooner than reading it. Engines drop parts at any time, stores don't, so a
 // store is taken if there is one.
 func (h holders) best(tokens int, read time.Duration, t *fleet.Target) (*holder, time.Duration) {
-	least := time.Duration(tokens) * (read + againToken)
-	if from, took := quickest(h.stores, tokens, t, least); from != nil {
+	least := time.Duration(tokens) * (read + recomputeTokenCost)
+	if from, took := fastest(h.stores, tokens, t, least); from != nil {
 		return from, took
 	}
-	return quickest(h.engines, tokens, t, least)
+	return fastest(h.engines, tokens, t, least)
 }
 
-// quickest returns the holder that brings a part soonest, if that is within a
+// fastest returns the holder that brings a part soonest, if that is within a
 // time.
-func quickest(list []holder, tokens int, t *fleet.Target, least time.Duration) (*holder, time.Duration) {
+func fastest(list []holder, tokens int, t *fleet.Target, least time.Duration) (*holder, time.Duration) {
 	var best *holder
 	for i := range list {
 		h := &list[i]
 		if h.Name == t.ID {
 			continue
 		}
-		if took := time.Duration(float64(h.move(tokens, t)) * h.stretch); took < least {
+		if took := time.Duration(float64(h.transferTime(tokens, t)) * h.slowdown); took < least {
 			best, least = h, took
 		}
 	}
--- a/deliver/admit.go
+++ b/deliver/admit.go
@@ -12,15 +12,15 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// unbounded is how long a request is held whose route and caller set no bound.
-const unbounded = time.Minute
+// defaultTimeout is how long a request is held whose route and caller set no bound.
+const defaultTimeout = time.Minute
 
 // admit finds the route and the account of a call. It reads no body.
 func (s *Server) admit(call *Call) (*Job, *refusal.Refusal) {
 	job := &Job{Call: call}
 	table := s.Table()
 	if table == nil {
-		return nil, s.notNow(job, "no_configuration", "this box has no configuration yet")
+		return nil, s.unavailable(job, "no_configuration", "this box has no configuration yet")
 	}
 	if table.MaxHeader > 0 && call.HeadBytes > table.MaxHeader {
 		return nil, refusal.New(refusal.DidNotRun, http.StatusRequestHeaderFieldsTooLarge, "head_too_large", "the head has over %d bytes", table.MaxHeader)
@@ -28,7 +28,7 @@
 	path, _, _ := strings.Cut(call.Path, "?")
 	r := table.Route(call.Host, path)
 	if r == nil && !s.ConfigurationFresh(s.Now()) {
-		return nil, s.notNow(job, "stale", "this box can't tell whether there is a route for %s%s by now", call.Host, path)
+		return nil, s.unavailable(job, "stale", "this box can't tell whether there is a route for %s%s by now", call.Host, path)
 	}
 	if r == nil {
 		return nil, refusal.New(refusal.DidNotRun, http.StatusNotFound, "no_route", "no route for %s%s", call.Host, path)
@@ -36,11 +36,11 @@
 	job.Route = r
 	if table.NeedsKey(r) {
 		if !s.KeysFresh(s.Now()) {
-			return nil, s.notNow(job, "stale", "this box can't tell whether the key is still good")
+			return nil, s.unavailable(job, "stale", "this box can't tell whether the key is still good")
 		}
 		account, known := table.Account(call.Key)
 		if !known && !s.ConfigurationFresh(s.Now()) {
-			return nil, s.notNow(job, "stale", "this box can't tell whether the key is known by now")
+			return nil, s.unavailable(job, "stale", "this box can't tell whether the key is known by now")
 		}
 		if !known {
 			return nil, refusal.New(refusal.DidNotRun, http.StatusUnauthorized, "unknown_key", "unknown key")
@@ -49,16 +49,16 @@
 	}
 	job.Pool = table.Pools[r.Pick(s.Random())]
 	if job.Pool == nil {
-		return nil, s.notNow(job, "no_pool", "the route's pool is not configured")
+		return nil, s.unavailable(job, "no_pool", "the route's pool is not configured")
 	}
-	job.Until = call.Received.Add(hold(r, call))
-	return job, s.refuseHasty(job)
+	job.Until = call.Received.Add(timeoutOf(r, call))
+	return job, s.refuseShortDeadline(job)
 }
 
-// refuseHasty returns why a call can't be answered in its time, or nil. It saves
+// refuseShortDeadline returns why a call can't be answered in its time, or nil. It saves
 // its caller the wait, and a target the work. A stream that is taken up needs less
 // than a whole one.
-func (s *Server) refuseHasty(job *Job) *refusal.Refusal {
+func (s *Server) refuseShortDeadline(job *Job) *refusal.Refusal {
 	if s.MinAnswerTime == nil || job.LastEventID != "" {
 		return nil
 	}
@@ -68,12 +68,12 @@
 	if !known || left >= least {
 		return nil
 	}
-	return s.notNow(job, "no_time", "%v are left, and no request of %s was answered in under %v lately", left, job.Route.Name, least)
+	return s.unavailable(job, "no_time", "%v are left, and no request of %s was answered in under %v lately", left, job.Route.Name, least)
 }
 
-// hold is how long a request is held: the route's bound or the caller's.
-func hold(r *routing.Route, call *Call) time.Duration {
-	bound := unbounded
+// timeoutOf is how long a request is held: the route's bound or the caller's.
+func timeoutOf(r *routing.Route, call *Call) time.Duration {
+	bound := defaultTimeout
 	if r.Timeout > 0 {
 		bound = r.Timeout
 	}
@@ -83,14 +83,14 @@
 	return bound
 }
 
-// notNow refuses a request that has not run, with a time to come back.
-func (s *Server) notNow(job *Job, code, format string, args ...any) *refusal.Refusal {
+// unavailable refuses a request that has not run, with a time to come back.
+func (s *Server) unavailable(job *Job, code, format string, args ...any) *refusal.Refusal {
 	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, code, format, args...).After(s.RetryAfter(code, job))
 }
 
-// read takes the whole body in, within the configured bound and the request's
+// readBody takes the whole body in, within the configured bound and the request's
 // time.
-func (x *run) read(job *Job) *refusal.Refusal {
+func (x *run) readBody(job *Job) *refusal.Refusal {
 	bound := x.Table().MaxBody
 	if bound <= 0 {
 		bound = 4 << 20 // The largest that the platform configures today.
@@ -101,11 +101,11 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return refusal.New(refusal.DidNotRun, http.StatusRequestTimeout, "body_late", "the body did not come in time")
 	}
-	if err != nil && x.left() {
+	if err != nil && x.callerLeft() {
 		return refusal.New(refusal.DidNotRun, http.StatusBadRequest, "caller_left", "the caller left in the middle of the body: %v", err)
 	}
 	if limited && connection.SetReadDeadline(time.Time{}) != nil {
-		return x.notNow(job, "connection_lost", "the caller's connection can't be used any more")
+		return x.unavailable(job, "connection_lost", "the caller's connection can't be used any more")
 	}
 	if err != nil {
 		return refusal.New(refusal.DidNotRun, http.StatusBadRequest, "body_cut", "the body did not arrive whole: %v", err)
--- a/deliver/begin_test.go
+++ b/deliver/begin_test.go
@@ -49,7 +49,7 @@
 							return nil, ctx.Err()
 						}
 					}
-					return streamReply(&ending{ctx, &delayed{1500 * time.Millisecond, strings.NewReader(wholeStream)}}), nil
+					return streamReply(&contextBody{ctx, &delayed{1500 * time.Millisecond, strings.NewReader(wholeStream)}}), nil
 				}
 				var ended []deliver.AttemptResult
 				s.Ended = func(e deliver.AttemptResult) { ended = append(ended, e) }
@@ -69,13 +69,13 @@
 	}
 }
 
-// ending reads until its context ends.
-type ending struct {
+// contextBody reads until its context ends.
+type contextBody struct {
 	ctx  context.Context
 	text io.Reader
 }
 
-func (e *ending) Read(p []byte) (int, error) {
+func (e *contextBody) Read(p []byte) (int, error) {
 	n, err := e.text.Read(p)
 	if e.ctx.Err() != nil {
 		return 0, e.ctx.Err()
--- a/deliver/leave_test.go
+++ b/deliver/caller_left_test.go
@@ -122,19 +122,19 @@
 	})
 }
 
-// blocked is a response that takes no more bytes until it is told to give up.
-type blocked struct {
+// blockedWriter is a response that takes no more bytes until it is told to give up.
+type blockedWriter struct {
 	http.ResponseWriter
 	ended chan struct{}
 }
 
-func (b *blocked) Write([]byte) (int, error) {
+func (b *blockedWriter) Write([]byte) (int, error) {
 	<-b.ended
 	return 0, errBroken
 }
 
 // SetWriteDeadline is called by http.ResponseController.
-func (b *blocked) SetWriteDeadline(time.Time) error {
+func (b *blockedWriter) SetWriteDeadline(time.Time) error {
 	close(b.ended)
 	return nil
 }
@@ -152,7 +152,7 @@
 		began := time.Now()
 		func() {
 			defer func() { _ = recover() }() // A begun answer is broken off.
-			_ = s.Serve(ctx, &blocked{httptest.NewRecorder(), make(chan struct{})}, &deliver.Call{
+			_ = s.Serve(ctx, &blockedWriter{httptest.NewRecorder(), make(chan struct{})}, &deliver.Call{
 				ID: "r", Method: "POST", Path: "/x", Host: "h", Body: strings.NewReader("b"), Header: http.Header{}, Received: began,
 			})
 		}()
@@ -162,8 +162,8 @@
 	})
 }
 
-// leaver is a caller that leaves in one of its request's sendings.
-type leaver struct {
+// leavingCaller is a caller that leaves in one of its request's sendings.
+type leavingCaller struct {
 	// during is the sending, from 1, or 0 for before the body was read.
 	during int
 	// closed says that only the connection tells of it, untold that nothing does.
@@ -173,7 +173,7 @@
 // serve has the caller's request served until it ends. It returns what the caller
 // was told, if it was a refusal, how many sendings there were before it left, and
 // how long all went on after that.
-func (l leaver) serve(s *deliver.Server, x *targets) (refused *refusal.Refusal, before int, took time.Duration) {
+func (l leavingCaller) serve(s *deliver.Server, x *targets) (refused *refusal.Refusal, before int, took time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var gone atomic.Bool
@@ -210,17 +210,17 @@
 	return refused, before, took
 }
 
-// leavesNothing says, for any trouble of the targets and any moment at which the
+// releasesAll says, for any trouble of the targets and any moment at which the
 // caller leaves: nothing is sent for it any more; each place is given back; only
 // retries that left this box are paid for; what may have run is not said not to
 // have run.
-func leavesNothing(t *testing.T, tamper func(*deliver.Server, *leaver)) gopter.Prop {
+func releasesAll(t *testing.T, tamper func(*deliver.Server, *leavingCaller)) gopter.Prop {
 	return prop.ForAll(func(repeatable, stream, resumable, closed bool, attempts, during int, script []int) bool {
 		good := true
 		synctest.Test(t, func(*testing.T) {
 			x := &targets{script: script}
 			s := x.server(route(repeatable, stream, resumable, attempts))
-			l := leaver{during: during, closed: closed}
+			l := leavingCaller{during: during, closed: closed}
 			tamper(s, &l)
 			refused, before, took := l.serve(s, x)
 			left := during == 0 || x.sent >= during
@@ -232,22 +232,22 @@
 				took <= 200*time.Millisecond
 		})
 		return good
-	}, gen.Bool(), gen.Bool(), gen.Bool(), gen.Bool(), gen.IntRange(1, 3), gen.IntRange(0, 4), gen.SliceOfN(6, gen.IntRange(0, ways-1)))
+	}, gen.Bool(), gen.Bool(), gen.Bool(), gen.Bool(), gen.IntRange(1, 3), gen.IntRange(0, 4), gen.SliceOfN(6, gen.IntRange(0, behaviours-1)))
 }
 
 func TestLeavesNothing(t *testing.T) {
-	proof.Holds(t, leavesNothing(t, func(*deliver.Server, *leaver) {}))
+	proof.Holds(t, releasesAll(t, func(*deliver.Server, *leavingCaller) {}))
 }
 
 // TestLeavesNothingNeedsToBeTold has neither the context nor the connection tell.
 func TestLeavesNothingNeedsToBeTold(t *testing.T) {
-	proof.Breaks(t, leavesNothing(t, func(_ *deliver.Server, l *leaver) { l.untold = true }))
+	proof.Breaks(t, releasesAll(t, func(_ *deliver.Server, l *leavingCaller) { l.untold = true }))
 }
 
 // TestLeavesNothingNeedsTheRefund keeps what was paid for a retry that was never
 // made.
 func TestLeavesNothingNeedsTheRefund(t *testing.T) {
-	proof.Breaks(t, leavesNothing(t, func(s *deliver.Server, _ *leaver) {
+	proof.Breaks(t, releasesAll(t, func(s *deliver.Server, _ *leavingCaller) {
 		s.Refund = func(string) {}
 	}))
 }
@@ -255,7 +255,7 @@
 // TestLeavesNothingNeedsTheEnd has places not given back when a sending ended
 // without an answer.
 func TestLeavesNothingNeedsTheEnd(t *testing.T) {
-	proof.Breaks(t, leavesNothing(t, func(s *deliver.Server, _ *leaver) {
+	proof.Breaks(t, releasesAll(t, func(s *deliver.Server, _ *leavingCaller) {
 		ended := s.Ended
 		s.Ended = func(e deliver.AttemptResult) {
 			if e.Began {
--- a/deliver/deliver.go
+++ b/deliver/deliver.go
@@ -280,6 +280,6 @@
 	Retried       func(Retry)
 
 	mu sync.Mutex
-	// watched are the requests that Look sees to, with how to end each.
-	watched map[*run]context.CancelFunc
+	// running are the requests that Look sees to, with how to end each.
+	running map[*run]context.CancelFunc
 }
--- a/deliver/deliver_test.go
+++ b/deliver/deliver_test.go
@@ -36,7 +36,7 @@
 	fails
 	hangs
 	heldBack
-	ways
+	behaviours
 )
 
 var errBroken = errors.New("broken")
@@ -88,7 +88,7 @@
 		return streamed(s, way == breaksOff), nil
 	}
 	if way == breaksOff {
-		return reply(http.StatusOK, deliver.MayHaveRun, io.MultiReader(strings.NewReader("ha"), broken{})), nil
+		return reply(http.StatusOK, deliver.MayHaveRun, io.MultiReader(strings.NewReader("ha"), brokenBody{})), nil
 	}
 	return reply(http.StatusOK, deliver.MayHaveRun, strings.NewReader("whole")), nil
 }
@@ -102,7 +102,7 @@
 	var text strings.Builder
 	for i := from + 1; i <= events; i++ {
 		if breaks && i > from+1 {
-			return streamReply(io.MultiReader(strings.NewReader(text.String()+"id: 9\nda"), broken{}))
+			return streamReply(io.MultiReader(strings.NewReader(text.String()+"id: 9\nda"), brokenBody{}))
 		}
 		fmt.Fprintf(&text, "id: %d\n\n", i)
 	}
@@ -119,9 +119,9 @@
 	return &deliver.Reply{Status: status, Header: http.Header{}, Verdict: verdict, Length: -1, Body: body, Close: func() {}}
 }
 
-type broken struct{}
+type brokenBody struct{}
 
-func (broken) Read([]byte) (int, error) { return 0, errBroken }
+func (brokenBody) Read([]byte) (int, error) { return 0, errBroken }
 
 func (x *targets) server(route *routing.Route) *deliver.Server {
 	route.Name, route.Host, route.Prefix = "r", "h", "/"
@@ -172,11 +172,11 @@
 
 const wholeStream = "id: 1\n\nid: 2\n\nid: 3\n\nid: 4\n\n"
 
-// keepsPromises says, for any trouble of the targets: a request that may not be
+// invariants says, for any trouble of the targets: a request that may not be
 // repeated runs once at most; one that is said not to have run has not; no more
 // targets than allowed get it; a stream has each event once and in order; each
 // sending is accounted for; the final answer comes in time.
-func keepsPromises(t *testing.T, tamper func(*deliver.Server)) gopter.Prop {
+func invariants(t *testing.T, tamper func(*deliver.Server)) gopter.Prop {
 	return prop.ForAll(func(repeatable, stream, resumable bool, attempts int, script []int) bool {
 		good := true
 		synctest.Test(t, func(*testing.T) {
@@ -196,17 +196,17 @@
 				(got.refused != nil || got.cut || got.status != http.StatusOK || got.body == "whole" || got.body == wholeStream)
 		})
 		return good
-	}, gen.Bool(), gen.Bool(), gen.Bool(), gen.IntRange(1, 3), gen.SliceOfN(6, gen.IntRange(0, ways-1)))
+	}, gen.Bool(), gen.Bool(), gen.Bool(), gen.IntRange(1, 3), gen.SliceOfN(6, gen.IntRange(0, behaviours-1)))
 }
 
 func TestPromises(t *testing.T) {
-	proof.Holds(t, keepsPromises(t, func(*deliver.Server) {}))
+	proof.Holds(t, invariants(t, func(*deliver.Server) {}))
 }
 
 // TestPromisesNeedToKnowWhatWasSent takes out what tells a request that was
 // sent from one that was not.
 func TestPromisesNeedToKnowWhatWasSent(t *testing.T) {
-	proof.Breaks(t, keepsPromises(t, func(s *deliver.Server) {
+	proof.Breaks(t, invariants(t, func(s *deliver.Server) {
 		send := s.Send
 		s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
 			r, err := send(ctx, sending)
@@ -221,7 +221,7 @@
 // TestPromisesNeedTheVerdict takes every answer for the target's promise that
 // it did not run.
 func TestPromisesNeedTheVerdict(t *testing.T) {
-	proof.Breaks(t, keepsPromises(t, func(s *deliver.Server) {
+	proof.Breaks(t, invariants(t, func(s *deliver.Server) {
 		send := s.Send
 		s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
 			r, err := send(ctx, sending)
@@ -235,7 +235,7 @@
 
 // TestPromisesNeedThePlaceBehind has a resumed stream begin anew.
 func TestPromisesNeedThePlaceBehind(t *testing.T) {
-	proof.Breaks(t, keepsPromises(t, func(s *deliver.Server) {
+	proof.Breaks(t, invariants(t, func(s *deliver.Server) {
 		send := s.Send
 		s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
 			if sending.LastEventID != "" {
--- a/deliver/late_test.go
+++ b/deliver/late_test.go
@@ -36,7 +36,7 @@
 		{"in time", io.MultiReader(after(90*time.Millisecond, first), after(40*time.Millisecond, second), after(40*time.Millisecond, third)), false, true},
 		{"the first event is late", io.MultiReader(after(110*time.Millisecond, first), after(0, second)), true, true},
 		{"a long pause", io.MultiReader(after(0, first), after(60*time.Millisecond, second), after(0, third)), true, true},
-		{"a long pause, then cut", io.MultiReader(after(0, first), after(60*time.Millisecond, second), broken{}), false, false},
+		{"a long pause, then cut", io.MultiReader(after(0, first), after(60*time.Millisecond, second), brokenBody{}), false, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/deliver/run.go
+++ b/deliver/run.go
@@ -17,17 +17,17 @@
 
 // Bounds of one request.
 const (
-	// unsent bounds the tries that never reached a target. Three cover a pool
+	// maxUnsent bounds the tries that never reached a target. Three cover a pool
 	// in which a quarter of the replicas crashed, 98 times in 100.
-	unsent = 3
-	// silence is how many times its route's goal a request that may be repeated
+	maxUnsent = 3
+	// silenceFactor is how many times its route's goal a request that may be repeated
 	// waits for an answer before another target is asked, and leastSilence and
 	// mostSilence bound that.
-	silence      = 3
-	leastSilence = 400 * time.Millisecond
-	mostSilence  = 1500 * time.Millisecond
-	// tight is the time under which another try makes no sense.
-	tight = 20 * time.Millisecond
+	silenceFactor      = 3
+	minSilence = 400 * time.Millisecond
+	maxSilence  = 1500 * time.Millisecond
+	// minTimeLeft is the time under which another try makes no sense.
+	minTimeLeft = 20 * time.Millisecond
 )
 
 // run is one request while it is served.
@@ -37,48 +37,48 @@
 	w   http.ResponseWriter
 	// caller ends when the caller leaves, ctx when the time is up as well.
 	caller, ctx context.Context
-	// over is when the request has to be over, begin when the target has to have
+	// finishBy is when the request has to be over, begin when the target has to have
 	// begun; unset if it may begin at any time, or has.
-	over, begin limit
+	finishBy, beginBy deadline
 	// cancel breaks the sending under way off.
 	cancel context.CancelCauseFunc
-	tried  []string
+	attempted  []string
 	// sent counts the targets that may have got the request, ran those of them
 	// that may have run it.
 	sent, ran int
-	// failures counts tries that never reached a target.
-	failures int
-	// paid says that the budget gave a sending that has not left this box yet.
-	paid bool
-	// reserved says that the budget gave a sending for which the one under way was
+	// unsent counts tries that never reached a target.
+	unsent int
+	// retryPaid says that the budget gave a sending that has not left this box yet.
+	retryPaid bool
+	// retryReserved says that the budget gave a sending for which the one under way was
 	// broken off.
-	reserved atomic.Bool
-	// gone says that the caller was found to have closed its connection.
-	gone bool
-	// begun says that an answer's head went to the caller.
-	begun bool
-	// after is the last event passed on, event when one last came, and late says
+	retryReserved atomic.Bool
+	// callerGone says that the caller was found to have closed its connection.
+	callerGone bool
+	// headWritten says that an answer's head went to the caller.
+	headWritten bool
+	// lastEventID is the last event passed on, event when one last came, and late says
 	// that one came later than the route's goals.
-	after   string
-	event   time.Time
+	lastEventID   string
+	lastEventAt   time.Time
 	late    bool
 	outcome Outcome
 }
 
-// errNext says that another target should be tried.
-var errNext = errors.New("try another target")
+// errRetry says that another target should be tried.
+var errRetry = errors.New("try another target")
 
 // Serve serves a call and writes the answer to w. The error is a
 // *refusal.Refusal, returned only if nothing was written. It panics with
 // http.ErrAbortHandler to break off an answer that can't be completed.
 func (s *Server) Serve(ctx context.Context, w http.ResponseWriter, call *Call) error {
-	x := &run{Server: s, w: w, after: call.LastEventID, outcome: Outcome{Call: call}}
-	departed := x.watch(ctx)
+	x := &run{Server: s, w: w, lastEventID: call.LastEventID, outcome: Outcome{Call: call}}
+	departed := x.watchCaller(ctx)
 	refused := x.serve()
 	x.outcome.Teardown, x.outcome.CallerLeft = departed()
 	x.outcome.Took = s.Now().Sub(call.Received)
 	x.outcome.Attempts = x.sent
-	if x.paid || x.reserved.Load() {
+	if x.retryPaid || x.retryReserved.Load() {
 		s.Refund(x.job.Pool.Name)
 	}
 	if refused != nil {
@@ -101,35 +101,35 @@
 		return refused
 	}
 	x.job, x.outcome.Job = job, job
-	if refused := x.read(job); refused != nil {
+	if refused := x.readBody(job); refused != nil {
 		return refused
 	}
 	x.Earn(job.Pool.Name)
 	ctx, cancel := context.WithTimeout(x.caller, job.Until.Sub(x.Now()))
 	defer cancel()
 	x.ctx = ctx
-	x.over.set(job.Until, cancel)
+	x.finishBy.set(job.Until, cancel)
 	for {
-		if x.left() {
-			return x.giveUp(x.notNow(x.job, "caller_left", "the caller closed its connection"))
+		if x.callerLeft() {
+			return x.refuse(x.unavailable(x.job, "caller_left", "the caller closed its connection"))
 		}
-		place, err := x.Place(x.ctx, PlacementRequest{Job: job, Attempted: x.tried})
+		place, err := x.Place(x.ctx, PlacementRequest{Job: job, Attempted: x.attempted})
 		if err != nil {
-			return x.giveUp(refusal.Of(err, refusal.DidNotRun, http.StatusServiceUnavailable))
+			return x.refuse(refusal.Of(err, refusal.DidNotRun, http.StatusServiceUnavailable))
 		}
 		x.outcome.Place = place
-		x.tried = append(x.tried, place.Target)
-		refused, err := x.try(place)
-		if !errors.Is(err, errNext) {
+		x.attempted = append(x.attempted, place.Target)
+		refused, err := x.attempt(place)
+		if !errors.Is(err, errRetry) {
 			return refused
 		}
-		x.Retried(Retry{Job: job, Place: place, Cause: x.outcome.Cause, Resumed: x.resumed()})
+		x.Retried(Retry{Job: job, Place: place, Cause: x.outcome.Cause, Resumed: x.resumedAfter()})
 	}
 }
 
-func (x *run) resumed() string {
-	if x.begun {
-		return x.after
+func (x *run) resumedAfter() string {
+	if x.headWritten {
+		return x.lastEventID
 	}
 	return ""
 }
@@ -137,142 +137,142 @@
 // repeatable says that running the request again does no harm.
 func (x *run) repeatable() bool { return x.job.Route.Repeatable || x.job.Route.Resumable }
 
-// try sends the request to one target and passes its answer on.
-func (x *run) try(place Placement) (*refusal.Refusal, error) {
+// attempt sends the request to one target and passes its answer on.
+func (x *run) attempt(place Placement) (*refusal.Refusal, error) {
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	defer cancel(nil)
 	x.cancel = cancel
 	if !place.BeginBy.IsZero() {
-		overdue := func() { cancel(errOverdue) }
+		overdue := func() { cancel(errWeightsExpired) }
 		late := time.AfterFunc(place.BeginBy.Sub(x.Now()), overdue)
-		x.begin.set(place.BeginBy, overdue)
+		x.beginBy.set(place.BeginBy, overdue)
 		answered := func() {
 			late.Stop()
-			x.begin.clear()
+			x.beginBy.clear()
 		}
 		defer answered()
-		return x.hurried(ctx, cancel, answered, place)
+		return x.attemptGuarded(ctx, cancel, answered, place)
 	}
-	return x.hurried(ctx, cancel, func() {}, place)
+	return x.attemptGuarded(ctx, cancel, func() {}, place)
 }
 
-// hurried sends the request and, if it may be repeated, breaks that off once the
+// attemptGuarded sends the request and, if it may be repeated, breaks that off once the
 // target looks dead; answered is called when an answer or an error has come.
-func (x *run) hurried(ctx context.Context, cancel context.CancelCauseFunc, answered func(), place Placement) (*refusal.Refusal, error) {
+func (x *run) attemptGuarded(ctx context.Context, cancel context.CancelCauseFunc, answered func(), place Placement) (*refusal.Refusal, error) {
 	if x.Suspect != nil && x.repeatable() && x.sent+1 < x.job.Route.Attempts {
 		over := make(chan struct{})
-		go x.hurry(ctx, cancel, over, place.Target)
-		return x.exchange(ctx, func() { answered(); close(over) }, place)
+		go x.abortIfSuspect(ctx, cancel, over, place.Target)
+		return x.send(ctx, func() { answered(); close(over) }, place)
 	}
-	return x.exchange(ctx, answered, place)
+	return x.send(ctx, answered, place)
 }
 
-func (x *run) exchange(ctx context.Context, answered func(), place Placement) (*refusal.Refusal, error) {
-	reply, err := x.Send(ctx, Attempt{Job: x.job, Place: place, Timeout: x.job.Until.Sub(x.Now()), LastEventID: x.after})
+func (x *run) send(ctx context.Context, answered func(), place Placement) (*refusal.Refusal, error) {
+	reply, err := x.Send(ctx, Attempt{Job: x.job, Place: place, Timeout: x.job.Until.Sub(x.Now()), LastEventID: x.lastEventID})
 	answered()
 	if err != nil {
-		if cause := context.Cause(ctx); errors.Is(cause, errSilent) || errors.Is(cause, errOverdue) {
+		if cause := context.Cause(ctx); errors.Is(cause, errSilent) || errors.Is(cause, errWeightsExpired) {
 			err = fmt.Errorf("%w: %w", cause, err)
 		}
-		return x.noAnswer(place, err)
+		return x.handleNoAnswer(place, err)
 	}
-	if errors.Is(context.Cause(ctx), errOverdue) {
+	if errors.Is(context.Cause(ctx), errWeightsExpired) {
 		reply.Close() // It came as the request was broken off.
-		return x.noAnswer(place, errOverdue)
+		return x.handleNoAnswer(place, errWeightsExpired)
 	}
 	defer reply.Close()
 	if reply.Verdict != MayHaveRun {
-		return x.turnedAway(place, reply)
+		return x.handleTurnedAway(place, reply)
 	}
-	x.arrived()
+	x.countArrived()
 	x.ran++
 	x.Began(place)
-	if reply.Status >= http.StatusInternalServerError && x.job.Route.Repeatable && x.again(true) {
+	if reply.Status >= http.StatusInternalServerError && x.job.Route.Repeatable && x.retryAllowed(true) {
 		x.outcome.Cause = fmt.Sprintf("answered %d", reply.Status)
 		x.Ended(AttemptResult{Place: place, Job: x.job, Began: true, Failed: true})
-		return nil, errNext
+		return nil, errRetry
 	}
-	if x.begun && (reply.Status != http.StatusOK || !reply.Events) {
+	if x.headWritten && (reply.Status != http.StatusOK || !reply.Events) {
 		x.Ended(AttemptResult{Place: place, Job: x.job, Began: true, Failed: true})
-		return x.broken(fmt.Sprintf("the stream can't be resumed: %d", reply.Status))
+		return x.abort(fmt.Sprintf("the stream can't be resumed: %d", reply.Status))
 	}
 	if reply.Events && reply.Status == http.StatusOK {
-		return x.stream(ctx, place, reply)
+		return x.relayStream(ctx, place, reply)
 	}
-	return x.whole(place, reply)
+	return x.relay(place, reply)
 }
 
-// noAnswer handles a sending without an answer.
-func (x *run) noAnswer(place Placement, err error) (*refusal.Refusal, error) {
+// handleNoAnswer handles a sending without an answer.
+func (x *run) handleNoAnswer(place Placement, err error) (*refusal.Refusal, error) {
 	notSent := errors.Is(err, exchange.ErrNotSent)
 	left := x.caller.Err() != nil
 	over := !left && x.ctx.Err() != nil
-	failed := !left && !blameless(err)
+	failed := !left && !ownFault(err)
 	x.Ended(AttemptResult{
 		Place: place, Job: x.job, Failed: failed, Unreachable: failed && !over,
 		CutOff: failed && !notSent, CallerLeft: left && !notSent, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED),
 	})
 	x.outcome.Cause = err.Error()
 	if notSent {
-		x.failures++
+		x.unsent++
 	} else {
-		x.arrived()
+		x.countArrived()
 		x.ran++
 	}
 	mayRepeat := notSent || x.repeatable()
-	if left || over || !mayRepeat || !x.again(!notSent) {
-		return x.failed(err)
+	if left || over || !mayRepeat || !x.retryAllowed(!notSent) {
+		return x.fail(err)
 	}
-	return nil, errNext
+	return nil, errRetry
 }
 
-// blameless says that a sending failed for a reason of this box's own.
-func blameless(err error) bool {
-	own := []error{exchange.ErrConnectionLimit, exchange.ErrLate, errOverdue, notice.ErrLeaving, notice.ErrBackoff, notice.ErrLimited}
+// ownFault says that a sending failed for a reason of this box's own.
+func ownFault(err error) bool {
+	own := []error{exchange.ErrConnectionLimit, exchange.ErrLate, errWeightsExpired, notice.ErrLeaving, notice.ErrBackoff, notice.ErrLimited}
 	return slices.ContainsFunc(own, func(reason error) bool { return errors.Is(err, reason) })
 }
 
-// turnedAway handles a target's promise that it did not run the request.
-func (x *run) turnedAway(place Placement, reply *Reply) (*refusal.Refusal, error) {
-	x.arrived()
+// handleTurnedAway handles a target's promise that it did not run the request.
+func (x *run) handleTurnedAway(place Placement, reply *Reply) (*refusal.Refusal, error) {
+	x.countArrived()
 	x.Ended(AttemptResult{Place: place, Job: x.job, Began: false, Failed: reply.Verdict == DidNotRun, Verdict: reply.Verdict, Version: reply.Version})
 	x.outcome.Cause = fmt.Sprintf("turned away with %d", reply.Status)
-	if x.again(true) {
-		return nil, errNext
+	if x.retryAllowed(true) {
+		return nil, errRetry
 	}
-	if x.begun {
-		return x.broken(x.outcome.Cause)
+	if x.headWritten {
+		return x.abort(x.outcome.Cause)
 	}
-	return x.giveUp(x.notNow(x.job, "turned_away", "%s turned the request away with %d", place.Target, reply.Status)), nil
+	return x.refuse(x.unavailable(x.job, "turned_away", "%s turned the request away with %d", place.Target, reply.Status)), nil
 }
 
-// arrived counts a sending that may have reached its target.
-func (x *run) arrived() {
+// countArrived counts a sending that may have reached its target.
+func (x *run) countArrived() {
 	x.sent++
-	x.paid = false
+	x.retryPaid = false
 }
 
-// again says whether one more sending is allowed; it takes it from the budget
+// retryAllowed says whether one more sending is allowed; it takes it from the budget
 // if an earlier one reached a target. What was taken for one that never left this
 // box stands for the next.
-func (x *run) again(reached bool) bool {
-	if x.sent >= x.job.Route.Attempts || x.failures >= unsent || x.job.Until.Sub(x.Now()) < tight || x.left() {
+func (x *run) retryAllowed(reached bool) bool {
+	if x.sent >= x.job.Route.Attempts || x.unsent >= maxUnsent || x.job.Until.Sub(x.Now()) < minTimeLeft || x.callerLeft() {
 		return false
 	}
 	if !reached && x.sent == 0 {
 		return true
 	}
-	x.paid = x.paid || x.reserved.Swap(false) || x.Spend(x.job.Pool.Name)
-	return x.paid
+	x.retryPaid = x.retryPaid || x.retryReserved.Swap(false) || x.Spend(x.job.Pool.Name)
+	return x.retryPaid
 }
 
-// failed ends a request whose last sending got no answer.
-func (x *run) failed(err error) (*refusal.Refusal, error) {
-	if x.begun {
-		return x.broken(err.Error())
+// fail ends a request whose last sending got no answer.
+func (x *run) fail(err error) (*refusal.Refusal, error) {
+	if x.headWritten {
+		return x.abort(err.Error())
 	}
 	if x.ran == 0 {
-		return x.giveUp(x.notNow(x.job, "unreachable", "no target could be reached: %v", err)), nil
+		return x.refuse(x.unavailable(x.job, "unreachable", "no target could be reached: %v", err)), nil
 	}
 	if x.ctx.Err() != nil {
 		return refusal.New(refusal.Unknown, http.StatusGatewayTimeout, "timeout", "no answer came in time"), nil
@@ -280,11 +280,11 @@
 	return refusal.New(refusal.Unknown, http.StatusBadGateway, "no_answer", "the request was sent but no answer came: %v", err), nil
 }
 
-// giveUp makes a refusal true: a request that may have run is not promised
+// refuse makes a refusal true: a request that may have run is not promised
 // not to have run.
-func (x *run) giveUp(r *refusal.Refusal) *refusal.Refusal {
-	if x.begun {
-		refused, _ := x.broken(r.Code)
+func (x *run) refuse(r *refusal.Refusal) *refusal.Refusal {
+	if x.headWritten {
+		refused, _ := x.abort(r.Code)
 		return refused
 	}
 	if x.ran > 0 {
@@ -293,8 +293,8 @@
 	return r
 }
 
-// broken breaks an answer off that was begun.
-func (x *run) broken(cause string) (*refusal.Refusal, error) {
+// abort breaks an answer off that was begun.
+func (x *run) abort(cause string) (*refusal.Refusal, error) {
 	x.outcome.Aborted, x.outcome.Cause = true, cause
 	return nil, nil
 }
--- a/deliver/silent_test.go
+++ b/deliver/silent_test.go
@@ -13,13 +13,13 @@
 	"github.com/thymewind/thymewind/deliver"
 )
 
-// hushed reads a text and then nothing more until its context ends.
-type hushed struct {
+// silentBody reads a text and then nothing more until its context ends.
+type silentBody struct {
 	ctx  context.Context
 	text io.Reader
 }
 
-func (h *hushed) Read(p []byte) (int, error) {
+func (h *silentBody) Read(p []byte) (int, error) {
 	if n, err := h.text.Read(p); err == nil {
 		return n, nil
 	}
@@ -27,13 +27,13 @@
 	return 0, context.Cause(h.ctx)
 }
 
-// sluggish is a caller that takes each event only after a time.
-type sluggish struct {
+// slowCaller is a caller that takes each event only after a time.
+type slowCaller struct {
 	*httptest.ResponseRecorder
 	each time.Duration
 }
 
-func (s *sluggish) Write(b []byte) (int, error) {
+func (s *slowCaller) Write(b []byte) (int, error) {
 	time.Sleep(s.each)
 	return s.ResponseRecorder.Write(b)
 }
@@ -69,7 +69,7 @@
 				s.Suspect = func(context.Context, string) bool { return tt.suspect }
 				s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
 					if x.sent++; x.sent == 1 {
-						return streamReply(&hushed{ctx, strings.NewReader(two)}), nil
+						return streamReply(&silentBody{ctx, strings.NewReader(two)}), nil
 					}
 					return streamed(sending, false), nil
 				}
@@ -96,7 +96,7 @@
 		r.Timeout, r.GapGoal = time.Minute, 300*time.Millisecond
 		x := &targets{}
 		s := x.server(r)
-		w := &sluggish{httptest.NewRecorder(), 5 * time.Second}
+		w := &slowCaller{httptest.NewRecorder(), 5 * time.Second}
 		call := &deliver.Call{ID: "r", Method: "POST", Path: "/x", Host: "h", Body: strings.NewReader("b"), Header: http.Header{}, Received: time.Now()}
 		if err := s.Serve(context.Background(), w, call); err != nil {
 			t.Fatal(err)
@@ -116,7 +116,7 @@
 		pause  time.Duration // Before the answer's head, or in the stream.
 	}{
 		{"an answer that may be repeated", false, 1200 * time.Millisecond},
-		{"a stream that may be resumed", true, hopelessPause},
+		{"a stream that may be resumed", true, longGap},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -126,7 +126,7 @@
 				s := (&targets{}).server(r)
 				s.Spend = func(string) bool { return false }
 				s.Send = func(ctx context.Context, _ deliver.Attempt) (*deliver.Reply, error) {
-					late := &ending{ctx, &delayed{tt.pause, strings.NewReader("id: 2\n\n")}}
+					late := &contextBody{ctx, &delayed{tt.pause, strings.NewReader("id: 2\n\n")}}
 					if tt.stream {
 						return streamReply(io.MultiReader(strings.NewReader("id: 1\n\n"), late)), nil
 					}
@@ -145,9 +145,9 @@
 	}
 }
 
-// hopelessPause is longer than the pause after which a stream's connection counts as
+// longGap is longer than the pause after which a stream's connection counts as
 // silent whatever its target looks like.
-const hopelessPause = 3500 * time.Millisecond
+const longGap = 3500 * time.Millisecond
 
 // TestUnusedTryIsGivenBack has an answer come just as its sending is given up for
 // another try: what the budget gave for that is given back.
--- a/dispatch/ended.go
+++ b/dispatch/ended.go
@@ -57,7 +57,7 @@
 	if p.Kind != pool.KindModel || len(e.Placed.Keys) == 0 {
 		return false
 	}
-	c := b.cacheOf(p.Name)
+	c := b.cacheStatsOf(p.Name)
 	bytes := 0
 	if e.Placed.Import != nil {
 		_, bytes = kvcache.Size(e.Placed.Import.Run)
@@ -66,8 +66,8 @@
 	if e.Placed.Import != nil && e.End.Usage.Imported == 0 && e.End.Usage.Reused == 0 {
 		b.StoreAvoidUntil[e.Placed.StoreName] = now.Add(StoreBackoff)
 	}
-	c.spent(e)
-	c.learnShare(e)
+	c.learnCost(e)
+	c.learnComputed(e)
 	c.policy.Observe(e.Placed.Account, e.Placed.Warm || e.Placed.KeptPieces > 0)
 	b.recent.Add(e.Placed.Home, e.Placed.Target+e.Placed.Version)
 	if !p.Stores || !e.Placed.Store.IsValid() || e.Placed.KeptPieces >= len(e.Placed.Keys) {
@@ -79,14 +79,14 @@
 	tokens := float64(len(e.Placed.Keys) * p.PieceBytes / BytesPerToken)
 	return b.Keep(&c.policy, retention.Candidate{
 		At: now, Account: e.Placed.Account, Weights: p.Policy,
-		Prefill: over(tokens, c.estimate.Prefill), Link: tokens * c.bytesPerToken / c.estimate.Link,
+		Prefill: ratio(tokens, c.estimate.Prefill), Link: tokens * c.bytesPerToken / c.estimate.Link,
 	})
 }
 
 // Exported takes in what an export wrote.
 func (b *Scheduler) Exported(pool string, run []kvcache.Manifest) {
 	if tokens, bytes := kvcache.Size(run); tokens > 0 {
-		b.cacheOf(pool).bytesPerToken = float64(bytes) / float64(tokens)
+		b.cacheStatsOf(pool).bytesPerToken = float64(bytes) / float64(tokens)
 	}
 }
 
@@ -94,21 +94,21 @@
 func (b *Scheduler) learnSpeed(now time.Time, x *target.Target, e route.Ended) {
 	u := e.End.Usage
 	computed := float64(u.Prompt - u.Reused - u.Imported)
-	prefill := b.cacheOf(x.Pool).estimate.Prefill
+	prefill := b.cacheStatsOf(x.Pool).estimate.Prefill
 	if u.PrefillMillis <= 0 || computed <= 0 || prefill == 0 {
 		return
 	}
 	x.Computed(now, u.PrefillMillis/1000*prefill/computed)
 }
 
-// learnShare takes in how much of a prompt was computed.
-func (c *cache) learnShare(e route.Ended) {
+// learnComputed takes in how much of a prompt was computed.
+func (c *cacheStats) learnComputed(e route.Ended) {
 	u := e.End.Usage
 	if u.Prompt == 0 {
 		return
 	}
 	if e.Placed.Warm {
-		c.hit += (float64(u.Reused)/float64(u.Prompt) - c.hit) * computedWeight
+		c.hitShare += (float64(u.Reused)/float64(u.Prompt) - c.hitShare) * computedWeight
 	}
 	share := &c.computedNew
 	if e.Placed.Known {
@@ -120,8 +120,8 @@
 // computedWeight is the part of one prompt in the share computed.
 const computedWeight = 0.02
 
-// over divides, and takes nothing for an unknown rate.
-func over(amount, rate float64) float64 {
+// ratio divides, and takes nothing for an unknown rate.
+func ratio(amount, rate float64) float64 {
 	if rate == 0 {
 		return 0
 	}
--- a/dispatch/fairness.go
+++ b/dispatch/fairness.go
@@ -38,16 +38,16 @@
 	if p.Kind != pool.KindModel {
 		return 0, nil
 	}
-	c := b.cacheOf(p.Name)
-	c.offered.Add(now, ask.Account, 1, c.expects(ask.Account, len(ask.Prompt)/BytesPerToken))
+	c := b.cacheStatsOf(p.Name)
+	c.offered.Add(now, ask.Account, 1, c.predictPrefill(ask.Account, len(ask.Prompt)/BytesPerToken))
 	engines, slots := b.size(now, p.Name)
 	others := b.Others(p.Name)
 	over := func(share float64) bool {
-		return c.prefill.OverShare(now, ask.Account, b.part(share*engines, others.Engines, others.Unreported)) ||
-			c.slots.OverShare(now, ask.Account, b.part(share*slots, others.Slots, others.Unreported))
+		return c.prefill.OverShare(now, ask.Account, b.shareOf(share*engines, others.Engines, others.Unreported)) ||
+			c.slots.OverShare(now, ask.Account, b.shareOf(share*slots, others.Slots, others.Unreported))
 	}
 	switch {
-	case over(highShare), c.floods(now, ask.Account, b.part(floodPart*engines, others.Engines, others.Unreported)) && over(floodShare):
+	case over(highShare), c.floods(now, ask.Account, b.shareOf(floodPart*engines, others.Engines, others.Unreported)) && over(floodShare):
 		return 0, refusal.New(refusal.DidNotRun, http.StatusTooManyRequests, "over_share",
 			"pool %s is crowded and the account has its share", p.Name).After(b.Jitter(fairWindow / 2))
 	case over(lowShare):
@@ -56,10 +56,10 @@
 	return 0, nil
 }
 
-// part is what this box may use of a capacity: what the other boxes leave of
+// shareOf is what this box may use of a capacity: what the other boxes leave of
 // it, of which those not heard of are thought to use their equal part, but at
 // least an equal part.
-func (b *Scheduler) part(capacity, others float64, unheard int) float64 {
+func (b *Scheduler) shareOf(capacity, others float64, unheard int) float64 {
 	equal := capacity / float64(b.Boxes())
 	return max(equal, capacity-others-float64(unheard)*equal)
 }
@@ -67,15 +67,15 @@
 // Demand is how many requests an account has under way or asked for lately, in
 // the time over which work fades.
 func (b *Scheduler) Demand(now time.Time, account string) int {
-	return b.Gate.AccountInFlight(account) + int(math.Ceil(b.asked.Rate(now, account)*fairWindow.Seconds()))
+	return b.Gate.AccountInFlight(account) + int(math.Ceil(b.demand.Rate(now, account)*fairWindow.Seconds()))
 }
 
 // Active lists the accounts that asked for something lately.
-func (b *Scheduler) Active() []string { return b.asked.Accounts() }
+func (b *Scheduler) Active() []string { return b.demand.Accounts() }
 
 // Used is how many engines and slots this box's requests in a pool keep busy.
 func (b *Scheduler) Used(now time.Time, name string) (engines, slots float64) {
-	c := b.cacheOf(name)
+	c := b.cacheStatsOf(name)
 	return c.prefill.Sum(now), c.slots.Sum(now)
 }
 
@@ -90,35 +90,35 @@
 	return engines, slots
 }
 
-// use notes what an admitted request is expected to cost.
-func (b *Scheduler) use(now time.Time, ask route.Ask, p pool.Pool, tokens int) {
+// recordUse notes what an admitted request is expected to cost.
+func (b *Scheduler) recordUse(now time.Time, ask route.Ask, p pool.Pool, tokens int) {
 	if p.Kind != pool.KindModel {
 		return
 	}
-	c := b.cacheOf(p.Name)
+	c := b.cacheStatsOf(p.Name)
 	weight := b.Configuration.Accounts[ask.Account].Weight
-	c.prefill.Add(now, ask.Account, weight, c.expects(ask.Account, tokens))
-	c.slots.Add(now, ask.Account, weight, c.took)
+	c.prefill.Add(now, ask.Account, weight, c.predictPrefill(ask.Account, tokens))
+	c.slots.Add(now, ask.Account, weight, c.meanRun)
 }
 
-// expects predicts the engine-seconds that an account's prompt takes.
-func (c *cache) expects(account string, tokens int) float64 {
+// predictPrefill predicts the engine-seconds that an account's prompt takes.
+func (c *cacheStats) predictPrefill(account string, tokens int) float64 {
 	perToken, known := c.perToken[account]
 	if !known {
-		perToken = over(1, c.estimate.Prefill)
+		perToken = ratio(1, c.estimate.Prefill)
 	}
 	return perToken * float64(tokens)
 }
 
 // floods says whether an account asks for more than a part of the pool while
 // others use it.
-func (c *cache) floods(now time.Time, account string, part float64) bool {
+func (c *cacheStats) floods(now time.Time, account string, part float64) bool {
 	return c.offered.Rate(now, account) > part && len(c.offered.Accounts()) > 1
 }
 
-// spent learns from what a run did cost.
-func (c *cache) spent(e route.Ended) {
-	c.took += (e.Took.Seconds() - c.took) * learnWeight
+// learnCost learns from what a run did cost.
+func (c *cacheStats) learnCost(e route.Ended) {
+	c.meanRun += (e.Took.Seconds() - c.meanRun) * learnWeight
 	u := e.End.Usage
 	if u.Prompt == 0 {
 		return
--- a/dispatch/fairness_test.go
+++ b/dispatch/fairness_test.go
@@ -16,8 +16,8 @@
 	"github.com/thymewind/thymewind/target"
 )
 
-// board knows one pool of engines that compute 1000 tokens a second.
-func board(engines, boxes int, others dispatch.Usage) *dispatch.Scheduler {
+// newScheduler knows one pool of engines that compute 1000 tokens a second.
+func newScheduler(engines, boxes int, others dispatch.Usage) *dispatch.Scheduler {
 	b := &dispatch.Scheduler{
 		Scope: prefix.Scope, Boxes: func() int { return boxes }, Others: func(string) dispatch.Usage { return others },
 		Limit:  func(_ string, limit int) int { return limit },
@@ -83,7 +83,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := admitted(board(10, tt.boxes, tt.others)); got < tt.least || got > tt.most {
+			if got := admitted(newScheduler(10, tt.boxes, tt.others)); got < tt.least || got > tt.most {
 				t.Errorf("%.2f engines were kept busy, want %.2f to %.2f", got, tt.least, tt.most)
 			}
 		})
@@ -103,7 +103,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := board(6, 1, dispatch.Usage{})
+			b := newScheduler(6, 1, dispatch.Usage{})
 			if tt.other {
 				serve(b, time.Unix(999, 0), "b")
 				serve(b, time.Unix(1000, 0), "b")
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -56,7 +56,7 @@
 func (b *Scheduler) admit(now time.Time, ask route.Ask, name string) error {
 	a := b.Configuration.Accounts[ask.Account]
 	capacity, load := b.Capacity(now, name)
-	b.asked.Add(now, ask.Account, 1, 1)
+	b.demand.Add(now, ask.Account, 1, 1)
 	concurrency, tokens := 0, 0
 	if a.Concurrency > 0 {
 		concurrency = b.Limit(ask.Account, a.Concurrency)
@@ -90,7 +90,7 @@
 		return !p.Serves(x.Version) || (ask.Version != "" && x.Version != ask.Version)
 	}
 	tokens := len(ask.Prompt) / BytesPerToken
-	b.computing = b.computes(p, ask, tokens)
+	b.prefillTime = b.predictPrefillTime(p, ask, tokens)
 	want := placement.Request{Home: ask.Home.Rank(), Slack: b.slack(p, ask, tokens), Skip: func(x *target.Target) bool {
 		return skip(x) || (ask.AvoidDomain != "" && x.Domain == ask.AvoidDomain)
 	}}
@@ -100,24 +100,24 @@
 		choice, err = b.Choose(now, want, targets)
 	}
 	if err != nil {
-		return route.Placed{}, b.refuseNone(now, ask, p)
+		return route.Placed{}, b.refuseNoTarget(now, ask, p)
 	}
 	x := targets[choice.Index]
 	x.InFlight++
 	if p.Kind == pool.KindModel {
 		// Services report no load that would set these back.
-		x.Send(now, slowed(now, b.computing, x))
-		b.use(now, ask, p, tokens)
+		x.Send(now, scaled(now, b.prefillTime, x))
+		b.recordUse(now, ask, p, tokens)
 	}
 	b.recordPlaced(now, ask, p, targets, choice)
 	placed := route.Placed{
 		Request: ask.Request, Account: ask.Account, Pool: p.Name, Attempt: ask.Attempt,
 		Target: x.Name, Address: x.Address, Domain: x.Domain, Version: x.Version,
 		Scope: b.Scope(ask.Account, x.Version), PieceBytes: p.PieceBytes, Rule: choice.Rule,
-		FirstToken: firstTokenBound(p), Wait: choice.Wait, At: now, Granted: b.takeQuota(now, x),
+		FirstToken: firstTokenTimeout(p), Wait: choice.Wait, At: now, Granted: b.takeQuota(now, x),
 	}
 	if p.Kind == pool.KindModel {
-		b.addCache(now, ask, p, &placed)
+		b.addCacheInfo(now, ask, p, &placed)
 	}
 	return placed, nil
 }
@@ -127,15 +127,15 @@
 // what engines lately had in memory of such prompts.
 func (b *Scheduler) slack(p pool.Pool, ask route.Ask, tokens int) time.Duration {
 	if p.Kind != pool.KindModel || p.Policy.FirstToken <= 0 {
-		return leastSlack
+		return minSlack
 	}
-	c := b.cacheOf(p.Name)
+	c := b.cacheStatsOf(p.Name)
 	if !b.recent.Contains(ask.Home) {
-		return leastSlack
+		return minSlack
 	}
-	compute := over(float64(tokens), c.estimate.Prefill)
-	gain := hitTrust * c.hit * compute * (p.Policy.FirstToken + p.Policy.Recompute) / p.Policy.FirstToken
-	return leastSlack + time.Duration(min(gain, longestSlack)*float64(time.Second))
+	compute := ratio(float64(tokens), c.estimate.Prefill)
+	gain := hitDiscount * c.hitShare * compute * (p.Policy.FirstToken + p.Policy.Recompute) / p.Policy.FirstToken
+	return minSlack + time.Duration(min(gain, maxSlack)*float64(time.Second))
 }
 
 // Wait predicts the wait at a target, and how much longer than elsewhere the
@@ -144,33 +144,33 @@
 	if x.Slots == 0 {
 		return time.Duration(x.InFlight) * serviceWait
 	}
-	wait := x.WaitAt(b.at, runGuess)
+	wait := x.WaitAt(b.at, assumedRun)
 	if slow := x.Slowness(b.now); slow > 1 {
-		wait += time.Duration((slow - 1) * float64(b.computing))
+		wait += time.Duration((slow - 1) * float64(b.prefillTime))
 	}
 	return wait
 }
 
-// computes predicts how long a prompt's computing takes, at the share that was
+// predictPrefillTime predicts how long a prompt's computing takes, at the share that was
 // computed lately of prompts like it.
-func (b *Scheduler) computes(p pool.Pool, ask route.Ask, tokens int) time.Duration {
-	c := b.cacheOf(p.Name)
+func (b *Scheduler) predictPrefillTime(p pool.Pool, ask route.Ask, tokens int) time.Duration {
+	c := b.cacheStatsOf(p.Name)
 	share := c.computedNew
 	if b.recent.Contains(ask.Home) {
 		share = c.computed
 	}
-	return time.Duration(over(share*float64(tokens), c.estimate.Prefill) * float64(time.Second))
+	return time.Duration(ratio(share*float64(tokens), c.estimate.Prefill) * float64(time.Second))
 }
 
 // Report takes a target's own report in; queued are the prompt tokens that
 // were still to be computed, and lag how old it is already.
 func (b *Scheduler) Report(now time.Time, x *target.Target, running, waiting, queued int, lag time.Duration) {
-	busy := over(float64(queued), b.cacheOf(x.Pool).estimate.Prefill)
-	x.Report(now.Add(-lag-reportLag), running, waiting, slowed(now, time.Duration(busy*float64(time.Second)), x))
+	busy := ratio(float64(queued), b.cacheStatsOf(x.Pool).estimate.Prefill)
+	x.Report(now.Add(-lag-reportLag), running, waiting, scaled(now, time.Duration(busy*float64(time.Second)), x))
 }
 
-// slowed is how long a target takes for what its pool's mean does in d.
-func slowed(now time.Time, d time.Duration, x *target.Target) time.Duration {
+// scaled is how long a target takes for what its pool's mean does in d.
+func scaled(now time.Time, d time.Duration, x *target.Target) time.Duration {
 	return time.Duration(float64(d) * x.Slowness(now))
 }
 
@@ -180,24 +180,24 @@
 // The bounds of the slack: within the least, lagged reports don't tell targets
 // apart. And the share of hits before any is known.
 const (
-	leastSlack   = 20 * time.Millisecond
-	longestSlack = 5.0 // seconds
-	firstHit     = 0.4
-	// hitTrust is the part of a hoped-for hit that waiting for it is worth, as
+	minSlack   = 20 * time.Millisecond
+	maxSlack = 5.0 // seconds
+	initialHitShare     = 0.4
+	// hitDiscount is the part of a hoped-for hit that waiting for it is worth, as
 	// the wait is certain and the hit is not; measured with make measure.
-	hitTrust = 0.6
+	hitDiscount = 0.6
 )
 
 // What waiting behind one request costs: on a plain service, and for a slot.
 const (
 	serviceWait = 10 * time.Millisecond
-	runGuess    = 2 * time.Second
+	assumedRun    = 2 * time.Second
 )
 
-// firstTokenBound is how long an engine may be silent before its first text: a
+// firstTokenTimeout is how long an engine may be silent before its first text: a
 // few times what the pool promises, so that only a dead or frozen one is left.
 // Zero means no bound.
-func firstTokenBound(p pool.Pool) time.Duration {
+func firstTokenTimeout(p pool.Pool) time.Duration {
 	const (
 		factor  = 3
 		without = 10 * time.Second
@@ -211,13 +211,13 @@
 	return factor * time.Duration(p.FirstTokenMillis) * time.Millisecond
 }
 
-// addCache says what is known about the cache of a prompt's beginning.
-func (b *Scheduler) addCache(now time.Time, ask route.Ask, p pool.Pool, placed *route.Placed) {
+// addCacheInfo says what is known about the cache of a prompt's beginning.
+func (b *Scheduler) addCacheInfo(now time.Time, ask route.Ask, p pool.Pool, placed *route.Placed) {
 	last, known := b.recent.Get(ask.Home)
 	placed.Known = known
 	placed.Warm = known && last == placed.Target+placed.Version
 	placed.Home = ask.Home
-	placed.Estimate = b.cacheOf(p.Name).estimate
+	placed.Estimate = b.cacheStatsOf(p.Name).estimate
 	if !p.Stores {
 		return
 	}
--- a/dispatch/place_test.go
+++ b/dispatch/place_test.go
@@ -12,7 +12,7 @@
 // TestRefusedRequestsUseNoTokens has an account ask while no target has the weights. The
 // requests that got no place cost none of its tokens a minute.
 func TestRefusedRequestsUseNoTokens(t *testing.T) {
-	b := board(1, 1, dispatch.Usage{})
+	b := newScheduler(1, 1, dispatch.Usage{})
 	b.Configuration.Accounts = map[string]account.Account{"a": {Name: "a", Weight: 1, TokensPerMinute: 1000}}
 	x, _ := b.Targets.Lookup("a")
 	now := time.Unix(1000, 0)
--- a/dispatch/quota.go
+++ b/dispatch/quota.go
@@ -53,9 +53,9 @@
 // goes on meanwhile, so later requests do.
 func (b *Scheduler) Resumed(now time.Time, x *target.Target) { b.takeQuota(now, x) }
 
-// refuseNone refuses a request that no target takes, and says whether that is as they got the
+// refuseNoTarget refuses a request that no target takes, and says whether that is as they got the
 // requests that they take a second.
-func (b *Scheduler) refuseNone(now time.Time, ask route.Ask, p pool.Pool) *refusal.Refusal {
+func (b *Scheduler) refuseNoTarget(now time.Time, ask route.Ask, p pool.Pool) *refusal.Refusal {
 	spent := func(x *target.Target) bool {
 		return x.Usable(now) && !slices.Contains(ask.Exclude, x.Name) && !b.withinQuota(now, x)
 	}
--- a/dispatch/board.go
+++ b/dispatch/scheduler.go
@@ -74,35 +74,35 @@
 
 	// quotas hold what this box may send to targets that limit requests, by the target's ID.
 	quotas map[uint64]*quota.Bucket
-	// asked counts what each account asked for lately, refused or not.
-	asked fair.Meter
+	// demand counts what each account asked for lately, refused or not.
+	demand fair.Meter
 	// now is the time of the placement under way, and at the same for targets.
 	now time.Time
 	at  time.Duration
-	// computing is how long its prompt is predicted to be computed.
-	computing time.Duration
+	// prefillTime is how long its prompt is predicted to be computed.
+	prefillTime time.Duration
 	// recent maps the homes of prompts served here to target and version.
 	recent *lru.LRU[prefix.Key, string]
 	// cache is what is known about cache, by pool.
-	cache map[string]*cache
+	cache map[string]*cacheStats
 }
 
-// cache is what the board knows about one pool's cache.
-type cache struct {
+// cacheStats is what the board knows about one pool's cache.
+type cacheStats struct {
 	estimate reuse.Estimate
 	policy   retention.Policy
 	// computed and computedNew are the shares of prompt tokens that were
 	// computed lately, of prompts served here before and of others.
 	computed, computedNew float64
-	// hit is the share of prompt tokens that engines had in memory lately, of
+	// hitShare is the share of prompt tokens that engines had in memory lately, of
 	// prompts sent to the target that served them last.
-	hit float64
+	hitShare float64
 	// prefill and slots measure the accounts' use of engines, in engine-seconds.
 	prefill, slots fair.Meter
 	// offered measures what accounts ask for, refused or not.
 	offered fair.Meter
-	// took is a moving mean of the time that a run has a slot for, in seconds.
-	took float64
+	// meanRun is a moving mean of the time that a run has a slot for, in seconds.
+	meanRun float64
 	// perToken are the accounts' moving means of the prefill that a prompt
 	// token takes, in seconds; an account without one is taken to compute all.
 	perToken map[string]float64
@@ -115,9 +115,9 @@
 	b.Configuration = &configuration.Configuration{}
 	b.Pools = make(map[string][]*target.Target)
 	b.StoreAvoidUntil = make(map[string]time.Time)
-	b.cache = make(map[string]*cache)
+	b.cache = make(map[string]*cacheStats)
 	b.quotas = make(map[uint64]*quota.Bucket)
-	b.asked = fair.Meter{Window: fairWindow}
+	b.demand = fair.Meter{Window: fairWindow}
 	// The size is a positive constant, the only thing that could be refused.
 	b.recent, _ = lru.NewLRU[prefix.Key, string](recentPrompts, nil)
 }
@@ -188,12 +188,12 @@
 	x.AvoidUntil = now.Add(min(first<<min(x.Failures-1, doubled), longest))
 }
 
-// cacheOf returns a pool's state, new if need be.
-func (b *Scheduler) cacheOf(pool string) *cache {
+// cacheStatsOf returns a pool's state, new if need be.
+func (b *Scheduler) cacheStatsOf(pool string) *cacheStats {
 	c, known := b.cache[pool]
 	if !known {
-		c = &cache{
-			computed: 1, computedNew: 1, hit: firstHit, policy: retention.Policy{Burst: 5, LinkShare: 0.3},
+		c = &cacheStats{
+			computed: 1, computedNew: 1, hitShare: initialHitShare, policy: retention.Policy{Burst: 5, LinkShare: 0.3},
 			offered: fair.Meter{Window: fairWindow}, prefill: fair.Meter{Window: fairWindow}, slots: fair.Meter{Window: fairWindow}, perToken: make(map[string]float64),
 		}
 		b.cache[pool] = c
--- a/entry/build.go
+++ b/entry/build.go
@@ -27,16 +27,16 @@
 )
 
 const (
-	// messageRoom is how many messages wait for the loop before senders wait.
-	messageRoom = 1024
+	// messageBuffer is how many messages wait for the loop before senders wait.
+	messageBuffer = 1024
 	// proofMargin is taken off the bound after which keys are not trusted: for
 	// the time between the check and the target's start of work.
 	proofMargin = 700 * time.Millisecond
 	// answerMargin is the same for answers of this box's own, which no target works on first.
 	answerMargin = 100 * time.Millisecond
-	// answeredLines is how many lines on whole answers are logged a second; a
+	// answerLogRate is how many lines on whole answers are logged a second; a
 	// line costs about 10 us.
-	answeredLines = 100
+	answerLogRate = 100
 	// retryUse is how much of the retry budget the boxes use together. The
 	// rest covers boxes that are not counted yet.
 	retryUse = 0.7
@@ -92,7 +92,7 @@
 	d.bounds.Store(&d.Settings.Bounds)
 	d.tables = newTables()
 	d.tables.regions[d.Settings.Domain] = d.Settings.Region
-	d.messages = make(chan message, messageRoom)
+	d.messages = make(chan message, messageBuffer)
 	d.hooks = newHooks()
 	d.metrics = newMetricSet(d.Registry)
 	d.ended = make(chan struct{})
@@ -105,7 +105,7 @@
 		Stores:           func() []*affinity.Source { return d.tables.stores },
 		TransferPerToken: func() time.Duration { return d.tables.engineToken },
 		Slack:            affinity.Slack,
-		AllowSave:        every, AllowStoreFetch: every, AllowEngineFetch: every,
+		AllowSave:        allSources, AllowStoreFetch: allSources, AllowEngineFetch: allSources,
 		PrefillPerToken: d.readingToken,
 		FirstEventBase:  func() time.Duration { base, _ := d.tables.pace.Prefill(); return base },
 		Slowdown:        func(now time.Time, source string) float64 { return d.tables.stretch(now, source) },
@@ -119,29 +119,29 @@
 	d.random = rand.Float64
 	d.retryEstimator = retryafter.Estimator{Draw: d.random}
 	d.retryEstimator.Started(d.startedAt, noConfiguration)
-	d.logLimiter = rate.NewLimiter(answeredLines, answeredLines)
+	d.logLimiter = rate.NewLimiter(answerLogRate, answerLogRate)
 	d.buildLease()
 	d.buildServer()
 	d.buildPeers()
 	d.ablate()
 }
 
-// every source is used.
-func every(*affinity.Source) bool { return true }
+// allSources source is used.
+func allSources(*affinity.Source) bool { return true }
 
 func (d *Daemon) buildPeers() {
 	d.peers = peer.Node{
 		Handle: d.answerPeer, HTTP: http.DefaultClient, Scheme: "ws",
-		CredentialFunc: d.shown,
+		CredentialFunc: d.shownCredential,
 		OnSilent:       func(at netip.AddrPort, waited time.Duration) { d.ReportSilence(ToBox, at.String(), waited) },
 		OnSent:         func(n int) { d.metrics.peerBytes.WithLabelValues("sent").Add(float64(n)) },
 		OnReceived:     func(n int) { d.metrics.peerBytes.WithLabelValues("received").Add(float64(n)) },
 	}
 }
 
-// shown is what this box shows other boxes: nothing, which they refuse, until it
+// shownCredential is what this box shows other boxes: nothing, which they refuse, until it
 // has read the credential.
-func (d *Daemon) shown() string {
+func (d *Daemon) shownCredential() string {
 	if credential := d.credential.Load(); credential != nil {
 		return *credential
 	}
--- a/entry/emulator_test.go
+++ b/entry/emulator_test.go
@@ -21,8 +21,8 @@
 
 // How the emulated fleet's parts behave.
 const (
-	// emulatedHop is the way between two boxes, storeAnswer what the table service takes.
-	emulatedHop = time.Millisecond
+	// networkDelay is the way between two boxes, storeAnswer what the table service takes.
+	networkDelay = time.Millisecond
 	storeAnswer = 5 * time.Millisecond
 	// emulatedStep is how often time passes.
 	emulatedStep = 50 * time.Millisecond
@@ -41,8 +41,8 @@
 	byName  map[string]*Daemon
 	pending []pending
 	rows    *fake.Table
-	// fed are the rows as they were last told.
-	fed []table.Row
+	// lastRows are the rows as they were last told.
+	lastRows []table.Row
 	// tableServiceDown are boxes that the table service does not answer, dead those that answer nobody.
 	tableServiceDown, dead map[string]bool
 	// operator is what the operator wrote last, changed its version.
@@ -107,7 +107,7 @@
 	}
 	d.Platform.ReportCanary = func(_ context.Context, ask canary.Rollout, state canary.State) error {
 		w.cost[name].storeCalls++
-		w.tell(ask.Pool, state)
+		w.recordCanary(ask.Pool, state)
 		return nil
 	}
 	d.lease.Now, d.lease.Commit, d.lease.Read = d.now, d.Platform.Commit, d.Platform.Read
@@ -117,8 +117,8 @@
 	return d
 }
 
-// tell tells the operator, of whose row nothing is taken back but for another ask.
-func (w *emulator) tell(pool string, state canary.State) {
+// recordCanary tells the operator, of whose row nothing is taken back but for another ask.
+func (w *emulator) recordCanary(pool string, state canary.State) {
 	told := w.canaryReports[pool]
 	if len(told) > 0 && told[len(told)-1].Ended() && !state.Ended() {
 		return
@@ -162,13 +162,13 @@
 	return w.rows.Commit(ctx, tx)
 }
 
-// feedRows tells the boxes that read the system's own rows of changes.
-func (w *emulator) feedRows() {
+// notifyRowReaders tells the boxes that read the system's own rows of changes.
+func (w *emulator) notifyRowReaders() {
 	rows, err := w.rows.ListAll(context.Background(), "")
-	if err != nil || slices.EqualFunc(rows, w.fed, func(a, b table.Row) bool { return a.Key == b.Key && a.Revision == b.Revision }) {
+	if err != nil || slices.EqualFunc(rows, w.lastRows, func(a, b table.Row) bool { return a.Key == b.Key && a.Revision == b.Revision }) {
 		return
 	}
-	w.fed = rows
+	w.lastRows = rows
 	for _, d := range w.boxes {
 		if !d.spoke.Load() && !w.tableServiceDown[d.Settings.Name] && !w.dead[d.Settings.Name] {
 			whole := d.tables.ownRowsRevision.Restores < w.restores
@@ -183,7 +183,7 @@
 	for _, e := range entries {
 		w.targets[e.ID] = e
 	}
-	w.tellList(Targets{Listed: entries, Known: w.revision(), Changed: w.revision()})
+	w.notifyListReaders(Targets{Listed: entries, Known: w.revision(), Changed: w.revision()})
 }
 
 // removeTargets takes targets out of the list.
@@ -192,10 +192,10 @@
 	for _, id := range ids {
 		delete(w.targets, id)
 	}
-	w.tellList(Targets{Gone: ids, Known: w.revision(), Changed: w.revision()})
+	w.notifyListReaders(Targets{Gone: ids, Known: w.revision(), Changed: w.revision()})
 }
 
-func (w *emulator) tellList(change Targets) {
+func (w *emulator) notifyListReaders(change Targets) {
 	for _, d := range w.boxes {
 		w.after(targetsReadInterval/2, func() {
 			if !d.hasFreshView(w.now) && !w.tableServiceDown[d.Settings.Name] {
@@ -231,7 +231,7 @@
 	if err != nil {
 		panic(err) // The emulated table draws no fault for reads of all.
 	}
-	w.fed = rows
+	w.lastRows = rows
 	for _, d := range w.boxes {
 		if !d.hasFreshView(w.now) && !w.tableServiceDown[d.Settings.Name] {
 			w.perform(d, d.update(w.now, targetsRead{w.now, w.list(), true}))
@@ -248,8 +248,8 @@
 // advance passes time, in which each box's systems run, and what is under way arrives.
 func (w *emulator) advance(length time.Duration, each func()) {
 	for end := w.now.Add(length); w.now.Before(end); w.now = w.now.Add(emulatedStep) {
-		w.arrive()
-		w.feedRows()
+		w.runDue()
+		w.notifyRowReaders()
 		for _, d := range w.boxes {
 			if !w.dead[d.Settings.Name] {
 				w.tick(d)
@@ -261,8 +261,8 @@
 	}
 }
 
-// arrive does what is due, in its order.
-func (w *emulator) arrive() {
+// runDue does what is due, in its order.
+func (w *emulator) runDue() {
 	due := w.pending
 	w.pending = nil
 	slices.SortStableFunc(due, func(a, b pending) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
@@ -303,7 +303,7 @@
 				w.perform(d, d.update(w.now, hubPlaced{e.hub, e.m, answer.PlacementResponse, err}))
 			})
 		case fetchConfiguration:
-			w.after(2*emulatedHop, func() {
+			w.after(2*networkDelay, func() {
 				w.perform(d, d.update(w.now, configurationFromHub{e.proof, Operator{Table: w.operator.Table}, nil}))
 			})
 		case watchSource:
@@ -342,10 +342,10 @@
 		return
 	}
 	w.count(from, m)
-	w.after(emulatedHop, func() {
+	w.after(networkDelay, func() {
 		answer := to.peerRequest(w.now, &to.tables, m)
 		w.count(to, answer)
-		w.after(emulatedHop, func() { done(answer, nil) })
+		w.after(networkDelay, func() { done(answer, nil) })
 	})
 }
 
--- a/entry/slopes_test.go
+++ b/entry/hub_bench_test.go
@@ -13,9 +13,9 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// sizes are how many targets hubs tell of: of the deployments known, and the largest asked
+// targetCounts are how many targets hubs tell of: of the deployments known, and the largest asked
 // for.
-var sizes = []int{60, 300, 600, 3000}
+var targetCounts = []int{60, 300, 600, 3000}
 
 // hubWithTargets is a hub that knows so many engines.
 func hubWithTargets(targets int) *Daemon {
@@ -36,7 +36,7 @@
 // BenchmarkView tells what a hub's view costs, by targets, with the list of these, told
 // as its first part, as one change, and not at all. Bytes are those on the wire.
 func BenchmarkView(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range targetCounts {
 		hub := hubWithTargets(n)
 		for _, tt := range []struct {
 			name string
@@ -67,7 +67,7 @@
 // BenchmarkNameTargets tells what a request that a hub places pays for naming the targets to
 // which its box is linked (here all), and those that are closed to it.
 func BenchmarkNameTargets(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range targetCounts {
 		for _, closed := range []int{0, n / 10} {
 			d := hubWithTargets(n)
 			for i := range closed {
--- a/entry/listen.go
+++ b/entry/listen.go
@@ -16,16 +16,16 @@
 
 // How callers are served and how a stop goes.
 const (
-	// headWithin bounds how long a caller may take to send a head, idleFor how
+	// headerTimeout bounds how long a caller may take to send a head, idleFor how
 	// long its connection rests; both are above what the platform's callers
 	// take.
-	headWithin = 3 * time.Second
-	idleFor    = 60 * time.Second
-	// headBytes bounds a head until the configuration says otherwise.
-	headBytes = 64 << 10
-	// leaveBefore is how long before the platform kills the process it ends by
+	headerTimeout = 3 * time.Second
+	idleTimeout    = 60 * time.Second
+	// maxHeaderBytes bounds a head until the configuration says otherwise.
+	maxHeaderBytes = 64 << 10
+	// shutdownMargin is how long before the platform kills the process it ends by
 	// itself.
-	leaveBefore = 600 * time.Millisecond
+	shutdownMargin = 600 * time.Millisecond
 )
 
 // listen opens all listeners before any is served.
@@ -36,7 +36,7 @@
 		handler http.Handler
 	}{
 		{d.Settings.Callers, front},
-		{d.Settings.Ready, http.HandlerFunc(d.ready)},
+		{d.Settings.Ready, http.HandlerFunc(d.serveReady)},
 		{d.Settings.Peers, d.peerHandler()},
 		{d.Settings.Metrics, promhttp.HandlerFor(d.Registry, promhttp.HandlerOpts{})},
 	}
@@ -51,7 +51,7 @@
 			return nil, trace.Wrap(err, "listening on %v", l.at)
 		}
 		listeners = append(listeners, listener)
-		servers = append(servers, &http.Server{Handler: l.handler, ReadHeaderTimeout: headWithin, IdleTimeout: idleFor, MaxHeaderBytes: headBytes, ErrorLog: d.Log.StandardLog(), ConnContext: hangup.ConnContext})
+		servers = append(servers, &http.Server{Handler: l.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: d.Log.StandardLog(), ConnContext: hangup.ConnContext})
 	}
 	for i, s := range servers {
 		d.effects.Go(func() {
@@ -75,8 +75,8 @@
 	})
 }
 
-// ready answers whether this box should get new connections.
-func (d *Daemon) ready(w http.ResponseWriter, _ *http.Request) {
+// serveReady answers whether this box should get new connections.
+func (d *Daemon) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if d.stopping.Load() || d.current.Load() == nil || !d.keysFresh(d.now()) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -90,7 +90,7 @@
 	d.stopping.Store(true)
 	bounds := d.bounds.Load()
 	d.Log.Info("stopping", "kill_after", bounds.Stop)
-	end := d.now().Add(bounds.Stop - leaveBefore)
+	end := d.now().Add(bounds.Stop - shutdownMargin)
 	d.closing.Store(true)
 	time.Sleep(bounds.Notice)
 	ctx, cancel := context.WithTimeout(context.Background(), end.Sub(d.now()))
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -37,25 +37,25 @@
 	rewritten         prometheus.Counter
 }
 
-// latencies are the histograms' bounds in seconds, around the goals of 0.15 to
+// latencyBuckets are the histograms' bounds in seconds, around the goals of 0.15 to
 // 0.6 s.
-var latencies = []float64{0.02, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1, 2, 5, 15}
+var latencyBuckets = []float64{0.02, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1, 2, 5, 15}
 
-// weightsAges are the histogram's bounds in seconds, around the usual bound of
+// weightsAgeBuckets are the histogram's bounds in seconds, around the usual bound of
 // 12 s for requests on replaced weights.
-var weightsAges = []float64{0.5, 1.5, 3, 5, 8, 10, 11, 12, 15}
+var weightsAgeBuckets = []float64{0.5, 1.5, 3, 5, 8, 10, 11, 12, 15}
 
-// endings are the bounds in seconds of how long work goes on for callers that
+// teardownBuckets are the bounds in seconds of how long work goes on for callers that
 // left. It takes some milliseconds; the platform's users count what takes over
 // half a second.
-var endings = []float64{0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1}
+var teardownBuckets = []float64{0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1}
 
 func newMetricSet(r *prometheus.Registry) metricSet {
 	c := metricSet{
 		requests:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_requests_total", Help: "Requests by pool, status and cause."}, []string{"pool", "status", "cause"}),
 		retries:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_retries_total", Help: "Further tries by pool."}, []string{"pool"}),
-		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_first_byte_seconds", Help: "From the request's head to the answer's first byte.", Buckets: latencies}, []string{"pool"}),
-		answer:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_answer_seconds", Help: "From the request's head to the answer's end.", Buckets: latencies}, []string{"pool"}),
+		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_first_byte_seconds", Help: "From the request's head to the answer's first byte.", Buckets: latencyBuckets}, []string{"pool"}),
+		answer:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_answer_seconds", Help: "From the request's head to the answer's end.", Buckets: latencyBuckets}, []string{"pool"}),
 
 		configuration: prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_configuration", Help: "The configuration version in force."}),
 		targets:       prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_targets", Help: "Targets known."}),
@@ -65,9 +65,9 @@
 	c.evacuated = prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_evacuated_domains", Help: "Failure domains that get no work, as the operator asks."})
 	c.cold = prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_cold_targets", Help: "Targets that are cold, or may be."})
 	c.peerBytes = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_peer_bytes_total", Help: "Bytes between boxes."}, []string{"direction"})
-	c.teardown = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_caller_left_seconds", Help: "From when a caller was seen to leave until all that was under way for it had ended.", Buckets: endings}, []string{"pool"})
+	c.teardown = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_caller_left_seconds", Help: "From when a caller was seen to leave until all that was under way for it had ended.", Buckets: teardownBuckets}, []string{"pool"})
 	c.unlogged = prometheus.NewCounter(prometheus.CounterOpts{Name: "thymewind_entry_unlogged_total", Help: "Whole answers without a line of their own in the log, as there were many."})
-	c.replaced = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "thymewind_entry_replaced_weights_seconds", Help: "How long the weights of a placed request had been replaced by newer ones; only requests on replaced weights count.", Buckets: weightsAges})
+	c.replaced = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "thymewind_entry_replaced_weights_seconds", Help: "How long the weights of a placed request had been replaced by newer ones; only requests on replaced weights count.", Buckets: weightsAgeBuckets})
 	c.refusals = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_refusals_total", Help: "Refused requests by the refusal's code."}, []string{"code"})
 	c.silentConnections = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_silent_connections_total", Help: "Connections given up as they said nothing, by what they led to."}, []string{"to"})
 	c.cutOff = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_cut_total", Help: "Requests that a target may have run and gave no whole answer to, by pool."}, []string{"pool"})
--- a/entry/systems.go
+++ b/entry/systems.go
@@ -65,10 +65,10 @@
 
 // reapRequests ends requests whose callers left unseen by the HTTP server.
 func (d *Daemon) reapRequests(now time.Time, t *tables) []effect {
-	if now.Before(t.due.callers) {
+	if now.Before(t.due.reap) {
 		return nil
 	}
-	t.due.callers = now.Add(reapInterval)
+	t.due.reap = now.Add(reapInterval)
 	d.server.Reap()
 	return nil
 }
--- a/entry/tables.go
+++ b/entry/tables.go
@@ -202,7 +202,7 @@
 // scan names a state of the list and of what was named.
 type scan struct {
 	list   uint64
-	wanted int64
+	newestVersion int64
 }
 
 // modelRollout is one model's rollout as this box sees it.
@@ -242,7 +242,7 @@
 
 // due is when the systems next have something to do.
 type due struct {
-	sweep, lease, probe, gossip, callers, suspension, refresh time.Time
+	sweep, lease, probe, gossip, reap, suspension, refresh time.Time
 }
 
 // member is another box.
--- a/entry/update.go
+++ b/entry/update.go
@@ -130,13 +130,13 @@
 	}
 	if m.Unreachable {
 		x.Fail(now)
-		d.noteFailed(now, x, m)
+		d.logFailure(now, x, m)
 	}
 	d.learnVersion(now, t, x, m)
 }
 
-// noteFailed logs and counts a request that a target failed.
-func (d *Daemon) noteFailed(now time.Time, x *fleet.Target, m attemptEnded) {
+// logFailure logs and counts a request that a target failed.
+func (d *Daemon) logFailure(now time.Time, x *fleet.Target, m attemptEnded) {
 	fields := []any{"target", x.ID, "pool", x.Pool, "request", m.Job.ID, "grey", x.Grey(now), "refused", m.ConnectionRefused}
 	if m.CutOff {
 		d.metrics.cutOff.WithLabelValues(x.Pool).Inc()
--- a/exposure/gate.go
+++ b/exposure/gate.go
@@ -7,9 +7,9 @@
 //	if g.Room("orders") { ...; g.Take("orders", true) } else { ...; g.Take("orders", false) }
 package exposure
 
-// use is how much of the share is used: requests are counted when they are placed, and
+// safetyFactor is how much of the share is used: requests are counted when they are placed, and
 // some of those counted never arrive.
-const use = 0.85
+const safetyFactor = 0.85
 
 // Gate counts the requests of one box. It is not safe for concurrent use.
 type Gate struct {
@@ -29,7 +29,7 @@
 // Allow says that the next request of a route may be one that is tried.
 func (g *Gate) Allow(route string) bool {
 	c := g.routes[route]
-	return c != nil && float64(c.tried+1) <= use*g.share*float64(c.all+1)
+	return c != nil && float64(c.tried+1) <= safetyFactor*g.share*float64(c.all+1)
 }
 
 // Record counts a request.
--- a/exposure/gate_test.go
+++ b/exposure/gate_test.go
@@ -11,9 +11,9 @@
 	"github.com/thymewind/thymewind/exposure"
 )
 
-// boxes plays requests of some routes at 70 boxes that start again now and then and forget,
+// playBoxes plays requests of some routes at 70 boxes that start again now and then and forget,
 // and returns how many were sent in all and how many were tried.
-func boxes(seed uint64, share float64, room func(g *exposure.Gate, route string) bool) (all, tried int) {
+func playBoxes(seed uint64, share float64, room func(g *exposure.Gate, route string) bool) (all, tried int) {
 	dice := rand.New(rand.NewPCG(seed, 1))
 	gates := make([]*exposure.Gate, 70)
 	for range 6000 {
@@ -39,7 +39,7 @@
 	properties := gopter.NewProperties(parameters)
 	properties.Property("within the share", prop.ForAll(func(seed uint64, percent int) bool {
 		share := float64(percent) / 100
-		all, tried := boxes(seed, share, (*exposure.Gate).Allow)
+		all, tried := playBoxes(seed, share, (*exposure.Gate).Allow)
 		return float64(tried) <= share*float64(all)
 	}, gen.UInt64(), gen.IntRange(1, 50)))
 	properties.TestingRun(t)
@@ -48,7 +48,7 @@
 func TestShareOverBoxesNeedsTheCount(t *testing.T) {
 	const share = 0.01
 	first := make(map[*exposure.Gate]bool)
-	all, tried := boxes(1, share, func(g *exposure.Gate, route string) bool {
+	all, tried := playBoxes(1, share, func(g *exposure.Gate, route string) bool {
 		ahead := !first[g]
 		first[g] = true
 		return ahead || g.Allow(route)
--- a/leastrequest/nearest.go
+++ b/leastrequest/leastrequest.go
@@ -17,13 +17,13 @@
 const SilenceTimeout = 350 * time.Millisecond
 
 const (
-	// elsewhere is the cost of another failure domain in requests under way: a
+	// otherDomainCost is the cost of another failure domain in requests under way: a
 	// request takes 30 ms, the way there and back 2 ms.
-	elsewhere = 0.5
-	// doubt is the cost of a target that fails an unusual share.
-	doubt = 100.0
-	// suspicion is the cost of a target that could not be reached lately.
-	suspicion = 200.0
+	otherDomainCost = 0.5
+	// greyCost is the cost of a target that fails an unusual share.
+	greyCost = 100.0
+	// ejectedCost is the cost of a target that could not be reached lately.
+	ejectedCost = 200.0
 )
 
 // Chooser chooses by what this box knows.
@@ -58,13 +58,13 @@
 func (c Chooser) cost(now time.Time, t *fleet.Target) float64 {
 	cost := float64(t.InFlight)
 	if t.Domain != c.Domain {
-		cost += elsewhere
+		cost += otherDomainCost
 	}
 	if t.Grey(now) {
-		cost += doubt
+		cost += greyCost
 	}
 	if t.Ejected(now) {
-		cost += suspicion
+		cost += ejectedCost
 	}
 	return cost
 }
--- a/minlatency/quickest.go
+++ b/minlatency/minlatency.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// window is how long a time counts: for one to two of these. Engines that have
+	// windowLength is how long a time counts: for one to two of these. Engines that have
 	// become quicker are believed at once, slower ones after the second.
-	window = 15 * time.Second
+	windowLength = 15 * time.Second
 	// MinSamples is how many requests have to be seen within that. Of requests whose
 	// times spread as those of services do, 3 in 1,000 are quicker than margin of
 	// the quickest of so many.
@@ -27,33 +27,33 @@
 // Tracker is safe for concurrent use. The zero value is ready.
 type Tracker struct {
 	mu sync.Mutex
-	// began is when the present window began.
-	began       time.Time
-	now, before map[string]seen
+	// windowStart is when the present window began.
+	windowStart       time.Time
+	current, previous map[string]window
 }
 
-// seen is what one window saw of a kind.
-type seen struct {
+// window is what one window saw of a kind.
+type window struct {
 	count int
 	least time.Duration
 }
 
-func (s seen) with(o seen) seen {
+func (s window) merge(o window) window {
 	switch {
 	case s.count == 0:
 		return o
 	case o.count == 0:
 		return s
 	}
-	return seen{s.count + o.count, min(s.least, o.least)}
+	return window{s.count + o.count, min(s.least, o.least)}
 }
 
 // Observe notes that a request was served whole in the time given.
 func (r *Tracker) Observe(now time.Time, kind string, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.turn(now)
-	r.now[kind] = r.now[kind].with(seen{1, took})
+	r.rotate(now)
+	r.current[kind] = r.current[kind].merge(window{1, took})
 }
 
 // Min returns a time in which no request of a kind can be expected to be served,
@@ -61,21 +61,21 @@
 func (r *Tracker) Min(now time.Time, kind string) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.turn(now)
-	s := r.now[kind].with(r.before[kind])
+	r.rotate(now)
+	s := r.current[kind].merge(r.previous[kind])
 	return time.Duration(margin * float64(s.least)), s.count >= MinSamples
 }
 
-// turn begins another window when the present one is over.
-func (r *Tracker) turn(now time.Time) {
-	passed := now.Sub(r.began)
-	if r.now != nil && passed < window {
+// rotate begins another window when the present one is over.
+func (r *Tracker) rotate(now time.Time) {
+	passed := now.Sub(r.windowStart)
+	if r.current != nil && passed < windowLength {
 		return
 	}
-	r.before = r.now
-	if passed >= 2*window {
-		r.before = nil
+	r.previous = r.current
+	if passed >= 2*windowLength {
+		r.previous = nil
 	}
-	r.now = make(map[string]seen)
-	r.began = now
+	r.current = make(map[string]window)
+	r.windowStart = now
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -41,8 +41,8 @@
 	waits []time.Duration
 }
 
-// closed is the wait of a target that can't be chosen.
-const closed = -1
+// ineligible is the wait of a target that can't be chosen.
+const ineligible = -1
 
 // Request is what a request is placed by.
 type Request struct {
@@ -81,14 +81,14 @@
 // Choose returns the target for a request. It fails with trace.NotFound when
 // no target is usable.
 func (c *Chooser) Choose(now time.Time, ask Request, targets []*target.Target) (Choice, error) {
-	choice := Choice{Index: -1, Home: -1, MinWait: closed}
+	choice := Choice{Index: -1, Home: -1, MinWait: ineligible}
 	c.waits = c.waits[:0]
 	for _, t := range targets {
-		wait := time.Duration(closed)
-		if c.open(now, ask, t) {
+		wait := time.Duration(ineligible)
+		if c.eligible(now, ask, t) {
 			wait = c.Wait(t)
 			choice.Usable++
-			if choice.MinWait == closed || wait < choice.MinWait {
+			if choice.MinWait == ineligible || wait < choice.MinWait {
 				choice.MinWait = wait
 			}
 		}
@@ -110,7 +110,7 @@
 	var best, home uint64
 	longest := choice.MinWait + ask.Slack
 	for i, wait := range c.waits {
-		if wait == closed {
+		if wait == ineligible {
 			continue
 		}
 		weight := Weight(ask.Home, targets[i].Hash)
@@ -123,6 +123,6 @@
 	}
 }
 
-func (c *Chooser) open(now time.Time, ask Request, t *target.Target) bool {
+func (c *Chooser) eligible(now time.Time, ask Request, t *target.Target) bool {
 	return c.Usable(t, now) && (ask.Skip == nil || !ask.Skip(t))
 }
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// grown is a configuration of many routes under one host.
-func grown(routes int) *routing.Table {
+// tableWithRoutes is a configuration of many routes under one host.
+func tableWithRoutes(routes int) *routing.Table {
 	list := make([]*routing.Route, routes)
 	for i := range list {
 		list[i] = &routing.Route{Name: fmt.Sprint(i), Host: "a.example", Prefix: fmt.Sprintf("/idle-%d/x/", i), Shares: []routing.Share{{Pool: "p", Weight: 1}}}
@@ -21,7 +21,7 @@
 // with what that takes up.
 func BenchmarkRoute(b *testing.B) {
 	for _, routes := range []int{100, 1000, 10000} {
-		table := grown(routes)
+		table := tableWithRoutes(routes)
 		path := fmt.Sprintf("/idle-%d/x/y/z", routes/2)
 		b.Run(fmt.Sprintf("lookup/%d", routes), func(b *testing.B) {
 			b.ReportAllocs()
@@ -33,11 +33,11 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			kept := grown(routes)
+			kept := tableWithRoutes(routes)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			for b.Loop() {
-				grown(routes)
+				tableWithRoutes(routes)
 			}
 			b.ReportMetric(float64(after.HeapAlloc)-float64(before.HeapAlloc), "kept-bytes")
 			runtime.KeepAlive(kept)
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -27,8 +27,8 @@
 	hosts map[string]*host
 	// keys finds the account of a key.
 	keys map[string]*Account
-	// least is the highest rank of the routes of each pool, goals the shortest goal.
-	least map[string]int
+	// lowestPriorities is the highest rank of the routes of each pool, goals the shortest goal.
+	lowestPriorities map[string]int
 	goals map[string]time.Duration
 	// keyed says that requests need a key, unless their route is open.
 	keyed bool
@@ -134,7 +134,7 @@
 		Pools:   make(map[string]*Pool, len(pools)),
 		hosts:   make(map[string]*host),
 		keys:    make(map[string]*Account),
-		least:   make(map[string]int),
+		lowestPriorities:   make(map[string]int),
 		goals:   make(map[string]time.Duration),
 		keyed:   len(accounts) > 0,
 	}
@@ -144,7 +144,7 @@
 	for _, r := range routes {
 		t.host(canonical(r.Host)).add(r)
 		for _, s := range r.Shares {
-			t.least[s.Pool] = max(t.least[s.Pool], r.Priority)
+			t.lowestPriorities[s.Pool] = max(t.lowestPriorities[s.Pool], r.Priority)
 			if goal, known := t.goals[s.Pool]; r.Goal > 0 && (!known || r.Goal < goal) {
 				t.goals[s.Pool] = r.Goal
 			}
@@ -202,7 +202,7 @@
 func (t *Table) Goal(pool string) time.Duration { return t.goals[pool] }
 
 // LowestPriority returns the highest rank among the routes of a pool.
-func (t *Table) LowestPriority(pool string) int { return t.least[pool] }
+func (t *Table) LowestPriority(pool string) int { return t.lowestPriorities[pool] }
 
 // Priority returns the rank of an account's requests on a route; lower goes
 // first. The account is nil on open routes.
--- a/workingset/set.go
+++ b/workingset/set.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// least is how many targets a set has at least, if there are as many. A box that follows
+	// minSize is how many targets a set has at least, if there are as many. A box that follows
 	// the news of 512 makes 1,300 calls a second.
-	least = 512
-	// fills is the share of its targets' memory from which on a set doubles, and idles that
+	minSize = 512
+	// growAt is the share of its targets' memory from which on a set doubles, and idles that
 	// below which it halves, after idleFor. Below idles what is left after halving is well
 	// below fills.
-	fills   = 0.4
-	idles   = 0.1
-	idleFor = time.Minute
+	growAt   = 0.4
+	shrinkAt   = 0.1
+	shrinkAfter = time.Minute
 )
 
 // Set is how many targets of one pool are in use. The zero value is ready; it is not safe for
@@ -34,28 +34,28 @@
 type Set struct {
 	// doublings is how often least was doubled.
 	doublings int
-	// idle is since when the set is too large; zero if it is not.
-	idle time.Time
+	// idleSince is since when the set is too large; zero if it is not.
+	idleSince time.Time
 }
 
 // Size is how many targets are in use, if there are as many.
-func (s *Set) Size() int { return least << s.doublings }
+func (s *Set) Size() int { return minSize << s.doublings }
 
 // Resize takes over which share of the memory of the targets in use is taken up, and whether they
 // are all that there are. It says whether the size changed.
 func (s *Set) Resize(now time.Time, share float64, all bool) bool {
 	switch {
-	case share >= fills && !all:
+	case share >= growAt && !all:
 		s.doublings++
-		s.idle = time.Time{}
+		s.idleSince = time.Time{}
 		return true
-	case share >= idles || s.doublings == 0:
-		s.idle = time.Time{}
-	case s.idle.IsZero():
-		s.idle = now
-	case now.Sub(s.idle) >= idleFor:
+	case share >= shrinkAt || s.doublings == 0:
+		s.idleSince = time.Time{}
+	case s.idleSince.IsZero():
+		s.idleSince = now
+	case now.Sub(s.idleSince) >= shrinkAfter:
 		s.doublings--
-		s.idle = time.Time{}
+		s.idleSince = time.Time{}
 		return true
 	}
 	return false
