--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -42,15 +42,15 @@
 	// lateCost is the cost of a first event behind the goal: callers count such an answer
 	// for a fifth, which is as much as reading 4,000 tokens again. It rises from
 	// nearly of the goal on, as what is reckoned misses by some tenths of it.
-	lateCost   = 200 * time.Millisecond
+	lateCost = 200 * time.Millisecond
 	lateFrom = 0.5
 	// failureCost is the cost of a target that failed lately.
 	failureCost = 2 * time.Second
 	// memoryCost is the cost of an engine whose memory is taken up, waiting what
 	// comes on top of it for each share beyond full.
-	memoryCost = 100 * time.Millisecond
-	overfullCost = 2 * time.Second
-	overfullShare    = 0.85
+	memoryCost    = 100 * time.Millisecond
+	overfullCost  = 2 * time.Second
+	overfullShare = 0.85
 	// engineTransferDelay is what a move from another engine waits at least.
 	engineTransferDelay = 2 * time.Millisecond
 	// SilenceTimeout is how long an engine with requests may say nothing. Its
@@ -109,7 +109,9 @@
 }
 
 // domainAllowed says whether the prompt may be in a failure domain.
-func (a Request) domainAllowed(domain string) bool { return a.DomainAllowed == nil || a.DomainAllowed(domain) }
+func (a Request) domainAllowed(domain string) bool {
+	return a.DomainAllowed == nil || a.DomainAllowed(domain)
+}
 
 // ownPart is the number of the part that is the request's own.
 func (a Request) ownPart() int { return len(a.Parts) - 1 }
@@ -168,9 +170,9 @@
 	cached, available int
 	// prefillBacklog are the tokens that the engine has to read for other requests.
 	prefillBacklog int
-	full  bool
-	cost  time.Duration
-	rank  uint64
+	full           bool
+	cost           time.Duration
+	rank           uint64
 }
 
 // Choose returns the engine for a prompt, or false if none takes new work.
--- a/deliver/admit.go
+++ b/deliver/admit.go
@@ -12,10 +12,10 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// defaultTimeout is how long a request is held whose route and caller set no bound.
+// defaultTimeout is the deadline of a request when neither its route nor its caller sets one.
 const defaultTimeout = time.Minute
 
-// admit finds the route and the account of a call. It reads no body.
+// admit resolves the route, account and pool of a call. It does not read the body.
 func (s *Server) admit(call *Call) (*Job, *refusal.Refusal) {
 	job := &Job{Call: call}
 	table := s.Table()
@@ -55,9 +55,9 @@
 	return job, s.refuseShortDeadline(job)
 }
 
-// refuseShortDeadline returns why a call can't be answered in its time, or nil. It saves
-// its caller the wait, and a target the work. A stream that is taken up needs less
-// than a whole one.
+// refuseShortDeadline refuses a call whose deadline is shorter than any like it was
+// answered in lately, or returns nil. That saves the caller the wait and a target the
+// work. Resumed streams are exempt, as they need less time than whole ones.
 func (s *Server) refuseShortDeadline(job *Job) *refusal.Refusal {
 	if s.MinAnswerTime == nil || job.LastEventID != "" {
 		return nil
@@ -71,7 +71,7 @@
 	return s.unavailable(job, "no_time", "%v are left, and no request of %s was answered in under %v lately", left, job.Route.Name, least)
 }
 
-// timeoutOf is how long a request is held: the route's bound or the caller's.
+// timeoutOf is the shorter of the route's timeout and the caller's.
 func timeoutOf(r *routing.Route, call *Call) time.Duration {
 	bound := defaultTimeout
 	if r.Timeout > 0 {
@@ -83,20 +83,20 @@
 	return bound
 }
 
-// unavailable refuses a request that has not run, with a time to come back.
+// unavailable refuses a request that did not run, with a Retry-After.
 func (s *Server) unavailable(job *Job, code, format string, args ...any) *refusal.Refusal {
 	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, code, format, args...).After(s.RetryAfter(code, job))
 }
 
-// readBody takes the whole body in, within the configured bound and the request's
-// time.
+// readBody reads the whole body, within the configured size limit and the request's
+// deadline.
 func (x *run) readBody(job *Job) *refusal.Refusal {
 	bound := x.Table().MaxBody
 	if bound <= 0 {
-		bound = 4 << 20 // The largest that the platform configures today.
+		bound = 4 << 20 // The largest limit that the platform configures.
 	}
 	connection := http.NewResponseController(x.w)
-	limited := connection.SetReadDeadline(time.Now().Add(job.Until.Sub(x.Now()))) == nil // Only a real connection can.
+	limited := connection.SetReadDeadline(time.Now().Add(job.Until.Sub(x.Now()))) == nil // Only real connections support it.
 	body, err := io.ReadAll(io.LimitReader(job.Call.Body, bound+1))
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return refusal.New(refusal.DidNotRun, http.StatusRequestTimeout, "body_late", "the body did not come in time")
--- a/deliver/answer.go
+++ b/deliver/answer.go
@@ -11,8 +11,8 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// bufferBytes is how much of an answer is read before its head is passed on, in
-// bytes. An answer that breaks off within it can still be replaced.
+// bufferBytes is how much of an answer is read before its head is passed on. An answer
+// that is cut off within it can still be replaced by another target's.
 const bufferBytes = 64 << 10
 
 // writeHead passes the answer's head on, once.
@@ -29,14 +29,14 @@
 		header.Set("Content-Length", strconv.FormatInt(reply.Length, 10))
 	}
 	if _, typed := header["Content-Type"]; !typed {
-		header["Content-Type"] = nil // Keeps the HTTP library from guessing one.
+		header["Content-Type"] = nil // Keeps net/http from guessing one.
 	}
 	x.w.WriteHeader(reply.Status)
 	x.outcome.Status = reply.Status
 	x.outcome.FirstByte = x.Now().Sub(x.job.Received)
 }
 
-// relay passes an ordinary answer on. A short one is read to its end first.
+// relay passes an ordinary answer on. A short one is read completely first.
 func (x *run) relay(place Placement, reply *Reply) (*refusal.Refusal, error) {
 	first, err := io.ReadAll(io.LimitReader(reply.Body, bufferBytes))
 	if err == nil && len(first) == bufferBytes {
@@ -52,12 +52,12 @@
 	x.outcome.Cause = ""
 	x.writeHead(reply)
 	if _, err := x.w.Write(first); err != nil {
-		return x.abort("the caller can't be written to: " + err.Error())
+		return x.abort("writing to the caller failed: " + err.Error())
 	}
 	return nil, nil
 }
 
-// relayLong passes an answer on while it comes.
+// relayLong passes an answer on as it arrives.
 func (x *run) relayLong(place Placement, reply *Reply, first []byte) (*refusal.Refusal, error) {
 	x.writeHead(reply)
 	_, err := x.w.Write(first)
@@ -73,18 +73,18 @@
 	return nil, nil
 }
 
-// handleCutOff handles an answer that broke off before anything of it was passed on.
+// handleCutOff handles an answer that was cut off before any of it was passed on.
 func (x *run) handleCutOff(place Placement, err error) (*refusal.Refusal, error) {
 	failed := x.ctx.Err() == nil
 	x.Ended(AttemptResult{Place: place, Job: x.job, Began: true, Failed: failed, Unreachable: failed, CutOff: failed, CallerLeft: x.caller.Err() != nil})
-	x.outcome.Cause = "the answer broke off: " + err.Error()
+	x.outcome.Cause = "the answer was cut off: " + err.Error()
 	if failed && x.repeatable() && x.retryAllowed(true) {
 		return nil, errRetry
 	}
 	return x.fail(err)
 }
 
-// relayStream passes events on as they come, whole ones only.
+// relayStream passes events on as they arrive, complete ones only.
 func (x *run) relayStream(ctx context.Context, place Placement, reply *Reply) (*refusal.Refusal, error) {
 	events := eventstream.Reader{From: reply.Body}
 	wait := &eventWait{}
@@ -111,7 +111,7 @@
 		x.recordEvent()
 		id := eventstream.ID(event)
 		if x.headWritten && id != "" && !later(id, x.lastEventID) {
-			continue // The caller has it from the run before.
+			continue // The caller received it from the previous attempt.
 		}
 		x.writeHead(reply)
 		if _, err = x.w.Write(event); err == nil {
@@ -119,7 +119,7 @@
 		}
 		if err != nil {
 			x.Ended(AttemptResult{Place: place, Job: x.job, Began: true, CallerLeft: true})
-			return x.abort("the caller can't be written to: " + err.Error())
+			return x.abort("writing to the caller failed: " + err.Error())
 		}
 		if id != "" {
 			x.lastEventID = id
@@ -127,7 +127,7 @@
 	}
 }
 
-// recordEvent notes when an event came, and whether that was later than the route's
+// recordEvent records when an event arrived, and whether that was later than the route's
 // goals. Without a goal nothing is late.
 func (x *run) recordEvent() {
 	now := x.Now()
@@ -139,19 +139,19 @@
 	x.late = x.late || (goal > 0 && waited > goal)
 }
 
-// handleStreamCutOff handles a stream that broke off.
+// handleStreamCutOff handles a stream that was cut off.
 func (x *run) handleStreamCutOff(place Placement, err error) (*refusal.Refusal, error) {
 	failed := x.ctx.Err() == nil
 	x.Ended(AttemptResult{Place: place, Job: x.job, Began: true, Failed: failed, Unreachable: failed, CutOff: failed, CallerLeft: x.caller.Err() != nil})
-	x.outcome.Cause = "the stream broke off: " + err.Error()
+	x.outcome.Cause = "the stream was cut off: " + err.Error()
 	if failed && x.job.Route.Resumable && x.retryAllowed(true) {
 		return nil, errRetry
 	}
 	return x.fail(err)
 }
 
-// later says whether an event ID comes behind another. IDs are numbers that
-// rise; others are taken as they come.
+// later says whether an event ID comes after another. IDs are increasing numbers; other
+// IDs are passed on as they come.
 func later(id, than string) bool {
 	a, errA := strconv.ParseInt(id, 10, 64)
 	b, errB := strconv.ParseInt(than, 10, 64)
--- a/deliver/begin_test.go
+++ b/deliver/begin_test.go
@@ -11,21 +11,21 @@
 	"github.com/thymewind/thymewind/deliver"
 )
 
-// TestBeginBy has a request wait at a target whose weights must not be used after
-// a while: it is broken off then if it has not begun, and goes on if it has.
+// TestBeginBy has a request wait at a target whose weights must not be used after a
+// deadline: it is aborted then if it has not begun, and goes on if it has.
 func TestBeginBy(t *testing.T) {
 	const by = time.Second
 	tests := []struct {
 		name       string
 		repeatable bool
-		begins     time.Duration // When the answer's head comes, the rest takes 1.5 s.
+		begins     time.Duration // When the answer's head arrives; the rest takes 1.5 s.
 		status     int
 		sent       int
 		took       time.Duration
 	}{
-		{"begun in time, ended later", false, 900 * time.Millisecond, 200, 1, 2400 * time.Millisecond},
-		{"not begun", false, 1100 * time.Millisecond, 502, 1, by},
-		{"not begun, sent to another", true, 1100 * time.Millisecond, 200, 2, by + 1500*time.Millisecond},
+		{"begins in time, ends after the deadline", false, 900 * time.Millisecond, 200, 1, 2400 * time.Millisecond},
+		{"does not begin", false, 1100 * time.Millisecond, 502, 1, by},
+		{"does not begin, retried elsewhere", true, 1100 * time.Millisecond, 200, 2, by + 1500*time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -59,17 +59,17 @@
 					status = got.refused.Status
 				}
 				if status != tt.status || got.cut || sent != tt.sent || got.took != tt.took {
-					t.Errorf("status %d, cut %v, %d sent, took %v", status, got.cut, sent, got.took)
+					t.Errorf("status %d, cut off %v, %d attempts, took %v", status, got.cut, sent, got.took)
 				}
 				if ended[0].Failed || ended[0].Unreachable {
-					t.Errorf("the target is blamed: %+v", ended[0])
+					t.Errorf("the attempt counts against the target: %+v", ended[0])
 				}
 			})
 		})
 	}
 }
 
-// contextBody reads until its context ends.
+// contextBody is a body that ends with its context.
 type contextBody struct {
 	ctx  context.Context
 	text io.Reader
--- a/deliver/caller_left_test.go
+++ b/deliver/caller_left_test.go
@@ -21,36 +21,36 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// TestCallerLeaves has the caller leave at each point of a request's way. What was
-// taken for it is given back, nothing is sent any more, and what a caller behind a
-// connection closed in one direction is told is true.
+// TestCallerLeaves has the caller disconnect at each stage of a request. Its places and
+// retries are returned, nothing more is sent, and a caller that has closed only one
+// direction of its connection gets a truthful answer.
 func TestCallerLeaves(t *testing.T) {
 	tests := []struct {
 		name   string
 		route  *routing.Route
 		script []int
-		// during is the sending in which the caller leaves, from 1; 0 is before the
+		// during is the attempt in which the caller leaves, from 1; 0 is before the
 		// body was read.
 		during int
-		// closed says that only the connection tells, not the context.
+		// closed says that only the connection shows it, not the context.
 		closed bool
 		sent   int
-		// outcome is the refusal's, took how long after the leaving all has ended.
+		// outcome is the refusal's; took is how long after the disconnect everything has ended.
 		outcome string
 		took    time.Duration
 	}{
-		{"before it was read", route(true, false, false, 3), nil, 0, true, 0, refusal.DidNotRun, 0},
-		{"before it was read, as the context tells", route(true, false, false, 3), nil, 0, false, 0, refusal.DidNotRun, 0},
-		{"at a target that hangs", route(false, false, false, 1), []int{hangs}, 1, false, 1, refusal.Unknown, 0},
-		{"at a target that hangs, may be repeated", route(true, false, false, 3), []int{hangs}, 1, false, 1, refusal.Unknown, 0},
-		{"at a target that hangs, as only the connection tells", route(false, false, false, 1), []int{hangs}, 1, true, 1, refusal.Unknown, 200 * time.Millisecond},
-		{"at a target that turns it away", route(true, false, false, 3), []int{turnsAway}, 1, true, 1, refusal.DidNotRun, 0},
-		{"at a target that loses it", route(true, false, false, 3), []int{runsAndIsLost}, 1, true, 1, refusal.Unknown, 0},
-		{"at a target that breaks off, may be repeated", route(true, false, false, 3), []int{breaksOff}, 1, true, 1, refusal.Unknown, 0},
-		{"at a target that is not reached", route(true, false, false, 3), []int{unreachable}, 1, true, 1, refusal.DidNotRun, 0},
+		{"before the body was read, the connection shows it", route(true, false, false, 3), nil, 0, true, 0, refusal.DidNotRun, 0},
+		{"before the body was read, the context shows it", route(true, false, false, 3), nil, 0, false, 0, refusal.DidNotRun, 0},
+		{"while the target hangs", route(false, false, false, 1), []int{hangs}, 1, false, 1, refusal.Unknown, 0},
+		{"while the target hangs, repeatable", route(true, false, false, 3), []int{hangs}, 1, false, 1, refusal.Unknown, 0},
+		{"while the target hangs, only the connection shows it", route(false, false, false, 1), []int{hangs}, 1, true, 1, refusal.Unknown, 200 * time.Millisecond},
+		{"the target turns it away", route(true, false, false, 3), []int{turnsAway}, 1, true, 1, refusal.DidNotRun, 0},
+		{"the target gives no answer", route(true, false, false, 3), []int{givesNoAnswer}, 1, true, 1, refusal.Unknown, 0},
+		{"the target cuts off its answer, repeatable", route(true, false, false, 3), []int{cutsOff}, 1, true, 1, refusal.Unknown, 0},
+		{"the target is unreachable", route(true, false, false, 3), []int{unreachable}, 1, true, 1, refusal.DidNotRun, 0},
 		{"before a paid retry left this box", route(true, false, false, 3), []int{turnsAway, unreachable}, 2, false, 2, refusal.DidNotRun, 0},
-		{"before a paid retry left this box, after a run", route(true, false, false, 3), []int{runsAndIsLost, unreachable}, 2, false, 2, refusal.Unknown, 0},
-		{"at a paid retry's target", route(true, false, false, 3), []int{turnsAway, hangs}, 2, false, 2, refusal.Unknown, 0},
+		{"before a paid retry left this box, after a run", route(true, false, false, 3), []int{givesNoAnswer, unreachable}, 2, false, 2, refusal.Unknown, 0},
+		{"while a paid retry's target hangs", route(true, false, false, 3), []int{turnsAway, hangs}, 2, false, 2, refusal.Unknown, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -88,19 +88,19 @@
 				})
 				refused := new(refusal.Refusal)
 				if !errors.As(err, &refused) || refused.Outcome != tt.outcome {
-					t.Errorf("told %v, want outcome %q", err, tt.outcome)
+					t.Errorf("got %v, want outcome %q", err, tt.outcome)
 				}
 				if x.sent != tt.sent || x.placed != x.ended {
-					t.Errorf("sent %d, want %d; placed %d, ended %d", x.sent, tt.sent, x.placed, x.ended)
+					t.Errorf("%d attempts, want %d; %d placed, %d ended", x.sent, tt.sent, x.placed, x.ended)
 				}
 				if retries := max(x.arrived-1, 0); x.spent != retries {
 					t.Errorf("%d retries paid, %d arrived", x.spent, retries)
 				}
 				if want := max(tt.sent-1, 0); retried != want {
-					t.Errorf("noted %d retries, want %d", retried, want)
+					t.Errorf("%d retries logged, want %d", retried, want)
 				}
 				if !noted.CallerLeft {
-					t.Errorf("noted %+v", noted)
+					t.Errorf("outcome %+v", noted)
 				}
 				if took := time.Since(began); took != tt.took {
 					t.Errorf("took %v", took)
@@ -110,19 +110,19 @@
 	}
 }
 
-// TestPaidOnce has a retry that was paid for not reach its target: the next try
-// takes its place.
-func TestPaidOnce(t *testing.T) {
+// TestRetryPaidOnce has a retry that was taken from the budget fail to reach its target:
+// the next attempt uses it.
+func TestRetryPaidOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := &targets{script: []int{turnsAway, unreachable}}
 		got := ask(x.server(route(true, false, false, 3)))
 		if got.status != http.StatusOK || x.sent != 3 || x.spent != 1 {
-			t.Errorf("got %+v, sent %d times, paid %d", got, x.sent, x.spent)
+			t.Errorf("got %+v, %d attempts, %d paid", got, x.sent, x.spent)
 		}
 	})
 }
 
-// blockedWriter is a response that takes no more bytes until it is told to give up.
+// blockedWriter is a response that takes no more bytes until its write deadline is set.
 type blockedWriter struct {
 	http.ResponseWriter
 	ended chan struct{}
@@ -139,9 +139,9 @@
 	return nil
 }
 
-// TestCallerTakesNothing has a caller that reads nothing leave: what is being
-// written to it ends, and with it the request.
-func TestCallerTakesNothing(t *testing.T) {
+// TestCallerReadsNothing has a caller that reads nothing disconnect: the write to it
+// is unblocked, and the request ends.
+func TestCallerReadsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := &targets{}
 		s := x.server(route(true, false, false, 1))
@@ -151,28 +151,28 @@
 		time.AfterFunc(time.Second, cancel)
 		began := time.Now()
 		func() {
-			defer func() { _ = recover() }() // A begun answer is broken off.
+			defer func() { _ = recover() }() // An answer that was begun is aborted.
 			_ = s.Serve(ctx, &blockedWriter{httptest.NewRecorder(), make(chan struct{})}, &deliver.Call{
 				ID: "r", Method: "POST", Path: "/x", Host: "h", Body: strings.NewReader("b"), Header: http.Header{}, Received: began,
 			})
 		}()
 		if took := time.Since(began); took != time.Second || !noted.CallerLeft || !noted.Aborted {
-			t.Errorf("took %v, noted %+v", took, noted)
+			t.Errorf("took %v, outcome %+v", took, noted)
 		}
 	})
 }
 
-// leavingCaller is a caller that leaves in one of its request's sendings.
+// leavingCaller is a caller that disconnects during one of its request's attempts.
 type leavingCaller struct {
-	// during is the sending, from 1, or 0 for before the body was read.
+	// during is the attempt, from 1, or 0 for before the body was read.
 	during int
-	// closed says that only the connection tells of it, untold that nothing does.
+	// closed says that only the connection shows the disconnect, untold that nothing does.
 	closed, untold bool
 }
 
-// serve has the caller's request served until it ends. It returns what the caller
-// was told, if it was a refusal, how many sendings there were before it left, and
-// how long all went on after that.
+// serve runs the caller's request until it ends. It returns the refusal, if there was
+// one, the number of attempts before the caller left, and how long the request went on
+// after that.
 func (l leavingCaller) serve(s *deliver.Server, x *targets) (refused *refusal.Refusal, before int, took time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -197,7 +197,7 @@
 		leave()
 	}
 	defer func() {
-		_ = recover() // A begun answer is broken off.
+		_ = recover() // An answer that was begun is aborted.
 		if !left.IsZero() {
 			took = time.Since(left)
 		}
@@ -210,10 +210,10 @@
 	return refused, before, took
 }
 
-// releasesAll says, for any trouble of the targets and any moment at which the
-// caller leaves: nothing is sent for it any more; each place is given back; only
-// retries that left this box are paid for; what may have run is not said not to
-// have run.
+// releasesAll is the property, for any behaviour of the targets and any moment at which
+// the caller leaves, that nothing more is sent, that each place is returned, that only
+// retries that left this box are paid for, and that a request that may have run is not
+// said not to have run.
 func releasesAll(t *testing.T, tamper func(*deliver.Server, *leavingCaller)) gopter.Prop {
 	return prop.ForAll(func(repeatable, stream, resumable, closed bool, attempts, during int, script []int) bool {
 		good := true
@@ -235,26 +235,24 @@
 	}, gen.Bool(), gen.Bool(), gen.Bool(), gen.Bool(), gen.IntRange(1, 3), gen.IntRange(0, 4), gen.SliceOfN(6, gen.IntRange(0, behaviours-1)))
 }
 
-func TestLeavesNothing(t *testing.T) {
+func TestReleasesAll(t *testing.T) {
 	proof.Holds(t, releasesAll(t, func(*deliver.Server, *leavingCaller) {}))
 }
 
-// TestLeavesNothingNeedsToBeTold has neither the context nor the connection tell.
-func TestLeavesNothingNeedsToBeTold(t *testing.T) {
+// TestReleaseNeedsDisconnect has neither the context nor the connection report it.
+func TestReleaseNeedsDisconnect(t *testing.T) {
 	proof.Breaks(t, releasesAll(t, func(_ *deliver.Server, l *leavingCaller) { l.untold = true }))
 }
 
-// TestLeavesNothingNeedsTheRefund keeps what was paid for a retry that was never
-// made.
-func TestLeavesNothingNeedsTheRefund(t *testing.T) {
+// TestReleaseNeedsRefund does not refund a retry that was never made.
+func TestReleaseNeedsRefund(t *testing.T) {
 	proof.Breaks(t, releasesAll(t, func(s *deliver.Server, _ *leavingCaller) {
 		s.Refund = func(string) {}
 	}))
 }
 
-// TestLeavesNothingNeedsTheEnd has places not given back when a sending ended
-// without an answer.
-func TestLeavesNothingNeedsTheEnd(t *testing.T) {
+// TestReleaseNeedsEnded does not report the end of attempts without an answer.
+func TestReleaseNeedsEnded(t *testing.T) {
 	proof.Breaks(t, releasesAll(t, func(s *deliver.Server, _ *leavingCaller) {
 		ended := s.Ended
 		s.Ended = func(e deliver.AttemptResult) {
--- a/deliver/deliver.go
+++ b/deliver/deliver.go
@@ -1,13 +1,13 @@
-// Package deliver runs one caller's request to its end: it admits it, has it
-// placed, sends it, and gives the caller the target's whole answer, a true
-// refusal, or a failure that promises nothing.
+// Package deliver runs one caller's request to its end: it admits the request, has it
+// placed, sends it to a target, and gives the caller the target's complete answer, a
+// refusal that states whether the request ran, or a failure that leaves that open.
 //
 //	d := deliver.Server{Table: current, Place: loop.place, Send: adapter.Send, ...}
-//	err := d.Serve(w, r.Context(), call) // a *refusal.Refusal, if nothing was written
+//	err := d.Serve(r.Context(), w, call) // a *refusal.Refusal, if nothing was written
 //
-// A request that may not be repeated is sent again only if no byte of it left
-// this box or its target says that it did not run. A stream that may be
-// resumed goes on at another target behind the last event passed on.
+// A request that is not repeatable is sent again only if no byte of it left this box
+// or its target states that it did not run. A resumable stream continues at another
+// target after the last event passed on.
 package deliver
 
 import (
@@ -25,38 +25,38 @@
 	"github.com/thymewind/thymewind/throughput"
 )
 
-// Call is what a caller sent, decoded.
+// Call is a decoded request of a caller.
 type Call struct {
-	// ID names this try of the caller's and is passed on as it is.
+	// ID identifies the caller's request attempt and is passed on unchanged.
 	ID     string
 	Method string
-	// Path is the request target as it came: escaped, with query.
+	// Path is the request target as received: escaped, with query.
 	Path string
 	Host string
-	// Header holds the caller's own end-to-end headers, HeadBytes is the size of
-	// all that came before the body.
+	// Header holds the caller's end-to-end headers. HeadBytes is the size of
+	// everything before the body.
 	Header    http.Header
 	HeadBytes int
 	Body      io.Reader
-	// Key shows the client account.
+	// Key is the API key, which identifies the client account.
 	Key   string
 	Model string
-	// Parts are the prompt's, in order; the last is the request's own.
+	// Parts are the prompt's, in order; the last is unique to the request.
 	Parts []Part
-	// PromptTokens and Output are tokens: of the prompt, and the most that is made.
+	// PromptTokens is the prompt's length, MaxOutputTokens the limit on generated tokens.
 	PromptTokens, MaxOutputTokens int
 	// Timeout is how long the caller waits; zero if it does not say.
 	Timeout time.Duration
-	// LastEventID is the last event that the caller has, if it takes up a stream.
+	// LastEventID is the last event that the caller received, if it resumes a stream.
 	LastEventID string
 	// Received is when the head was read.
 	Received time.Time
-	// Disconnected says whether the caller has closed its connection, also before the
-	// request's context tells; nil knows nothing.
+	// Disconnected reports whether the caller has closed its connection, which it may
+	// see before the request's context ends. Nil means that this can't be checked.
 	Disconnected func() bool
 }
 
-// Part is a piece of a prompt that other prompts may share.
+// Part is a section of a prompt that other prompts may share.
 type Part struct {
 	ID     string
 	Tokens int
@@ -71,15 +71,15 @@
 	// Pool serves this request.
 	Pool *routing.Pool
 	Body []byte
-	// Until is when the request gets its final answer at the latest.
+	// Until is the deadline for the final answer.
 	Until time.Time
 
-	// sum is the fingerprint, once it was asked for.
+	// sum caches the fingerprint.
 	sum atomic.Pointer[fingerprint.Sum]
 }
 
-// Fingerprint names what the request asks for. It is worked out when it is first asked
-// for, as that takes some microseconds and most requests never need it.
+// Fingerprint identifies what the request asks for. It is computed on first use, as that
+// takes some microseconds and most requests never need it.
 func (j *Job) Fingerprint() fingerprint.Sum {
 	if sum := j.sum.Load(); sum != nil {
 		return *sum
@@ -93,52 +93,51 @@
 	return sum
 }
 
-// PlacementRequest is what a place is asked for.
+// PlacementRequest is the input of a placement.
 type PlacementRequest struct {
 	Job *Job
-	// Attempted names targets that this request was sent to, or that could not be
+	// Attempted names the targets that this request was sent to or that could not be
 	// reached, in order.
 	Attempted []string
 }
 
-// Placement is where a request is sent and with what.
+// Placement is the target that a request is sent to, and how.
 type Placement struct {
 	Target string
-	// StartedAt is when the target's life began that was placed on, if it told.
+	// StartedAt is when the chosen incarnation of the target started, if the target told.
 	StartedAt time.Time
 	Address   netip.AddrPort
 	// Version is the weight version that the target must have; zero for none.
 	Version int64
-	// NewestVersion is the newest version that the placing box knew, Replaced for how
-	// long it took Version to be replaced; zero if Version is the newest.
+	// NewestVersion is the newest version known to the placing box. ReplacedFor is for
+	// how long Version has been replaced by newer ones; zero if it is the newest.
 	NewestVersion int64
 	ReplacedFor   time.Duration
-	// BeginBy is when the target must have begun to answer, as its weights must not
-	// be used for a request that begins later; zero if it may begin at any time.
+	// BeginBy is when the target must have begun to answer, as requests that begin
+	// later must not use its weights; zero if there is no such deadline.
 	BeginBy time.Time
-	// Scope separates kept parts by weight version and walled account.
+	// Scope separates cached parts by weight version and isolated account.
 	Scope string
-	// Fetch and Save are per part, or empty; an unset address means none.
+	// Fetch and Save have one address per part, or are empty; an unset address means none.
 	Fetch []netip.AddrPort
 	Save  []netip.AddrPort
-	// FetchUntil is when a fetch that has not ended is thrown away, on the
-	// targets' clock.
+	// FetchUntil is when an unfinished fetch is dropped, on the targets' clock.
 	FetchUntil time.Duration
-	// PrefillTokens is how many prompt tokens the target was thought to read, Tokens
-	// the memory that the request takes up.
+	// PrefillTokens is how many prompt tokens the target is expected to prefill, Tokens
+	// the memory that the request uses.
 	PrefillTokens, Tokens int
-	// QuotaGranted says that the target limits requests and that this one is among those that this
-	// box may send.
+	// QuotaGranted says that the target limits its request rate and that this request
+	// was taken from this box's quota.
 	QuotaGranted bool
-	// PlacedAt is when the request was placed, Ahead how many prompt tokens of others
-	// the target was thought to read before, and Moves what it fetches.
+	// PlacedAt is when the request was placed. PrefillBacklog is how many prompt tokens of
+	// other requests the target was expected to prefill first, Transfers what it fetches.
 	PlacedAt       time.Time
 	PrefillBacklog int
 	Transfers      []throughput.Transfer
-	// Kept, Fetched and Saved are the prompt tokens that the target was thought
-	// to keep, told to fetch, and told to save.
+	// Kept, Fetched and Saved are the prompt tokens that the target was expected to have
+	// cached, was told to fetch, and was told to save.
 	Kept, Fetched, Saved int
-	// Rule says why this target.
+	// Rule names the placement rule that chose the target.
 	Rule string
 }
 
@@ -148,36 +147,36 @@
 	Place Placement
 	// Timeout is the time that the target may take.
 	Timeout time.Duration
-	// LastEventID is the last event that was passed on, for a stream that is resumed.
+	// LastEventID is the last event passed on, if a stream is resumed.
 	LastEventID string
-	// Allow is asked right before the request leaves this box; its error keeps it here.
+	// Allow is called right before the request leaves this box; its error keeps it here.
 	// Nil allows it.
 	Allow func() error
 }
 
 // Verdicts on whether a target ran a request.
 const (
-	// MayHaveRun is what an ordinary answer means.
+	// MayHaveRun is implied by an ordinary answer.
 	MayHaveRun = iota
-	// DidNotRun is the target's own promise.
+	// DidNotRun is stated by the target.
 	DidNotRun
-	// OtherReplica says that another replica has the address; it did not run.
+	// OtherReplica says that another replica has the address; the request did not run.
 	OtherReplica
-	// OtherVersion says that the target has other weights; it did not run.
+	// OtherVersion says that the target has other weights; the request did not run.
 	OtherVersion
 )
 
-// Reply is a target's answer whose head has come.
+// Reply is a target's answer of which the head has arrived.
 type Reply struct {
 	Status int
 	Header http.Header
 	// Verdict says whether the request may have run.
 	Verdict int
-	// Signals is what the target says of itself, if it is the one placed that answers.
+	// Signals are what the target says of itself, set if the answer is the placed target's.
 	Signals notice.Signals
 	// Version is the target's weight version, if it told.
 	Version int64
-	// Length is the body's in bytes, or -1.
+	// Length is the body's length in bytes, or -1.
 	Length int64
 	// Events says that the body is an event stream.
 	Events bool
@@ -185,61 +184,61 @@
 	Close  func()
 }
 
-// AttemptResult tells how one sending went.
+// AttemptResult reports how one attempt went.
 type AttemptResult struct {
 	Place Placement
 	Job   *Job
-	// Began says that an answer's head came.
+	// Began says that the answer's head arrived.
 	Began bool
-	// Failed says that the target broke off, was unreachable or refused.
+	// Failed says that the target cut its answer off, was unreachable or refused.
 	Failed bool
-	// Unreachable says that no connection or no answer came.
+	// Unreachable says that there was no connection or no answer.
 	Unreachable bool
-	// CutOff says that the target may have run the request and that no whole answer came,
-	// not by the caller's doing; Left that the caller went away before that. Answered
-	// says that the whole answer came.
+	// CutOff says that the target may have run the request and that no complete answer
+	// arrived, not because of the caller. CallerLeft says that the caller disconnected
+	// before that. Answered says that the complete answer arrived.
 	CutOff, CallerLeft, Answered bool
 	// ConnectionRefused says that the target's address refuses connections.
 	ConnectionRefused bool
-	// Late says that the first event or a pause came later than the route's goals,
-	// Whole that the stream came to its end; only then Late means anything.
+	// Late says that the first event or a gap between events exceeded the route's goals,
+	// Completed that the stream ended normally. Late is valid only if Completed is set.
 	Late, Completed bool
 	Verdict         int
 	Version         int64
 }
 
-// Outcome is the end of a request, for the log and the counters.
+// Outcome is the end of a request, for the log and the metrics.
 type Outcome struct {
 	Call *Call
 	Job  *Job
-	// Place is the last one.
+	// Place is the last placement.
 	Place Placement
-	// Attempts counts the targets that may have got the request.
+	// Attempts counts the targets that may have received the request.
 	Attempts int
 	Status   int
-	// Cause says in a few words why it ended so, Reason more; empty for a whole
-	// answer.
+	// Cause is a short reason for the end, Reason a longer one; both are empty for a
+	// complete answer.
 	Cause, Reason string
-	// FirstByte and Took are from the receipt to the first byte and to the end.
+	// FirstByte and Took are the times from receipt to the first byte and to the end.
 	FirstByte, Took time.Duration
-	// RefusalCode is the code of the refusal that the caller got, ComeBack when it said
-	// to return.
+	// RefusalCode is the code of the refusal that the caller got, RetryAfter its
+	// Retry-After.
 	RefusalCode string
 	RetryAfter  time.Duration
-	// CallerLeft says that the caller went away, Ending how long after that was seen all
-	// that was under way for it had ended.
+	// CallerLeft says that the caller disconnected, Teardown how long after that was
+	// noticed everything in flight for it had ended.
 	CallerLeft bool
 	Teardown   time.Duration
-	// Aborted says that an answer was begun and broken off.
+	// Aborted says that an answer was begun and cut off.
 	Aborted bool
 }
 
-// Retry is one more try, for the log.
+// Retry is one more attempt, for the log.
 type Retry struct {
 	Job   *Job
 	Place Placement
 	Cause string
-	// Resumed names the event behind which a stream goes on.
+	// Resumed is the ID of the event after which a stream continues.
 	Resumed string
 }
 
@@ -248,38 +247,38 @@
 type Server struct {
 	// Table is the configuration in force, or nil.
 	Table func() *routing.Table
-	// KeysFresh says that keys may be trusted: no key can have been taken away
-	// for so long that it must not be used.
+	// KeysFresh says that API keys may be trusted: none can have been revoked for so long
+	// that it must not be honoured any more.
 	KeysFresh func(now time.Time) bool
-	// ConfigurationFresh says that the configuration in force can't lack what was configured for so long
-	// that it must be known: what it does not have may be refused for good.
+	// ConfigurationFresh says that the configuration in force includes everything that
+	// was configured long enough ago to be mandatory: what it lacks may be refused for good.
 	ConfigurationFresh func(now time.Time) bool
 	Place              func(ctx context.Context, ask PlacementRequest) (Placement, error)
 	Send               func(ctx context.Context, s Attempt) (*Reply, error)
-	// Began hears when an answer's head came, Ended how a sending ended. Each
-	// sending is told to Ended exactly once.
+	// Began is called when an answer's head arrived, Ended when an attempt ended:
+	// exactly once for each attempt.
 	Began func(Placement)
 	Ended func(AttemptResult)
-	// Spend asks the retry budget of a pool for one more sending, Refund gives one
-	// back that never left this box, and Earn notes a request for the pool.
+	// Spend takes one attempt from a pool's retry budget, Refund returns one that never
+	// left this box, and Earn deposits for a request to the pool.
 	Spend  func(pool string) bool
 	Refund func(pool string)
 	Earn   func(pool string)
-	// Suspect says whether a target looks dead by now, so that a request that
-	// may be repeated need not wait for it any longer. Without it none is hurried.
+	// Suspect says whether a target looks dead, so that a repeatable request need not
+	// wait for it any longer. If nil, no attempt is aborted for that.
 	Suspect func(ctx context.Context, target string) bool
-	// MinAnswerTime is the time in which no request like a job's can be expected to be
-	// answered whole, if that is known. Without it none is refused for its deadline.
+	// MinAnswerTime is the time under which no request like a job's can be expected to
+	// be answered, if known. If nil, none is refused for a short deadline.
 	MinAnswerTime func(now time.Time, job *Job) (time.Duration, bool)
 	Now           func() time.Time
 	Random        func() uint64
-	// RetryAfter says when a caller should return who was refused with a code; of
-	// the job, only the call and what was found of its route are set.
+	// RetryAfter is the Retry-After of a refusal code; of the job, only the call and
+	// what was resolved of its route are set.
 	RetryAfter    func(code string, job *Job) time.Duration
 	RecordOutcome func(Outcome)
 	Retried       func(Retry)
 
 	mu sync.Mutex
-	// running are the requests that Look sees to, with how to end each.
+	// running are the requests that Reap checks, with the cancel function of each.
 	running map[*run]context.CancelFunc
 }
--- a/deliver/deliver_test.go
+++ b/deliver/deliver_test.go
@@ -25,32 +25,32 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// What the fake targets do with one sending.
+// What the fake targets do with one attempt.
 const (
 	answers = iota
 	unreachable
 	turnsAway
 	otherWeights
-	runsAndIsLost
-	breaksOff
+	givesNoAnswer
+	cutsOff
 	fails
 	hangs
-	heldBack
+	withheld
 	behaviours
 )
 
 var errBroken = errors.New("broken")
 
-// targets are fake targets that do in turn what their script says.
+// targets are fake targets that behave as scripted, one entry per attempt.
 type targets struct {
 	script []int
-	// sent counts sendings, arrived those that reached a target, and ran those
-	// that a target ran.
+	// sent counts attempts, arrived those that reached a target, and ran those that a
+	// target ran.
 	sent, arrived, ran int
-	// placed counts places, ended the sendings told to Ended.
+	// placed counts placements, ended the attempts reported to Ended.
 	placed, ended int
 	spent         int
-	// left are the times that targets were given.
+	// left are the timeouts given to targets.
 	left []time.Duration
 }
 
@@ -64,7 +64,7 @@
 	if way == unreachable {
 		return nil, fmt.Errorf("%w: refused", exchange.ErrNotSent)
 	}
-	if way == heldBack {
+	if way == withheld {
 		return nil, fmt.Errorf("%w: %w", exchange.ErrNotSent, notice.ErrBackoff)
 	}
 	x.arrived++
@@ -76,7 +76,7 @@
 	}
 	x.ran++
 	switch way {
-	case runsAndIsLost:
+	case givesNoAnswer:
 		return nil, errBroken
 	case hangs:
 		<-ctx.Done()
@@ -85,20 +85,20 @@
 		return reply(http.StatusInternalServerError, deliver.MayHaveRun, strings.NewReader("failed")), nil
 	}
 	if s.Job.Route.Stream {
-		return streamed(s, way == breaksOff), nil
+		return streamed(s, way == cutsOff), nil
 	}
-	if way == breaksOff {
+	if way == cutsOff {
 		return reply(http.StatusOK, deliver.MayHaveRun, io.MultiReader(strings.NewReader("ha"), brokenBody{})), nil
 	}
 	return reply(http.StatusOK, deliver.MayHaveRun, strings.NewReader("whole")), nil
 }
 
-// events is how long a whole stream is.
+// events is the number of events in a complete stream.
 const events = 4
 
-// streamed goes on behind the last event that the caller has.
+// streamed returns the rest of the stream after the last event that the caller has.
 func streamed(s deliver.Attempt, breaks bool) *deliver.Reply {
-	from, _ := strconv.Atoi(s.LastEventID) // Zero for a stream from its beginning.
+	from, _ := strconv.Atoi(s.LastEventID) // Zero for a stream from the start.
 	var text strings.Builder
 	for i := from + 1; i <= events; i++ {
 		if breaks && i > from+1 {
@@ -172,10 +172,10 @@
 
 const wholeStream = "id: 1\n\nid: 2\n\nid: 3\n\nid: 4\n\n"
 
-// invariants says, for any trouble of the targets: a request that may not be
-// repeated runs once at most; one that is said not to have run has not; no more
-// targets than allowed get it; a stream has each event once and in order; each
-// sending is accounted for; the final answer comes in time.
+// invariants is the property, for any behaviour of the targets, that a request that is
+// not repeatable runs once at most; that one that is said not to have run has not; that
+// the limit of attempts holds; that a stream has each event once and in order; that each
+// attempt is accounted for; and that the final answer arrives before the deadline.
 func invariants(t *testing.T, tamper func(*deliver.Server)) gopter.Prop {
 	return prop.ForAll(func(repeatable, stream, resumable bool, attempts int, script []int) bool {
 		good := true
@@ -199,13 +199,12 @@
 	}, gen.Bool(), gen.Bool(), gen.Bool(), gen.IntRange(1, 3), gen.SliceOfN(6, gen.IntRange(0, behaviours-1)))
 }
 
-func TestPromises(t *testing.T) {
+func TestInvariants(t *testing.T) {
 	proof.Holds(t, invariants(t, func(*deliver.Server) {}))
 }
 
-// TestPromisesNeedToKnowWhatWasSent takes out what tells a request that was
-// sent from one that was not.
-func TestPromisesNeedToKnowWhatWasSent(t *testing.T) {
+// TestInvariantsNeedErrNotSent reports every failed attempt as not sent.
+func TestInvariantsNeedErrNotSent(t *testing.T) {
 	proof.Breaks(t, invariants(t, func(s *deliver.Server) {
 		send := s.Send
 		s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
@@ -218,9 +217,9 @@
 	}))
 }
 
-// TestPromisesNeedTheVerdict takes every answer for the target's promise that
-// it did not run.
-func TestPromisesNeedTheVerdict(t *testing.T) {
+// TestInvariantsNeedVerdict takes every error answer for the statement that the request
+// did not run.
+func TestInvariantsNeedVerdict(t *testing.T) {
 	proof.Breaks(t, invariants(t, func(s *deliver.Server) {
 		send := s.Send
 		s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
@@ -233,8 +232,8 @@
 	}))
 }
 
-// TestPromisesNeedThePlaceBehind has a resumed stream begin anew.
-func TestPromisesNeedThePlaceBehind(t *testing.T) {
+// TestInvariantsNeedLastEventID has a resumed stream continue from a wrong event.
+func TestInvariantsNeedLastEventID(t *testing.T) {
 	proof.Breaks(t, invariants(t, func(s *deliver.Server) {
 		send := s.Send
 		s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
@@ -252,22 +251,22 @@
 		route  *routing.Route
 		script []int
 		status int
-		// refused is the outcome of a refusal, if it is one.
+		// refused is the outcome of the refusal, if there is one.
 		refused string
 		spent   int
 	}{
 		{"answered", route(false, false, false, 1), nil, 200, "", 0},
-		{"unreachable twice, then answered, out of no budget", route(false, false, false, 1), []int{unreachable, unreachable}, 200, "", 0},
-		{"never reachable", route(false, false, false, 1), []int{unreachable, unreachable, unreachable, unreachable}, 503, refusal.DidNotRun, 0},
-		{"turned away by the only one allowed", route(false, false, false, 1), []int{turnsAway}, 503, refusal.DidNotRun, 0},
-		{"turned away, then answered, out of the budget", route(false, false, false, 2), []int{turnsAway}, 200, "", 1},
-		{"lost", route(false, false, false, 2), []int{runsAndIsLost}, 502, refusal.Unknown, 0},
-		{"lost, may be repeated", route(true, false, false, 2), []int{runsAndIsLost}, 200, "", 1},
-		{"failed, may be repeated", route(true, false, false, 2), []int{fails}, 200, "", 1},
-		{"failed twice: the target's own answer", route(true, false, false, 2), []int{fails, fails}, 500, "", 1},
-		{"lost, then turned away: no promise", route(true, false, false, 2), []int{runsAndIsLost, turnsAway}, 502, refusal.Unknown, 1},
-		{"hangs to the end", route(false, false, false, 2), []int{hangs}, 504, refusal.Unknown, 0},
-		{"hangs, may be repeated, the target looks dead", route(true, false, false, 2), []int{hangs}, 200, "", 1},
+		{"unreachable twice, then answered, without budget", route(false, false, false, 1), []int{unreachable, unreachable}, 200, "", 0},
+		{"always unreachable", route(false, false, false, 1), []int{unreachable, unreachable, unreachable, unreachable}, 503, refusal.DidNotRun, 0},
+		{"turned away, one attempt allowed", route(false, false, false, 1), []int{turnsAway}, 503, refusal.DidNotRun, 0},
+		{"turned away, then answered, from the budget", route(false, false, false, 2), []int{turnsAway}, 200, "", 1},
+		{"no answer", route(false, false, false, 2), []int{givesNoAnswer}, 502, refusal.Unknown, 0},
+		{"no answer, repeatable", route(true, false, false, 2), []int{givesNoAnswer}, 200, "", 1},
+		{"failed, repeatable", route(true, false, false, 2), []int{fails}, 200, "", 1},
+		{"failed twice: the target's answer is passed on", route(true, false, false, 2), []int{fails, fails}, 500, "", 1},
+		{"no answer, then turned away: may have run", route(true, false, false, 2), []int{givesNoAnswer, turnsAway}, 502, refusal.Unknown, 1},
+		{"hangs until the deadline", route(false, false, false, 2), []int{hangs}, 504, refusal.Unknown, 0},
+		{"hangs, repeatable, the target looks dead", route(true, false, false, 2), []int{hangs}, 200, "", 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -286,8 +285,8 @@
 	}
 }
 
-// TestSlowIsNotDead shows that a request waits at a slow target that lives:
-// trying another would only add to the load.
+// TestSlowIsNotDead shows that a request waits at a slow target that is alive: an
+// attempt at another one would only add load.
 func TestSlowIsNotDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := &targets{script: []int{hangs}}
@@ -295,32 +294,33 @@
 		s.Suspect = func(context.Context, string) bool { return false }
 		got := ask(s)
 		if x.sent != 1 || got.refused == nil || got.refused.Status != http.StatusGatewayTimeout {
-			t.Errorf("sent %d times, got %+v", x.sent, got)
+			t.Errorf("%d attempts, got %+v", x.sent, got)
 		}
 	})
 }
 
-// TestBudget shows that without budget nothing is sent again.
-func TestBudget(t *testing.T) {
+// TestNoRetryWithoutBudget shows that nothing is sent again without retry budget.
+func TestNoRetryWithoutBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := &targets{script: []int{turnsAway}}
 		s := x.server(route(true, false, false, 3))
 		s.Spend = func(string) bool { return false }
 		if got := ask(s); x.sent != 1 || got.refused == nil || got.refused.RetryAfter == 0 {
-			t.Errorf("sent %d times, got %+v", x.sent, got)
+			t.Errorf("%d attempts, got %+v", x.sent, got)
 		}
 	})
 }
 
-// TestHeldBack has a request be kept from its target at the last moment: that says nothing
-// against the target, costs no budget, and another one is tried, once or more.
-func TestHeldBack(t *testing.T) {
+// TestWithheld has a request withheld at the last moment, as its target asked for a
+// backoff: that does not count against the target and costs no budget, and another
+// target is tried.
+func TestWithheld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		x := &targets{script: []int{heldBack}}
+		x := &targets{script: []int{withheld}}
 		s := x.server(route(false, false, false, 1))
 		s.Ended = func(e deliver.AttemptResult) {
 			if e.Place.Target == "t1" && (e.Failed || e.Unreachable || e.CutOff || e.Began) {
-				t.Errorf("told of the target: %+v", e)
+				t.Errorf("the attempt counts against the target: %+v", e)
 			}
 		}
 		if got := ask(s); got.status != http.StatusOK || x.arrived != 1 || x.spent != 0 {
@@ -329,20 +329,20 @@
 	})
 }
 
-// TestTimeLeft shows that targets are given what is left, not more.
+// TestTimeLeft shows that targets get the time that is left as their timeout.
 func TestTimeLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := &targets{script: []int{hangs}}
 		ask(x.server(route(true, false, false, 2)))
 		if len(x.left) != 2 || x.left[0] != 3*time.Second || x.left[1] >= x.left[0] || x.left[1] < 2*time.Second {
-			t.Errorf("given %v", x.left)
+			t.Errorf("timeouts given %v", x.left)
 		}
 	})
 }
 
-// TestStale shows that a key is refused, with when to come back, once it can't
-// be told whether it is still good.
-func TestStale(t *testing.T) {
+// TestStaleConfiguration shows that keys are refused with a Retry-After while the
+// configuration is too old to tell whether they are still valid.
+func TestStaleConfiguration(t *testing.T) {
 	x := &targets{}
 	s := x.server(route(true, false, false, 1))
 	r := s.Table().Route("h", "/")
@@ -355,6 +355,6 @@
 	}
 	r.Open = true
 	if got := ask(s); got.status != http.StatusOK || got.refused != nil {
-		t.Errorf("an open route needs no proof: %+v", got)
+		t.Errorf("an open route needs no fresh configuration: %+v", got)
 	}
 }
--- a/deliver/gap.go
+++ b/deliver/gap.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// maxGap is the pause of a stream after which its connection counts as silent
-// whatever its target looks like: ten times the pause that routes allow, and twice
-// the time in which an engine loads weights.
+// maxGap is the gap between events after which a stream's connection counts as dead even
+// if its target looks alive: ten times the gap that routes allow, and twice the time in
+// which an engine loads weights.
 const maxGap = 3 * time.Second
 
-// eventWait watches how long a stream's next event is waited for.
+// eventWait tracks how long a stream's next event has been waited for.
 type eventWait struct {
-	// since is when the wait for it began; nil while an event is passed on, so
-	// that a caller who takes it slowly is not held against the target.
+	// since is when the wait began; nil while an event is passed on, so that a slow
+	// caller does not count against the target.
 	since atomic.Pointer[time.Time]
 }
 
@@ -22,10 +22,10 @@
 
 func (p *eventWait) end() { p.since.Store(nil) }
 
-// abortIfStalled breaks a sending off, until ctx ends, if its stream pauses for long
-// and its target looks dead or its connections silent, or if the pause is
-// hopeless. The stream then goes on at another target. One that may not be resumed
-// is not watched: it has nothing to win.
+// abortIfStalled cancels an attempt, until ctx ends, if its stream exceeds the gap timeout
+// and its target looks dead or its connections silent, or if it exceeds maxGap. The stream
+// then continues at another target. Streams that are not resumable are not watched, as an
+// abort gains them nothing.
 func (x *run) abortIfStalled(ctx context.Context, cancel context.CancelCauseFunc, target string, p *eventWait) {
 	ticks := time.NewTicker(x.gapTimeout() / 2)
 	defer ticks.Stop()
@@ -50,7 +50,7 @@
 	}
 }
 
-// gapTimeout is the pause after which a stream's target is doubted.
+// gapTimeout is the gap after which a stream's target is checked.
 func (x *run) gapTimeout() time.Duration {
 	if x.job.Route.GapGoal == 0 {
 		return maxSilence
--- a/deliver/late_test.go
+++ b/deliver/late_test.go
@@ -11,7 +11,7 @@
 	"github.com/thymewind/thymewind/deliver"
 )
 
-// delayed reads one text, after a wait.
+// delayed is a body that begins after a wait.
 type delayed struct {
 	wait time.Duration
 	text io.Reader
@@ -23,8 +23,8 @@
 	return d.text.Read(p)
 }
 
-// TestLate shows that a stream counts as late if its first event or a pause came
-// later than the route's goals, and only if it came whole.
+// TestLate shows that a stream counts as late if its first event or a gap exceeded the
+// route's goals, and only if it is complete.
 func TestLate(t *testing.T) {
 	const first, second, third = "id: 1\n\n", "id: 2\n\n", "id: 3\n\n"
 	after := func(wait time.Duration, text string) io.Reader { return &delayed{wait, strings.NewReader(text)} }
@@ -35,8 +35,8 @@
 	}{
 		{"in time", io.MultiReader(after(90*time.Millisecond, first), after(40*time.Millisecond, second), after(40*time.Millisecond, third)), false, true},
 		{"the first event is late", io.MultiReader(after(110*time.Millisecond, first), after(0, second)), true, true},
-		{"a long pause", io.MultiReader(after(0, first), after(60*time.Millisecond, second), after(0, third)), true, true},
-		{"a long pause, then cut", io.MultiReader(after(0, first), after(60*time.Millisecond, second), brokenBody{}), false, false},
+		{"a long gap", io.MultiReader(after(0, first), after(60*time.Millisecond, second), after(0, third)), true, true},
+		{"a long gap, then cut off", io.MultiReader(after(0, first), after(60*time.Millisecond, second), brokenBody{}), false, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 				s.Ended = func(e deliver.AttemptResult) { ended = e }
 				ask(s)
 				if ended.Completed != tt.whole || (ended.Completed && ended.Late != tt.late) {
-					t.Errorf("whole %v, late %v", ended.Completed, ended.Late)
+					t.Errorf("completed %v, late %v", ended.Completed, ended.Late)
 				}
 			})
 		})
--- a/deliver/reap.go
+++ b/deliver/reap.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// pastDeadline as a connection's deadline ends what is under way there.
+// pastDeadline, set as a connection's deadline, unblocks pending reads and writes.
 var pastDeadline = time.Unix(1, 0)
 
-// watchCaller waits for the caller to leave, as the server or its connection tells. It
-// then ends the run's context and what is being written to the caller: one that
-// took nothing any more would hold its request up for good. What is returned ends
-// the watch and says whether the caller left, and how long ago that was seen.
+// watchCaller watches for the caller's disconnect, as reported by the server or its
+// connection. It then cancels the run's context and unblocks writes to the caller: one
+// that reads nothing would block its request forever. The function returned ends the
+// watch and reports whether the caller left, and how long ago that was noticed.
 func (x *run) watchCaller(ctx context.Context) (departed func() (time.Duration, bool)) {
 	ctx, cancel := context.WithCancel(ctx)
 	x.caller = ctx
@@ -26,7 +26,7 @@
 		}
 		now := x.Now()
 		left.Store(&now)
-		_ = connection.SetWriteDeadline(pastDeadline) // Only a real connection can; others never hold up.
+		_ = connection.SetWriteDeadline(pastDeadline) // Only real connections support it; others never block.
 	})
 	x.register(x, cancel)
 	return func() (time.Duration, bool) {
@@ -41,10 +41,10 @@
 	}
 }
 
-// Reap ends the requests whose callers have closed their connections, and those whose
-// time is up. The HTTP server tells of most callers by itself, but stops looking once a
-// byte of the next request has come; timers end most that are late, but stood still if
-// the machine was suspended. Call it some times a second.
+// Reap cancels the requests whose callers have closed their connections, and those past
+// their deadlines. The HTTP server reports most disconnects, but stops looking once a
+// byte of the next request has arrived; timers cover most deadlines, but stand still
+// while the machine is suspended. Call it several times a second.
 func (s *Server) Reap() {
 	now := s.Now()
 	for x, cancel := range s.inFlight() {
@@ -56,13 +56,13 @@
 	}
 }
 
-// deadline is a time at which something ends, by the daemon's clock. A timer ends it too, and
-// as a rule first.
+// deadline is a time by the daemon's clock at which an action is due. A timer usually
+// performs it first.
 type deadline struct {
 	at atomic.Pointer[deadlineAction]
 }
 
-// deadlineAction is what a limit ends.
+// deadlineAction is what a deadline triggers.
 type deadlineAction struct {
 	at  time.Time
 	act func()
@@ -78,14 +78,14 @@
 	}
 }
 
-// inFlight returns the requests under way, with how to end each.
+// inFlight returns the requests in flight, with the cancel function of each.
 func (s *Server) inFlight() map[*run]context.CancelFunc {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.running)
 }
 
-// register has Look see to a request, leave ends that.
+// register has Reap check a request, unregister ends that.
 func (s *Server) register(x *run, cancel context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,16 +101,16 @@
 	delete(s.running, x)
 }
 
-// callerLeft says that the caller went away. Its connection is asked too, as its context
-// tells of a close only some time after the body was read: a box that was behind
-// for 0.6 s passed on requests whose callers had left before, every time.
+// callerLeft says whether the caller disconnected. It asks the connection as well, as the
+// context reports a close only some time after the body was read: a box that was behind
+// by 0.6 s always passed on requests whose callers had disconnected before.
 func (x *run) callerLeft() bool {
 	x.callerGone = x.callerGone || x.caller.Err() != nil || (x.outcome.Call.Disconnected != nil && x.outcome.Call.Disconnected())
 	return x.callerGone
 }
 
-// disconnected tells a caller that left from a body that came too late: the server ends
-// the context for both, but the latter's caller is still owed an answer.
+// disconnected tells a disconnect from a body that arrived too late: the server ends the
+// context for both, but the latter's caller still gets an answer.
 func (x *run) disconnected() bool {
 	return x.outcome.Call.Disconnected == nil || x.outcome.Call.Disconnected()
 }
--- a/deliver/run.go
+++ b/deliver/run.go
@@ -15,62 +15,61 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// Bounds of one request.
+// Limits of one request.
 const (
-	// maxUnsent bounds the tries that never reached a target. Three cover a pool
-	// in which a quarter of the replicas crashed, 98 times in 100.
+	// maxUnsent limits the attempts that never reached a target. In a pool with a quarter
+	// of the replicas crashed, three reach a live one 98 times in 100.
 	maxUnsent = 3
-	// silenceFactor is how many times its route's goal a request that may be repeated
-	// waits for an answer before another target is asked, and leastSilence and
-	// mostSilence bound that.
-	silenceFactor      = 3
-	minSilence = 400 * time.Millisecond
-	maxSilence  = 1500 * time.Millisecond
-	// minTimeLeft is the time under which another try makes no sense.
+	// silenceFactor times its route's goal is how long a repeatable request waits for an
+	// answer before another target is tried, within minSilence and maxSilence.
+	silenceFactor = 3
+	minSilence    = 400 * time.Millisecond
+	maxSilence    = 1500 * time.Millisecond
+	// minTimeLeft is the time left below which another attempt makes no sense.
 	minTimeLeft = 20 * time.Millisecond
 )
 
-// run is one request while it is served.
+// run is the state of one request being served.
 type run struct {
 	*Server
 	job *Job
 	w   http.ResponseWriter
-	// caller ends when the caller leaves, ctx when the time is up as well.
+	// caller ends when the caller leaves, ctx also at the deadline.
 	caller, ctx context.Context
-	// finishBy is when the request has to be over, begin when the target has to have
-	// begun; unset if it may begin at any time, or has.
+	// finishBy is the request's deadline, beginBy the deadline for the target to begin
+	// its answer; unset if there is none or it has begun.
 	finishBy, beginBy deadline
-	// cancel breaks the sending under way off.
-	cancel context.CancelCauseFunc
-	attempted  []string
-	// sent counts the targets that may have got the request, ran those of them
-	// that may have run it.
+	// cancel aborts the current attempt.
+	cancel    context.CancelCauseFunc
+	attempted []string
+	// sent counts the targets that may have received the request, ran those of them that
+	// may have run it.
 	sent, ran int
-	// unsent counts tries that never reached a target.
+	// unsent counts attempts that never reached a target.
 	unsent int
-	// retryPaid says that the budget gave a sending that has not left this box yet.
+	// retryPaid says that a retry was taken from the budget and has not left this box yet.
 	retryPaid bool
-	// retryReserved says that the budget gave a sending for which the one under way was
-	// broken off.
+	// retryReserved says that a retry was taken from the budget for which the current
+	// attempt was aborted.
 	retryReserved atomic.Bool
 	// callerGone says that the caller was found to have closed its connection.
 	callerGone bool
-	// headWritten says that an answer's head went to the caller.
+	// headWritten says that an answer's head was passed to the caller.
 	headWritten bool
-	// lastEventID is the last event passed on, event when one last came, and late says
-	// that one came later than the route's goals.
-	lastEventID   string
-	lastEventAt   time.Time
-	late    bool
-	outcome Outcome
+	// lastEventID is the last event passed on, lastEventAt when one last arrived, and late
+	// says that one arrived later than the route's goals.
+	lastEventID string
+	lastEventAt time.Time
+	late        bool
+	outcome     Outcome
 }
 
 // errRetry says that another target should be tried.
-var errRetry = errors.New("try another target")
+var errRetry = errors.New("retry at another target")
 
-// Serve serves a call and writes the answer to w. The error is a
-// *refusal.Refusal, returned only if nothing was written. It panics with
-// http.ErrAbortHandler to break off an answer that can't be completed.
+// Serve serves a call and writes the answer to w. The error is a *refusal.Refusal, returned
+// only if nothing was written. It panics with http.ErrAbortHandler to abort an answer that
+// can't be completed.
 func (s *Server) Serve(ctx context.Context, w http.ResponseWriter, call *Call) error {
 	x := &run{Server: s, w: w, lastEventID: call.LastEventID, outcome: Outcome{Call: call}}
 	departed := x.watchCaller(ctx)
@@ -156,8 +155,8 @@
 	return x.attemptGuarded(ctx, cancel, func() {}, place)
 }
 
-// attemptGuarded sends the request and, if it may be repeated, breaks that off once the
-// target looks dead; answered is called when an answer or an error has come.
+// attemptGuarded sends the request and, if it is repeatable, aborts that once the target
+// looks dead. It calls answered when an answer or an error arrived.
 func (x *run) attemptGuarded(ctx context.Context, cancel context.CancelCauseFunc, answered func(), place Placement) (*refusal.Refusal, error) {
 	if x.Suspect != nil && x.repeatable() && x.sent+1 < x.job.Route.Attempts {
 		over := make(chan struct{})
@@ -177,7 +176,7 @@
 		return x.handleNoAnswer(place, err)
 	}
 	if errors.Is(context.Cause(ctx), errWeightsExpired) {
-		reply.Close() // It came as the request was broken off.
+		reply.Close() // It arrived just as the attempt was aborted.
 		return x.handleNoAnswer(place, errWeightsExpired)
 	}
 	defer reply.Close()
@@ -194,7 +193,7 @@
 	}
 	if x.headWritten && (reply.Status != http.StatusOK || !reply.Events) {
 		x.Ended(AttemptResult{Place: place, Job: x.job, Began: true, Failed: true})
-		return x.abort(fmt.Sprintf("the stream can't be resumed: %d", reply.Status))
+		return x.abort(fmt.Sprintf("the stream could not be resumed: the target answered %d", reply.Status))
 	}
 	if reply.Events && reply.Status == http.StatusOK {
 		return x.relayStream(ctx, place, reply)
@@ -202,7 +201,7 @@
 	return x.relay(place, reply)
 }
 
-// handleNoAnswer handles a sending without an answer.
+// handleNoAnswer handles an attempt without an answer.
 func (x *run) handleNoAnswer(place Placement, err error) (*refusal.Refusal, error) {
 	notSent := errors.Is(err, exchange.ErrNotSent)
 	left := x.caller.Err() != nil
@@ -226,13 +225,13 @@
 	return nil, errRetry
 }
 
-// ownFault says that a sending failed for a reason of this box's own.
+// ownFault says that an attempt failed for a reason on this box's side.
 func ownFault(err error) bool {
 	own := []error{exchange.ErrConnectionLimit, exchange.ErrLate, errWeightsExpired, notice.ErrLeaving, notice.ErrBackoff, notice.ErrLimited}
 	return slices.ContainsFunc(own, func(reason error) bool { return errors.Is(err, reason) })
 }
 
-// handleTurnedAway handles a target's promise that it did not run the request.
+// handleTurnedAway handles a target's statement that it did not run the request.
 func (x *run) handleTurnedAway(place Placement, reply *Reply) (*refusal.Refusal, error) {
 	x.countArrived()
 	x.Ended(AttemptResult{Place: place, Job: x.job, Began: false, Failed: reply.Verdict == DidNotRun, Verdict: reply.Verdict, Version: reply.Version})
@@ -246,15 +245,15 @@
 	return x.refuse(x.unavailable(x.job, "turned_away", "%s turned the request away with %d", place.Target, reply.Status)), nil
 }
 
-// countArrived counts a sending that may have reached its target.
+// countArrived counts an attempt that may have reached its target.
 func (x *run) countArrived() {
 	x.sent++
 	x.retryPaid = false
 }
 
-// retryAllowed says whether one more sending is allowed; it takes it from the budget
-// if an earlier one reached a target. What was taken for one that never left this
-// box stands for the next.
+// retryAllowed says whether another attempt is allowed, and takes it from the budget if an
+// earlier one reached a target. What was taken for one that never left this box is used
+// for the next.
 func (x *run) retryAllowed(reached bool) bool {
 	if x.sent >= x.job.Route.Attempts || x.unsent >= maxUnsent || x.job.Until.Sub(x.Now()) < minTimeLeft || x.callerLeft() {
 		return false
@@ -266,7 +265,7 @@
 	return x.retryPaid
 }
 
-// fail ends a request whose last sending got no answer.
+// fail ends a request whose last attempt got no answer.
 func (x *run) fail(err error) (*refusal.Refusal, error) {
 	if x.headWritten {
 		return x.abort(err.Error())
@@ -280,8 +279,7 @@
 	return refusal.New(refusal.Unknown, http.StatusBadGateway, "no_answer", "the request was sent but no answer came: %v", err), nil
 }
 
-// refuse makes a refusal true: a request that may have run is not promised
-// not to have run.
+// refuse makes a refusal truthful: a request that may have run is not said not to have run.
 func (x *run) refuse(r *refusal.Refusal) *refusal.Refusal {
 	if x.headWritten {
 		refused, _ := x.abort(r.Code)
@@ -293,7 +291,7 @@
 	return r
 }
 
-// abort breaks an answer off that was begun.
+// abort ends an answer that was begun and can't be completed.
 func (x *run) abort(cause string) (*refusal.Refusal, error) {
 	x.outcome.Aborted, x.outcome.Cause = true, cause
 	return nil, nil
--- a/deliver/short_deadline_test.go
+++ b/deliver/short_deadline_test.go
@@ -13,25 +13,25 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// TestHasty shows that a call whose caller waits for less than any like it took is
-// refused before its body is read, and nothing else is.
-func TestHasty(t *testing.T) {
+// TestShortDeadline shows that a call whose deadline is shorter than any like it took is
+// refused before its body is read, and that no other is.
+func TestShortDeadline(t *testing.T) {
 	tests := []struct {
 		name    string
 		known   bool
 		least   time.Duration
 		timeout time.Duration
-		late    time.Duration // Since the call was received.
+		late    time.Duration // Time since the call was received.
 		after   string
 		refused bool
 	}{
 		{"time enough", true, 100 * time.Millisecond, time.Second, 0, "", false},
-		{"no bound of the caller's", true, 100 * time.Millisecond, 0, 0, "", false},
-		{"less than any took", true, 100 * time.Millisecond, 80 * time.Millisecond, 0, "", true},
-		{"less is left than any took", true, 100 * time.Millisecond, time.Second, 950 * time.Millisecond, "", true},
-		{"less than the route's bound", true, 4 * time.Second, time.Minute, 0, "", true},
-		{"not known what they take", false, 100 * time.Millisecond, 80 * time.Millisecond, 0, "", false},
-		{"takes up a stream", true, 100 * time.Millisecond, 80 * time.Millisecond, 0, "2", false},
+		{"the caller sets no timeout", true, 100 * time.Millisecond, 0, 0, "", false},
+		{"shorter than any took", true, 100 * time.Millisecond, 80 * time.Millisecond, 0, "", true},
+		{"less time is left than any took", true, 100 * time.Millisecond, time.Second, 950 * time.Millisecond, "", true},
+		{"any took longer than the route's timeout", true, 4 * time.Second, time.Minute, 0, "", true},
+		{"answer times unknown", false, 100 * time.Millisecond, 80 * time.Millisecond, 0, "", false},
+		{"resumes a stream", true, 100 * time.Millisecond, 80 * time.Millisecond, 0, "2", false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -53,10 +53,10 @@
 				t.Fatalf("refused %+v", refused)
 			}
 			if told.RefusalCode != refused.Code || told.RetryAfter != refused.RetryAfter {
-				t.Errorf("told of %q, %v", told.RefusalCode, told.RetryAfter)
+				t.Errorf("outcome has %q, %v", told.RefusalCode, told.RetryAfter)
 			}
 			if unread := body.Len() > 0; unread != tt.refused || x.sent > 0 {
-				t.Errorf("body left unread: %v; sent %d times", unread, x.sent)
+				t.Errorf("body left unread: %v; %d attempts", unread, x.sent)
 			}
 		})
 	}
--- a/deliver/silent_test.go
+++ b/deliver/silent_test.go
@@ -13,7 +13,7 @@
 	"github.com/thymewind/thymewind/deliver"
 )
 
-// silentBody reads a text and then nothing more until its context ends.
+// silentBody returns a text and then blocks until its context ends.
 type silentBody struct {
 	ctx  context.Context
 	text io.Reader
@@ -27,7 +27,7 @@
 	return 0, context.Cause(h.ctx)
 }
 
-// slowCaller is a caller that takes each event only after a time.
+// slowCaller is a caller that takes a while to read each event.
 type slowCaller struct {
 	*httptest.ResponseRecorder
 	each time.Duration
@@ -38,10 +38,10 @@
 	return s.ResponseRecorder.Write(b)
 }
 
-// TestSilentStream has a stream's connection say nothing more behind its second
-// event. One that may be resumed goes on at another target, soon if that target
-// looks dead or its connections silent, and after a hopeless pause otherwise; any
-// other is held to its end, as silence is no ground to end an answer.
+// TestSilentStream has a stream's connection go silent after its second event. A resumable
+// stream continues at another target, soon if its target looks dead or its connections
+// silent, and after maxGap otherwise. Any other is kept until its deadline, as silence is
+// no reason to end an answer.
 func TestSilentStream(t *testing.T) {
 	const two = "id: 1\n\nid: 2\n\n"
 	tests := []struct {
@@ -54,9 +54,9 @@
 		took      time.Duration
 	}{
 		{"its target looks dead", true, 2, true, 300 * time.Millisecond, 2, 900 * time.Millisecond},
-		{"no goal for pauses", true, 2, true, 0, 2, 1500 * time.Millisecond},
-		{"its target lives", true, 2, false, 300 * time.Millisecond, 2, 3 * time.Second},
-		{"no try left", true, 1, true, 300 * time.Millisecond, 1, 10 * time.Second},
+		{"no goal for gaps", true, 2, true, 0, 2, 1500 * time.Millisecond},
+		{"its target is alive", true, 2, false, 300 * time.Millisecond, 2, 3 * time.Second},
+		{"no attempt left", true, 1, true, 300 * time.Millisecond, 1, 10 * time.Second},
 		{"not resumable", false, 2, true, 300 * time.Millisecond, 1, 10 * time.Second},
 	}
 	for _, tt := range tests {
@@ -75,7 +75,7 @@
 				}
 				got := ask(s)
 				if x.sent != tt.sent || got.cut == (tt.sent == 2) {
-					t.Errorf("sent %d times, cut %v: %q", x.sent, got.cut, got.body)
+					t.Errorf("%d attempts, cut off %v: %q", x.sent, got.cut, got.body)
 				}
 				if tt.sent == 2 && got.body != wholeStream {
 					t.Errorf("got %q", got.body)
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestSluggishCaller has a caller take each event after 5 s: the pauses are its
-// own, and nothing is sent again.
-func TestSluggishCaller(t *testing.T) {
+// TestSlowCaller has a caller take 5 s to read each event: the gaps are its own, and
+// nothing is sent again.
+func TestSlowCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := route(false, true, true, 2)
 		r.Timeout, r.GapGoal = time.Minute, 300*time.Millisecond
@@ -102,21 +102,21 @@
 			t.Fatal(err)
 		}
 		if x.sent != 1 || w.Body.String() != wholeStream {
-			t.Errorf("sent %d times: %q", x.sent, w.Body.String())
+			t.Errorf("%d attempts: %q", x.sent, w.Body.String())
 		}
 	})
 }
 
-// TestNothingIsBrokenOffForNothing has a target that looks dead answer after all,
-// while the budget gives no other try: the answer that comes late is passed on.
-func TestNothingIsBrokenOffForNothing(t *testing.T) {
+// TestNoAbortWithoutBudget has a target that looks dead answer after all while there is no
+// retry budget: the late answer is passed on.
+func TestNoAbortWithoutBudget(t *testing.T) {
 	tests := []struct {
 		name   string
 		stream bool
-		pause  time.Duration // Before the answer's head, or in the stream.
+		pause  time.Duration // Before the answer's head, or within the stream.
 	}{
-		{"an answer that may be repeated", false, 1200 * time.Millisecond},
-		{"a stream that may be resumed", true, longGap},
+		{"a repeatable answer", false, 1200 * time.Millisecond},
+		{"a resumable stream", true, longGap},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -145,13 +145,12 @@
 	}
 }
 
-// longGap is longer than the pause after which a stream's connection counts as
-// silent whatever its target looks like.
+// longGap is longer than maxGap, after which a stream's connection counts as dead.
 const longGap = 3500 * time.Millisecond
 
-// TestUnusedTryIsGivenBack has an answer come just as its sending is given up for
-// another try: what the budget gave for that is given back.
-func TestUnusedTryIsGivenBack(t *testing.T) {
+// TestUnusedRetryRefunded has an answer arrive just as its attempt is aborted for a retry:
+// the retry is returned to the budget.
+func TestUnusedRetryRefunded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := (&targets{}).server(route(true, false, false, 2))
 		spent, refunded := 0, 0
@@ -162,7 +161,7 @@
 			return reply(http.StatusOK, deliver.MayHaveRun, strings.NewReader("whole")), nil
 		}
 		if got := ask(s); got.status != http.StatusOK || spent != 1 || refunded != 1 {
-			t.Errorf("got %+v, spent %d, given back %d", got, spent, refunded)
+			t.Errorf("got %+v, spent %d, refunded %d", got, spent, refunded)
 		}
 	})
 }
--- a/deliver/suspect.go
+++ b/deliver/suspect.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// abortIfSuspect breaks a sending off once it waited for long and its target looks dead.
+// abortIfSuspect cancels an attempt that has waited for longer than the silence timeout and whose target looks dead.
 func (x *run) abortIfSuspect(ctx context.Context, cancel context.CancelCauseFunc, answered <-chan struct{}, target string) {
 	timer := time.NewTicker(x.silenceTimeout())
 	defer timer.Stop()
@@ -21,7 +21,7 @@
 				continue
 			}
 			select {
-			case <-answered: // While the loop was asked.
+			case <-answered: // It came while the target was checked.
 				return
 			default:
 			}
@@ -34,20 +34,20 @@
 }
 
 var (
-	// errSilent says that a target gave no sign of an answer for too long.
-	errSilent = errors.New("the target is silent")
-	// errWeightsExpired says that a request did not begin while it still might on the
-	// target's weights.
-	errWeightsExpired = errors.New("the target's weights must not be used any more")
+	// errSilent says that a target sent nothing for too long.
+	errSilent = errors.New("no data from the target within the time allowed")
+	// errWeightsExpired says that a request did not begin before the deadline for using
+	// the target's weights.
+	errWeightsExpired = errors.New("the request did not begin before the deadline for the target's weights")
 )
 
 func (x *run) silenceTimeout() time.Duration {
 	return min(max(silenceFactor*x.job.Route.Goal, minSilence), maxSilence)
 }
 
-// reserveRetry takes one more sending from the budget before the one under way is broken
-// off for it. Without it nothing is broken off: an answer that may yet come is
-// better than none.
+// reserveRetry takes a retry from the budget before the current attempt is aborted for
+// it. Without budget nothing is aborted: an answer that may still come is better than
+// none.
 func (x *run) reserveRetry() bool {
 	if x.job.Until.Sub(x.Now()) < minTimeLeft || !x.Spend(x.job.Pool.Name) {
 		return false
--- a/deliver/suspended_test.go
+++ b/deliver/suspended_test.go
@@ -11,12 +11,12 @@
 	"github.com/thymewind/thymewind/deliver"
 )
 
-// TestSuspended suspends the machine while a request waits at a target: the timers that
-// end it stand still meanwhile. It is ended at the next look all the same, where its time
-// is up or its target's weights must not be used any more.
+// TestSuspended suspends the machine while a request waits at a target, so that the timers
+// that would end it stand still. Reap ends it once its deadline or the deadline for the
+// target's weights has passed.
 func TestSuspended(t *testing.T) {
 	const (
-		route15 = 15 * time.Second // The route's time, of which a second has passed.
+		route15 = 15 * time.Second // The route's timeout, of which a second has passed.
 		look    = 200 * time.Millisecond
 	)
 	tests := []struct {
@@ -26,10 +26,10 @@
 		status  int
 		took    time.Duration
 	}{
-		{"for less than is left", 5 * time.Second, 0, http.StatusGatewayTimeout, route15 - 5*time.Second},
-		{"for longer than is left", 20 * time.Second, 0, http.StatusGatewayTimeout, time.Second + look},
-		{"past the time to begin by", 5 * time.Second, 3 * time.Second, http.StatusBadGateway, time.Second + look},
-		{"not past the time to begin by", time.Second, 3 * time.Second, http.StatusBadGateway, 2 * time.Second},
+		{"for less than the time left", 5 * time.Second, 0, http.StatusGatewayTimeout, route15 - 5*time.Second},
+		{"for longer than the time left", 20 * time.Second, 0, http.StatusGatewayTimeout, time.Second + look},
+		{"past the deadline to begin", 5 * time.Second, 3 * time.Second, http.StatusBadGateway, time.Second + look},
+		{"not past the deadline to begin", time.Second, 3 * time.Second, http.StatusBadGateway, 2 * time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 					t.Fatalf("refused %+v, want %d", got.refused, tt.status)
 				}
 				if over := took - tt.took; over < 0 || over > look {
-					t.Errorf("took %v awake, want %v and a look at most", took, tt.took)
+					t.Errorf("took %v awake, want %v and at most one look more", took, tt.took)
 				}
 			})
 		})
--- a/dispatch/ended.go
+++ b/dispatch/ended.go
@@ -12,8 +12,8 @@
 	"github.com/thymewind/thymewind/target"
 )
 
-// Ended takes back what Place counted and learns from how the attempt went. It
-// returns true if the prompt's cache should be exported to its store box.
+// Ended releases what Place counted and learns from how the attempt went. It returns true
+// if the prompt's cache should be exported to its store box.
 func (b *Scheduler) Ended(now time.Time, e route.Ended) (export bool) {
 	b.Gate.Release(e.Placed.Account, e.Placed.Pool)
 	x, known := b.Targets.Lookup(e.Placed.Target)
@@ -25,7 +25,7 @@
 	case e.Failed:
 		b.Fail(now, x)
 	case e.Refused:
-		// The refusal is newer than the report: think of the target as full.
+		// The refusal is newer than the report, so the target counts as full.
 		x.Running = max(x.Running, x.Slots)
 	default:
 		x.Failures = 0
@@ -35,8 +35,8 @@
 	return false
 }
 
-// ApplySignals takes in what a target says of itself in an answer, as soon as its head has come:
-// the answer itself may last for minutes.
+// ApplySignals applies what a target says of itself in an answer as soon as its head has
+// arrived: the answer itself may last for minutes.
 func (b *Scheduler) ApplySignals(now time.Time, placed route.Placed, said notice.Signals) {
 	x, known := b.Targets.Lookup(placed.Target)
 	if !known || x.Address != placed.Address {
@@ -50,8 +50,8 @@
 	}
 }
 
-// learn takes in what a whole answer tells about cache and decides whether the
-// prompt's cache is kept.
+// learn updates the cache statistics from a complete answer and decides whether the
+// prompt's cache is exported.
 func (b *Scheduler) learn(now time.Time, e route.Ended) (export bool) {
 	p := b.Configuration.Pools[e.Placed.Pool]
 	if p.Kind != pool.KindModel || len(e.Placed.Keys) == 0 {
@@ -74,7 +74,7 @@
 		return false
 	}
 	if c.bytesPerToken == 0 || c.estimate.Link == 0 {
-		return true // Nothing is known of the links until something is moved.
+		return true // The link speed is unknown until something was moved.
 	}
 	tokens := float64(len(e.Placed.Keys) * p.PieceBytes / BytesPerToken)
 	return b.Keep(&c.policy, retention.Candidate{
@@ -83,14 +83,14 @@
 	})
 }
 
-// Exported takes in what an export wrote.
+// Exported learns the size of one token's cache from an export.
 func (b *Scheduler) Exported(pool string, run []kvcache.Manifest) {
 	if tokens, bytes := kvcache.Size(run); tokens > 0 {
 		b.cacheStatsOf(pool).bytesPerToken = float64(bytes) / float64(tokens)
 	}
 }
 
-// learnSpeed takes in how long a target took to compute a prompt.
+// learnSpeed learns a target's speed from the prefill time of a prompt.
 func (b *Scheduler) learnSpeed(now time.Time, x *target.Target, e route.Ended) {
 	u := e.End.Usage
 	computed := float64(u.Prompt - u.Reused - u.Imported)
@@ -101,7 +101,7 @@
 	x.Computed(now, u.PrefillMillis/1000*prefill/computed)
 }
 
-// learnComputed takes in how much of a prompt was computed.
+// learnComputed updates the shares of prompt tokens that were prefilled.
 func (c *cacheStats) learnComputed(e route.Ended) {
 	u := e.End.Usage
 	if u.Prompt == 0 {
@@ -117,10 +117,10 @@
 	*share += (float64(u.Prompt-u.Reused-u.Imported)/float64(u.Prompt) - *share) * computedWeight
 }
 
-// computedWeight is the part of one prompt in the share computed.
+// computedWeight is the weight of one prompt in the moving shares.
 const computedWeight = 0.02
 
-// ratio divides, and takes nothing for an unknown rate.
+// ratio divides, and returns zero if the rate is unknown.
 func ratio(amount, rate float64) float64 {
 	if rate == 0 {
 		return 0
--- a/dispatch/fairness.go
+++ b/dispatch/fairness.go
@@ -10,30 +10,30 @@
 	"github.com/thymewind/thymewind/route"
 )
 
-// How far accounts may fill a pool; measured with make measure. Over lowShare
-// of it, those with more than their fair part go behind the others in the
-// engines' queues; over highShare they are refused. One that floods, that is
-// asks for more than floodPart of the whole pool while others use it too, is
-// refused over floodShare already, so that the others' waits stay as they were.
+// How much of a pool accounts may use. Over lowShare of it, requests of accounts above
+// their fair share get a lower priority in the engines' queues; over highShare they are
+// refused. An account that floods, by asking for more than floodPart of the whole pool
+// while others use it too, is refused over floodShare already, so that the others' waits
+// stay as they were.
 const (
 	lowShare   = 0.3
 	highShare  = 0.85
 	floodShare = 0.55
 	floodPart  = 0.4
 	fairWindow = 5 * time.Second
-	// learnWeight is the part of one run in the moving means.
+	// learnWeight is the weight of one run in the moving means.
 	learnWeight = 0.05
 )
 
 // Usage is how many engines and slots other boxes' requests keep busy.
 type Usage struct {
 	Engines, Slots float64
-	// Unreported counts the boxes that have not told of their use lately.
+	// Unreported counts the boxes that have not reported their usage recently.
 	Unreported int
 }
 
-// priority returns the engines' priority of a request, or refuses it if its
-// account has more than its fair part of a pool that is nearly full.
+// priority returns the engines' priority for a request, or refuses it if its account has
+// more than its fair share of a pool that is nearly full.
 func (b *Scheduler) priority(now time.Time, ask route.Ask, p pool.Pool) (int, error) {
 	if p.Kind != pool.KindModel {
 		return 0, nil
@@ -56,21 +56,20 @@
 	return 0, nil
 }
 
-// shareOf is what this box may use of a capacity: what the other boxes leave of
-// it, of which those not heard of are thought to use their equal part, but at
-// least an equal part.
+// shareOf is what this box may use of a capacity: what the other boxes leave of it, but at
+// least an equal share. Boxes without a recent report are assumed to use an equal share.
 func (b *Scheduler) shareOf(capacity, others float64, unheard int) float64 {
 	equal := capacity / float64(b.Boxes())
 	return max(equal, capacity-others-float64(unheard)*equal)
 }
 
-// Demand is how many requests an account has under way or asked for lately, in
-// the time over which work fades.
+// Demand is how many requests an account has in flight or asked for recently, within the
+// window over which demand decays.
 func (b *Scheduler) Demand(now time.Time, account string) int {
 	return b.Gate.AccountInFlight(account) + int(math.Ceil(b.demand.Rate(now, account)*fairWindow.Seconds()))
 }
 
-// Active lists the accounts that asked for something lately.
+// Active lists the accounts that asked for something recently.
 func (b *Scheduler) Active() []string { return b.demand.Accounts() }
 
 // Used is how many engines and slots this box's requests in a pool keep busy.
@@ -79,7 +78,7 @@
 	return c.prefill.Sum(now), c.slots.Sum(now)
 }
 
-// size counts the pool's engines and slots.
+// size counts the pool's usable engines and their slots.
 func (b *Scheduler) size(now time.Time, name string) (engines, slots float64) {
 	for _, x := range b.Pools[name] {
 		if x.Usable(now) {
@@ -90,7 +89,7 @@
 	return engines, slots
 }
 
-// recordUse notes what an admitted request is expected to cost.
+// recordUse records the expected cost of an admitted request.
 func (b *Scheduler) recordUse(now time.Time, ask route.Ask, p pool.Pool, tokens int) {
 	if p.Kind != pool.KindModel {
 		return
@@ -110,13 +109,13 @@
 	return perToken * float64(tokens)
 }
 
-// floods says whether an account asks for more than a part of the pool while
-// others use it.
+// floods says whether an account asks for more than a given part of the pool while others
+// use it.
 func (c *cacheStats) floods(now time.Time, account string, part float64) bool {
 	return c.offered.Rate(now, account) > part && len(c.offered.Accounts()) > 1
 }
 
-// learnCost learns from what a run did cost.
+// learnCost learns from the actual cost of a run.
 func (c *cacheStats) learnCost(e route.Ended) {
 	c.meanRun += (e.Took.Seconds() - c.meanRun) * learnWeight
 	u := e.End.Usage
--- a/dispatch/fairness_test.go
+++ b/dispatch/fairness_test.go
@@ -16,7 +16,7 @@
 	"github.com/thymewind/thymewind/target"
 )
 
-// newScheduler knows one pool of engines that compute 1000 tokens a second.
+// newScheduler has one pool of engines that prefill 1000 tokens a second.
 func newScheduler(engines, boxes int, others dispatch.Usage) *dispatch.Scheduler {
 	b := &dispatch.Scheduler{
 		Scope: prefix.Scope, Boxes: func() int { return boxes }, Others: func(string) dispatch.Usage { return others },
@@ -40,7 +40,7 @@
 	return b
 }
 
-// serve runs one request of half a second of an engine, if it is admitted.
+// serve runs one request that takes half a second of an engine, if it is admitted.
 func serve(b *dispatch.Scheduler, now time.Time, account string) bool {
 	prompt := string(make([]byte, 500*dispatch.BytesPerToken))
 	placed, err := b.Place(now, route.Ask{Request: "r", Account: account, Model: "m", Attempt: 1, Prompt: prompt})
@@ -53,8 +53,8 @@
 	return true
 }
 
-// admitted sends ten requests a second for ten seconds and returns the engines
-// that the admitted ones keep busy.
+// admitted sends ten requests a second for ten seconds and returns how many engines the
+// admitted ones keep busy.
 func admitted(b *dispatch.Scheduler) float64 {
 	now := time.Unix(1000, 0)
 	n := 0
@@ -67,8 +67,8 @@
 	return float64(n) * 0.5 / 10
 }
 
-// TestShareFollowsTheOtherBoxes has one account send all to one of three boxes.
-func TestShareFollowsTheOtherBoxes(t *testing.T) {
+// TestShareFollowsOtherBoxes has one account send everything to one of three boxes.
+func TestShareFollowsOtherBoxes(t *testing.T) {
 	const all = 5.0 // engines that the requests would keep busy
 	tests := []struct {
 		name        string
@@ -78,8 +78,8 @@
 	}{
 		{"alone", 1, dispatch.Usage{}, all, all},
 		{"the other boxes are idle", 3, dispatch.Usage{}, all, all},
-		{"nothing is heard of them", 3, dispatch.Usage{Unreported: 2}, 2.5, 4.0},
-		{"they are busy", 3, dispatch.Usage{Engines: 5}, 3.0, 4.6},
+		{"the other boxes have not reported", 3, dispatch.Usage{Unreported: 2}, 2.5, 4.0},
+		{"the other boxes are busy", 3, dispatch.Usage{Engines: 5}, 3.0, 4.6},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -90,16 +90,16 @@
 	}
 }
 
-// TestFloodIsBoundedForTheOthers has one account ask for most of a pool. It
-// gets what there is while it is alone, and less while another uses the pool.
-func TestFloodIsBoundedForTheOthers(t *testing.T) {
+// TestFloodIsLimited has one account ask for most of a pool. It gets all it asks for while
+// it is alone, and less while another account uses the pool.
+func TestFloodIsLimited(t *testing.T) {
 	tests := []struct {
 		name        string
 		other       bool
 		least, most float64
 	}{
 		{"alone", false, 4.9, 5},
-		{"beside another", true, 3, 4.2},
+		{"beside another account", true, 3, 4.2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -52,7 +52,7 @@
 	return placed, err
 }
 
-// admit asks the gate and turns a no into a refusal with a time to come back.
+// admit asks the admission gate and turns its rejection into a refusal with a Retry-After.
 func (b *Scheduler) admit(now time.Time, ask route.Ask, name string) error {
 	a := b.Configuration.Accounts[ask.Account]
 	capacity, load := b.Capacity(now, name)
@@ -105,7 +105,7 @@
 	x := targets[choice.Index]
 	x.InFlight++
 	if p.Kind == pool.KindModel {
-		// Services report no load that would set these back.
+		// Services report no load that would reset these.
 		x.Send(now, scaled(now, b.prefillTime, x))
 		b.recordUse(now, ask, p, tokens)
 	}
@@ -122,9 +122,9 @@
 	return placed, nil
 }
 
-// slack is how long a request may wait more to be where its cache probably is:
-// as long as waiting costs no more, by the pool's weights, than computing again
-// what engines lately had in memory of such prompts.
+// slack is how much longer a request may wait in order to reach the target that probably
+// has its cache: as long as the wait costs no more, by the pool's weights, than computing
+// again what engines recently had in memory of such prompts.
 func (b *Scheduler) slack(p pool.Pool, ask route.Ask, tokens int) time.Duration {
 	if p.Kind != pool.KindModel || p.Policy.FirstToken <= 0 {
 		return minSlack
@@ -138,8 +138,8 @@
 	return minSlack + time.Duration(min(gain, maxSlack)*float64(time.Second))
 }
 
-// Wait predicts the wait at a target, and how much longer than elsewhere the
-// request being placed is computed there; it is for the chooser.
+// Wait predicts the wait at a target, including how much longer than elsewhere it takes
+// to prefill the prompt being placed; it is for the chooser.
 func (b *Scheduler) Wait(x *target.Target) time.Duration {
 	if x.Slots == 0 {
 		return time.Duration(x.InFlight) * serviceWait
@@ -151,8 +151,8 @@
 	return wait
 }
 
-// predictPrefillTime predicts how long a prompt's computing takes, at the share that was
-// computed lately of prompts like it.
+// predictPrefillTime predicts a prompt's prefill time from the recent share of tokens
+// prefilled of prompts like it.
 func (b *Scheduler) predictPrefillTime(p pool.Pool, ask route.Ask, tokens int) time.Duration {
 	c := b.cacheStatsOf(p.Name)
 	share := c.computedNew
@@ -162,48 +162,47 @@
 	return time.Duration(ratio(share*float64(tokens), c.estimate.Prefill) * float64(time.Second))
 }
 
-// Report takes a target's own report in; queued are the prompt tokens that
-// were still to be computed, and lag how old it is already.
+// Report applies a target's own load report. Queued are the prompt tokens that were still
+// to be prefilled; lag is the report's age.
 func (b *Scheduler) Report(now time.Time, x *target.Target, running, waiting, queued int, lag time.Duration) {
 	busy := ratio(float64(queued), b.cacheStatsOf(x.Pool).estimate.Prefill)
 	x.Report(now.Add(-lag-reportLag), running, waiting, scaled(now, time.Duration(busy*float64(time.Second)), x))
 }
 
-// scaled is how long a target takes for what its pool's mean does in d.
+// scaled scales a time that is the pool's mean to a target's speed.
 func scaled(now time.Time, d time.Duration, x *target.Target) time.Duration {
 	return time.Duration(float64(d) * x.Slowness(now))
 }
 
-// reportLag is how late targets report their load.
+// reportLag is the delay with which targets report their load.
 const reportLag = 500 * time.Millisecond
 
-// The bounds of the slack: within the least, lagged reports don't tell targets
-// apart. And the share of hits before any is known.
+// Limits of the slack: below minSlack, lagged reports don't tell targets apart.
+// initialHitShare is the share of cache hits assumed before any is known.
 const (
-	minSlack   = 20 * time.Millisecond
-	maxSlack = 5.0 // seconds
-	initialHitShare     = 0.4
-	// hitDiscount is the part of a hoped-for hit that waiting for it is worth, as
-	// the wait is certain and the hit is not; measured with make measure.
+	minSlack        = 20 * time.Millisecond
+	maxSlack        = 5.0 // seconds
+	initialHitShare = 0.4
+	// hitDiscount is the value of an expected cache hit relative to the wait for it, as
+	// the wait is certain and the hit is not.
 	hitDiscount = 0.6
 )
 
-// What waiting behind one request costs: on a plain service, and for a slot.
+// The wait behind one request: on a plain service, and for a slot.
 const (
 	serviceWait = 10 * time.Millisecond
-	assumedRun    = 2 * time.Second
+	assumedRun  = 2 * time.Second
 )
 
-// firstTokenTimeout is how long an engine may be silent before its first text: a
-// few times what the pool promises, so that only a dead or frozen one is left.
-// Zero means no bound.
+// firstTokenTimeout is how long an engine may be silent before its first text: a few times
+// the pool's goal, so that only a dead or frozen engine exceeds it. Zero means no limit.
 func firstTokenTimeout(p pool.Pool) time.Duration {
 	const (
 		factor  = 3
 		without = 10 * time.Second
 	)
 	if p.FirstTokenMillis == 0 && p.Kind == pool.KindService {
-		return 0 // The request's own time bounds it.
+		return 0 // The request's own deadline applies.
 	}
 	if p.FirstTokenMillis == 0 {
 		return without
@@ -211,7 +210,7 @@
 	return factor * time.Duration(p.FirstTokenMillis) * time.Millisecond
 }
 
-// addCacheInfo says what is known about the cache of a prompt's beginning.
+// addCacheInfo adds what is known about the cache of a prompt's beginning.
 func (b *Scheduler) addCacheInfo(now time.Time, ask route.Ask, p pool.Pool, placed *route.Placed) {
 	last, known := b.recent.Get(ask.Home)
 	placed.Known = known
@@ -226,8 +225,8 @@
 	}
 }
 
-// storeOf returns the store box that keeps a prompt's cache: the best ranked
-// one that is not failing.
+// storeOf returns the store box for a prompt's cache: the best-ranked one that is not
+// failing.
 func (b *Scheduler) storeOf(now time.Time, home prefix.Key) (boxes.Box, bool) {
 	var best boxes.Box
 	var weight uint64
--- a/dispatch/place_test.go
+++ b/dispatch/place_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestRefusedRequestsUseNoTokens has an account ask while no target has the weights. The
-// requests that got no place cost none of its tokens a minute.
+// requests that were not placed use none of its tokens per minute.
 func TestRefusedRequestsUseNoTokens(t *testing.T) {
 	b := newScheduler(1, 1, dispatch.Usage{})
 	b.Configuration.Accounts = map[string]account.Account{"a": {Name: "a", Weight: 1, TokensPerMinute: 1000}}
@@ -31,6 +31,6 @@
 		}
 	}
 	if placed != 3 {
-		t.Errorf("%d requests of 300 tokens were placed, want 3 of a thousand", placed)
+		t.Errorf("%d requests of 300 tokens were placed, want 3 within 1000 tokens a minute", placed)
 	}
 }
--- a/dispatch/quota.go
+++ b/dispatch/quota.go
@@ -12,12 +12,12 @@
 	"github.com/thymewind/thymewind/target"
 )
 
-// withinQuota says that a target limits no requests, or that this box may send one now.
+// withinQuota says that a target has no rate limit, or that this box may send it a request now.
 func (b *Scheduler) withinQuota(now time.Time, x *target.Target) bool {
 	return !x.Limited || b.bucket(now, x).Ready()
 }
 
-// takeQuota counts a request that goes to a target, and says whether that limits requests.
+// takeQuota counts a request sent to a target and says whether the target has a rate limit.
 func (b *Scheduler) takeQuota(now time.Time, x *target.Target) bool {
 	if !x.Limited {
 		return false
@@ -26,7 +26,7 @@
 	return true
 }
 
-// bucket holds what this box may send to a target that limits requests, as of now.
+// bucket returns the token bucket of a target with a rate limit, refilled up to now.
 func (b *Scheduler) bucket(now time.Time, x *target.Target) *quota.Bucket {
 	bucket := b.quotas[x.ID]
 	if bucket == nil {
@@ -41,7 +41,7 @@
 	return bucket
 }
 
-// SetLimit takes over how many requests a second a target takes of all boxes, if it limits them.
+// SetLimit sets the rate limit, in requests a second, that a target has for all boxes.
 func (b *Scheduler) SetLimit(x *target.Target, limited bool, perSecond float64) {
 	x.Limited, x.Rate = limited, perSecond
 	if !limited {
@@ -49,12 +49,12 @@
 	}
 }
 
-// Resumed counts that a run's answer is read again from a target. It can't wait, as the run
-// goes on meanwhile, so later requests do.
+// Resumed counts that a run's answer is read again from a target. It can't be delayed, as
+// the run goes on meanwhile, so later requests are.
 func (b *Scheduler) Resumed(now time.Time, x *target.Target) { b.takeQuota(now, x) }
 
-// refuseNoTarget refuses a request that no target takes, and says whether that is as they got the
-// requests that they take a second.
+// refuseNoTarget refuses a request that no target takes. The code says whether that is
+// because the targets' rate limits are used up.
 func (b *Scheduler) refuseNoTarget(now time.Time, ask route.Ask, p pool.Pool) *refusal.Refusal {
 	spent := func(x *target.Target) bool {
 		return x.Usable(now) && !slices.Contains(ask.Exclude, x.Name) && !b.withinQuota(now, x)
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -1,12 +1,12 @@
-// Package dispatch decides: which request is admitted, which target it goes
-// to, whether kept cache is worth moving. It holds the tables that decisions
-// need and does no input or output, so that the daemon and the measuring tool
-// drive the same code.
+// Package dispatch decides which request is admitted, which target it goes to, and
+// whether cached prompts are worth moving. It holds the state that these decisions need
+// and does no input or output, so that the daemon and the benchmark tool run the same
+// code.
 //
-//	b := dispatch.Board{Configuration: c, Choose: chooser.Choose, ...}
+//	b := dispatch.Scheduler{Configuration: c, Choose: chooser.Choose, ...}
 //	placed, err := b.Place(now, ask)
 //	...
-//	keep := b.Ended(now, ended)
+//	export := b.Ended(now, ended)
 package dispatch
 
 import (
@@ -28,89 +28,89 @@
 	"github.com/thymewind/thymewind/target"
 )
 
-// BytesPerToken estimates tokens for throttles; charges come from engines.
+// BytesPerToken estimates tokens for limits; charges use the engines' counts.
 const BytesPerToken = 4
 
-// recentPrompts bounds the prompts remembered as served lately.
+// recentPrompts limits the prompts remembered as recently served.
 const recentPrompts = 8192
 
-// StoreBackoff keeps a store box out of use after it failed.
+// StoreBackoff is how long a store box gets no work after it failed.
 const StoreBackoff = 2 * time.Second
 
-// Scheduler holds what decisions need. Set the exported function fields before
-// Start; it is not safe for concurrent use.
+// Scheduler holds the state for decisions. Set the exported function fields before Start;
+// it is not safe for concurrent use.
 type Scheduler struct {
 	Configuration *configuration.Configuration
 	Targets       entity.Table[string, *target.Target]
-	// Pools lists the targets of each pool in name order; see Group.
+	// Pools lists the targets of each pool in name order; see GroupByPool.
 	Pools  map[string][]*target.Target
 	Stores entity.Table[string, boxes.Box]
 	Gate   admission.Gate
-	// StoreAvoidUntil keeps store boxes that failed out of use for a while.
+	// StoreAvoidUntil is until when store boxes that failed get no work.
 	StoreAvoidUntil map[string]time.Time
 
 	// Choose picks a target; it is (*placement.Chooser).Choose.
 	Choose func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error)
-	// Scope names the cache of one client account and weight version; it is
+	// Scope identifies the cache of a client account and weight version; it is
 	// prefix.Scope.
 	Scope func(account, version string) prefix.Key
 	// Keep decides whether a prompt is worth its export; it is
 	// (*retention.Policy).Keep.
 	Keep func(p *retention.Policy, k retention.Candidate) bool
-	// Boxes counts the entry boxes that share the work. It is at least 1.
+	// Boxes counts the entry boxes that share the work, at least 1.
 	Boxes func() int
-	// Others is the use of a pool by other boxes.
+	// Others is other boxes' usage of a pool.
 	Others func(pool string) Usage
-	// RateShare is this box's part, in requests a second, of the rate that a target takes of all
-	// boxes. Without it this box has all of it.
+	// RateShare is this box's share, in requests a second, of the rate limit that a target
+	// sets for all boxes. If nil, this box has all of it.
 	RateShare func(x *target.Target) float64
-	// Limit is this box's part of an account's limit.
+	// Limit is this box's share of an account's limit.
 	Limit  func(account string, limit int) int
 	Jitter func(mean time.Duration) time.Duration
 	Record func(decision.Record)
-	// OnFailing and Leaving hear when a target begins to fail or to leave.
+	// OnFailing and OnLeaving are called when a target begins to fail or to leave.
 	OnFailing func(name string)
 	OnLeaving func(name, heard string)
 
-	// quotas hold what this box may send to targets that limit requests, by the target's ID.
+	// quotas hold what this box may send to targets with rate limits, by target ID.
 	quotas map[uint64]*quota.Bucket
-	// demand counts what each account asked for lately, refused or not.
+	// demand counts what each account asked for recently, refused or not.
 	demand fair.Meter
-	// now is the time of the placement under way, and at the same for targets.
+	// now is the time of the current placement, at the same on the targets' scale.
 	now time.Time
 	at  time.Duration
-	// prefillTime is how long its prompt is predicted to be computed.
+	// prefillTime is the predicted prefill time of the prompt being placed.
 	prefillTime time.Duration
 	// recent maps the homes of prompts served here to target and version.
 	recent *lru.LRU[prefix.Key, string]
-	// cache is what is known about cache, by pool.
+	// cache holds cache statistics by pool.
 	cache map[string]*cacheStats
 }
 
-// cacheStats is what the board knows about one pool's cache.
+// cacheStats is what is known about one pool's prefix cache.
 type cacheStats struct {
 	estimate reuse.Estimate
 	policy   retention.Policy
-	// computed and computedNew are the shares of prompt tokens that were
-	// computed lately, of prompts served here before and of others.
+	// computed and computedNew are the recent shares of prompt tokens that were prefilled:
+	// of prompts served here before, and of others.
 	computed, computedNew float64
-	// hitShare is the share of prompt tokens that engines had in memory lately, of
-	// prompts sent to the target that served them last.
+	// hitShare is the recent share of prompt tokens that engines had in memory, of prompts
+	// sent to the target that served them last.
 	hitShare float64
-	// prefill and slots measure the accounts' use of engines, in engine-seconds.
+	// prefill and slots measure the accounts' usage of engines, in engine-seconds.
 	prefill, slots fair.Meter
 	// offered measures what accounts ask for, refused or not.
 	offered fair.Meter
-	// meanRun is a moving mean of the time that a run has a slot for, in seconds.
+	// meanRun is a moving mean of the time that a run occupies a slot, in seconds.
 	meanRun float64
-	// perToken are the accounts' moving means of the prefill that a prompt
-	// token takes, in seconds; an account without one is taken to compute all.
+	// perToken are the accounts' moving means of prefill time per prompt token, in
+	// seconds; an account without one is assumed to prefill everything.
 	perToken map[string]float64
-	// bytesPerToken is what one token's KV cache takes; zero if not known.
+	// bytesPerToken is the size of one token's KV cache; zero if unknown.
 	bytesPerToken float64
 }
 
-// Start makes an empty board ready.
+// Start initialises an empty scheduler.
 func (b *Scheduler) Start() {
 	b.Configuration = &configuration.Configuration{}
 	b.Pools = make(map[string][]*target.Target)
@@ -118,11 +118,11 @@
 	b.cache = make(map[string]*cacheStats)
 	b.quotas = make(map[uint64]*quota.Bucket)
 	b.demand = fair.Meter{Window: fairWindow}
-	// The size is a positive constant, the only thing that could be refused.
+	// The size is a positive constant, so NewLRU can't fail.
 	b.recent, _ = lru.NewLRU[prefix.Key, string](recentPrompts, nil)
 }
 
-// GroupByPool lists the targets by pool anew. Call it when targets came or went.
+// GroupByPool rebuilds the lists of targets by pool. Call it when targets were added or removed.
 func (b *Scheduler) GroupByPool() {
 	b.Pools = make(map[string][]*target.Target)
 	quotas := make(map[uint64]*quota.Bucket)
@@ -135,8 +135,8 @@
 	b.quotas = quotas
 }
 
-// Capacity is how many requests the pool's usable targets take at once, and
-// load how many are thought to be on them.
+// Capacity is how many requests the pool's usable targets take at once, load an estimate
+// of how many they have.
 func (b *Scheduler) Capacity(now time.Time, pool string) (capacity, load int) {
 	perTarget := b.Configuration.Pools[pool].Concurrency
 	for _, x := range b.Pools[pool] {
@@ -148,11 +148,11 @@
 	return capacity, load
 }
 
-// LeavingFor is how long a target gets no new work after it or the list last
-// said that it is leaving. It is longer than the list can lag.
+// LeavingFor is how long a target gets no new work after it, or the list, last said that
+// it is leaving. It is longer than the list can lag.
 const LeavingFor = 2 * time.Minute
 
-// MarkLeaving stops new work to a target that was said to be leaving at a time.
+// MarkLeaving stops new work to a target that was reported as leaving at a time.
 func (b *Scheduler) MarkLeaving(x *target.Target, at time.Time, heard string) {
 	if at.After(x.LeavingAt) {
 		x.LeavingAt = at
@@ -164,8 +164,8 @@
 	b.OnLeaving(x.Name, heard)
 }
 
-// ExpireLeaving lets targets that nothing has called leaving for long take new
-// work again, such as one that was restarted at its address.
+// ExpireLeaving lets targets take new work again that have not been reported as leaving
+// for long, such as one that was restarted at its address.
 func (b *Scheduler) ExpireLeaving(now time.Time) {
 	for _, x := range b.Targets.All() {
 		if x.Leaving && now.Sub(x.LeavingAt) > LeavingFor {
@@ -174,7 +174,7 @@
 	}
 }
 
-// Fail keeps new work off a target for a while that grows with its failures.
+// Fail puts a target into backoff, for longer with each failure in a row.
 func (b *Scheduler) Fail(now time.Time, x *target.Target) {
 	const (
 		first   = 500 * time.Millisecond
@@ -188,7 +188,7 @@
 	x.AvoidUntil = now.Add(min(first<<min(x.Failures-1, doubled), longest))
 }
 
-// cacheStatsOf returns a pool's state, new if need be.
+// cacheStatsOf returns a pool's statistics and creates them on first use.
 func (b *Scheduler) cacheStatsOf(pool string) *cacheStats {
 	c, known := b.cache[pool]
 	if !known {
--- a/entry/emulator_test.go
+++ b/entry/emulator_test.go
@@ -23,7 +23,7 @@
 const (
 	// networkDelay is the way between two boxes, storeAnswer what the table service takes.
 	networkDelay = time.Millisecond
-	storeAnswer = 5 * time.Millisecond
+	storeAnswer  = 5 * time.Millisecond
 	// emulatedStep is how often time passes.
 	emulatedStep = 50 * time.Millisecond
 	// emulatedShare is the part of a core of the boxes that are fit for hubs, of which
--- a/entry/listen.go
+++ b/entry/listen.go
@@ -20,7 +20,7 @@
 	// long its connection rests; both are above what the platform's callers
 	// take.
 	headerTimeout = 3 * time.Second
-	idleTimeout    = 60 * time.Second
+	idleTimeout   = 60 * time.Second
 	// maxHeaderBytes bounds a head until the configuration says otherwise.
 	maxHeaderBytes = 64 << 10
 	// shutdownMargin is how long before the platform kills the process it ends by
--- a/entry/tables.go
+++ b/entry/tables.go
@@ -201,7 +201,7 @@
 
 // scan names a state of the list and of what was named.
 type scan struct {
-	list   uint64
+	list          uint64
 	newestVersion int64
 }
 
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -29,7 +29,7 @@
 	keys map[string]*Account
 	// lowestPriorities is the highest rank of the routes of each pool, goals the shortest goal.
 	lowestPriorities map[string]int
-	goals map[string]time.Duration
+	goals            map[string]time.Duration
 	// keyed says that requests need a key, unless their route is open.
 	keyed bool
 }
@@ -130,13 +130,13 @@
 // New builds the version's table. Limits are set by the caller afterwards.
 func New(version int64, routes []*Route, pools []*Pool, accounts []*Account) *Table {
 	t := &Table{
-		Version: version,
-		Pools:   make(map[string]*Pool, len(pools)),
-		hosts:   make(map[string]*host),
-		keys:    make(map[string]*Account),
-		lowestPriorities:   make(map[string]int),
-		goals:   make(map[string]time.Duration),
-		keyed:   len(accounts) > 0,
+		Version:          version,
+		Pools:            make(map[string]*Pool, len(pools)),
+		hosts:            make(map[string]*host),
+		keys:             make(map[string]*Account),
+		lowestPriorities: make(map[string]int),
+		goals:            make(map[string]time.Duration),
+		keyed:            len(accounts) > 0,
 	}
 	for _, p := range pools {
 		t.Pools[p.Name] = p
--- a/workingset/set.go
+++ b/workingset/set.go
@@ -24,8 +24,8 @@
 	// growAt is the share of its targets' memory from which on a set doubles, and idles that
 	// below which it halves, after idleFor. Below idles what is left after halving is well
 	// below fills.
-	growAt   = 0.4
-	shrinkAt   = 0.1
+	growAt      = 0.4
+	shrinkAt    = 0.1
 	shrinkAfter = time.Minute
 )
 
