--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -1,10 +1,10 @@
-// Package affinity chooses the model engine for a prompt by what it would cost
-// there: the time until its first event, and the tokens that would be read
-// although they are kept somewhere. Among engines that cost about the same the
-// best-ranked one by rendezvous hash takes it, so that all boxes send the same
-// prompts to the same engine without asking each other.
+// Package affinity chooses the model engine for a prompt by its cost there: the time until
+// the first event, and the tokens that would be prefilled although they are cached
+// somewhere. Among engines that cost about the same, the best-ranked one by rendezvous
+// hashing takes it, so that all boxes send the same prompts to the same engine without
+// asking each other.
 //
-//	c := affinity.Chooser{Directory: d, Reading: reading, Stretch: stretch, ...}
+//	c := affinity.Chooser{Directory: d, PrefillPerToken: prefill, Slowdown: slowdown, ...}
 //	choice, ok := c.Choose(now, ask, fleet.Pool("menu"))
 package affinity
 
@@ -19,53 +19,53 @@
 	"github.com/thymewind/thymewind/throughput"
 )
 
-// What things cost, as time.
+// Costs, expressed as time.
 const (
-	// recomputeTokenCost is what reading a token again is worth avoiding, beyond the
-	// time: at the platform's prices 1,000 of them cost a third of a request.
+	// recomputeTokenCost is the cost of prefilling a cached token again, beyond the time: at
+	// the platform's prices 1,000 of them cost a third of a request.
 	recomputeTokenCost = 50 * time.Microsecond
-	// Slack is the usual difference in cost that is not worth leaving the
-	// best-ranked engine for; a request's first event takes some 50 ms.
+	// Slack is the usual difference in cost that is not worth leaving the best-ranked engine
+	// for; a request's first event takes some 50 ms.
 	Slack = 25 * time.Millisecond
 	// otherDomainCost is the cost of an engine in another failure domain than the box:
-	// the bytes between domains have their price, a box that uses a fifth of the
-	// engines opens a fifth of the connections, and what other boxes send there is
-	// known later. It is above Slack, so that the rank does not outweigh it. On 195
-	// boxes before 99 engines 13 in 1,000 answers were late with it and 22 with 30 ms,
-	// for 9,300 connections in place of 11,600.
+	// traffic between domains is charged, a box that uses a fifth of the engines opens a
+	// fifth of the connections, and the load that other boxes send there is known later. It
+	// is above Slack, so that the rank does not outweigh it. With 195 boxes and 99 engines,
+	// 13 in 1,000 answers were late with it and 22 with 30 ms, with 9,300 connections in
+	// place of 11,600.
 	otherDomainCost = 80 * time.Millisecond
-	// newConnectionCost is the cost of a connection that has to be made: a round trip, and its
-	// price. It is above Slack, as otherwise the rank outweighs it.
+	// newConnectionCost is the cost of opening a connection: a round trip and its price. It
+	// is above Slack, as otherwise the rank outweighs it.
 	newConnectionCost = 30 * time.Millisecond
 	// oldWeightsCost is the cost of running on weights older than the newest.
 	oldWeightsCost = 80 * time.Millisecond
-	// lateCost is the cost of a first event behind the goal: callers count such an answer
-	// for a fifth, which is as much as reading 4,000 tokens again. It rises from
-	// nearly of the goal on, as what is reckoned misses by some tenths of it.
+	// lateCost is the cost of a first event after the goal: callers value such an answer at
+	// a fifth, which is as much as prefilling 4,000 tokens again. It rises from lateFrom of
+	// the goal on, as predictions miss by some tenths of the goal.
 	lateCost = 200 * time.Millisecond
 	lateFrom = 0.5
-	// failureCost is the cost of a target that failed lately.
+	// failureCost is the cost of a target that failed recently.
 	failureCost = 2 * time.Second
-	// memoryCost is the cost of an engine whose memory is taken up, waiting what
-	// comes on top of it for each share beyond full.
+	// memoryCost is the cost of an engine whose memory is used up; overfullCost is added for
+	// each share beyond overfullShare.
 	memoryCost    = 100 * time.Millisecond
 	overfullCost  = 2 * time.Second
 	overfullShare = 0.85
-	// engineTransferDelay is what a move from another engine waits at least.
+	// engineTransferDelay is the least delay of a transfer from another engine.
 	engineTransferDelay = 2 * time.Millisecond
-	// SilenceTimeout is how long an engine with requests may say nothing. Its
-	// events are asked for all the time, which it answers within a second.
+	// SilenceTimeout is how long an engine with requests may send nothing. Its events are
+	// polled all the time, and it answers that within a second.
 	SilenceTimeout = 1200 * time.Millisecond
 )
 
-// Source is a store of kept parts.
+// Source is a store of cached parts, or an engine that has some.
 type Source struct {
 	Name    string
 	Address netip.AddrPort
 	Domain  string
 	// Capacity is in tokens.
 	Capacity int
-	// PerToken is the time to move one token, First what each move waits.
+	// PerToken is the time to transfer one token, Delay how long each transfer waits.
 	PerToken, Delay time.Duration
 }
 
@@ -74,37 +74,35 @@
 	Tokens int
 }
 
-// Request is what an engine is chosen by.
+// Request is the input of a choice.
 type Request struct {
 	// Domain is the failure domain of the box that sends the prompt.
 	Domain string
 	// Home ranks the engines.
 	Home uint64
-	// Parts are the prompt's; the last is the request's own.
+	// Parts are the prompt's; the last is unique to the request.
 	Parts []Part
-	// Tokens is the memory that the request takes up, Capacity that of an
-	// engine.
+	// Tokens is the memory that the request uses, Capacity an engine's memory.
 	Tokens, Capacity int
-	// Keys names the parts for engines of a weight version.
+	// Keys returns the parts' keys under a weight version.
 	Keys func(version int64) []directory.Key
-	// Model is the one asked for, Wanted its newest version, or zero.
+	// Model is the model asked for, NewestVersion its newest weight version, or zero.
 	Model         string
 	NewestVersion int64
 	// MinVersion is the lowest version that may be used, or zero.
 	MinVersion int64
-	// Full says that an engine has no memory left for the prompt, of which so many
-	// tokens are taken up; nil takes none for full. A full one is chosen only if all
-	// are.
+	// Full says that an engine with the given tokens in use has no memory left for the
+	// prompt; nil takes none for full. A full engine is chosen only if all are.
 	Full func(taken int) bool
-	// Goal is when the first event should have come, or zero if there is no such time.
+	// Goal is the goal for the time to the first event, or zero if there is none.
 	Goal time.Duration
-	// HasIdleConnection says that the box has a connection to an engine that rests; nil takes it to
-	// have one to each.
+	// HasIdleConnection says whether the box has an idle connection to an engine; nil
+	// assumes one to each.
 	HasIdleConnection func(t *fleet.Target) bool
-	// DomainAllowed says whether the prompt may be run, kept and moved in a failure domain; nil
-	// allows all.
+	// DomainAllowed says whether the prompt may be run, cached and transferred in a failure
+	// domain; nil allows all.
 	DomainAllowed func(domain string) bool
-	// Skip passes over engines for which it returns true.
+	// Skip excludes engines for which it returns true.
 	Skip func(id string) bool
 }
 
@@ -113,51 +111,50 @@
 	return a.DomainAllowed == nil || a.DomainAllowed(domain)
 }
 
-// ownPart is the number of the part that is the request's own.
+// ownPart is the index of the part that is unique to the request.
 func (a Request) ownPart() int { return len(a.Parts) - 1 }
 
-// Choice is the engine and what it does with the prompt.
+// Choice is the chosen engine and what it does with the prompt.
 type Choice struct {
 	Target  *fleet.Target
 	Version int64
 	Keys    []directory.Key
-	// CachedParts counts the leading parts that the engine keeps.
+	// CachedParts counts the leading parts that the engine has cached.
 	CachedParts int
-	// Fetch and Save hold a source for each part, or nil.
+	// Fetch and Save hold a source for each part, or are nil.
 	Fetch, Save []*Source
-	// PrefillTokens are the tokens that the engine has to read, Ahead those that other
-	// requests have it read before.
+	// PrefillTokens are the tokens that the engine has to prefill, PrefillBacklog those that
+	// it prefills first for other requests.
 	PrefillTokens, PrefillBacklog int
-	// Transfers are those that the engine needs before it can read the rest.
+	// Transfers are those that the engine needs before it can prefill the rest.
 	Transfers []throughput.Transfer
 	Rule      string
 }
 
-// Chooser chooses engines. Set the exported fields before first use; it is not
-// safe for concurrent use.
+// Chooser chooses engines. Set the exported fields before first use; it is not safe for
+// concurrent use.
 type Chooser struct {
 	Directory *directory.Directory
 	// Stores are the stores in reach, in the same order on each box.
 	Stores func() []*Source
-	// TransferPerToken is the time to move one token between two engines.
+	// TransferPerToken is the time to transfer one token between two engines.
 	TransferPerToken func() time.Duration
-	// PrefillPerToken is the time that an engine takes to read one prompt token, Stretch
-	// by how much moves from a source take longer than over an unused link; both
-	// as learnt.
+	// PrefillPerToken is an engine's time to prefill one prompt token, Slowdown by how much
+	// transfers from a source take longer than over an unused link; both are learned.
 	PrefillPerToken func() time.Duration
-	// FirstEventBase is the time to the first event of a prompt without anything to read; nil
-	// takes it for nothing.
+	// FirstEventBase is the time to the first event of a prompt with nothing to prefill; nil
+	// means zero.
 	FirstEventBase func() time.Duration
 	Slowdown       func(now time.Time, source string) float64
 
 	// Slack is the difference in cost within which the best-ranked engine is taken.
 	Slack time.Duration
-	// Saves, FromStores and FromEngines say whether parts may be saved to a
-	// source, or fetched from it.
+	// AllowSave, AllowStoreFetch and AllowEngineFetch say whether parts may be saved to a
+	// store, fetched from a store, or fetched from an engine.
 	AllowSave, AllowStoreFetch, AllowEngineFetch func(*Source) bool
 
-	// Load returns the memory that requests of all boxes take up at an engine,
-	// and the prompt tokens that wait there to be read.
+	// Load returns the memory that requests of all boxes use at an engine, and the prompt
+	// tokens that wait there for prefill.
 	Load func(now time.Time, t *fleet.Target) (tokens, unread int)
 }
 
@@ -165,10 +162,10 @@
 type candidate struct {
 	target  *fleet.Target
 	version int64
-	// cached counts the leading parts that the engine keeps, reached those that it
-	// keeps or can fetch.
+	// cached counts the leading parts that the engine has cached, available those that it
+	// has cached or can fetch.
 	cached, available int
-	// prefillBacklog are the tokens that the engine has to read for other requests.
+	// prefillBacklog are the tokens that the engine prefills first for other requests.
 	prefillBacklog int
 	full           bool
 	cost           time.Duration
@@ -211,7 +208,7 @@
 	return list
 }
 
-// best returns the best-ranked of the candidates that cost about as little as the
+// best returns the best-ranked of the candidates whose cost is within the slack of the
 // cheapest.
 func (c *Chooser) best(list []candidate) candidate {
 	cheapest := slices.MinFunc(list, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
@@ -224,7 +221,7 @@
 	return best
 }
 
-// rule says in words why an engine was chosen, for logs.
+// rule names the placement rule, for logs.
 func rule(home, fetched bool) string {
 	text := "cheaper than home"
 	if home {
@@ -243,7 +240,7 @@
 	return t.Versions[ask.Model] >= ask.MinVersion
 }
 
-// lateness is the cost of a first event that is reckoned for a time.
+// lateness is the cost of a first event that is predicted for a time.
 func lateness(first, goal time.Duration) time.Duration {
 	if goal <= 0 {
 		return 0
@@ -252,9 +249,8 @@
 	return time.Duration(min(max(share, 0), 1) * float64(lateCost))
 }
 
-// memoryPressure is the cost of memory that requests take up: what is left keeps
-// parts, and when none is left requests wait for others to end, for some
-// hundred milliseconds.
+// memoryPressure is the cost of memory in use: free memory holds cached parts, and without
+// any, requests wait some hundred milliseconds for others to end.
 func memoryPressure(tokens, capacity int) time.Duration {
 	if capacity <= 0 {
 		return 0
--- a/affinity/affinity_test.go
+++ b/affinity/affinity_test.go
@@ -12,18 +12,18 @@
 
 var start = time.Unix(1000, 0)
 
-// fixture is two engines, a quick small store and a slow large one.
+// fixture is two engines, a fast small store and a slow large one.
 type fixture struct {
 	d       *directory.Directory
 	a, b    *fleet.Target
 	stores  []*affinity.Source
 	chooser affinity.Chooser
 	ask     affinity.Request
-	// stretch is by how much moves take longer, by source.
-	stretch map[string]float64
+	// slowdown is by how much transfers take longer, by source.
+	slowdown map[string]float64
 }
 
-// all sources are used.
+// all allows every source.
 func all(*affinity.Source) bool { return true }
 
 func key(version int64, i int) directory.Key { return directory.Key(100*version + int64(i)) }
@@ -38,7 +38,7 @@
 	}
 	x.chooser = affinity.Chooser{
 		Directory: x.d, Stores: func() []*affinity.Source { return x.stores },
-		PrefillPerToken: func() time.Duration { return time.Millisecond / 112 }, Slowdown: func(_ time.Time, name string) float64 { return max(x.stretch[name], 1) },
+		PrefillPerToken: func() time.Duration { return time.Millisecond / 112 }, Slowdown: func(_ time.Time, name string) float64 { return max(x.slowdown[name], 1) },
 		TransferPerToken: func() time.Duration { return time.Microsecond },
 		Slack:            affinity.Slack, AllowSave: all, AllowStoreFetch: all, AllowEngineFetch: all,
 		Load: func(_ time.Time, t *fleet.Target) (int, int) { return t.Tokens, t.PrefillBacklog },
@@ -52,19 +52,19 @@
 	return x
 }
 
-func (x *fixture) keeps(source string, version int64, parts ...int) {
+func (x *fixture) caches(source string, version int64, parts ...int) {
 	x.d.Connected(source, 1)
 	for _, i := range parts {
 		x.d.Add(source, key(version, i), x.ask.Parts[i].Tokens)
 	}
 }
 
-// keepsAlone has an engine keep the shared parts, beside a store that is too slow to
-// fetch them from, and have little memory left.
-func (x *fixture) keepsAlone(e *fleet.Target) {
-	x.keeps(e.ID, 1, 0, 1)
-	x.keeps("large", 1, 0, 1)
-	x.stretch = map[string]float64{"large": 50}
+// cachesAlone has an engine cache the shared parts, beside a store that is too slow to fetch
+// them from, and have little memory left.
+func (x *fixture) cachesAlone(e *fleet.Target) {
+	x.caches(e.ID, 1, 0, 1)
+	x.caches("large", 1, 0, 1)
+	x.slowdown = map[string]float64{"large": 50}
 	x.chooser.AllowEngineFetch = func(*affinity.Source) bool { return false }
 	e.Tokens = 175000
 }
@@ -78,7 +78,7 @@
 	return choice
 }
 
-// TestChoose says which engine gets a prompt.
+// TestChoose checks which engine gets a prompt.
 func TestChoose(t *testing.T) {
 	home := newFixture().choose(t).Target.ID
 	other := map[string]string{"a": "b", "b": "a"}[home]
@@ -88,32 +88,32 @@
 		want   string
 	}{
 		{"nothing known: home", func(*fixture, *fleet.Target, *fleet.Target) {}, home},
-		{"kept elsewhere, no way to fetch it", func(x *fixture, _, other *fleet.Target) { x.keeps(other.ID, 1, 0, 1); x.stores = nil }, home},
-		{"home has much to read", func(_ *fixture, home, _ *fleet.Target) { home.PrefillBacklog = 20000 }, other},
-		{"home's memory is taken up", func(_ *fixture, home, _ *fleet.Target) { home.Tokens = 175000 }, other},
-		{"home leaves", func(_ *fixture, home, _ *fleet.Target) { home.Leaving = true }, other},
-		{"home failed lately", func(_ *fixture, home, _ *fleet.Target) { home.Fail(start) }, other},
-		{"home loads weights", func(_ *fixture, home, _ *fleet.Target) { home.LoadingUntil = start.Add(time.Second) }, other},
+		{"cached at the other engine, can't be fetched", func(x *fixture, _, other *fleet.Target) { x.caches(other.ID, 1, 0, 1); x.stores = nil }, home},
+		{"home has a long prefill backlog", func(_ *fixture, home, _ *fleet.Target) { home.PrefillBacklog = 20000 }, other},
+		{"home's memory is used up", func(_ *fixture, home, _ *fleet.Target) { home.Tokens = 175000 }, other},
+		{"home is leaving", func(_ *fixture, home, _ *fleet.Target) { home.Leaving = true }, other},
+		{"home failed recently", func(_ *fixture, home, _ *fleet.Target) { home.Fail(start) }, other},
+		{"home is loading weights", func(_ *fixture, home, _ *fleet.Target) { home.LoadingUntil = start.Add(time.Second) }, other},
 		{"home is in another domain", func(x *fixture, home, _ *fleet.Target) { home.Domain, x.ask.Domain = "y", "z" }, other},
-		{"home is in another domain, the own one is busy", func(x *fixture, home, other *fleet.Target) {
+		{"home is in another domain, the engine in the own domain is busy", func(x *fixture, home, other *fleet.Target) {
 			home.Domain, x.ask.Domain = "y", "z"
 			other.PrefillBacklog = 20000
 		}, home},
-		{"home is a little busy, the other in another domain", func(_ *fixture, home, other *fleet.Target) {
+		{"home is a little busy, the other is in another domain", func(_ *fixture, home, other *fleet.Target) {
 			home.PrefillBacklog, other.Domain = 7000, "y"
 		}, home},
-		{"and home's first event would come behind the goal", func(x *fixture, home, other *fleet.Target) {
+		{"home is a little busy and would miss the goal", func(x *fixture, home, other *fleet.Target) {
 			home.PrefillBacklog, other.Domain = 7000, "y"
 			x.ask.Goal = 150 * time.Millisecond
 		}, other},
-		{"only to the other a connection rests", func(x *fixture, _, other *fleet.Target) {
+		{"only the other has an idle connection", func(x *fixture, _, other *fleet.Target) {
 			x.ask.HasIdleConnection = func(t *fleet.Target) bool { return t == other }
 		}, other},
-		{"only to the other a connection rests, and it has some more to read", func(x *fixture, _, other *fleet.Target) {
+		{"only the other has an idle connection, but a longer backlog", func(x *fixture, _, other *fleet.Target) {
 			x.ask.HasIdleConnection = func(t *fleet.Target) bool { return t == other }
 			other.PrefillBacklog = 2000
 		}, home},
-		{"to neither a connection rests", func(x *fixture, _, _ *fleet.Target) {
+		{"neither has an idle connection", func(x *fixture, _, _ *fleet.Target) {
 			x.ask.HasIdleConnection = func(*fleet.Target) bool { return false }
 		}, home},
 		{"home has old weights", func(x *fixture, _, other *fleet.Target) { x.ask.NewestVersion = 2; other.Versions["m"] = 2 }, other},
@@ -122,18 +122,18 @@
 			other.Versions["m"] = 2
 			other.PrefillBacklog = 50000
 		}, home},
-		{"old weights are overdue", func(x *fixture, _, other *fleet.Target) {
+		{"home has weights that must not be used any more", func(x *fixture, _, other *fleet.Target) {
 			x.ask.NewestVersion, x.ask.MinVersion = 2, 2
 			other.Versions["m"] = 2
 			other.PrefillBacklog = 50000
 		}, other},
-		{"cheaper where it is kept, though little memory is left", func(x *fixture, home, _ *fleet.Target) { x.keepsAlone(home) }, home},
-		{"cheaper where it is kept, but no memory is left", func(x *fixture, home, _ *fleet.Target) {
-			x.keepsAlone(home)
+		{"cheaper where it is cached, though little memory is left", func(x *fixture, home, _ *fleet.Target) { x.cachesAlone(home) }, home},
+		{"cheaper where it is cached, but no memory is left", func(x *fixture, home, _ *fleet.Target) {
+			x.cachesAlone(home)
 			x.ask.Full = func(taken int) bool { return taken > 170000 }
 		}, other},
 		{"no memory is left anywhere", func(x *fixture, home, _ *fleet.Target) {
-			x.keepsAlone(home)
+			x.cachesAlone(home)
 			x.ask.Full = func(int) bool { return true }
 		}, home},
 	}
@@ -149,7 +149,7 @@
 	}
 }
 
-// TestParts says what is fetched, read and saved.
+// TestParts checks what is fetched, prefilled and saved.
 func TestParts(t *testing.T) {
 	home := newFixture().choose(t).Target.ID
 	other := map[string]string{"a": "b", "b": "a"}[home]
@@ -159,22 +159,22 @@
 		fetch, save [3]string
 		unread      int
 	}{
-		{"first time: all is read, shared parts are saved", func(*fixture) {}, [3]string{}, [3]string{"quick", "large", ""}, 10500},
-		{"kept in stores", func(x *fixture) { x.keeps("quick", 1, 0); x.keeps("large", 1, 1) }, [3]string{"quick", "large", ""}, [3]string{}, 2000},
-		{"kept at home, and in stores in case it was dropped", func(x *fixture) { x.keeps(home, 1, 0, 1); x.keeps("large", 1, 0, 1) }, [3]string{"large", "large", ""}, [3]string{}, 2000},
-		{"kept by the other engine only", func(x *fixture) { x.keeps(other, 1, 0, 1) }, [3]string{other, other, ""}, [3]string{"quick", "large", ""}, 2000},
-		{"the first part is nowhere: what follows is read", func(x *fixture) { x.keeps("large", 1, 1) }, [3]string{}, [3]string{"quick", "", ""}, 10500},
-		{"kept under other weights only", func(x *fixture) { x.keeps("large", 9, 0, 1) }, [3]string{}, [3]string{"quick", "large", ""}, 10500},
-		{"old weights: their parts are not saved any more", func(x *fixture) { x.ask.NewestVersion = 2 }, [3]string{}, [3]string{}, 10500},
-		{"the store fell silent", func(x *fixture) { x.keeps("large", 1, 0, 1); x.d.Disconnected("large") }, [3]string{}, [3]string{"quick", "large", ""}, 10500},
+		{"first time: all is prefilled, shared parts are saved", func(*fixture) {}, [3]string{}, [3]string{"quick", "large", ""}, 10500},
+		{"cached in stores", func(x *fixture) { x.caches("quick", 1, 0); x.caches("large", 1, 1) }, [3]string{"quick", "large", ""}, [3]string{}, 2000},
+		{"cached at home, and in stores as a fallback", func(x *fixture) { x.caches(home, 1, 0, 1); x.caches("large", 1, 0, 1) }, [3]string{"large", "large", ""}, [3]string{}, 2000},
+		{"cached at the other engine only", func(x *fixture) { x.caches(other, 1, 0, 1) }, [3]string{other, other, ""}, [3]string{"quick", "large", ""}, 2000},
+		{"the first part is not cached: what follows is prefilled", func(x *fixture) { x.caches("large", 1, 1) }, [3]string{}, [3]string{"quick", "", ""}, 10500},
+		{"cached under other weights only", func(x *fixture) { x.caches("large", 9, 0, 1) }, [3]string{}, [3]string{"quick", "large", ""}, 10500},
+		{"old weights: their parts are not saved", func(x *fixture) { x.ask.NewestVersion = 2 }, [3]string{}, [3]string{}, 10500},
+		{"the store is disconnected", func(x *fixture) { x.caches("large", 1, 0, 1); x.d.Disconnected("large") }, [3]string{}, [3]string{"quick", "large", ""}, 10500},
 		{"no room", func(x *fixture) { x.stores[0].Capacity, x.stores[1].Capacity = 100, 100 }, [3]string{}, [3]string{}, 10500},
-		{"the large store has turned slow", func(x *fixture) { x.keeps("large", 1, 0, 1); x.stretch = map[string]float64{"large": 50} }, [3]string{}, [3]string{}, 10500},
-		{"the large store has turned slow, the other engine has it too", func(x *fixture) {
-			x.keeps("large", 1, 0, 1)
-			x.keeps(other, 1, 0, 1)
-			x.stretch = map[string]float64{"large": 50}
+		{"the large store is slow", func(x *fixture) { x.caches("large", 1, 0, 1); x.slowdown = map[string]float64{"large": 50} }, [3]string{}, [3]string{}, 10500},
+		{"the large store is slow, the other engine has the parts too", func(x *fixture) {
+			x.caches("large", 1, 0, 1)
+			x.caches(other, 1, 0, 1)
+			x.slowdown = map[string]float64{"large": 50}
 		}, [3]string{other, other, ""}, [3]string{}, 2000},
-		{"the large store's link is slower than reading", func(x *fixture) { x.keeps("large", 1, 0, 1); x.stores[1].PerToken = time.Millisecond }, [3]string{}, [3]string{}, 10500},
+		{"the large store's link is slower than prefill", func(x *fixture) { x.caches("large", 1, 0, 1); x.stores[1].PerToken = time.Millisecond }, [3]string{}, [3]string{}, 10500},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -193,7 +193,7 @@
 				}
 			}
 			if got.PrefillTokens != tt.unread {
-				t.Errorf("unread %d, want %d", got.PrefillTokens, tt.unread)
+				t.Errorf("%d tokens to prefill, want %d", got.PrefillTokens, tt.unread)
 			}
 		})
 	}
--- a/affinity/bench_test.go
+++ b/affinity/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/thymewind/thymewind/fleet"
 )
 
-// BenchmarkChoose places prompts among 112 engines and 22 stores, as a hub of a
-// large fleet does some 200 times a second.
+// BenchmarkChoose places prompts among 112 engines and 22 stores, as a hub of a large fleet
+// does some 200 times a second.
 func BenchmarkChoose(b *testing.B) {
 	const engines, stores, prompts = 112, 22, 1000
 	d := directory.New()
@@ -31,7 +31,7 @@
 		d.Connected(s.Name, 1)
 		sources = append(sources, s)
 	}
-	for i := range prompts / 2 { // Half of the prompts are kept, each in one store and by one engine.
+	for i := range prompts / 2 { // Half of the prompts are cached, each in one store and by one engine.
 		for part := range 2 {
 			d.Add(sources[i%stores].Name, key(int64(i), part), 4000)
 			d.Add(targets[i%engines].ID, key(int64(i), part), 4000)
--- a/affinity/connections_test.go
+++ b/affinity/connections_test.go
@@ -11,11 +11,11 @@
 	"github.com/thymewind/thymewind/fleet"
 )
 
-// spread plays 20 s of a hub that places for boxes many of which send some requests a
-// second to few engines each: connections rest for 4 s, as the platform's targets allow,
-// and a pair of box and engine is used every 2 s as a mean; engines read for four tenths of
-// the time. It returns how many
-// connections were made and the requests of the busiest engine over the mean.
+// spread simulates 20 s of a hub that places requests for many boxes, each of which sends a
+// few requests a second to a few engines: connections stay open for 4 s of idling, as the
+// platform's targets allow, each pair of box and engine is used every 2 s on average, and
+// engines prefill for four tenths of the time. It returns how many connections were opened
+// and the requests of the busiest engine relative to the mean.
 func spread(preferred bool) (made int, busiest float64) {
 	const boxes, engines, perSecond, rests = 24, 20, 240, 4 * time.Second
 	random := rand.New(rand.NewPCG(3, 4))
@@ -37,7 +37,7 @@
 	got := make(map[string]int)
 	for n := range 20 * perSecond {
 		now := start.Add(time.Duration(n) * time.Second / perSecond)
-		for _, x := range targets { // What waits is read meanwhile.
+		for _, x := range targets { // The backlog is prefilled meanwhile.
 			x.PrefillBacklog = max(x.PrefillBacklog-112*1000/perSecond, 0)
 		}
 		box := random.IntN(boxes)
@@ -63,12 +63,12 @@
 	return made, float64(most) * engines / (20 * perSecond)
 }
 
-// TestFewerConnections shows that preferring engines to which a connection rests saves
+// TestFewerConnections shows that the preference for engines with an idle connection saves
 // connections and keeps the load even.
 func TestFewerConnections(t *testing.T) {
 	without, _ := spread(false)
 	with, busiest := spread(true)
 	if float64(with) > 0.6*float64(without) || busiest > 1.5 {
-		t.Errorf("%d connections were made, without the preference %d; the busiest engine got %.2f of the mean", with, without, busiest)
+		t.Errorf("%d connections were opened, without the preference %d; the busiest engine got %.2f of the mean", with, without, busiest)
 	}
 }
--- a/affinity/plan.go
+++ b/affinity/plan.go
@@ -9,12 +9,12 @@
 	"github.com/thymewind/thymewind/throughput"
 )
 
-// plan says what the engine chosen does with the prompt's parts.
+// plan decides what the chosen engine does with the prompt's parts.
 func (s *search) plan(one candidate) Choice {
 	l := s.locate(one.version)
 	choice := Choice{Target: one.target, Version: one.version, Keys: l.keys, CachedParts: one.cached, PrefillBacklog: one.prefillBacklog}
 	s.planFetch(l, one, &choice)
-	s.planMoves(&choice, one)
+	s.planTransfers(&choice, one)
 	s.planFallbackFetch(l, &choice)
 	if one.version >= s.ask.NewestVersion { // Parts of older weights are about to be freed.
 		s.planSave(&choice)
@@ -22,8 +22,8 @@
 	return choice
 }
 
-// planFetch names sources for the parts that the engine lacks and can fetch.
-// The others are read.
+// planFetch sets sources for the parts that the engine lacks and can fetch. The others are
+// prefilled.
 func (s *search) planFetch(l *location, one candidate, choice *Choice) {
 	for i := one.cached; i < one.available; i++ {
 		s.fetch(l, i, choice)
@@ -33,16 +33,16 @@
 	}
 }
 
-// planFallbackFetch names sources for the parts that the engine is thought to keep as
-// well. It takes only what it lacks, so this costs nothing unless it dropped
-// them meanwhile, as it does when its memory is short.
+// planFallbackFetch sets sources also for the parts that the engine probably has cached. It
+// fetches only what it lacks, so this costs nothing unless it has evicted them meanwhile, as
+// it does when its memory is short.
 func (s *search) planFallbackFetch(l *location, choice *Choice) {
 	for i := range min(choice.CachedParts, s.ask.ownPart()) {
 		s.fetch(l, i, choice)
 	}
 }
 
-// fetch names the source of one part, if there is one.
+// fetch sets the source of one part, if there is one.
 func (s *search) fetch(l *location, part int, choice *Choice) {
 	from, _ := s.best(l, part, choice.Target)
 	if from == nil {
@@ -54,7 +54,7 @@
 	choice.Fetch[part] = &from.Source
 }
 
-// transferTime is how long moving some tokens to an engine takes.
+// transferTime is how long the transfer of some tokens to an engine takes.
 func (s *Source) transferTime(tokens int, t *fleet.Target) time.Duration {
 	took := s.Delay + time.Duration(tokens)*s.PerToken
 	if s.Domain != t.Domain {
@@ -63,8 +63,8 @@
 	return took
 }
 
-// planMoves lists the moves that the engine waits for.
-func (s *search) planMoves(choice *Choice, one candidate) {
+// planTransfers lists the transfers that the engine waits for.
+func (s *search) planTransfers(choice *Choice, one candidate) {
 	for i := one.cached; i < one.available; i++ {
 		from := choice.Fetch[i]
 		choice.Transfers = append(choice.Transfers, throughput.Transfer{
@@ -73,12 +73,11 @@
 	}
 }
 
-// minSaveTokens is the smallest part that is worth a place in a store. Even short
-// ones count, as the parts behind one that is missing are read as well.
+// minSaveTokens is the smallest part that is worth storing. Even short ones count, as the
+// parts after a missing one have to be prefilled as well.
 const minSaveTokens = 64
 
-// planSave chooses stores for the parts that will be read and that no store
-// keeps.
+// planSave chooses stores for the parts that no store has yet.
 func (s *search) planSave(choice *Choice) {
 	for i := range s.ask.ownPart() {
 		if s.ask.Parts[i].Tokens < minSaveTokens {
@@ -95,12 +94,12 @@
 	}
 }
 
-// maxShortPart is the longest part, in tokens, that goes where a move begins
-// soonest. Longer ones go where most room is left, as they fill a small store.
+// maxShortPart is the longest part, in tokens, that goes where the transfer is fastest.
+// Longer ones go where most room is left, as they fill a small store.
 const maxShortPart = 2048
 
-// storeFor returns the store with room for a part that suits it best, or nil if a
-// store keeps it already or none has room.
+// storeFor returns the best store with room for a part, or nil if a store has it already
+// or none has room.
 func (s *search) storeFor(key directory.Key, tokens int) *Source {
 	var best *Source
 	var rank float64
--- a/affinity/search.go
+++ b/affinity/search.go
@@ -8,28 +8,29 @@
 	"github.com/thymewind/thymewind/placement"
 )
 
-// search is the choice of an engine for one prompt. Where the prompt's parts
-// are kept is looked up once, not for each engine: a large fleet has a hundred
-// engines and a hundred places to look.
+// search is the choice of an engine for one prompt. Where the prompt's parts are cached is
+// looked up once, not for each engine: a large fleet has a hundred engines and a hundred
+// places to look.
 type search struct {
 	*Chooser
 	now     time.Time
 	ask     Request
 	targets []*fleet.Target
-	// tokenTime is the time to read one token, base that to a first event beside it.
+	// tokenTime is the time to prefill one token, firstEventBase the rest of the time to a
+	// first event.
 	tokenTime, firstEventBase time.Duration
-	// locations holds what was looked up, for each weight version in use.
+	// locations holds the lookups for each weight version in use.
 	locations []location
 }
 
-// location tells where a prompt's parts are kept that were made on one version.
+// location is where a prompt's parts made on one weight version are cached.
 type location struct {
 	version int64
 	keys    []directory.Key
 	parts   []holders
 }
 
-// holders are those who keep one part whole.
+// holders are those that have one part complete.
 type holders struct {
 	stores, engines []holder
 }
@@ -39,11 +40,11 @@
 // holder is where a part can be fetched from.
 type holder struct {
 	Source
-	// slowdown is by how much moves from there take longer than they should.
+	// slowdown is by how much transfers from there take longer than expected.
 	slowdown float64
 }
 
-// locate returns where the prompt's parts of a version are kept.
+// locate returns where the prompt's parts of a version are cached.
 func (s *search) locate(version int64) *location {
 	for i := range s.locations {
 		if s.locations[i].version == version {
@@ -79,7 +80,7 @@
 	return h
 }
 
-// evaluate returns what the prompt would cost at an engine.
+// evaluate returns the prompt's cost at an engine.
 func (s *search) evaluate(t *fleet.Target) candidate {
 	version := t.Versions[s.ask.Model]
 	l := s.locate(version)
@@ -110,8 +111,8 @@
 	return one
 }
 
-// availableParts counts the leading parts that an engine keeps or can fetch, and the time
-// that the moves take. It uses a part only together with all parts before it.
+// availableParts counts the leading parts that an engine has cached or can fetch, and the
+// time of the transfers. A part is usable only together with all parts before it.
 func (s *search) availableParts(l *location, t *fleet.Target, kept int) (int, time.Duration) {
 	var took time.Duration
 	for i := kept; i < s.ask.ownPart(); i++ {
@@ -124,8 +125,8 @@
 	return max(kept, s.ask.ownPart()), took
 }
 
-// best returns where an engine should fetch a part from and how long that takes,
-// or nil if it had better read the part.
+// best returns where an engine should fetch a part from and how long that takes, or nil if
+// prefilling the part is better.
 func (s *search) best(l *location, part int, t *fleet.Target) (*holder, time.Duration) {
 	if behind, late := t.StaleVersions[s.ask.Model]; late && behind == l.version {
 		return nil, 0
@@ -133,8 +134,8 @@
 	return l.parts[part].best(s.ask.Parts[part].Tokens, s.tokenTime, t)
 }
 
-// prefillCost is the time to read the parts from one on, and what it costs beyond that
-// to read those again that are kept somewhere.
+// prefillCost is the time to prefill the parts from one on, and the cost beyond that of
+// prefilling those that are cached somewhere.
 func (s *search) prefillCost(l *location, from int) (took, again time.Duration) {
 	for i := from; i < len(s.ask.Parts); i++ {
 		took += time.Duration(s.ask.Parts[i].Tokens) * s.tokenTime
@@ -145,9 +146,9 @@
 	return took, again
 }
 
-// best returns the store or other engine that brings a part soonest, if that is
-// sooner than reading it. Engines drop parts at any time, stores don't, so a
-// store is taken if there is one.
+// best returns the store or other engine that delivers a part soonest, if that is sooner
+// than prefilling it. Engines may evict parts at any time, stores don't, so stores come
+// first.
 func (h holders) best(tokens int, read time.Duration, t *fleet.Target) (*holder, time.Duration) {
 	least := time.Duration(tokens) * (read + recomputeTokenCost)
 	if from, took := fastest(h.stores, tokens, t, least); from != nil {
@@ -156,8 +157,7 @@
 	return fastest(h.engines, tokens, t, least)
 }
 
-// fastest returns the holder that brings a part soonest, if that is within a
-// time.
+// fastest returns the holder that delivers a part soonest, if that takes less than least.
 func fastest(list []holder, tokens int, t *fleet.Target, least time.Duration) (*holder, time.Duration) {
 	var best *holder
 	for i := range list {
--- a/exposure/gate_test.go
+++ b/exposure/gate_test.go
@@ -11,8 +11,8 @@
 	"github.com/thymewind/thymewind/exposure"
 )
 
-// playBoxes plays requests of some routes at 70 boxes that start again now and then and forget,
-// and returns how many were sent in all and how many were tried.
+// playBoxes simulates requests of some routes at 70 boxes that restart now and then and
+// forget their counts. It returns how many were sent and how many were exposed.
 func playBoxes(seed uint64, share float64, room func(g *exposure.Gate, route string) bool) (all, tried int) {
 	dice := rand.New(rand.NewPCG(seed, 1))
 	gates := make([]*exposure.Gate, 70)
@@ -32,8 +32,9 @@
 	return all, tried
 }
 
-// TestShareOverBoxes holds the share over all boxes, whatever their order of requests and
-// restarts; its sister shows that the check finds boxes that lend themselves one in advance.
+// TestShareOverBoxes checks that the share holds over all boxes, whatever their order of
+// requests and restarts. TestShareOverBoxesNeedsCount shows that the check finds boxes that
+// expose one request in advance.
 func TestShareOverBoxes(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20)
 	properties := gopter.NewProperties(parameters)
@@ -45,7 +46,7 @@
 	properties.TestingRun(t)
 }
 
-func TestShareOverBoxesNeedsTheCount(t *testing.T) {
+func TestShareOverBoxesNeedsCount(t *testing.T) {
 	const share = 0.01
 	first := make(map[*exposure.Gate]bool)
 	all, tried := playBoxes(1, share, func(g *exposure.Gate, route string) bool {
@@ -54,12 +55,12 @@
 		return ahead || g.Allow(route)
 	})
 	if float64(tried) <= share*float64(all) {
-		t.Errorf("%d of %d are tried, within the share, though each start tries one in advance", tried, all)
+		t.Errorf("%d of %d are exposed, within the share, though each start exposes one in advance", tried, all)
 	}
 }
 
-// TestRoutesAreTried has a quiet route tried beside a busy one.
-func TestRoutesAreTried(t *testing.T) {
+// TestQuietRouteIsExposed has a quiet route get its share beside a busy one.
+func TestQuietRouteIsExposed(t *testing.T) {
 	g := exposure.New(0.1)
 	tried := make(map[string]int)
 	for i := range 4000 {
@@ -74,6 +75,6 @@
 		}
 	}
 	if tried["quiet"] < 10 || tried["busy"] < 200 {
-		t.Errorf("tried %v", tried)
+		t.Errorf("exposed %v", tried)
 	}
 }
--- a/leastrequest/leastrequest.go
+++ b/leastrequest/leastrequest.go
@@ -1,8 +1,7 @@
-// Package leastrequest chooses a replica of a plain service: one that is well, with
-// the least of this box's own requests, in the box's own failure domain if that
-// makes no odds.
+// Package leastrequest chooses a replica of a plain service: a healthy one with the fewest
+// requests of this box in flight, with a preference for the box's failure domain.
 //
-//	target, ok := nearest.Chooser{Domain: "quezon"}.Choose(now, targets, skip)
+//	target, ok := leastrequest.Chooser{Domain: "quezon"}.Choose(now, targets, skip)
 package leastrequest
 
 import (
@@ -12,17 +11,17 @@
 	"github.com/thymewind/thymewind/placement"
 )
 
-// SilenceTimeout is how long a service with requests may say nothing: the slowest
-// in 100 take a fifth of a second.
+// SilenceTimeout is how long a service with requests may send nothing: the slowest in 100
+// take a fifth of a second.
 const SilenceTimeout = 350 * time.Millisecond
 
 const (
-	// otherDomainCost is the cost of another failure domain in requests under way: a
-	// request takes 30 ms, the way there and back 2 ms.
+	// otherDomainCost is the cost of another failure domain in requests in flight: a request
+	// takes 30 ms, the round trip between domains 2 ms.
 	otherDomainCost = 0.5
-	// greyCost is the cost of a target that fails an unusual share.
+	// greyCost is the cost of a target with an unusual share of failures.
 	greyCost = 100.0
-	// ejectedCost is the cost of a target that could not be reached lately.
+	// ejectedCost is the cost of a target that could not be reached recently.
 	ejectedCost = 200.0
 )
 
@@ -30,13 +29,13 @@
 type Chooser struct {
 	// Domain is this box's failure domain.
 	Domain string
-	// Self is the hash of this box's name. It ranks targets that cost the same, so that boxes
-	// with nothing under way don't all send to the same one.
+	// Self is the hash of this box's name. It ranks targets of equal cost, so that boxes with
+	// nothing in flight don't all send to the same one.
 	Self uint64
 }
 
-// Choose returns the target for a request, or false if none takes new work.
-// Skip passes over targets for which it returns true.
+// Choose returns the target for a request, or false if none takes new work. Skip excludes
+// targets for which it returns true.
 func (c Chooser) Choose(now time.Time, targets []*fleet.Target, skip func(id string) bool) (*fleet.Target, bool) {
 	var best *fleet.Target
 	var least float64
@@ -52,7 +51,7 @@
 	return best, best != nil
 }
 
-// rank is a target's among those that cost the same; the highest is taken.
+// rank orders targets of equal cost; the highest is taken.
 func (c Chooser) rank(t *fleet.Target) uint64 { return placement.Weight(c.Self, placement.Hash(t.ID)) }
 
 func (c Chooser) cost(now time.Time, t *fleet.Target) float64 {
@@ -69,6 +68,6 @@
 	return cost
 }
 
-// Silent says whether a target should be asked for its health: requests wait
-// there and nothing comes.
+// Silent says whether a target's health should be probed: it has requests in flight and
+// sends nothing.
 func Silent(now time.Time, t *fleet.Target) bool { return t.Silent(now, SilenceTimeout) }
--- a/leastrequest/leastrequest_test.go
+++ b/leastrequest/leastrequest_test.go
@@ -18,10 +18,10 @@
 	}{
 		{"the own domain", func(*fleet.Target, *fleet.Target) {}, "", "near"},
 		{"busier", func(near, _ *fleet.Target) { near.InFlight = 2 }, "", "far"},
-		{"tried", func(*fleet.Target, *fleet.Target) {}, "near", "far"},
+		{"tried before", func(*fleet.Target, *fleet.Target) {}, "near", "far"},
 		{"leaving", func(near, _ *fleet.Target) { near.Leaving = true }, "", "far"},
-		{"failed lately", func(near, _ *fleet.Target) { near.Fail(start) }, "", "far"},
-		{"failed lately, the only one left", func(near, far *fleet.Target) { near.Fail(start); far.Leaving = true }, "", "near"},
+		{"failed recently", func(near, _ *fleet.Target) { near.Fail(start) }, "", "far"},
+		{"failed recently, the only one left", func(near, far *fleet.Target) { near.Fail(start); far.Leaving = true }, "", "near"},
 		{"silent", func(near, _ *fleet.Target) { near.Sent(start.Add(-time.Second), 0, 0) }, "", "far"},
 		{"none", func(near, far *fleet.Target) { near.Leaving, far.Leaving = true, true }, "", ""},
 	}
--- a/leastrequest/spread_test.go
+++ b/leastrequest/spread_test.go
@@ -10,9 +10,9 @@
 	"github.com/thymewind/thymewind/placement"
 )
 
-// TestBoxesSpread has 200 boxes of a domain, none of which has a request under way, choose
-// among the domain's targets: no target is the first choice of many more than others are, and
-// a box stays with its own, to which it has a connection.
+// TestBoxesSpread has 200 boxes of a domain, none with a request in flight, choose among the
+// domain's targets: no target is the first choice of many more than others are, and a box
+// stays with its first choice, to which it has a connection.
 func TestBoxesSpread(t *testing.T) {
 	const boxes = 200
 	start := time.Unix(1000, 0)
@@ -28,7 +28,7 @@
 				x, _ := c.Choose(start, list, func(string) bool { return false })
 				again, _ := c.Choose(start, list, func(string) bool { return false })
 				if again != x {
-					t.Fatal("a box changes its mind")
+					t.Fatal("a box changed its first choice")
 				}
 				first[x.ID]++
 			}
--- a/minlatency/minlatency.go
+++ b/minlatency/minlatency.go
@@ -1,9 +1,9 @@
-// Package minlatency learns the least time in which requests of each kind were
-// served lately, so that one whose caller waits for less can be refused at once.
+// Package minlatency learns the shortest time in which requests of each kind were recently
+// answered, so that a request with a shorter deadline can be refused at once.
 //
-//	var r quickest.Record
-//	r.See(now, "menu", 180*time.Millisecond) // as each whole answer ends
-//	if least, known := r.Least(now, "menu"); known && left < least { ... }
+//	var r minlatency.Tracker
+//	r.Observe(now, "menu", 180*time.Millisecond) // as each complete answer ends
+//	if least, known := r.Min(now, "menu"); known && left < least { ... }
 package minlatency
 
 import (
@@ -12,27 +12,27 @@
 )
 
 const (
-	// windowLength is how long a time counts: for one to two of these. Engines that have
-	// become quicker are believed at once, slower ones after the second.
+	// windowLength: a sample counts for one to two windows. Engines that became faster take
+	// effect at once, slower ones after the second window.
 	windowLength = 15 * time.Second
-	// MinSamples is how many requests have to be seen within that. Of requests whose
-	// times spread as those of services do, 3 in 1,000 are quicker than margin of
-	// the quickest of so many.
+	// MinSamples is how many requests are needed within that. If times are distributed as
+	// those of services are, 3 in 1,000 requests are faster than margin times the minimum of
+	// so many.
 	MinSamples = 50
-	// margin is the part of the least time seen that is told, as no request was
-	// proved to need the whole.
+	// margin is the share of the minimum that Min returns, as no request was proved to need
+	// the whole of it.
 	margin = 0.7
 )
 
 // Tracker is safe for concurrent use. The zero value is ready.
 type Tracker struct {
 	mu sync.Mutex
-	// windowStart is when the present window began.
+	// windowStart is when the current window began.
 	windowStart       time.Time
 	current, previous map[string]window
 }
 
-// window is what one window saw of a kind.
+// window holds what one window saw of a kind.
 type window struct {
 	count int
 	least time.Duration
@@ -48,7 +48,7 @@
 	return window{s.count + o.count, min(s.least, o.least)}
 }
 
-// Observe notes that a request was served whole in the time given.
+// Observe records that a request was answered completely in the given time.
 func (r *Tracker) Observe(now time.Time, kind string, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,8 +56,8 @@
 	r.current[kind] = r.current[kind].merge(window{1, took})
 }
 
-// Min returns a time in which no request of a kind can be expected to be served,
-// if enough were seen lately.
+// Min returns a time in which no request of a kind can be expected to be answered, if
+// there are enough recent samples.
 func (r *Tracker) Min(now time.Time, kind string) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,7 +66,7 @@
 	return time.Duration(margin * float64(s.least)), s.count >= MinSamples
 }
 
-// rotate begins another window when the present one is over.
+// rotate begins a new window when the current one is over.
 func (r *Tracker) rotate(now time.Time) {
 	passed := now.Sub(r.windowStart)
 	if r.current != nil && passed < windowLength {
--- a/minlatency/minlatency_test.go
+++ b/minlatency/minlatency_test.go
@@ -11,8 +11,8 @@
 
 var start = time.Unix(1000, 0)
 
-// TestLeast says what is known of a kind's least time.
-func TestLeast(t *testing.T) {
+// TestMin checks the minimum known of a kind.
+func TestMin(t *testing.T) {
 	see := func(r *minlatency.Tracker, after time.Duration, n int, took time.Duration) {
 		for range n {
 			r.Observe(start.Add(after), "k", took)
@@ -28,21 +28,21 @@
 		{"nothing", func(*minlatency.Tracker) {}, 0, 0, false},
 		{"too few", func(r *minlatency.Tracker) { see(r, 0, minlatency.MinSamples-1, 100*time.Millisecond) }, 0, 70 * time.Millisecond, false},
 		{"enough", func(r *minlatency.Tracker) { see(r, 0, minlatency.MinSamples, 100*time.Millisecond) }, 0, 70 * time.Millisecond, true},
-		{"one was quicker", func(r *minlatency.Tracker) {
+		{"one was faster", func(r *minlatency.Tracker) {
 			see(r, 0, minlatency.MinSamples, 100*time.Millisecond)
 			see(r, 0, 1, 50*time.Millisecond)
 		}, 0, 35 * time.Millisecond, true},
 		{"a window ago", func(r *minlatency.Tracker) { see(r, 0, minlatency.MinSamples, 100*time.Millisecond) }, 20 * time.Second, 70 * time.Millisecond, true},
-		{"a quicker one a window ago", func(r *minlatency.Tracker) {
+		{"a faster one a window ago", func(r *minlatency.Tracker) {
 			see(r, 0, 1, 50*time.Millisecond)
 			see(r, 20*time.Second, minlatency.MinSamples, 100*time.Millisecond)
 		}, 21 * time.Second, 35 * time.Millisecond, true},
-		{"a quicker one long ago", func(r *minlatency.Tracker) {
+		{"a faster one long ago", func(r *minlatency.Tracker) {
 			see(r, 0, 1, 50*time.Millisecond)
 			see(r, 16*time.Second, minlatency.MinSamples, 100*time.Millisecond)
 			see(r, 32*time.Second, 1, 100*time.Millisecond)
 		}, 32 * time.Second, 70 * time.Millisecond, true},
-		{"forgotten when nothing is served", func(r *minlatency.Tracker) { see(r, 0, minlatency.MinSamples, 100*time.Millisecond) }, 31 * time.Second, 0, false},
+		{"forgotten when nothing is answered", func(r *minlatency.Tracker) { see(r, 0, minlatency.MinSamples, 100*time.Millisecond) }, 31 * time.Second, 0, false},
 		{"another kind's", func(r *minlatency.Tracker) {
 			for range minlatency.MinSamples {
 				r.Observe(start, "other", time.Millisecond)
@@ -55,16 +55,16 @@
 			tt.happen(&r)
 			got, known := r.Min(start.Add(tt.after), "k")
 			if known != tt.known || known && got != tt.want {
-				t.Errorf("least %v, %v, want %v, %v", got, known, tt.want, tt.known)
+				t.Errorf("minimum %v, %v, want %v, %v", got, known, tt.want, tt.known)
 			}
 		})
 	}
 }
 
-// TestFewAreWronged says how many requests would have been served within the time
-// that is told, with times that spread as those of a service do: a log-normal of
-// 30 ms with a sigma of 0.5, and its least of 50.
-func TestFewAreWronged(t *testing.T) {
+// TestFewFalseRefusals counts the requests that would have been answered within the time
+// that Min returns, with a log-normal distribution of times of 30 ms with a sigma of 0.5,
+// similar to a service's, and the minimum of 50 of them.
+func TestFewFalseRefusals(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	draw := func() time.Duration {
 		return time.Duration(30 * math.Exp(0.5*rng.NormFloat64()) * float64(time.Millisecond))
@@ -85,6 +85,6 @@
 	}
 	t.Logf("%d of %d", wronged, all)
 	if share := float64(wronged) / float64(all); share > 0.004 {
-		t.Errorf("%.4f of the requests would have been served in less than what is told", share)
+		t.Errorf("%.4f of the requests would have been answered in less than the minimum", share)
 	}
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,13 +1,13 @@
 // Package placement chooses the target for a request.
 //
-// The place of a returning prompt is computed, not looked up: its home key
-// ranks the targets by rendezvous hash, and the best-ranked one of those whose
-// wait is close enough to the shortest takes it. Every box computes the same
-// ranking, so boxes share no index of prompts, and boxes with the same lagged
-// view of loads still spread over all targets that are close enough.
+// The target of a returning prompt is computed, not looked up: its home key ranks the
+// targets by rendezvous hashing, and the best-ranked one of those whose wait is close
+// enough to the shortest takes it. Every box computes the same ranking, so boxes share no
+// index of prompts, and boxes with the same lagged view of loads still spread over all
+// targets that are close enough.
 //
 //	c := placement.Chooser{Usable: (*target.Target).Usable, Wait: wait}
-//	choice, err := c.Choose(now, placement.Ask{Home: home, Slack: 100 * time.Millisecond}, targets)
+//	choice, err := c.Choose(now, placement.Request{Home: home, Slack: 100 * time.Millisecond}, targets)
 package placement
 
 import (
@@ -20,46 +20,45 @@
 	"github.com/thymewind/thymewind/target"
 )
 
-// The rules by which a target is chosen.
+// Placement rules.
 const (
 	// RuleHome is the best-ranked target of all.
 	RuleHome = "home"
-	// RuleNext is the best-ranked target of those with a shorter wait, as the
-	// wait at home is too long.
+	// RuleNext is the best-ranked target among those with a shorter wait, as the wait at
+	// home is too long.
 	RuleNext = "next in rank"
 )
 
-// Chooser chooses targets. Set the exported fields before first use; it is not
-// safe for concurrent use.
+// Chooser chooses targets. Set the exported fields before first use; it is not safe for
+// concurrent use.
 type Chooser struct {
 	// Usable says whether a target takes new work; it is (*target.Target).Usable.
 	Usable func(t *target.Target, now time.Time) bool
-	// Wait predicts how long a request sent now waits before it is worked on.
+	// Wait predicts how long a request sent now waits before it is processed.
 	Wait func(t *target.Target) time.Duration
 
-	// waits are those of the targets in one call, or closed.
+	// waits holds each target's wait, or ineligible, within one call.
 	waits []time.Duration
 }
 
-// ineligible is the wait of a target that can't be chosen.
+// ineligible marks a target that can't be chosen.
 const ineligible = -1
 
-// Request is what a request is placed by.
+// Request is the input of a choice.
 type Request struct {
 	// Home ranks the targets.
 	Home uint64
-	// Slack is how much longer than at the target with the shortest wait the
-	// request may wait in order to be at a better-ranked one, where its cache
-	// probably is.
+	// Slack is how much longer than the shortest wait the request may wait in order to
+	// reach a better-ranked target, which probably has its cache.
 	Slack time.Duration
-	// Skip passes over targets for which it returns true; nil passes over none.
+	// Skip excludes targets for which it returns true; nil excludes none.
 	Skip func(*target.Target) bool
 }
 
-// Choice is the outcome of one choosing.
+// Choice is the result of Choose.
 type Choice struct {
-	// Index is the chosen target's place in the slice given, Home that of the
-	// best-ranked one.
+	// Index is the chosen target's index in the given slice, Home that of the best-ranked
+	// one.
 	Index, Home int
 	Rule        string
 	// MinWait is the shortest wait, Wait the one at the chosen target.
@@ -78,8 +77,8 @@
 	return (high ^ low) * odd
 }
 
-// Choose returns the target for a request. It fails with trace.NotFound when
-// no target is usable.
+// Choose returns the target for a request. It fails with trace.NotFound if no target is
+// usable.
 func (c *Chooser) Choose(now time.Time, ask Request, targets []*target.Target) (Choice, error) {
 	choice := Choice{Index: -1, Home: -1, MinWait: ineligible}
 	c.waits = c.waits[:0]
@@ -105,7 +104,7 @@
 	return choice, nil
 }
 
-// rank finds the best-ranked target of all and of those within the slack.
+// rank finds the best-ranked target of all, and of those within the slack.
 func (c *Chooser) rank(ask Request, targets []*target.Target, choice *Choice) {
 	var best, home uint64
 	longest := choice.MinWait + ask.Slack
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -23,7 +23,7 @@
 	return placement.Chooser{Usable: (*target.Target).Usable, Wait: wait}
 }
 
-// now is when all of it happens.
+// now is the time of all tests.
 var (
 	now = time.Now()
 	at  = target.Since(now)
@@ -49,9 +49,9 @@
 	}{
 		{"home", func([]*target.Target) {}, placement.RuleHome, false},
 		{"home has a free slot", func(all []*target.Target) { all[home.Home].Running = 7 }, placement.RuleHome, false},
-		{"home computes a little", func(all []*target.Target) { all[home.Home].Report(now, 0, 0, 95*time.Millisecond) }, placement.RuleHome, false},
-		{"home computes a lot", func(all []*target.Target) { all[home.Home].Report(now, 0, 0, 105*time.Millisecond) }, placement.RuleNext, false},
-		{"sent a lot since the report", func(all []*target.Target) { all[home.Home].Send(now, 105*time.Millisecond) }, placement.RuleNext, false},
+		{"home has a little to prefill", func(all []*target.Target) { all[home.Home].Report(now, 0, 0, 95*time.Millisecond) }, placement.RuleHome, false},
+		{"home has a lot to prefill", func(all []*target.Target) { all[home.Home].Report(now, 0, 0, 105*time.Millisecond) }, placement.RuleNext, false},
+		{"home was sent a lot since its report", func(all []*target.Target) { all[home.Home].Send(now, 105*time.Millisecond) }, placement.RuleNext, false},
 		{"home is full", func(all []*target.Target) { all[home.Home].Running = 30 }, placement.RuleNext, false},
 		{"home is leaving", func(all []*target.Target) { all[home.Home].Leaving = true }, placement.RuleHome, false},
 		{"all are full", func(all []*target.Target) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestFewMove shows that a target that leaves moves only its own prompts.
+// TestFewMove shows that only the prompts of a target that leaves move.
 func TestFewMove(t *testing.T) {
 	c := chooser()
 	all := targets(9)
@@ -104,8 +104,7 @@
 	}
 }
 
-// BenchmarkChoose places one request over the number of targets at the design
-// size.
+// BenchmarkChoose places one request among 600 targets, the design size.
 func BenchmarkChoose(b *testing.B) {
 	c := chooser()
 	all := targets(600)
@@ -121,8 +120,8 @@
 	}
 }
 
-// BenchmarkHerd has many boxes choose on equally lagged loads and reports the
-// most loaded target against the mean, for this chooser and for least load.
+// BenchmarkHerd has many boxes choose by equally lagged loads and reports the load of the
+// most loaded target relative to the mean, for this chooser and for least load.
 func BenchmarkHerd(b *testing.B) {
 	const perBox = 12
 	for _, boxes := range []int{7, 330} {
@@ -136,8 +135,8 @@
 	}
 }
 
-// herd returns the ratio after every box has placed some requests on its own
-// copy of the same lagged report.
+// herd returns that ratio after every box has placed some requests on its own copy of the
+// same lagged report.
 func herd(b *testing.B, boxes, perBox int, least bool) float64 {
 	const n = 600
 	load := make([]int, n)
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// tableWithRoutes is a configuration of many routes under one host.
+// tableWithRoutes returns a configuration of many routes under one host.
 func tableWithRoutes(routes int) *routing.Table {
 	list := make([]*routing.Route, routes)
 	for i := range list {
@@ -17,8 +17,8 @@
 	return routing.New(1, list, []*routing.Pool{{Name: "p"}}, nil)
 }
 
-// BenchmarkRoute is a lookup among 100 to 10,000 routes, and a change to such a configuration
-// with what that takes up.
+// BenchmarkRoute measures a lookup among 100 to 10,000 routes, and the building of such a
+// configuration with its memory.
 func BenchmarkRoute(b *testing.B) {
 	for _, routes := range []int{100, 1000, 10000} {
 		table := tableWithRoutes(routes)
--- a/routing/host.go
+++ b/routing/host.go
@@ -2,16 +2,16 @@
 
 import "strings"
 
-// host holds the routes of one host. A lookup costs as many steps as the path has slashes,
+// host holds the routes of one host. A lookup takes as many steps as the path has slashes,
 // however many routes there are.
 type host struct {
-	// byPrefix holds the routes whose prefix ends with a slash, the first of several.
+	// byPrefix holds the routes whose prefix ends with a slash; the first of duplicates counts.
 	byPrefix map[string]*Route
-	// others are those whose prefix does not, the longest first.
+	// others are the routes with other prefixes, longest first.
 	others []*Route
 }
 
-// host returns the routes of a host, which are none at first.
+// host returns the routes of a host and creates the entry on first use.
 func (t *Table) host(name string) *host {
 	h := t.hosts[name]
 	if h == nil {
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// Regions are those in which requests may be run, kept and stored. Nil allows all; an empty
-// list allows none.
+// Regions are the regions in which requests may be run, cached and stored. Nil allows all,
+// an empty list none.
 type Regions []string
 
 // Limited says that not all regions are allowed.
 func (r Regions) Limited() bool { return r != nil }
 
-// Allow says whether a region is allowed. One that is not known, an empty text, is allowed
-// only where all are.
+// Allow says whether a region is allowed. An unknown one, the empty string, is allowed only
+// if all are.
 func (r Regions) Allow(region string) bool {
 	return !r.Limited() || region != "" && slices.Contains(r, region)
 }
 
-// Intersect returns the regions that two limits allow.
+// Intersect returns the regions that both limits allow.
 func (r Regions) Intersect(other Regions) Regions {
 	if !r.Limited() {
 		return other
@@ -35,15 +35,15 @@
 	return both
 }
 
-// String names the regions, in order.
+// String lists the regions in sorted order.
 func (r Regions) String() string {
 	list := slices.Clone(r)
 	slices.Sort(list)
 	return strings.Join(slices.Compact(list), ",")
 }
 
-// AllowedRegions returns where a request of an account on a route may be run, kept and stored. The
-// account is nil on open routes.
+// AllowedRegions returns where a request of an account on a route may be run, cached and
+// stored. The account is nil on open routes.
 func AllowedRegions(r *Route, a *Account) Regions {
 	if a == nil {
 		return r.Regions
--- a/routing/regions_test.go
+++ b/routing/regions_test.go
@@ -6,8 +6,8 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// TestWithin says where a request may go by the limits of its route and its account.
-func TestWithin(t *testing.T) {
+// TestAllowedRegions checks the regions allowed by the limits of a route and an account.
+func TestAllowedRegions(t *testing.T) {
 	tests := []struct {
 		name           string
 		route, account routing.Regions
@@ -15,12 +15,12 @@
 		allowed        string
 	}{
 		{"no limit", nil, nil, false, "abx"},
-		{"the route's", routing.Regions{"a", "b"}, nil, true, "ab"},
-		{"the account's", nil, routing.Regions{"b"}, true, "b"},
+		{"the route's limit", routing.Regions{"a", "b"}, nil, true, "ab"},
+		{"the account's limit", nil, routing.Regions{"b"}, true, "b"},
 		{"both", routing.Regions{"a", "b"}, routing.Regions{"b", "x"}, true, "b"},
 		{"nothing in common", routing.Regions{"a"}, routing.Regions{"b"}, true, ""},
 		{"an empty list", routing.Regions{}, nil, true, ""},
-		{"a region that there is not", routing.Regions{"nowhere"}, nil, true, ""},
+		{"an unknown region", routing.Regions{"nowhere"}, nil, true, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -37,6 +37,6 @@
 		})
 	}
 	if routing.AllowedRegions(&routing.Route{Regions: routing.Regions{"a"}}, nil).Allow("b") {
-		t.Error("an open route's limit does not hold")
+		t.Error("the limit of an open route does not apply")
 	}
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,6 +1,6 @@
-// Package routing says where a request belongs: the route by host and path,
-// the pool by weight, the client account by key. A Table is one version of the
-// operator's configuration and never changes after it was built:
+// Package routing resolves the route of a request by host and path, its pool by weight,
+// and its client account by key. A Table is one version of the operator's configuration
+// and immutable once built:
 //
 //	t := routing.New(7, routes, pools, accounts)
 //	route := t.Route("shop.example", "/orders/1")
@@ -19,22 +19,23 @@
 	// Version grows with each change; a daemon never goes back to a lower one.
 	Version int64
 	Pools   map[string]*Pool
-	// MaxBody and MaxHeader bound what callers may send, in bytes.
+	// MaxBody and MaxHeader limit what callers may send, in bytes.
 	MaxBody   int64
 	MaxHeader int
 
 	// hosts holds each host's routes.
 	hosts map[string]*host
-	// keys finds the account of a key.
+	// keys maps API keys to accounts.
 	keys map[string]*Account
-	// lowestPriorities is the highest rank of the routes of each pool, goals the shortest goal.
+	// lowestPriorities is the largest priority number of each pool's routes, goals their
+	// shortest goal.
 	lowestPriorities map[string]int
 	goals            map[string]time.Duration
 	// keyed says that requests need a key, unless their route is open.
 	keyed bool
 }
 
-// Route is what requests under one host and path prefix have in common.
+// Route is the configuration of the requests under one host and path prefix.
 type Route struct {
 	Name string
 	Host string
@@ -42,74 +43,74 @@
 	Prefix string
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// Stream answers with events; Resumable streams can be continued.
+	// Stream routes answer with events; Resumable streams can be continued.
 	Stream, Resumable bool
-	// Timeout is the longest that a request is held.
+	// Timeout is the longest deadline of a request.
 	Timeout time.Duration
-	// Goal is the time in which an answer, or its first event, should come.
+	// Goal is the latency goal of an answer, or of its first event.
 	Goal time.Duration
-	// GapGoal is the longest pause between events that is still in time.
+	// GapGoal is the goal for the longest gap between events.
 	GapGoal time.Duration
 	// Priority orders requests; lower goes first.
 	Priority int
-	// Attempts bounds the targets that one request is sent to.
+	// Attempts limits the targets that one request is sent to.
 	Attempts int
 	// Open requests need no key.
 	Open bool
-	// Regions limits where the route's requests may be run, kept and stored.
+	// Regions limits where the route's requests may be run, cached and stored.
 	Regions Regions
 	// Shares are the pools that serve the route; at least one.
 	Shares []Share
 }
 
-// Share is a pool's part of a route's requests.
+// Share is a pool's share of a route's requests.
 type Share struct {
 	Pool   string
 	Weight int
 }
 
-// Pool is a group of targets, or a store of kept prompt parts.
+// Pool is a group of targets, or a store of cached prompt parts.
 type Pool struct {
 	Name string
 	// HealthPath answers 200 while a target is healthy.
 	HealthPath string
-	// MaxConnections is what one target takes from all callers together.
+	// MaxConnections is a target's limit on connections from all callers together.
 	MaxConnections int
-	// ColdFor is how long a target is cold from a start; a cold one bears ColdRate
-	// requests a second. Without a rate being cold makes no odds.
+	// ColdFor is how long a target is cold after a start. A cold target bears ColdRate
+	// requests a second; without a rate, cold targets are not treated differently.
 	ColdFor  time.Duration
 	ColdRate float64
 	// Engine is set for pools of model engines.
 	Engine *Engine
-	// Store is set for a store of kept parts.
+	// Store is set for a store of cached parts.
 	Store *Store
 }
 
-// Engine is what the targets of a model pool have in common.
+// Engine is the configuration of the targets of a model pool.
 type Engine struct {
 	Models []string
 	// Slots is how many requests run at once.
 	Slots int
 	// Capacity is the memory of a target, in tokens.
 	Capacity int
-	// TokenBytes is the size of one token's memory.
+	// TokenBytes is the size of one token's KV cache.
 	TokenBytes int
-	// Megabits is the speed of a target's link, a second.
+	// Megabits is the speed of a target's link, per second.
 	Megabits float64
 	// MaxWatchers is how many callers may wait for a target's events at once.
 	MaxWatchers int
 }
 
-// Store is a box that keeps prompt parts for engines.
+// Store is a box that stores prompt parts for engines.
 type Store struct {
 	Address netip.AddrPort
 	Domain  string
 	// Capacity is in tokens.
 	Capacity int
 	Megabits float64
-	// TransferDelay is what each move waits before it begins.
+	// TransferDelay is how long each transfer waits before it begins.
 	TransferDelay time.Duration
-	// Managed stores drop nothing by themselves.
+	// Managed stores evict nothing by themselves.
 	Managed     bool
 	MaxWatchers int
 }
@@ -118,16 +119,16 @@
 type Account struct {
 	Name string
 	Keys []string
-	// Priority takes precedence over the route's, if Ranked.
+	// Priority takes precedence over the route's if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Regions limits where the account's requests may be run, kept and stored.
+	// Regions limits where the account's requests may be run, cached and stored.
 	Regions Regions
-	// Isolated accounts share no kept part with another.
+	// Isolated accounts share no cached part with another.
 	Isolated bool
 }
 
-// New builds the version's table. Limits are set by the caller afterwards.
+// New builds the version's table. The caller sets MaxBody and MaxHeader afterwards.
 func New(version int64, routes []*Route, pools []*Pool, accounts []*Account) *Table {
 	t := &Table{
 		Version:          version,
@@ -161,7 +162,7 @@
 	return t
 }
 
-// Route returns the route with the longest prefix of path, or nil.
+// Route returns the route with the longest matching prefix, or nil.
 func (t *Table) Route(host, path string) *Route {
 	h := t.hosts[canonical(host)]
 	if h == nil {
@@ -179,7 +180,7 @@
 // NeedsKey says whether requests on a route need a key.
 func (t *Table) NeedsKey(r *Route) bool { return t.keyed && !r.Open }
 
-// Pick returns the pool for a request, by a number drawn for it.
+// Pick returns the pool for a request, given a random number.
 func (r *Route) Pick(drawn uint64) string {
 	total := 0
 	for _, s := range r.Shares {
@@ -201,11 +202,11 @@
 // Goal returns the shortest goal of a pool's routes, or zero if none has one.
 func (t *Table) Goal(pool string) time.Duration { return t.goals[pool] }
 
-// LowestPriority returns the highest rank among the routes of a pool.
+// LowestPriority returns the largest priority number among a pool's routes.
 func (t *Table) LowestPriority(pool string) int { return t.lowestPriorities[pool] }
 
-// Priority returns the rank of an account's requests on a route; lower goes
-// first. The account is nil on open routes.
+// Priority returns the priority of an account's requests on a route; lower goes first. The
+// account is nil on open routes.
 func Priority(r *Route, a *Account) int {
 	if a != nil && a.HasPriority {
 		return a.Priority
@@ -213,7 +214,7 @@
 	return r.Priority
 }
 
-// canonical is a host without port, in lower case.
+// canonical returns a host without port, in lower case.
 func canonical(host string) string {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:at]
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -48,7 +48,7 @@
 		t.Errorf("Account = %v, %v", a, known)
 	}
 	if _, known := x.Account("K2"); known {
-		t.Error("keys differ by case")
+		t.Error("a key was found by another case")
 	}
 	long, short := x.Route("a.example", "/x/y/"), x.Route("a.example", "/x/")
 	if !x.NeedsKey(long) || x.NeedsKey(short) {
@@ -70,17 +70,17 @@
 	}
 }
 
-func TestUrgency(t *testing.T) {
+func TestPriority(t *testing.T) {
 	x := table()
 	a, _ := x.Account("k1")
 	r := x.Route("a.example", "/x/y/")
 	if got := routing.Priority(r, a); got != 1 {
-		t.Errorf("an account's rank comes before the route's: %d", got)
+		t.Errorf("priority %d, want the account's, which goes before the route's", got)
 	}
 	if got := routing.Priority(r, nil); got != 0 {
-		t.Errorf("without an account the route's counts: %d", got)
+		t.Errorf("priority %d without an account, want the route's", got)
 	}
 	if p, q := x.LowestPriority("p"), x.LowestPriority("q"); p != 2 || q != 1 {
-		t.Errorf("least urgent %d and %d", p, q)
+		t.Errorf("lowest priorities %d and %d", p, q)
 	}
 }
--- a/workingset/set.go
+++ b/workingset/set.go
@@ -1,11 +1,11 @@
-// Package workingset says which of a pool's targets the work goes to, where more stand there
-// than the work needs: the first in an order that all boxes work out alike, more of them as
-// they fill. What is done for each target in use (following its news, telling other boxes of it,
-// weighing it for each request) then costs what the work needs, however many there are.
+// Package workingset chooses which of a pool's targets are used when there are more than the
+// work needs: the first in an order that all boxes compute alike, and more of them as they
+// fill. The cost of what is done for each target in use (watching its cache events, gossiping
+// its load, evaluating it for each request) then depends on the work, not on the pool's size.
 //
 //	var s workingset.Set
-//	s.Fit(now, 0.6)                       // their memory is taken up by 0.6
-//	members := s.Of(targets, open, size)
+//	s.Resize(now, 0.6, false) // 60% of their memory is in use
+//	members := s.Members(targets, open)
 package workingset
 
 import (
@@ -18,21 +18,21 @@
 )
 
 const (
-	// minSize is how many targets a set has at least, if there are as many. A box that follows
-	// the news of 512 makes 1,300 calls a second.
+	// minSize is the smallest size of a set, if there are as many targets. A box that watches
+	// the cache events of 512 makes 1,300 calls a second.
 	minSize = 512
-	// growAt is the share of its targets' memory from which on a set doubles, and idles that
-	// below which it halves, after idleFor. Below idles what is left after halving is well
-	// below fills.
+	// growAt is the share of the targets' memory in use from which on a set doubles,
+	// shrinkAt the one below which it halves, after shrinkAfter. Below shrinkAt, the share
+	// after halving is well below growAt.
 	growAt      = 0.4
 	shrinkAt    = 0.1
 	shrinkAfter = time.Minute
 )
 
-// Set is how many targets of one pool are in use. The zero value is ready; it is not safe for
-// concurrent use.
+// Set is the number of targets of one pool in use. The zero value is ready; it is not safe
+// for concurrent use.
 type Set struct {
-	// doublings is how often least was doubled.
+	// doublings is how often minSize was doubled.
 	doublings int
 	// idleSince is since when the set is too large; zero if it is not.
 	idleSince time.Time
@@ -41,8 +41,8 @@
 // Size is how many targets are in use, if there are as many.
 func (s *Set) Size() int { return minSize << s.doublings }
 
-// Resize takes over which share of the memory of the targets in use is taken up, and whether they
-// are all that there are. It says whether the size changed.
+// Resize adjusts the size to the share of memory in use at the targets in use; all says
+// that there are no other targets. It reports whether the size changed.
 func (s *Set) Resize(now time.Time, share float64, all bool) bool {
 	switch {
 	case share >= growAt && !all:
@@ -61,8 +61,8 @@
 	return false
 }
 
-// Members returns the targets in use, by their IDs: the first that are open in the order of their
-// IDs' hashes. One that closes gives its place to the next, and has it back when it opens.
+// Members returns the targets in use, sorted by ID: the first open ones in the order of
+// their IDs' hashes. The next one replaces a target that is not open, until it opens again.
 func (s *Set) Members(targets []*fleet.Target, open func(*fleet.Target) bool) []*fleet.Target {
 	if len(targets) <= s.Size() {
 		return targets
@@ -82,7 +82,7 @@
 	return members
 }
 
-// rankedTarget is a target and its place in the order.
+// rankedTarget is a target and its rank.
 type rankedTarget struct {
 	rank   uint64
 	target *fleet.Target
--- a/workingset/set_test.go
+++ b/workingset/set_test.go
@@ -36,9 +36,9 @@
 	return n
 }
 
-// TestOf has two boxes work the set out whose lists differ: they agree on all targets that
-// both know, those that close are replaced, and the others stay.
-func TestOf(t *testing.T) {
+// TestMembers has two boxes with different lists compute the set: they agree on all targets
+// that both know, those that close are replaced, and the others stay.
+func TestMembers(t *testing.T) {
 	var s workingset.Set
 	all := pool(10000)
 	members := s.Members(all, open)
@@ -48,12 +48,12 @@
 	tests := []struct {
 		name   string
 		change func(list []*fleet.Target) []*fleet.Target
-		// least is how many of the members stay.
+		// least is how many of the members stay at least.
 		least int
 	}{
 		{"nothing changes", func(list []*fleet.Target) []*fleet.Target { return list }, len(members)},
-		{"a tenth is not known", func(list []*fleet.Target) []*fleet.Target { return list[:9000] }, len(members) * 17 / 20},
-		{"a tenth leaves", func(list []*fleet.Target) []*fleet.Target {
+		{"a tenth is unknown", func(list []*fleet.Target) []*fleet.Target { return list[:9000] }, len(members) * 17 / 20},
+		{"a tenth is leaving", func(list []*fleet.Target) []*fleet.Target {
 			for _, x := range list[:1000] {
 				x.Leaving = true
 			}
@@ -68,18 +68,18 @@
 			}
 			for _, x := range got {
 				if x.Leaving {
-					t.Fatalf("%s is in use and leaves", x.ID)
+					t.Fatalf("%s is in use although it is leaving", x.ID)
 				}
 			}
 		})
 	}
 	if small := pool(100); len(s.Members(small, open)) != 100 {
-		t.Error("a small pool is not in use as a whole")
+		t.Error("not all of a small pool is in use")
 	}
 }
 
-// TestFit has a set grow before it is full, and shrink only after a while with little work.
-func TestFit(t *testing.T) {
+// TestResize has a set grow before it is full, and shrink only after a while with little work.
+func TestResize(t *testing.T) {
 	var s workingset.Set
 	first := s.Size()
 	steps := []struct {
@@ -92,7 +92,7 @@
 		{"little work", 0, 0.01, false, first},
 		{"half full", 0, 0.5, false, 2 * first},
 		{"still half full", time.Second, 0.5, false, 4 * first},
-		{"all there are", time.Second, 0.9, true, 4 * first},
+		{"all targets are in use", time.Second, 0.9, true, 4 * first},
 		{"some work", time.Second, 0.2, false, 4 * first},
 		{"little work again", time.Second, 0.01, false, 4 * first},
 		{"for a while", 30 * time.Second, 0.01, false, 4 * first},
