--- a/entry/ablation.go
+++ b/entry/ablation.go
@@ -12,22 +12,22 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// hooks are the mechanisms that can be switched off one by one, to measure what
-// each is worth. All are on unless the settings name them under "without".
+// hooks are the mechanisms that can be switched off one by one to measure what each is
+// worth. All are on unless the settings name them under "without".
 type hooks struct {
-	// usual is what a job's requests take up as a rule.
+	// usual is the typical memory of a job's requests.
 	usual func(t *tables, job *deliver.Job) int
-	// reserve is what the least urgent leave free while answers are late, and
-	// fillLeast up to where they are admitted otherwise.
+	// reserve is the share of memory that requests of the lowest priority leave free while
+	// answers are late, fillLeast the share up to which they are admitted otherwise.
 	reserve   func(g *headroom.Gauge) float64
 	fillLeast float64
-	// applyUsage takes over what another box's requests take up.
+	// applyUsage applies what another box reports of its requests' load.
 	applyUsage func(now time.Time, t *tables, m peer.Message)
-	// freeableBelow says below which version parts may be freed.
+	// freeableBelow is the version below which parts may be freed.
 	freeableBelow func(now time.Time, w *modelRollout) int64
-	// preferredDomain is the failure domain whose engines are taken first.
+	// preferredDomain is the failure domain whose engines are preferred.
 	preferredDomain func(domain string) string
-	// quarantined says whether a request must reach no target.
+	// quarantined says whether a request must not reach any target.
 	quarantined func(now time.Time, t *tables, sum fingerprint.Sum) bool
 }
 
@@ -48,8 +48,7 @@
 	}
 }
 
-// ablate switches off the mechanisms that the settings name. It is the only place
-// that does.
+// ablate switches off the mechanisms that the settings name. It is the only place that does.
 func (d *Daemon) ablate() {
 	off := func(mechanism string) bool { return slices.Contains(d.Settings.Without, mechanism) }
 	if off(settings.Saves) {
@@ -96,6 +95,6 @@
 		d.quarantined = func(time.Time, *tables, fingerprint.Sum) bool { return false }
 	}
 	if len(d.Settings.Without) > 0 {
-		d.Log.Warn("mechanisms are switched off, to be measured", "without", d.Settings.Without)
+		d.Log.Warn("mechanisms are switched off for measurements", "without", d.Settings.Without)
 	}
 }
--- a/entry/build.go
+++ b/entry/build.go
@@ -27,35 +27,35 @@
 )
 
 const (
-	// messageBuffer is how many messages wait for the loop before senders wait.
+	// messageBuffer is how many messages may wait for the loop before senders block.
 	messageBuffer = 1024
-	// proofMargin is taken off the bound after which keys are not trusted: for
-	// the time between the check and the target's start of work.
+	// proofMargin is subtracted from the bound after which keys are not trusted, for the
+	// time between the check and the start of the target's work.
 	proofMargin = 700 * time.Millisecond
-	// answerMargin is the same for answers of this box's own, which no target works on first.
+	// answerMargin is the same for this box's own answers, which need no target.
 	answerMargin = 100 * time.Millisecond
-	// answerLogRate is how many lines on whole answers are logged a second; a
-	// line costs about 10 us.
+	// answerLogRate limits the log lines for complete answers a second; a line costs about
+	// 10 us.
 	answerLogRate = 100
-	// retryUse is how much of the retry budget the boxes use together. The
-	// rest covers boxes that are not counted yet.
+	// retryUse is the share of the retry budget that the boxes use together. The rest
+	// covers boxes that are not counted yet.
 	retryUse = 0.7
-	// leaseLength and leaseMargin are short, as nobody gives orders until a
-	// successor took the lease: after 2.4 s. A renewal takes up to 0.3 s when
-	// the table service is slow. Orders of two holders to the same target are
-	// kept further apart; see holdOff.
+	// leaseLength and leaseMargin are short, as nobody gives orders until a successor has
+	// taken the lease, which takes 2.4 s. A renewal takes up to 0.3 s when the table service
+	// is slow. Orders of two holders to the same target are kept further apart; see
+	// holdOff.
 	leaseLength = 2 * time.Second
 	leaseMargin = 400 * time.Millisecond
 )
 
-// Front makes the callers' handler from the way to serve a call, the clock, and
-// whether connections should end after their answer.
+// Front builds the callers' handler from the function that serves a call, the clock, and
+// whether connections should close after their answer.
 type Front func(serve func(ctx context.Context, w http.ResponseWriter, call *deliver.Call) error, now func() time.Time, closing func() bool) http.Handler
 
-// components are the packages that the daemon is put together from.
+// components are the packages that the daemon is built from.
 type components struct {
 	now func() time.Time
-	// suspended is for how long the machine was suspended in all.
+	// suspended returns for how long the machine has been suspended in total.
 	suspended func() time.Duration
 	startedAt time.Time
 	systems   []system
@@ -65,26 +65,26 @@
 	engines   affinity.Chooser
 	services  leastrequest.Chooser
 	budget    retry.Budget
-	// sharedRetryBudget is what a hub keeps for the boxes that live on it, and what such a box's requests
-	// earned since its last gossip; lender says which.
+	// sharedRetryBudget is what a hub holds for its spokes, or what a spoke's requests have
+	// deposited since its last gossip; retryBudget says which applies.
 	sharedRetryBudget retry.SharedBudget
 	retryBudget       atomic.Pointer[retryBudgetSource]
 	server            deliver.Server
 	retryEstimator    retryafter.Estimator
 	minAnswerTimes    minlatency.Tracker
-	// notices are what targets said of themselves.
+	// notices are the targets' signals about themselves.
 	notices notice.Registry
 	peers   peer.Node
 	hooks
-	// chance says yes once in so many times.
+	// chance returns true once in oneIn times on average.
 	chance func(oneIn int) bool
-	// random returns a number from 0 to below 1, drawn anew.
+	// random returns a random number in [0, 1).
 	random func() float64
-	// logLimiter bounds the log's lines on whole answers; all others are written.
+	// logLimiter limits the log lines for complete answers; all others are written.
 	logLimiter *rate.Limiter
 }
 
-// build puts the parts together.
+// build assembles the components.
 func (d *Daemon) build() {
 	d.now = boottime.Now
 	d.suspended = boottime.Suspended
@@ -126,7 +126,7 @@
 	d.ablate()
 }
 
-// allSources source is used.
+// allSources allows every source.
 func allSources(*affinity.Source) bool { return true }
 
 func (d *Daemon) buildPeers() {
@@ -139,8 +139,8 @@
 	}
 }
 
-// shownCredential is what this box shows other boxes: nothing, which they refuse, until it
-// has read the credential.
+// shownCredential returns the credential for other boxes: nothing, which they refuse, until
+// it was read.
 func (d *Daemon) shownCredential() string {
 	if credential := d.credential.Load(); credential != nil {
 		return *credential
@@ -167,20 +167,20 @@
 	}
 }
 
-// keysFresh says that no key can have been taken away for so long that it must not
-// be used any more.
+// keysFresh says that no key can have been revoked for so long that it must not be
+// honoured any more.
 func (d *Daemon) keysFresh(now time.Time) bool {
 	return d.provedWithin(now, d.bounds.Load().RevokedWithin, proofMargin)
 }
 
-// configurationFresh says that nothing can have been configured for so long that it must be known, and
-// not be in the configuration in force.
+// configurationFresh says that nothing missing from the configuration in force can have
+// been configured for so long that it must be applied.
 func (d *Daemon) configurationFresh(now time.Time) bool {
 	return d.provedWithin(now, d.bounds.Load().AppliedWithin, answerMargin)
 }
 
 // provedWithin says that the configuration was known to be the newest within a bound less a
-// margin; there is no bound if it is zero.
+// margin; zero is no bound.
 func (d *Daemon) provedWithin(now time.Time, bound, margin time.Duration) bool {
 	if bound == 0 {
 		return true
@@ -189,13 +189,13 @@
 	return proved != nil && now.Sub(*proved) < bound-margin
 }
 
-// jitter draws a time below the given one.
+// jitter returns a random time below the given one.
 func (d *Daemon) jitter(below time.Duration) time.Duration { return rand.N(below) }
 
-// uptime is this process's own clock, which its clock offset refers to.
+// uptime is this process's own clock, to which the tables' clock offset refers.
 func (d *Daemon) uptime(now time.Time) time.Duration { return now.Sub(d.startedAt) }
 
-// version is the configuration's in force, or zero.
+// version is the version of the configuration in force, or zero.
 func (d *Daemon) version() int64 {
 	if table := d.current.Load(); table != nil {
 		return table.Version
@@ -203,7 +203,7 @@
 	return 0
 }
 
-// provedAgo is when the configuration was last known to be the newest.
+// provedAgo is how long ago the configuration was last known to be the newest.
 func (d *Daemon) provedAgo(now time.Time) time.Duration {
 	if proved := d.provedAt.Load(); proved != nil {
 		return now.Sub(*proved)
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -1,9 +1,9 @@
-// Package entry is the daemon of one entry box on the users' platform. It
-// admits requests, places each on a target, passes the whole answer back, and
-// keeps the engines on the newest weights. It keeps nothing: what must last
-// lives in the platform's table service.
+// Package entry is the daemon of one entry box on the users' platform. It admits requests,
+// places each on a target, passes the complete answer back, and keeps the engines on the
+// newest weights. It has no storage of its own: durable state lives in the platform's
+// table service.
 //
-//	d := entry.Daemon{Settings: s, Platform: platform.Join(s), Log: logger, Registry: prometheus.NewRegistry()}
+//	d := entry.Daemon{Settings: s, Platform: platform.New(s), Log: logger, Registry: prometheus.NewRegistry()}
 //	err := d.Run(ctx) // returns after a planned stop
 package entry
 
@@ -26,25 +26,25 @@
 type Daemon struct {
 	Settings settings.Settings
 	Platform Platform
-	// Front makes the callers' handler from the way to serve a call.
+	// Front builds the callers' handler.
 	Front Front
 	Log   *log.Logger
-	// Reload brings settings that were read again while the daemon runs; nil
-	// brings none. Bounds and the log level take effect, addresses don't.
+	// Reload delivers settings that were read again while the daemon runs; nil delivers
+	// none. Changed bounds and log levels take effect, changed addresses don't.
 	Reload <-chan settings.Settings
-	// Registry takes the daemon's metrics.
+	// Registry registers the daemon's metrics.
 	Registry *prometheus.Registry
-	// Sweep closes connections to targets that are no longer needed; it is
-	// called about once a second.
+	// Sweep closes connections to targets that are no longer needed; it is called about
+	// once a second.
 	Sweep func(now time.Time)
 
 	components
 	tables  tables
 	metrics metricSet
-	// messages has room, so that requests rarely wait for the loop.
+	// messages is buffered, so that requests rarely wait for the loop.
 	messages chan message
-	// current is the configuration in force, proved when it was last known to
-	// be the newest; both are for readers outside the loop.
+	// current is the configuration in force, provedAt when it was last known to be the
+	// newest; both are for readers outside the loop.
 	current  atomic.Pointer[routing.Table]
 	provedAt atomic.Pointer[time.Time]
 	// otherReadyAt is when another box last said that it can admit callers.
@@ -53,36 +53,35 @@
 	bounds atomic.Pointer[settings.Bounds]
 	// rawConfiguration is the configuration as it was read, for boxes that ask this one.
 	rawConfiguration atomic.Pointer[[]byte]
-	// spoke says that this box takes a hub's view of the platform.
+	// spoke says that this box takes its view of the platform from a hub.
 	spoke atomic.Bool
-	// unlisted says that this box has no row.
+	// unlisted says that this box has no row in the table service.
 	unlisted atomic.Bool
 	// roleSince is since when this box knows its role in the fleet.
 	roleSince atomic.Pointer[time.Time]
-	// listReads has the list read at once when another box knows of a later change.
+	// listReads triggers a read of the list when another box knows of a later change.
 	listReads listReads
 	// roleUnknown says that this box waits for the other boxes' rows and so does not
 	// know its role.
 	roleUnknown atomic.Bool
-	// hasSpokes says that other boxes take this one's view.
+	// hasSpokes says that other boxes take their view from this one.
 	hasSpokes atomic.Bool
-	// peerProofMaxAge is for how long another hub's proofs are waited for before this box reads
-	// the operator's rows itself, in nanoseconds; zero waits for none. behind says that
-	// another one knows of a later change.
+	// peerProofMaxAge is, in nanoseconds, the age of another hub's proof up to which this
+	// box does not read the operator's rows itself; zero if it does not wait for proofs.
+	// operatorBehind says that another hub knows of a later change.
 	peerProofMaxAge atomic.Int64
 	operatorBehind  atomic.Bool
-	// credential is what boxes show each other, once it was read.
+	// credential authenticates boxes to each other; nil until it was read.
 	credential atomic.Pointer[string]
-	// stopping is set once a planned stop has begun, closing once connections
-	// should end.
+	// stopping is set when a planned stop begins, closing when connections should end.
 	stopping, closing atomic.Bool
 	effects           sync.WaitGroup
 	// ended is closed when the loop takes no more messages.
 	ended chan struct{}
 }
 
-// Run serves until ctx ends and then stops in order: no request that was
-// accepted is cut within the time that the platform gives.
+// Run serves until ctx ends and then stops in order: no accepted request is cut off within
+// the time that the platform gives.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.build()
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -106,9 +105,8 @@
 	return nil
 }
 
-// loop is the whole daemon: a message changes the tables in update, systems
-// run over them each tick, and both return effects, which alone touch the
-// network.
+// loop owns all state: update changes the tables for each message, systems run over them
+// each tick, and both return effects, which alone use the network.
 func (d *Daemon) loop(ctx context.Context) {
 	ticks := time.NewTicker(tick)
 	defer ticks.Stop()
@@ -130,7 +128,7 @@
 	}
 }
 
-// post hands a message to the loop, unless the loop has ended.
+// post sends a message to the loop, unless the loop has ended.
 func (d *Daemon) post(m message) {
 	select {
 	case d.messages <- m:
@@ -138,7 +136,7 @@
 	}
 }
 
-// postContext hands a message to the loop, unless ctx ends first.
+// postContext sends a message to the loop, unless ctx ends first.
 func (d *Daemon) postContext(ctx context.Context, m message) {
 	select {
 	case d.messages <- m:
--- a/entry/effect.go
+++ b/entry/effect.go
@@ -14,21 +14,21 @@
 // effect is something to do outside the loop.
 type effect any
 
-// watchSource reads a source's news until ctx ends.
+// watchSource watches a source's cache events until ctx ends.
 type watchSource struct {
 	ctx  context.Context
 	name string
 	at   netip.AddrPort
-	// hold is how long the source may hold a call, every the least time between
-	// two calls.
+	// hold is how long the source may hold a call, every the least time between two
+	// calls.
 	hold, every time.Duration
 }
 
-// stepLease renews or takes the rollout's lease, and reads what its earlier
-// holder wrote if this box has not done so in the epoch known.
+// stepLease acquires or renews the rollout's lease, and reads what the previous holder
+// wrote if this box has not done so in the current epoch.
 type stepLease struct{ known uint64 }
 
-// freeParts clears stores of a model's parts under versions below one.
+// freeParts clears stores of a model's parts below a version.
 type freeParts struct {
 	model   string
 	version int64
@@ -47,11 +47,11 @@
 type sendOrder struct {
 	order rollout.Order
 	at    netip.AddrPort
-	// life is the target's when the order was decided on.
+	// life is the target's incarnation when the order was decided.
 	life fleet.Incarnation
 }
 
-// run starts effects; each tells the loop what came of it.
+// run starts effects; each posts its result to the loop.
 func (d *Daemon) run(ctx context.Context, effects []effect) {
 	for _, e := range effects {
 		d.effects.Go(func() { d.do(ctx, e) })
@@ -112,8 +112,8 @@
 	return m
 }
 
-// write puts one row without a condition: only the holder of the rollout's
-// lease writes it, and readers take it for a hint.
+// write puts one row unconditionally: only the holder of the rollout's lease writes it, and
+// readers take it for a hint.
 func (d *Daemon) write(ctx context.Context, row table.Row) error {
 	return d.Platform.Commit(ctx, table.Transaction{Put: []table.Row{row}})
 }
--- a/entry/listen.go
+++ b/entry/listen.go
@@ -14,16 +14,15 @@
 	"github.com/thymewind/thymewind/hangup"
 )
 
-// How callers are served and how a stop goes.
+// Limits of callers' connections and of a stop.
 const (
-	// headerTimeout bounds how long a caller may take to send a head, idleFor how
-	// long its connection rests; both are above what the platform's callers
-	// take.
+	// headerTimeout limits how long a caller may take to send a head, idleTimeout how long
+	// its connection may be idle; both are above what the platform's callers need.
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 60 * time.Second
-	// maxHeaderBytes bounds a head until the configuration says otherwise.
+	// maxHeaderBytes limits a head until a configuration sets its limit.
 	maxHeaderBytes = 64 << 10
-	// shutdownMargin is how long before the platform kills the process it ends by
+	// shutdownMargin is how long before the platform would kill the process it exits by
 	// itself.
 	shutdownMargin = 600 * time.Millisecond
 )
@@ -56,7 +55,7 @@
 	for i, s := range servers {
 		d.effects.Go(func() {
 			if err := s.Serve(listeners[i]); !errors.Is(err, http.ErrServerClosed) {
-				d.Log.Error("a listener failed", "at", listeners[i].Addr(), "err", err)
+				d.Log.Error("listener failed", "at", listeners[i].Addr(), "err", err)
 			}
 		})
 	}
@@ -84,8 +83,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// drain stops in order: not ready at once, serving on until that was noticed,
-// then ending each connection with its next answer.
+// drain stops in order: it reports not ready at once, serves on until that was noticed, and
+// closes each connection after its next answer.
 func (d *Daemon) drain(servers []*http.Server) {
 	d.stopping.Store(true)
 	bounds := d.bounds.Load()
@@ -97,8 +96,8 @@
 	defer cancel()
 	for _, s := range servers {
 		if err := s.Shutdown(ctx); err != nil {
-			d.Log.Warn("requests were cut at the end of a stop", "err", err)
-			_ = s.Close() // The process ends next.
+			d.Log.Warn("requests were cut off at the end of the stop", "err", err)
+			_ = s.Close() // The process exits next.
 		}
 	}
 }
--- a/entry/message.go
+++ b/entry/message.go
@@ -9,46 +9,46 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// message is something that happened. The loop takes one at a time.
+// message is an event. The loop takes one at a time.
 type message any
 
-// placementRequest asks for a place; the loop answers on reply, which has room.
+// placementRequest asks for a placement; the loop answers on reply, which is buffered.
 type placementRequest struct {
-	// ctx ends when the caller left or its time is up; the request then gets no
-	// place any more and counts nowhere.
+	// ctx ends when the caller leaves or at the deadline; the request is then neither
+	// placed nor counted.
 	ctx   context.Context
 	ask   deliver.PlacementRequest
 	reply chan<- placeAnswer
 	// askedHubs are the hubs that were asked before.
 	askedHubs []string
-	// trial says that it is placed whatever its like did to targets.
+	// trial says that the request is placed even if requests like it are quarantined.
 	trial bool
 }
 
-// placeAnswer is a place or the refusal.
+// placeAnswer is a placement or the refusal.
 type placeAnswer struct {
 	place deliver.Placement
 	err   error
 }
 
-// suspectQuery asks whether a target looks dead; the loop answers on reply,
-// which has room.
+// suspectQuery asks whether a target looks dead; the loop answers on reply, which is
+// buffered.
 type suspectQuery struct {
 	target string
 	reply  chan<- bool
 }
 
-// silenceSeen tells that a connection to a target was found silent.
+// silenceSeen reports that a connection to a target was found silent.
 type silenceSeen struct{ at netip.AddrPort }
 
-// answerBegan tells that an answer's head came from the place.
+// answerBegan reports that the head of an answer arrived.
 type answerBegan struct{ place deliver.Placement }
 
-// attemptEnded tells how a sending went.
+// attemptEnded reports how an attempt went.
 type attemptEnded struct{ deliver.AttemptResult }
 
-// operatorRead, targetsRead and ownRead are answers of the table service, with
-// when each read was sent.
+// operatorRead, targetsRead and ownRead are answers of the table service, with the time at
+// which each read was sent.
 type operatorRead struct {
 	asked  time.Time
 	change Operator
@@ -57,58 +57,58 @@
 type targetsRead struct {
 	asked  time.Time
 	change Targets
-	// away says that the service could not be read right before.
+	// away says that the service could not be read just before.
 	away bool
 }
 
-// ownRead is what the system's own rows say. Settled says that they name all
-// boxes that started long enough ago.
+// ownRead is the content of the system's own rows. Settled says that they name all boxes
+// that started long enough ago.
 type ownRead struct {
 	change  OwnRows
 	settled bool
 }
 
-// tableServiceLost and storeBack tell that the table service stopped or began to
+// tableServiceLost and tableServiceBack report that the table service stopped or began to
 // answer.
 type (
 	tableServiceLost struct{ err error }
 	tableServiceBack struct{}
 )
 
-// cacheEventsRead is what a source told of its kept parts, or why it did not.
+// cacheEventsRead is what a source reported of its cached parts, or why it did not.
 type cacheEventsRead struct {
 	source string
 	events CacheEvents
-	// listed says that the news is all that the source keeps.
+	// listed says that the events list everything that the source has cached.
 	listed bool
-	// asked is when it was asked for.
+	// asked is when the read was sent.
 	asked time.Time
 	err   error
 }
 
-// leaseStepped tells that the step of the rollout's lease ended. While the
-// lease is held, it brings the system's own rows, if they could be read.
+// leaseStepped reports that a step of the rollout's lease ended. While the lease is held, it
+// carries the system's own rows, if they could be read.
 type leaseStepped struct {
 	err  error
 	read bool
 	rows []table.Row
 }
 
-// staleFreed tells that the stores were cleared of a model's older parts.
+// staleFreed reports that the stores were cleared of a model's older parts.
 type staleFreed struct {
 	model   string
 	version int64
 	err     error
 }
 
-// orderEnded tells that a target took the order, or why it is not known to.
+// orderEnded reports that a target took the order, or why it is not known to.
 type orderEnded struct {
 	target, model string
 	version       int64
 	err           error
 }
 
-// announced tells that the rollout's row was written, or why not.
+// announced reports that the rollout's row was written, or why not.
 type announced struct {
 	model string
 	err   error
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metricSet are the daemon's metrics; docs/METRICS.md names them.
+// metricSet are the daemon's metrics; docs/METRICS.md documents them.
 type metricSet struct {
 	requests          *prometheus.CounterVec
 	retries           *prometheus.CounterVec
@@ -37,17 +37,17 @@
 	rewritten         prometheus.Counter
 }
 
-// latencyBuckets are the histograms' bounds in seconds, around the goals of 0.15 to
-// 0.6 s.
+// latencyBuckets are the latency histograms' buckets in seconds, around the goals of 0.15
+// to 0.6 s.
 var latencyBuckets = []float64{0.02, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1, 2, 5, 15}
 
-// weightsAgeBuckets are the histogram's bounds in seconds, around the usual bound of
-// 12 s for requests on replaced weights.
+// weightsAgeBuckets are the histogram's buckets in seconds, around the usual bound of 12 s
+// for requests on replaced weights.
 var weightsAgeBuckets = []float64{0.5, 1.5, 3, 5, 8, 10, 11, 12, 15}
 
-// teardownBuckets are the bounds in seconds of how long work goes on for callers that
-// left. It takes some milliseconds; the platform's users count what takes over
-// half a second.
+// teardownBuckets are the buckets in seconds of how long work goes on for callers that
+// left. It takes some milliseconds; the platform's users count what takes over half a
+// second.
 var teardownBuckets = []float64{0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1}
 
 func newMetricSet(r *prometheus.Registry) metricSet {
@@ -88,12 +88,13 @@
 	return c
 }
 
-// countQuarantined does so when a request is refused, or not any more, and now and then.
+// countQuarantined updates the gauge, whenever the set of quarantined requests changes and
+// regularly.
 func (d *Daemon) countQuarantined(t *tables) {
 	d.metrics.quarantined.Set(float64(len(t.quarantine.Refused())))
 }
 
-// countTables writes the tables' sizes into the metrics.
+// countTables exports the tables' sizes as metrics.
 func (d *Daemon) countTables(t *tables) {
 	d.metrics.targets.Set(float64(t.fleet.Len()))
 	d.metrics.cold.Set(float64(t.coldTargets(d.now(), d.current.Load())))
@@ -106,21 +107,21 @@
 	d.countQuarantined(t)
 }
 
-// ReportSilence notes that a connection was given up as it said nothing for long: to
-// what it led, and what was waited for. It may be called once Run has begun.
+// ReportSilence records that a connection was closed because it was silent for too long:
+// where it led to, and how long was waited. It may be called once Run has begun.
 func (d *Daemon) ReportSilence(to, call string, waited time.Duration) {
 	d.metrics.silentConnections.WithLabelValues(to).Inc()
-	d.Log.Warn("silent connection given up", "to", to, "call", call, "waited", waited)
+	d.Log.Warn("silent connection closed", "to", to, "call", call, "waited", waited)
 }
 
-// ReportSilentTarget is Silence for a connection to a target. Requests that wait there on
-// others may wait in vain as well.
+// ReportSilentTarget is ReportSilence for a connection to a target. Requests that wait on
+// other connections to it may wait in vain as well.
 func (d *Daemon) ReportSilentTarget(at netip.AddrPort, waited time.Duration) {
 	d.ReportSilence(ToTarget, at.String(), waited)
 	d.post(silenceSeen{at})
 }
 
-// What silent connections led to.
+// Where silent connections led to.
 const (
 	ToTableService = "table service"
 	ToTarget       = "target"
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -8,7 +8,7 @@
 	"github.com/thymewind/thymewind/entry/settings"
 )
 
-// reload puts settings that were read again in force. It cuts nothing.
+// reload applies settings that were read again. It interrupts nothing.
 func (d *Daemon) reload(ctx context.Context) {
 	for {
 		select {
@@ -30,6 +30,6 @@
 	moved := s.Callers != d.Settings.Callers || s.Ready != d.Settings.Ready || s.Store != d.Settings.Store
 	d.Log.Info("settings read again", "bounds_changed", before != s.Bounds, "log_level", s.LogLevel, "addresses_changed", moved)
 	if moved {
-		d.Log.Warn("changed addresses take effect with the next start")
+		d.Log.Warn("changed addresses take effect after a restart")
 	}
 }
--- a/entry/systems.go
+++ b/entry/systems.go
@@ -14,14 +14,14 @@
 // system runs over the tables each tick and returns effects.
 type system func(now time.Time, t *tables) []effect
 
-// replacedRetention is how long targets that were replaced are remembered. Their
-// entries go after some seconds, or when the table service is back.
+// replacedRetention is how long replaced targets are remembered. Their entries disappear
+// after some seconds, or when the table service is back.
 const replacedRetention = 5 * time.Minute
 
-// sweep forgets what is over: connections, expectations, lapsed entries.
+// sweep removes expired state: connections, expectations, lapsed entries.
 func (d *Daemon) sweep(now time.Time, t *tables) []effect {
 	for _, id := range t.fleet.Lapsed(now) {
-		d.Log.Warn("target did not come back after the table service did", "target", id)
+		d.Log.Warn("target did not return after the table service was back", "target", id)
 		d.incarnationEnded(now, t, incarnationKey(t.fleet.Target(id).Incarnation()), "the list")
 		d.removeTarget(t, id)
 	}
@@ -57,13 +57,13 @@
 	return d.reconcileSources(now, t)
 }
 
-// reapInterval is how often callers' connections are asked whether they are closed. Two
-// looks lie within the half second after which the platform's users count what still
-// goes on for a caller that left. One look at all costs less than a goroutine and a timer for
-// each request.
+// reapInterval is how often requests are checked for callers that disconnected. Two checks
+// fit into the half second after which the platform's users count what still runs for a
+// caller that left. One check of all costs less than a goroutine and a timer for each
+// request.
 const reapInterval = 2 * tick
 
-// reapRequests ends requests whose callers left unseen by the HTTP server.
+// reapRequests ends requests whose callers disconnected without the HTTP server noticing.
 func (d *Daemon) reapRequests(now time.Time, t *tables) []effect {
 	if now.Before(t.due.reap) {
 		return nil
@@ -73,12 +73,12 @@
 	return nil
 }
 
-// probeInterval is how often a silent target is asked for its health. Each probe
-// has its price, and until one succeeds the target gets no work.
+// probeInterval is how often a silent target's health is probed. Each probe costs
+// something, and until one succeeds the target gets no work.
 const probeInterval = 500 * time.Millisecond
 
-// probeSilent asks services that say nothing for their health. Engines answer
-// for their news all the time and need no probe.
+// probeSilent probes the health of silent services. Engines answer polls for cache events
+// all the time and need no probe.
 func (d *Daemon) probeSilent(now time.Time, t *tables) []effect {
 	table := d.current.Load()
 	if table == nil || now.Before(t.due.probe) {
--- a/entry/update.go
+++ b/entry/update.go
@@ -9,7 +9,7 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// update changes the tables for one message and returns what to do about it.
+// update changes the tables for one message and returns the resulting effects.
 func (d *Daemon) update(now time.Time, m message) []effect {
 	t := &d.tables
 	switch m := m.(type) {
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// operatorRead takes over what the operator wrote. A lower version is never
-// taken.
+// operatorRead applies what the operator wrote. A lower configuration version is never
+// applied.
 func (d *Daemon) operatorRead(now time.Time, t *tables, m operatorRead) []effect {
 	d.noteRestore(now, t, m.change.Known)
 	if m.change.Snapshot {
@@ -92,7 +92,7 @@
 	t.operatorKnown = revision.Max(t.operatorKnown, m.change.Known)
 	d.operatorBehind.Store(false)
 	if err := m.change.Unusable; err != nil {
-		d.Log.Error("configuration can't be used; the last good one stays", "err", err, "in_force", d.version())
+		d.Log.Error("configuration can't be used; the last valid one stays in force", "err", err, "in_force", d.version())
 	}
 	next := m.change.Table
 	if next == nil || next.Version <= d.version() {
@@ -104,12 +104,12 @@
 	d.current.Store(next)
 	d.retryEstimator.Ended(now, noConfiguration)
 	d.configureStores(t, next)
-	t.refreshedList = 0 // Which pools are of engines may have changed.
+	t.refreshedList = 0 // Which pools are engine pools may have changed.
 	d.refreshInUse(now, t)
 	return d.reconcileSources(now, t)
 }
 
-// attemptEnded learns from how a sending went.
+// attemptEnded learns from how an attempt went.
 func (d *Daemon) attemptEnded(now time.Time, t *tables, m attemptEnded) {
 	t.overdue.Done(placement.Hash(m.Place.Target), m.Place.PlacedAt)
 	d.recordLiveness(now, t, m)
@@ -145,7 +145,7 @@
 	d.Log.Warn("target failed a request", fields...)
 }
 
-// probed takes over a target's health.
+// probed applies the result of a health probe.
 func (d *Daemon) probed(now time.Time, t *tables, m probed) {
 	delete(t.probing, m.target)
 	d.probeAnswered(now, t, m)
@@ -161,7 +161,7 @@
 		x.Heard(now)
 		return
 	}
-	if !m.suspected { // One that is busy has the question wait.
+	if !m.suspected { // A busy target may leave the probe of a suspect unanswered.
 		x.Fail(now)
 	}
 }
