--- a/entry/ablation_test.go
+++ b/entry/ablation_test.go
@@ -11,8 +11,7 @@
 	"github.com/thymewind/thymewind/throughput"
 )
 
-// TestAblate shows for each mechanism that it is on as a rule and off where the
-// settings say so.
+// TestAblate shows that each mechanism is on by default and off if the settings name it.
 func TestAblate(t *testing.T) {
 	const source = "large"
 	tests := []struct {
--- a/entry/emulator_test.go
+++ b/entry/emulator_test.go
@@ -19,15 +19,15 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// How the emulated fleet's parts behave.
+// Behaviour of the emulated fleet.
 const (
-	// networkDelay is the way between two boxes, storeAnswer what the table service takes.
+	// networkDelay is the one-way delay between two boxes, storeAnswer the table service's response time.
 	networkDelay = time.Millisecond
 	storeAnswer  = 5 * time.Millisecond
-	// emulatedStep is how often time passes.
+	// emulatedStep is the step of virtual time.
 	emulatedStep = 50 * time.Millisecond
-	// emulatedShare is the part of a core of the boxes that are fit for hubs, of which
-	// each domain has strongEach; the others have weakShare.
+	// emulatedShare is the share of a core of the boxes eligible as hubs, of which each
+	// domain has strongEach; the others have weakShare.
 	emulatedShare = 0.8
 	weakShare     = 0.192
 	strongEach    = 2
@@ -41,27 +41,28 @@
 	byName  map[string]*Daemon
 	pending []pending
 	rows    *fake.Table
-	// lastRows are the rows as they were last told.
+	// lastRows are the rows as last sent to their readers.
 	lastRows []table.Row
-	// tableServiceDown are boxes that the table service does not answer, dead those that answer nobody.
+	// tableServiceDown are boxes that the table service does not answer, dead those that
+	// answer nobody.
 	tableServiceDown, dead map[string]bool
-	// operator is what the operator wrote last, changed its version.
+	// operator is the content of the operator's rows.
 	operator Operator
-	// targets is what the list of targets holds.
+	// targets is the content of the list of targets.
 	targets map[string]fleet.Entry
-	// version is the table service's, of the copy that it was last restored from on.
+	// version is the table service's revision number, restores how often it was restored.
 	version, restores uint64
-	// canaryReports is what the operator was told, by pool.
+	// canaryReports is what was reported to the operator, by pool.
 	canaryReports map[string][]canary.State
 	cost          map[string]*emulatedCost
 }
 
-// emulatedCost is what one box did.
+// emulatedCost counts what one box did.
 type emulatedCost struct {
 	messages, bytes, storeCalls, followed int
 }
 
-// pending is something under way.
+// pending is an event in flight.
 type pending struct {
 	at  time.Time
 	run func()
@@ -83,7 +84,7 @@
 	return w
 }
 
-// add makes a box.
+// add creates a box.
 func (w *emulator) add(name, domain string, strong bool) *Daemon {
 	d := newDaemon(name)
 	d.Settings.Domain = domain
@@ -117,7 +118,7 @@
 	return d
 }
 
-// recordCanary tells the operator, of whose row nothing is taken back but for another ask.
+// recordCanary records a report to the operator; a final state is not taken back.
 func (w *emulator) recordCanary(pool string, state canary.State) {
 	told := w.canaryReports[pool]
 	if len(told) > 0 && told[len(told)-1].Ended() && !state.Ended() {
@@ -126,7 +127,7 @@
 	w.canaryReports[pool] = append(told, state)
 }
 
-// join has a box know all others and what the platform says.
+// join tells a box of all others and of the platform's state.
 func (w *emulator) join(d *Daemon) {
 	for i, other := range w.boxes {
 		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i / 250), byte(i % 250)}), 1)
@@ -146,7 +147,7 @@
 	return revision.Revision{Restores: w.restores, Number: w.version}
 }
 
-// list is the whole list.
+// list is a snapshot of the list.
 func (w *emulator) list() Targets {
 	all := Targets{Snapshot: true, Known: w.revision(), Changed: w.revision()}
 	for _, e := range w.targets {
@@ -162,7 +163,7 @@
 	return w.rows.Commit(ctx, tx)
 }
 
-// notifyRowReaders tells the boxes that read the system's own rows of changes.
+// notifyRowReaders sends changed rows to the boxes that read the system's own rows.
 func (w *emulator) notifyRowReaders() {
 	rows, err := w.rows.ListAll(context.Background(), "")
 	if err != nil || slices.EqualFunc(rows, w.lastRows, func(a, b table.Row) bool { return a.Key == b.Key && a.Revision == b.Revision }) {
@@ -177,7 +178,7 @@
 	}
 }
 
-// addTargets puts targets into the list; the boxes that read it know after at most targetsEvery.
+// addTargets adds targets to the list; the boxes that read it know after at most targetsReadInterval.
 func (w *emulator) addTargets(entries ...fleet.Entry) {
 	w.version++
 	for _, e := range entries {
@@ -186,7 +187,7 @@
 	w.notifyListReaders(Targets{Listed: entries, Known: w.revision(), Changed: w.revision()})
 }
 
-// removeTargets takes targets out of the list.
+// removeTargets removes targets from the list.
 func (w *emulator) removeTargets(ids ...string) {
 	w.version++
 	for _, id := range ids {
@@ -205,14 +206,14 @@
 	}
 }
 
-// writeOperator has the operator write something.
+// writeOperator changes the operator's rows.
 func (w *emulator) writeOperator(change func(o *Operator)) {
 	w.version++
 	w.operator.Changed, w.operator.Known = w.revision(), w.revision()
 	change(&w.operator)
 }
 
-// restore has the table service come back from a copy that lacks the last versions, with the
+// restore restores the table service from a copy that lacks the last versions, with the
 // system's own rows of that time. What the operator wrote and the list are written again.
 func (w *emulator) restore(lost uint64, own fake.Copy) {
 	w.version -= lost
@@ -229,7 +230,7 @@
 	})
 	rows, err := w.rows.ListAll(context.Background(), "")
 	if err != nil {
-		panic(err) // The emulated table draws no fault for reads of all.
+		panic(err) // The emulated table has no faults for reads of all rows.
 	}
 	w.lastRows = rows
 	for _, d := range w.boxes {
@@ -240,12 +241,12 @@
 	}
 }
 
-// after has something done after a time.
+// after schedules a function.
 func (w *emulator) after(after time.Duration, run func()) {
 	w.pending = append(w.pending, pending{w.now.Add(after), run})
 }
 
-// advance passes time, in which each box's systems run, and what is under way arrives.
+// advance advances time: each box's systems run, and events in flight arrive.
 func (w *emulator) advance(length time.Duration, each func()) {
 	for end := w.now.Add(length); w.now.Before(end); w.now = w.now.Add(emulatedStep) {
 		w.runDue()
@@ -261,7 +262,7 @@
 	}
 }
 
-// runDue does what is due, in its order.
+// runDue runs the events that are due, in order.
 func (w *emulator) runDue() {
 	due := w.pending
 	w.pending = nil
@@ -275,7 +276,7 @@
 	}
 }
 
-// tick runs a box's systems and reads the operator's rows if it is its turn.
+// tick runs a box's systems and reads the operator's rows if that is due.
 func (w *emulator) tick(d *Daemon) {
 	if w.now.Sub(start)%hubHold == 0 && !w.tableServiceDown[d.Settings.Name] && !d.hasFreshView(w.now) && !d.hasPeerProof(w.now) {
 		w.cost[d.Settings.Name].storeCalls++
@@ -289,7 +290,7 @@
 	}
 }
 
-// perform carries effects out.
+// perform carries out effects.
 func (w *emulator) perform(d *Daemon, effects []effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -327,7 +328,7 @@
 	}
 }
 
-// reach brings a message to a box that lives.
+// reach delivers a message to a box unless it is dead.
 func (w *emulator) reach(d *Daemon, m message) {
 	if !w.dead[d.Settings.Name] {
 		w.perform(d, d.update(w.now, m))
--- a/entry/hub_bench_test.go
+++ b/entry/hub_bench_test.go
@@ -13,11 +13,11 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// targetCounts are how many targets hubs tell of: of the deployments known, and the largest asked
-// for.
+// targetCounts are the numbers of targets that hubs gossip: those of known deployments, and
+// the largest required.
 var targetCounts = []int{60, 300, 600, 3000}
 
-// hubWithTargets is a hub that knows so many engines.
+// hubWithTargets is a hub that knows the given number of engines.
 func hubWithTargets(targets int) *Daemon {
 	d := largeFleet("box-00")
 	d.now = func() time.Time { return start }
@@ -33,15 +33,16 @@
 	return d
 }
 
-// BenchmarkView tells what a hub's view costs, by targets, with the list of these, told
-// as its first part, as one change, and not at all. Bytes are those on the wire.
+// BenchmarkView measures a hub's view by number of targets, with their list sent as its first
+// batch, as one change, and not at all, and a box's processing of it. Bytes are those on the
+// wire.
 func BenchmarkView(b *testing.B) {
 	for _, n := range targetCounts {
 		hub := hubWithTargets(n)
 		for _, tt := range []struct {
 			name string
 			have changelog.Cursor
-		}{{"whole", changelog.Cursor{}}, {"one changed", changelog.Cursor{Number: hub.tables.changes.Number() - 1}}, {"unchanged", changelog.Cursor{Number: hub.tables.changes.Number()}}} {
+		}{{"snapshot", changelog.Cursor{}}, {"one changed", changelog.Cursor{Number: hub.tables.changes.Number() - 1}}, {"unchanged", changelog.Cursor{Number: hub.tables.changes.Number()}}} {
 			b.Run(fmt.Sprintf("%s/%d", tt.name, n), func(b *testing.B) {
 				var wire []byte
 				for b.Loop() {
@@ -64,9 +65,9 @@
 	}
 }
 
-// BenchmarkNameTargets tells what a request that a hub places pays for naming the targets to
-// which its box is linked (here all), and those that are closed to it.
-func BenchmarkNameTargets(b *testing.B) {
+// BenchmarkTargetHints measures what naming targets costs a request that a hub places: those
+// to which its box has idle connections (here all), and those that are excluded.
+func BenchmarkTargetHints(b *testing.B) {
 	for _, n := range targetCounts {
 		for _, closed := range []int{0, n / 10} {
 			d := hubWithTargets(n)
--- a/entry/settings/mechanisms.go
+++ b/entry/settings/mechanisms.go
@@ -8,35 +8,36 @@
 
 // Mechanisms that Without may name.
 const (
-	// Saves has engines save what they read in stores.
+	// Saves has engines save what they prefilled to stores.
 	Saves = "saves"
-	// StoreFetches and EngineFetches have engines fetch kept parts from there.
+	// StoreFetches and EngineFetches have engines fetch cached parts from stores and engines.
 	StoreFetches  = "store-fetches"
 	EngineFetches = "engine-fetches"
-	// LearntMoves and LearntReading go by the times that requests took.
+	// LearntMoves and LearntReading predict transfers and prefill from the times that
+	// requests took.
 	LearntMoves   = "learnt-moves"
 	LearntReading = "learnt-reading"
 	// RankSlack prefers the best-ranked of engines that cost about the same.
 	RankSlack = "rank-slack"
 	// OwnDomain prefers engines of the box's failure domain.
 	OwnDomain = "own-domain"
-	// LeastUrgent leaves room for all but the least urgent requests, Reserve more
-	// of it while answers are late.
+	// LeastUrgent keeps room free of requests of the lowest priority, Reserve more of it
+	// while answers are late.
 	LeastUrgent = "least-urgent"
 	Reserve     = "reserve"
-	// UsualSize admits by what a route's requests take up as a rule.
+	// UsualSize admits by the typical size of a route's requests.
 	UsualSize = "usual-size"
 	// Freeing clears stores of parts made on older weights.
 	Freeing = "freeing"
-	// Loads counts what other boxes' requests take up.
+	// Loads counts the load of other boxes' requests.
 	Loads = "loads"
-	// Hurry asks another target where one that does not answer looks dead.
+	// Hurry tries another target when one that does not answer looks dead.
 	Hurry = "hurry"
 	// Quarantine refuses requests under which targets ended.
 	Quarantine = "quarantine"
 )
 
-// mechanisms are all of them.
+// mechanisms lists all of them.
 var mechanisms = []string{
 	Saves, StoreFetches, EngineFetches, LearntMoves, LearntReading, RankSlack, OwnDomain, LeastUrgent, Reserve, UsualSize, Freeing, Loads, Hurry, Quarantine,
 }
@@ -47,5 +48,5 @@
 	}
 }
 
-// Mechanisms lists what Without may name, for messages to people.
+// Mechanisms lists what Without may name, for messages to users.
 func Mechanisms() string { return strings.Join(mechanisms, ", ") }
--- a/entry/settings/settings.go
+++ b/entry/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the settings of an entry daemon that runs
-// on the users' platform.
+// Package settings reads and validates the settings of an entry daemon that runs on the
+// users' platform.
 //
 //	s, err := settings.Parse("settings.yaml", data)
 //	if err != nil { // every finding, each with file, line and column
@@ -13,95 +13,93 @@
 	"github.com/thymewind/thymewind/document"
 )
 
-// Settings are what one daemon knows before it talks to anyone.
+// Settings are what one daemon knows before it talks to any other.
 type Settings struct {
 	// Name is the box's name, unique among live boxes.
 	Name string `yaml:"name"`
-	// Domain is the box's failure domain, Region the region it lies in.
+	// Domain is the box's failure domain, Region the region of that.
 	Domain string `yaml:"domain"`
 	Region string `yaml:"region"`
-	// Callers, Ready and Metrics are the listeners' addresses. Metrics may be
-	// absent.
+	// Callers, Ready and Metrics are the listeners' addresses. Metrics is optional.
 	Callers netip.AddrPort `yaml:"callers"`
 	Ready   netip.AddrPort `yaml:"ready"`
 	Metrics netip.AddrPort `yaml:"metrics"`
-	// Peers is where other boxes reach this one. It may be absent; then no
-	// loads are exchanged.
+	// Peers is where other boxes reach this one. It is optional; without it no loads are
+	// exchanged.
 	Peers netip.AddrPort `yaml:"peers"`
 	// Store is the platform's table service.
 	Store Store `yaml:"store"`
-	// Box is what this box may use.
+	// Box limits what this box may use.
 	Box Box `yaml:"box"`
-	// Bounds are the platform's, within which this system has to act.
+	// Bounds are the platform's limits on how this system acts.
 	Bounds Bounds `yaml:"bounds"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `yaml:"log_level"`
-	// Without names mechanisms that are switched off, to measure what each is
-	// worth; empty but for that.
+	// Without names mechanisms that are switched off, to measure what each is worth; empty
+	// otherwise.
 	Without []string `yaml:"without"`
 }
 
 // Store is the table service.
 type Store struct {
 	Address netip.AddrPort `yaml:"address"`
-	// ReadsPerSecond is what all boxes together may read; zero if unknown.
+	// ReadsPerSecond is the read limit of all boxes together; zero if unknown.
 	ReadsPerSecond float64 `yaml:"reads_per_second"`
 }
 
-// Box bounds what the process may use.
+// Box limits what the process may use.
 type Box struct {
-	// MemoryMB is the most memory, in MiB; above it the process is killed.
+	// MemoryMB is the memory limit in MiB, above which the process is killed.
 	MemoryMB int `yaml:"memory_mb"`
-	// Descriptors bounds open files and sockets.
+	// Descriptors limits open files and sockets.
 	Descriptors int `yaml:"descriptors"`
-	// Share is the part of a processor core that this box has.
+	// Share is the share of a processor core that this box has.
 	Share float64 `yaml:"share"`
-	// Megabits is the link's speed, a second.
+	// Megabits is the link's speed, per second.
 	Megabits float64 `yaml:"megabits"`
 }
 
-// Bounds are the platform's. An empty one means that it does not apply.
+// Bounds are the platform's limits. A zero one does not apply.
 type Bounds struct {
 	// Stop is the time from the request to stop until the process is killed.
 	Stop time.Duration `yaml:"stop"`
-	// Notice is how long after the request to stop new connections may still
-	// come: two questions for readiness, a second apart, and some more.
+	// Notice is how long after the request to stop new connections may still arrive: two
+	// readiness checks, a second apart, and a margin.
 	Notice time.Duration `yaml:"notice"`
 	// Drain is how long a leaving target still takes requests.
 	Drain time.Duration `yaml:"drain"`
 	// AppliedWithin is how long after a configuration was accepted boxes may still answer by
 	// an older one; zero if there is no such bound.
 	AppliedWithin time.Duration `yaml:"applied_within"`
-	// RevokedWithin is the longest that a key is honoured after it was taken
-	// away, whatever befalls the box; zero if there is no such bound.
+	// RevokedWithin is the longest that a revoked key is honoured, whatever fails on the
+	// box; zero if there is no such bound.
 	RevokedWithin time.Duration `yaml:"revoked_within"`
-	// RetryShare and RetryExtra bound, over all boxes, the sendings of requests
-	// that were sent before: a share of the requests and a number in each
-	// RetryWindow.
+	// RetryShare and RetryExtra limit retries over all boxes: a share of the requests plus a
+	// number in each RetryWindow.
 	RetryShare  float64       `yaml:"retry_share"`
 	RetryExtra  float64       `yaml:"retry_extra"`
 	RetryWindow time.Duration `yaml:"retry_window"`
-	// Takeover is the least time between the orders of two holders of a duty.
+	// Takeover is the least time between the orders of two holders of a lease.
 	Takeover time.Duration `yaml:"takeover"`
-	// WeightsWithin is how long after a version was named requests may still
-	// begin on an older one.
+	// WeightsWithin is how long after a version was named requests may still begin on an
+	// older one.
 	WeightsWithin time.Duration `yaml:"weights_within"`
-	// EvacuatedWithin is how long after a domain's evacuation was asked for
-	// requests may still reach its targets; zero if domains are never evacuated.
+	// EvacuatedWithin is how long after a domain's evacuation was asked for requests may
+	// still reach its targets; zero if domains are never evacuated.
 	EvacuatedWithin time.Duration `yaml:"evacuated_within"`
-	// ColdFactor and ColdExtra bound, over all boxes, the requests that a cold target
-	// gets in a second: the factor of the rate that it bears, and a number.
+	// ColdFactor and ColdExtra limit, over all boxes, the requests that a cold target gets
+	// in a second: a factor of the rate that it bears, plus a number.
 	ColdFactor float64 `yaml:"cold_factor"`
 	ColdExtra  float64 `yaml:"cold_extra"`
-	// TriedShare and TriedExtra bound, over all boxes, the requests that reach a version of
-	// a pool's software that is tried out and is bad: a share of all that reach the pool,
-	// and a number. TakenBackWithin is how long after the version gave enough bad answers
-	// the last may be sent.
+	// TriedShare and TriedExtra limit, over all boxes, the requests that reach a bad canary
+	// version of a pool's software: a share of all that reach the pool, plus a number.
+	// TakenBackWithin is how long after the version gave enough bad answers the last may be
+	// sent.
 	TriedShare      float64       `yaml:"tried_share"`
 	TriedExtra      float64       `yaml:"tried_extra"`
 	TakenBackWithin time.Duration `yaml:"taken_back_within"`
-	// Stretch is by how much such a bound is longer while the platform is not
-	// stable for a box.
+	// Stretch is by how much such a bound is extended while the platform is not stable for a
+	// box.
 	Stretch time.Duration `yaml:"stretch"`
 }
 
@@ -118,8 +116,8 @@
 	}
 }
 
-// Parse reads the settings in data, which came from the file called name. The
-// error holds every finding.
+// Parse reads the settings in data, which came from the named file. The error holds every
+// finding.
 func Parse(name string, data []byte) (Settings, error) {
 	s := defaults()
 	d := document.Document{Name: name}
@@ -151,10 +149,10 @@
 func (s *Settings) checkBox(d *document.Document) {
 	const leastMemory, leastDescriptors = 32, 64
 	if s.Box.MemoryMB < leastMemory {
-		d.Add("box.memory_mb", "must be %d at least", leastMemory)
+		d.Add("box.memory_mb", "must be at least %d", leastMemory)
 	}
 	if s.Box.Descriptors < leastDescriptors {
-		d.Add("box.descriptors", "must be %d at least", leastDescriptors)
+		d.Add("box.descriptors", "must be at least %d", leastDescriptors)
 	}
 	if s.Box.Share <= 0 {
 		d.Add("box.share", "must be above 0")
@@ -174,13 +172,13 @@
 	d.CheckWithin("bounds.evacuated_within", s.Bounds.EvacuatedWithin, 0, longest)
 	d.CheckWithin("bounds.taken_back_within", s.Bounds.TakenBackWithin, 0, longest)
 	if s.Bounds.TriedShare < 0 || s.Bounds.TriedShare > 1 || s.Bounds.TriedExtra < 0 {
-		d.Add("bounds.tried_share", "must be from 0 to 1, and tried_extra not below 0")
+		d.Add("bounds.tried_share", "must be between 0 and 1, and tried_extra must not be negative")
 	}
 	d.CheckWithin("bounds.stretch", s.Bounds.Stretch, 0, longest)
 	if s.Bounds.ColdFactor < 0 || s.Bounds.ColdExtra < 0 {
-		d.Add("bounds.cold_factor", "neither it nor cold_extra can be below 0")
+		d.Add("bounds.cold_factor", "cold_factor and cold_extra must not be negative")
 	}
 	if s.Bounds.RetryShare < 0 || s.Bounds.RetryExtra < 0 {
-		d.Add("bounds.retry_share", "neither it nor retry_extra can be below 0")
+		d.Add("bounds.retry_share", "retry_share and retry_extra must not be negative")
 	}
 }
--- a/entry/settings/settings_test.go
+++ b/entry/settings/settings_test.go
@@ -31,11 +31,11 @@
 		{"address without port", "127.0.0.1:8080", "127.0.0.1", []string{"s.yaml:3:"}},
 		{"the same address twice", "127.0.0.1:8081", "127.0.0.1:8080", []string{"has the address of callers"}},
 		{"no time unit", "5000ms", "5000", []string{"s.yaml:9:"}},
-		{"too short a stop", "stop: 8s", "stop: 1ms", []string{"s.yaml:8:9: bounds.stop"}},
-		{"below zero", "0.2", "-1", []string{"retry_share"}},
-		{"a mechanism switched off", "bounds:", "without: [saves, hurry]\nbounds:", nil},
-		{"an unknown mechanism", "bounds:", "without: [magic]\nbounds:", []string{"without"}},
-		{"several at once", "name: \"entry-1\"", "log_level: loud", []string{"name: must be set", "s.yaml:1:12: log_level"}},
+		{"stop too short", "stop: 8s", "stop: 1ms", []string{"s.yaml:8:9: bounds.stop"}},
+		{"negative share", "0.2", "-1", []string{"retry_share"}},
+		{"mechanism switched off", "bounds:", "without: [saves, hurry]\nbounds:", nil},
+		{"unknown mechanism", "bounds:", "without: [magic]\nbounds:", []string{"without"}},
+		{"several findings", "name: \"entry-1\"", "log_level: loud", []string{"name: must be set", "s.yaml:1:12: log_level"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/entry/tables.go
+++ b/entry/tables.go
@@ -27,211 +27,212 @@
 	"github.com/thymewind/thymewind/versionlog"
 )
 
-// tables are what the loop owns. Only the loop touches them.
+// tables are the state that the loop owns. Only the loop accesses them.
 type tables struct {
 	fleet     *fleet.Fleet
 	directory *directory.Directory
-	// stores are the stores of kept parts, by name in order.
+	// stores are the stores of cached parts, sorted by name.
 	stores []*affinity.Source
-	// engineToken is the time to move one token between engines.
+	// engineToken is the time to transfer one token between engines.
 	engineToken time.Duration
-	// targetsInUse are the targets that this box's requests may take something up at, by ID: what is
-	// told of them each tick costs as much as there is work, not as many as there are.
+	// targetsInUse are the targets, by ID, that this box's requests may use something of.
+	// Gossip each tick covers only these, so its cost depends on the work in flight, not on
+	// the number of targets.
 	targetsInUse map[string]*fleet.Target
-	// watched are the sources whose news are read, with how to stop that.
+	// watched are the sources whose cache events are read, with the function that ends it.
 	watched map[string]context.CancelFunc
-	// loading are the targets that load by another box's order, with when each is
-	// next asked whether it has done so.
+	// loading are the targets that load weights by another box's order, with the time at
+	// which each is next asked whether it has done so.
 	loading map[string]time.Time
-	// weights are the models whose newest version was named.
+	// weights are the rollouts of the models whose newest version was named.
 	weights map[string]*modelRollout
-	// tableClock is the table service's clock, toldClock what it showed in the
-	// last answer about the operator's rows; zero if that did not tell.
+	// tableClock is the table service's clock, lastTableClock its value in the last answer
+	// about the operator's rows; zero if that had none.
 	tableClock     clockbound.Clock
 	lastTableClock time.Duration
-	// clock is the targets' common clock less this process's own.
+	// clock is the targets' common clock minus this process's own.
 	clock time.Duration
-	// clockKnown says that clock was told.
+	// clockKnown says that clock is set.
 	clockKnown bool
-	// othersUsage is what other boxes' requests take up, by the hash of the target's
-	// ID.
+	// othersUsage is the load of other boxes' requests, by the hash of the target's ID.
 	othersUsage *peerload.Totals
-	// prefillBacklog is what targets still read, as all boxes that place requests tell,
-	// overdue what this box's requests should have had read by now.
+	// prefillBacklog is what targets still have to prefill, as reported by all boxes that
+	// place requests; overdue is what should have been prefilled by now of this box's
+	// requests.
 	prefillBacklog backlog.Estimator
 	overdue        overdue.Tracker
-	// pace is how quickly engines read and sources move, as this box's requests
-	// saw it.
+	// pace is the speed of engines' prefill and of transfers from sources, learned from
+	// this box's requests.
 	pace throughput.Estimator
-	// sizes is what requests take up as a rule, in tokens, by route.
+	// sizes are the typical sizes of requests, in tokens, by route.
 	sizes map[string]float64
 	// latenessByPool are the shares of late answers, by pool.
 	latenessByPool map[string]*headroom.Gauge
 	// lateLogged marks the pools that were logged as answering late.
 	lateLogged map[string]bool
-	// congestionByPool is how long answers of plain services took, by pool, congestedNow which
-	// pools were logged as congested.
+	// congestionByPool are the answer times of plain services, by pool; congestionLogged
+	// marks the pools that were logged as congested.
 	congestionByPool map[string]*congestion.Gauge
 	congestionLogged map[string]bool
 	// slowLogged marks the stores that were logged as slow.
 	slowLogged map[string]bool
-	// usual is what other boxes' requests are taken to take up at each engine if
-	// none of them is heard, as of the last placing.
+	// usual is the presumed load of other boxes' requests at each engine if none of them
+	// is heard, as of the last placement.
 	usual peer.TargetLoad
 	// silences is when connections to targets were last found silent, by address.
 	silences map[netip.AddrPort]time.Time
-	// members are the boxes that ever wrote their row, this one included.
+	// members are the boxes that have ever written their row, including this one.
 	members map[string]*member
-	// unlistedMet is how many boxes without a row this one met, toldBoxes how many boxes there
-	// are in all as a hub told, toldRowless how many of them without a row, countedBoxes what
-	// the retries were last shared by.
+	// unlistedMet is how many boxes without a row this one met. hubBoxes is how many boxes
+	// there are in total according to a hub, hubUnlisted how many of them have no row.
+	// retryBoxes is the number by which the retry budget was last divided.
 	unlistedMet, hubBoxes, hubUnlisted, retryBoxes int
-	// regions are those that failure domains lie in, as boxes there tell.
+	// regions are the failure domains' regions, as reported by boxes there.
 	regions map[string]string
-	// hubRanks are the boxes fit for hubs by domain, and firsts the first of each, as worked out
-	// for rankedOf members.
+	// hubRanks are the boxes eligible as hubs by domain, topHubs the first of each domain,
+	// both computed for rankedMembers members.
 	hubRanks      map[string][]string
 	topHubs       []string
 	rankedMembers int
 	// tableServiceDown says that the table service does not answer.
 	tableServiceDown bool
-	// probing marks targets whose health is being asked for.
+	// probing marks targets with a health probe in flight.
 	probing map[string]bool
 	due     due
-	// leaseStepping says that a step of the lease is under way, holding that the
-	// last one left the lease with this box.
+	// leaseStepping says that a step of the lease is in progress, leaseHeld that this box
+	// held the lease after the last one.
 	leaseStepping, leaseHeld bool
-	// readEpoch is the epoch in which the earlier holder's rows were read.
+	// readEpoch is the epoch in which the previous holder's rows were read.
 	readEpoch uint64
-	// listVersion changes with the list and is zero until that was read.
+	// listVersion changes with the list of targets; zero until it was read.
 	listVersion uint64
-	// changes numbers the changes of what boxes that take this one's view are told of; nil
-	// until the list was read.
+	// changes numbers the changes of what this box tells its spokes; nil until the list was
+	// read.
 	changes *changelog.Log[string]
-	// inUse are the engines in use, by pool, as of the list numbered refreshedList.
+	// inUse are the engines in use, by pool, as of list version refreshedList.
 	inUse         map[string]*inUse
 	refreshedList uint64
-	// listRead is when this box last asked the platform for the list itself.
+	// listRead is when this box last read the list from the platform itself.
 	listRead time.Time
-	// listRestores is how often the table service had been restored when the list, or the hub's
-	// that this box took over, was read.
+	// listRestores is how often the table service had been restored when the list, or the
+	// hub's list that this box took over, was read.
 	listRestores uint64
-	// tombstones are targets that went from the list lately, heldBack entries of such that a
-	// restored list has again, by their IDs.
+	// tombstones are targets recently removed from the list, heldEntries entries of such
+	// targets that are back in a restored list, both by ID.
 	tombstones  map[string]tombstone
 	heldEntries map[string]heldEntry
 	// listKnown is the revision up to which all changes of the list are known, listChanged
 	// the newest change among them.
 	listKnown, listChanged revision.Revision
 	// listBehindSince is since when another hub is known to have read a later change of the
-	// list; zero if none is. overtakenNoted says that this was logged.
+	// list; zero if none is. listBehindLogged says that this was logged.
 	listBehindSince  time.Time
 	listBehindLogged bool
-	// hub is whose list this box has, hubList how far it was told. hubSeen are the targets
-	// told since that began; nil once all were.
+	// hub is the hub that this box's list is from, hubList how far it was received. hubSeen
+	// are the targets received since a snapshot began; nil once it is complete.
 	hub     string
 	hubList changelog.Cursor
 	hubSeen map[string]bool
 	// hubHeardAt is when a hub last answered this box.
 	hubHeardAt time.Time
-	// followsHubless says that the sources followed are those of a box without hubs.
+	// followsHubless says that the watched sources are those of a box without hubs.
 	followsHubless bool
-	// hubWarm says that a hub heard of most sources since it follows them.
+	// hubWarm says that this box, as a hub, has heard of most sources since it watches them.
 	hubWarm bool
-	// lastHubRequest is when another box last asked this one for a place.
+	// lastHubRequest is when another box last asked this one for a placement.
 	lastHubRequest time.Time
-	// loadingConfiguration says that it is being read from a hub.
+	// loadingConfiguration says that the configuration is being read from a hub.
 	loadingConfiguration bool
-	// operatorChange is the newest change of what the operator wrote that was read,
+	// operatorChange is the newest change of the operator's rows that was read,
 	// operatorKnown the revision up to which all are known.
 	operatorChange, operatorKnown revision.Revision
-	// provedNewest is the newest change that another box last told with a proof.
+	// provedNewest is the newest change that another box last reported with a proof.
 	provedNewest revision.Revision
-	// gate counts what this box sent to cold targets.
+	// gate limits what this box sends to cold targets.
 	gate slowstart.Limiter
-	// quotas hold what this box may send to targets that limit requests.
+	// quotas hold what this box may send to targets with rate limits.
 	quotas map[fleet.Incarnation]*targetQuota
 	// placers are the boxes that place requests for engines, as of placersAt.
 	placers   []string
 	placersAt time.Time
-	// evacuatedAt is when what the operator asks for of domains was as the fleet has
-	// it; what is older by a hub's view changes nothing.
+	// evacuatedAt is the time of the evacuations that the fleet has; an older view of a hub
+	// changes nothing.
 	evacuatedAt time.Time
-	// lostEvacuations are the domains whose evacuation the operator asked for before a restore
-	// of the table service and not since, with when that was read.
+	// lostEvacuations are the domains whose evacuation the operator asked for before a
+	// restore of the table service and not since, with the time at which that was read.
 	lostEvacuations map[string]time.Time
-	// olderSince is since when the operator's rows are older than the configuration in force;
-	// zero if they are not.
+	// olderSince is since when the operator's rows are older than the configuration in
+	// force; zero if they are not.
 	olderSince time.Time
-	// operatorRewrittenBy is when the operator has written again what a restore may have lost right
-	// before this box started; zero once that is known.
+	// operatorRewrittenBy is by when the operator has written again what a restore just
+	// before this box's start may have lost; zero once that is known.
 	operatorRewrittenBy time.Time
-	// crashes finds out which requests ran on targets that ended, quarantine keeps
-	// those away that take targets down, and reports are what this box tells of them.
+	// crashes determines which requests ran on targets that ended, quarantine blocks
+	// requests that make targets end, and reports are what this box reports of them.
 	crashes    crash.Tracker
 	quarantine quarantine.List
 	reports    crashReports
-	// endedIncarnations are targets' lives that other boxes found to be over, with since when that is
-	// known here.
+	// endedIncarnations are targets' incarnations that other boxes found to have ended, with
+	// the time at which this box learned it.
 	endedIncarnations map[string]time.Time
-	// nextTrial is when this box may claim the next trial of a request that it refuses.
+	// nextTrial is when this box may claim the next trial of a quarantined request.
 	nextTrial map[fingerprint.Sum]time.Time
-	// lifted are requests that were answered after all, with since when that is
-	// known, for boxes that may not know.
+	// lifted are requests that were answered after all, with the time at which this box
+	// learned it, for boxes that may not know.
 	lifted map[fingerprint.Sum]time.Time
-	// canaries are the versions of pools' software that are tried out, or were last.
+	// canaries are the canary versions of pools' software, current or last.
 	canaries map[string]*canaryRollout
-	// answerTimes is how long answers take, of requests that are alike.
+	// answerTimes are the answer times of similar requests.
 	answerTimes map[string]*outlier.Detector
-	// hubQuarantineVersion numbers the set of requests that the hub was last heard to refuse.
+	// hubQuarantineVersion is the version of the hub's quarantine list last received.
 	hubQuarantineVersion uint64
-	// suspended is for how long the machine was, as far as that was logged.
+	// suspended is the machine's total suspended time as logged so far.
 	suspended time.Duration
-	// membersKnown says that the other boxes are known, so that this one knows its
-	// role.
+	// membersKnown says that the other boxes are known, so that this one knows its role.
 	membersKnown bool
-	// ownRowsKnown says that the system's own rows were read, ownKnownAt up to which revision.
+	// ownRowsKnown says that the system's own rows were read, ownRowsRevision up to where.
 	ownRowsKnown    bool
 	ownRowsRevision revision.Revision
-	// lostRows are the boxes whose rows the last restore of the table service lost, and that did
-	// not write them again yet; restoresTold is how many restores a hub told of.
+	// lostRows are the boxes whose rows the last restore of the table service lost and that
+	// have not written them again yet; hubRestores is how many restores a hub reported.
 	lostRows    map[string]bool
 	hubRestores uint64
 }
 
-// scan names a state of the list and of what was named.
+// scan identifies a state of the list and of the named versions.
 type scan struct {
 	list          uint64
 	newestVersion int64
 }
 
-// modelRollout is one model's rollout as this box sees it.
+// modelRollout is one model's rollout as seen by this box.
 type modelRollout struct {
-	// newestVersion is the newest version named, names when each version was.
+	// newestVersion is the newest version named, versionLog when each version was named.
 	newestVersion int64
 	versionLog    versionlog.Log
-	// upToDateScan is the list and the version for which no engine was behind, floor the lowest
-	// version of any then: until either changes engines need not be looked at again.
+	// upToDateScan is the list and the version for which no engine was behind, minVersion
+	// the lowest version of any engine then: engines need not be checked again until either
+	// changes.
 	upToDateScan scan
 	minVersion   int64
-	// announceRetryAt is when the rollout's row may be written again after that failed.
+	// announceRetryAt is when writing the rollout's row may be retried after a failure.
 	announceRetryAt time.Time
-	// ordered are the orders that this box has under way, by target.
+	// ordered marks the targets with an order of this box in flight.
 	ordered map[string]bool
-	// orderedAt is when this box ordered targets anything, barred until when it
-	// must not, as another box did.
+	// orderedAt is when this box last gave targets an order, barredUntil until when it must
+	// not, as another box did.
 	orderedAt, barredUntil map[string]time.Time
 	// allBarredUntil is until when it must order none, as it can't know which another box did.
 	allBarredUntil time.Time
-	// epoch is the lease's in the row last read.
+	// epoch is the lease's epoch in the row last read.
 	epoch uint64
 	// clearing says when parts made on older weights may be freed.
 	clearing reclaim.Tracker
 	// freed is the version for which the stores were cleared of older parts.
 	freed   int64
 	freeing bool
-	// freeAttempts counts the tries to clear the stores that failed, freeAgain is
-	// when the next one may be made.
+	// freeAttempts counts failed attempts to clear the stores, freeRetryAt is when the next
+	// one may be made.
 	freeAttempts int
 	freeRetryAt  time.Time
 	// planned are the targets that wait until their loading is announced.
@@ -240,7 +241,7 @@
 	announcing bool
 }
 
-// due is when the systems next have something to do.
+// due is when each system next has something to do.
 type due struct {
 	sweep, lease, probe, gossip, reap, suspension, refresh time.Time
 }
@@ -252,24 +253,24 @@
 	// domain, share and megabits are the box's, by which hubs are ranked.
 	domain          string
 	share, megabits float64
-	// limitsDue is when it is next told all limits that are known.
+	// limitsDue is when it next gets all known rate limits.
 	limitsDue time.Time
 	// heardAt is when it last called or answered this one, or when its row was read.
 	heardAt time.Time
-	// calling says that gossip with it is under way, failed that it did not answer
-	// the last gossip, or too many asks for places since.
+	// calling says that gossip with it is in flight, failed that it did not answer the last
+	// gossip, or too many placement requests since.
 	calling, failed bool
-	// misses counts places in a row that it was asked for in vain.
+	// misses counts unanswered placement requests in a row.
 	misses int
 	// retryAt is when a box that did not answer is called again.
 	retryAt time.Time
-	// unlisted says that it has no row; met is when it was last heard.
+	// unlisted says that it has no row; metAt is when it was last heard.
 	unlisted bool
 	metAt    time.Time
 	// unlistedMet is how many boxes without a row it met, as of countedAt.
 	unlistedMet int
 	countedAt   time.Time
-	// seenDue is when a hub next tells it what boxes saw of versions that are tried out.
+	// seenDue is when a hub next sends it the boxes' samples of canary versions.
 	seenDue time.Time
 }
 
@@ -285,18 +286,18 @@
 	}
 }
 
-// assumedBoxes is how many boxes are taken to share the work until their rows were
-// read: the most that a small deployment has.
+// assumedBoxes is how many boxes are assumed to share the work until their rows were read:
+// the most that a small deployment has.
 const assumedBoxes = 10
 
-// markListUncertain notes that the list may lack live engines with older weights.
+// markListUncertain records that the list may lack live engines with older weights.
 func (t *tables) markListUncertain(now time.Time) {
 	for _, w := range t.weights {
 		w.clearing.MarkIncomplete(now)
 	}
 }
 
-// lateness returns the share of late answers of a pool.
+// lateness returns the gauge of a pool's late answers.
 func (t *tables) lateness(pool string) *headroom.Gauge {
 	g := t.latenessByPool[pool]
 	if g == nil {
--- a/entry/update_test.go
+++ b/entry/update_test.go
@@ -24,7 +24,7 @@
 // rev is a revision of a table service that was never restored.
 func rev(number uint64) revision.Revision { return revision.Revision{Number: number} }
 
-// newDaemon is a daemon whose loop a test runs by hand, at times of its own.
+// newDaemon is a daemon whose loop the test runs itself, at times it sets.
 func newDaemon(name string) *Daemon {
 	rows := &fake.Table{}
 	d := &Daemon{
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestConfigurationNeverBack shows that a version is never followed by a lower
-// one, and that an unusable one changes nothing.
+// TestConfigurationNeverBack shows that a version is never followed by a lower one, and that
+// an unusable one changes nothing.
 func TestConfigurationNeverBack(t *testing.T) {
 	d := newDaemon("b1")
 	steps := []struct {
@@ -82,12 +82,12 @@
 	}
 }
 
-// TestFresh shows that keys are trusted by when the last answered read was
-// sent, never by when its answer came.
-func TestFresh(t *testing.T) {
+// TestKeysFresh shows that keys are trusted by when the last answered read was sent, not by
+// when its answer arrived.
+func TestKeysFresh(t *testing.T) {
 	d := newDaemon("b1")
 	if d.keysFresh(start) {
-		t.Error("fresh without any read")
+		t.Error("keys are fresh without any read")
 	}
 	d.update(start.Add(3*time.Second), operatorRead{start, Operator{}})
 	tests := []struct {
@@ -101,11 +101,11 @@
 	}
 	d.update(start.Add(4*time.Second), operatorRead{start.Add(-time.Second), Operator{}})
 	if !d.keysFresh(start.Add(4 * time.Second)) {
-		t.Error("an older read took a newer proof back")
+		t.Error("an older read replaced a newer proof")
 	}
 }
 
-// TestTargets follows the list through what befalls it.
+// TestTargets follows the list of targets through removals and a failure of the table service.
 func TestTargets(t *testing.T) {
 	d := newDaemon("b1")
 	f := d.tables.fleet
@@ -115,27 +115,27 @@
 	read(0, false, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1), engine("b", 1)}})
 	read(time.Second, false, Targets{Gone: []string{"a"}})
 	if f.Target("a") != nil {
-		t.Error("a target that went while the store answered is kept")
+		t.Error("a target removed while the table service answered is still listed")
 	}
 	read(2*time.Second, true, Targets{Snapshot: true})
 	x := f.Target("b")
 	if x == nil || !x.Available(start.Add(3*time.Second)) {
-		t.Fatal("a target that lapsed while the store was away is gone at once")
+		t.Fatal("a target that lapsed while the table service was down is removed at once")
 	}
 	read(3*time.Second, false, Targets{Listed: []fleet.Entry{engine("b", 1)}})
 	d.sweep(start.Add(time.Hour), &d.tables)
 	if f.Target("b") == nil {
-		t.Error("a target that came back is gone")
+		t.Error("a target that came back was removed")
 	}
 	read(4*time.Second, true, Targets{Snapshot: true})
 	d.sweep(start.Add(4*time.Second+fleet.LapseGrace), &d.tables)
 	if f.Target("b") != nil {
-		t.Error("a target that did not come back is kept")
+		t.Error("a target that did not come back is still listed")
 	}
 }
 
-// TestScope shows that neither other weights nor another walled account reach
-// kept parts.
+// TestScope shows that cached parts are not shared between weight versions nor with isolated
+// accounts.
 func TestScope(t *testing.T) {
 	open, walled, other := job("long", 10), job("long", 10), job("long", 10)
 	walled.Account = &routing.Account{Name: "w", Isolated: true}
@@ -151,22 +151,22 @@
 		}
 	}
 	if scope(1, plain) != scope(1, open) {
-		t.Error("accounts that are not walled share")
+		t.Error("accounts that are not isolated have different scopes")
 	}
 	if !outdated(scope(1, walled), "m", 2) || outdated(scope(2, open), "m", 2) || outdated(scope(1, open), "other", 2) {
-		t.Error("which scopes are outdated")
+		t.Error("wrong scopes count as outdated")
 	}
 }
 
-// TestNews shows that a source that restarted or fell silent keeps nothing.
-func TestNews(t *testing.T) {
+// TestCacheEvents shows that a source that restarted or is silent counts as empty.
+func TestCacheEvents(t *testing.T) {
 	d := newDaemon("b1")
 	d.tables.watched["s"] = func() {}
 	key := directory.KeyOf("m@1", "p")
 	told := CacheEvents{Epoch: 1, Changes: []CacheEvent{{Cached: true, Scope: "m@1", Part: "p", Tokens: 9}}, Clock: time.Hour}
 	d.update(start, cacheEventsRead{source: "s", events: told})
 	if !d.tables.directory.Has("s", key) || !d.tables.clockKnown {
-		t.Fatal("the news was not taken over")
+		t.Fatal("the events were not applied")
 	}
 	d.update(start, cacheEventsRead{source: "s", err: errors.New("reset")})
 	if d.tables.directory.Has("s", key) {
@@ -178,8 +178,8 @@
 	}
 }
 
-// TestReplaced finds out in each way that another replica has a target's
-// address. The target is gone for good, and other boxes hear of it.
+// TestReplaced covers the ways to find out that another replica has a target's address. The
+// target is removed for good, and other boxes are told.
 func TestReplaced(t *testing.T) {
 	tests := []struct {
 		name string
@@ -187,11 +187,11 @@
 		gone bool
 	}{
 		{"its epoch changed", cacheEventsRead{source: "a", events: CacheEvents{Epoch: 2}}, true},
-		{"its epoch is as before", cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1}}, false},
-		{"another one answers for its health", probed{probe{target: "a"}, ErrReplaced}, true},
-		{"its health is bad", probed{probe{target: "a"}, errors.New("503")}, false},
-		{"another box tells", peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a"}}}}, true},
-		{"a request was refused by another one", attemptEnded{deliver.AttemptResult{
+		{"its epoch is unchanged", cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1}}, false},
+		{"another replica answers its health probe", probed{probe{target: "a"}, ErrReplaced}, true},
+		{"its health probe fails", probed{probe{target: "a"}, errors.New("503")}, false},
+		{"another box reports it", peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a"}}}}, true},
+		{"another replica refused a request", attemptEnded{deliver.AttemptResult{
 			Place: deliver.Placement{Target: "a"}, Job: job("long", 10), Verdict: deliver.OtherReplica,
 		}}, true},
 	}
@@ -211,15 +211,15 @@
 			}
 			told := d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2"}).EndedIncarnations
 			if (len(told) == 1) != tt.gone {
-				t.Errorf("told %v", told)
+				t.Errorf("reported %v", told)
 			}
 		})
 	}
 }
 
-// TestSecondLife has an engine start again under its ID while requests of its earlier
-// life are under way: nothing of that counts for the later one, however late it comes.
-func TestSecondLife(t *testing.T) {
+// TestSecondIncarnation has an engine restart under its ID while requests of its earlier
+// incarnation are in flight: none of them counts for the later one, however late they end.
+func TestSecondIncarnation(t *testing.T) {
 	first, second := start.Add(-time.Hour), start.Add(time.Hour)
 	life := func(born time.Time, version int64) fleet.Entry {
 		e := engine("a", version)
@@ -231,15 +231,15 @@
 	tests := []struct {
 		name  string
 		steps []message
-		// listed says that the later life is listed after the steps.
+		// listed says that the later incarnation is listed after the steps.
 		listed bool
 	}{
-		{"by its entry", []message{list(life(second, 3))}, true},
-		{"by its news", []message{cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1, StartedAt: second}}}, false},
-		{"by its news, then its entry", []message{cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1, StartedAt: second}}, list(life(first, 5)), list(life(second, 3))}, true},
-		{"by another box, then its entry", []message{peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a", StartedMS: first.UnixMilli()}}}}, list(life(second, 3))}, true},
-		{"its entry, then another box tells of the earlier", []message{list(life(second, 3)), peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a", StartedMS: first.UnixMilli()}}}}}, true},
-		{"requests of the earlier life end late", []message{list(life(second, 3)), ended, answerBegan{ended.Place}}, true},
+		{"seen in its entry", []message{list(life(second, 3))}, true},
+		{"seen in its cache events", []message{cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1, StartedAt: second}}}, false},
+		{"seen in its cache events, then its entry", []message{cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1, StartedAt: second}}, list(life(first, 5)), list(life(second, 3))}, true},
+		{"reported by another box, then its entry", []message{peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a", StartedMS: first.UnixMilli()}}}}, list(life(second, 3))}, true},
+		{"seen in its entry, then another box reports the earlier one", []message{list(life(second, 3)), peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a", StartedMS: first.UnixMilli()}}}}}, true},
+		{"requests of the earlier incarnation end late", []message{list(life(second, 3)), ended, answerBegan{ended.Place}}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -260,10 +260,10 @@
 				t.Fatalf("listed %+v", x)
 			}
 			if d.tables.directory.Has("a", key) {
-				t.Error("what the earlier life kept is believed")
+				t.Error("the cache of the earlier incarnation still counts")
 			}
 			if x != nil && (!x.StartedAt.Equal(second) || x.Versions["m"] != 3 || x.InFlight != 0 || x.Tokens != 0 || x.Ejected(start)) {
-				t.Errorf("the later life is %+v", x)
+				t.Errorf("the later incarnation is %+v", x)
 			}
 		})
 	}
