--- a/affinity/search.go
+++ b/affinity/search.go
@@ -71,11 +71,11 @@
 		if !s.ask.domainAllowed(t.Domain) || !s.Directory.Has(t.ID, key) || t.Leaving || t.Evacuated || t.Ejected(s.now) {
 			continue
 		}
-		peer := Source{Name: t.ID, Address: t.Address, Domain: t.Domain, Delay: engineTransferDelay, PerToken: s.TransferPerToken()}
-		if !s.AllowEngineFetch(&peer) {
+		engine := Source{Name: t.ID, Address: t.Address, Domain: t.Domain, Delay: engineTransferDelay, PerToken: s.TransferPerToken()}
+		if !s.AllowEngineFetch(&engine) {
 			continue
 		}
-		h.engines = append(h.engines, holder{peer, s.Slowdown(s.now, t.ID)})
+		h.engines = append(h.engines, holder{engine, s.Slowdown(s.now, t.ID)})
 	}
 	return h
 }
@@ -86,15 +86,15 @@
 	l := s.locate(version)
 	one := candidate{target: t, version: version, rank: placement.Weight(s.ask.Home, placement.Hash(t.ID))}
 	one.cached = s.Directory.LeadingParts(t.ID, l.keys, s.now)
-	running, unread := s.Load(s.now, t)
-	one.prefillBacklog = unread
+	running, backlog := s.Load(s.now, t)
+	one.prefillBacklog = backlog
 	one.full = s.ask.Full != nil && s.ask.Full(running)
-	wait := time.Duration(unread) * s.tokenTime
+	wait := time.Duration(backlog) * s.tokenTime
 	var moves time.Duration
 	one.available, moves = s.availableParts(l, t, one.cached)
-	read, again := s.prefillCost(l, one.available)
-	one.cost = wait + moves + read + again
-	one.cost += lateness(s.firstEventBase+wait+moves+read, s.ask.Goal)
+	prefill, recompute := s.prefillCost(l, one.available)
+	one.cost = wait + moves + prefill + recompute
+	one.cost += lateness(s.firstEventBase+wait+moves+prefill, s.ask.Goal)
 	one.cost += memoryPressure(running+s.ask.Tokens, s.ask.Capacity)
 	if t.Domain != s.ask.Domain {
 		one.cost += otherDomainCost
@@ -113,16 +113,16 @@
 
 // availableParts counts the leading parts that an engine has cached or can fetch, and the
 // time of the transfers. A part is usable only together with all parts before it.
-func (s *search) availableParts(l *location, t *fleet.Target, kept int) (int, time.Duration) {
+func (s *search) availableParts(l *location, t *fleet.Target, cached int) (int, time.Duration) {
 	var took time.Duration
-	for i := kept; i < s.ask.ownPart(); i++ {
+	for i := cached; i < s.ask.ownPart(); i++ {
 		from, cost := s.best(l, i, t)
 		if from == nil {
 			return i, took
 		}
 		took += cost
 	}
-	return max(kept, s.ask.ownPart()), took
+	return max(cached, s.ask.ownPart()), took
 }
 
 // best returns where an engine should fetch a part from and how long that takes, or nil if
@@ -136,14 +136,14 @@
 
 // prefillCost is the time to prefill the parts from one on, and the cost beyond that of
 // prefilling those that are cached somewhere.
-func (s *search) prefillCost(l *location, from int) (took, again time.Duration) {
+func (s *search) prefillCost(l *location, from int) (took, recompute time.Duration) {
 	for i := from; i < len(s.ask.Parts); i++ {
 		took += time.Duration(s.ask.Parts[i].Tokens) * s.tokenTime
 		if l.parts[i].any() {
-			again += time.Duration(s.ask.Parts[i].Tokens) * recomputeTokenCost
+			recompute += time.Duration(s.ask.Parts[i].Tokens) * recomputeTokenCost
 		}
 	}
-	return took, again
+	return took, recompute
 }
 
 // best returns the store or other engine that delivers a part soonest, if that is sooner
--- a/deliver/begin_test.go
+++ b/deliver/begin_test.go
@@ -41,8 +41,8 @@
 					}
 					return deliver.Placement{Target: "old", BeginBy: began.Add(by)}, nil
 				}
-				s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
-					if sending.Place.Target == "old" {
+				s.Send = func(ctx context.Context, attempt deliver.Attempt) (*deliver.Reply, error) {
+					if attempt.Place.Target == "old" {
 						select {
 						case <-time.After(tt.begins):
 						case <-ctx.Done():
--- a/deliver/caller_left_test.go
+++ b/deliver/caller_left_test.go
@@ -67,11 +67,11 @@
 					}
 				}
 				send := s.Send
-				s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
+				s.Send = func(ctx context.Context, attempt deliver.Attempt) (*deliver.Reply, error) {
 					if x.sent+1 == tt.during {
 						leave()
 					}
-					return send(ctx, sending)
+					return send(ctx, attempt)
 				}
 				var noted deliver.Outcome
 				s.RecordOutcome = func(o deliver.Outcome) { noted = o }
@@ -186,8 +186,8 @@
 		}
 	}
 	send := s.Send
-	s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
-		reply, err := send(ctx, sending)
+	s.Send = func(ctx context.Context, attempt deliver.Attempt) (*deliver.Reply, error) {
+		reply, err := send(ctx, attempt)
 		if x.sent == l.during && left.IsZero() {
 			leave()
 		}
@@ -214,14 +214,14 @@
 // the caller leaves, that nothing more is sent, that each place is returned, that only
 // retries that left this box are paid for, and that a request that may have run is not
 // said not to have run.
-func releasesAll(t *testing.T, tamper func(*deliver.Server, *leavingCaller)) gopter.Prop {
+func releasesAll(t *testing.T, mutate func(*deliver.Server, *leavingCaller)) gopter.Prop {
 	return prop.ForAll(func(repeatable, stream, resumable, closed bool, attempts, during int, script []int) bool {
 		good := true
 		synctest.Test(t, func(*testing.T) {
 			x := &targets{script: script}
 			s := x.server(route(repeatable, stream, resumable, attempts))
 			l := leavingCaller{during: during, closed: closed}
-			tamper(s, &l)
+			mutate(s, &l)
 			refused, before, took := l.serve(s, x)
 			left := during == 0 || x.sent >= during
 			promised := refused != nil && refused.Outcome == refusal.DidNotRun
--- a/deliver/deliver_test.go
+++ b/deliver/deliver_test.go
@@ -50,8 +50,8 @@
 	// placed counts placements, ended the attempts reported to Ended.
 	placed, ended int
 	spent         int
-	// left are the timeouts given to targets.
-	left []time.Duration
+	// timeouts are the timeouts given to targets.
+	timeouts []time.Duration
 }
 
 func (x *targets) send(ctx context.Context, s deliver.Attempt) (*deliver.Reply, error) {
@@ -60,7 +60,7 @@
 		way = x.script[x.sent]
 	}
 	x.sent++
-	x.left = append(x.left, s.Timeout)
+	x.timeouts = append(x.timeouts, s.Timeout)
 	if way == unreachable {
 		return nil, fmt.Errorf("%w: refused", exchange.ErrNotSent)
 	}
@@ -176,14 +176,14 @@
 // not repeatable runs once at most; that one that is said not to have run has not; that
 // the limit of attempts holds; that a stream has each event once and in order; that each
 // attempt is accounted for; and that the final answer arrives before the deadline.
-func invariants(t *testing.T, tamper func(*deliver.Server)) gopter.Prop {
+func invariants(t *testing.T, mutate func(*deliver.Server)) gopter.Prop {
 	return prop.ForAll(func(repeatable, stream, resumable bool, attempts int, script []int) bool {
 		good := true
 		synctest.Test(t, func(*testing.T) {
 			r := route(repeatable, stream, resumable, attempts)
 			x := &targets{script: script}
 			s := x.server(r)
-			tamper(s)
+			mutate(s)
 			got := ask(s)
 			once := !r.Repeatable && !r.Resumable
 			promised := got.refused != nil && got.refused.Outcome == refusal.DidNotRun
@@ -207,8 +207,8 @@
 func TestInvariantsNeedErrNotSent(t *testing.T) {
 	proof.Breaks(t, invariants(t, func(s *deliver.Server) {
 		send := s.Send
-		s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
-			r, err := send(ctx, sending)
+		s.Send = func(ctx context.Context, attempt deliver.Attempt) (*deliver.Reply, error) {
+			r, err := send(ctx, attempt)
 			if err != nil {
 				err = fmt.Errorf("%w: %w", exchange.ErrNotSent, err)
 			}
@@ -222,8 +222,8 @@
 func TestInvariantsNeedVerdict(t *testing.T) {
 	proof.Breaks(t, invariants(t, func(s *deliver.Server) {
 		send := s.Send
-		s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
-			r, err := send(ctx, sending)
+		s.Send = func(ctx context.Context, attempt deliver.Attempt) (*deliver.Reply, error) {
+			r, err := send(ctx, attempt)
 			if r != nil && r.Status >= http.StatusInternalServerError {
 				r.Verdict = deliver.DidNotRun
 			}
@@ -236,11 +236,11 @@
 func TestInvariantsNeedLastEventID(t *testing.T) {
 	proof.Breaks(t, invariants(t, func(s *deliver.Server) {
 		send := s.Send
-		s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
-			if sending.LastEventID != "" {
-				sending.LastEventID = strconv.Itoa(events)
+		s.Send = func(ctx context.Context, attempt deliver.Attempt) (*deliver.Reply, error) {
+			if attempt.LastEventID != "" {
+				attempt.LastEventID = strconv.Itoa(events)
 			}
-			return send(ctx, sending)
+			return send(ctx, attempt)
 		}
 	}))
 }
@@ -260,7 +260,7 @@
 		{"always unreachable", route(false, false, false, 1), []int{unreachable, unreachable, unreachable, unreachable}, 503, refusal.DidNotRun, 0},
 		{"turned away, one attempt allowed", route(false, false, false, 1), []int{turnsAway}, 503, refusal.DidNotRun, 0},
 		{"turned away, then answered, from the budget", route(false, false, false, 2), []int{turnsAway}, 200, "", 1},
-		{"no answer", route(false, false, false, 2), []int{givesNoAnswer}, 502, refusal.Unknown, 0},
+		{"lost", route(false, false, false, 2), []int{givesNoAnswer}, 502, refusal.Unknown, 0},
 		{"no answer, repeatable", route(true, false, false, 2), []int{givesNoAnswer}, 200, "", 1},
 		{"failed, repeatable", route(true, false, false, 2), []int{fails}, 200, "", 1},
 		{"failed twice: the target's answer is passed on", route(true, false, false, 2), []int{fails, fails}, 500, "", 1},
@@ -334,8 +334,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		x := &targets{script: []int{hangs}}
 		ask(x.server(route(true, false, false, 2)))
-		if len(x.left) != 2 || x.left[0] != 3*time.Second || x.left[1] >= x.left[0] || x.left[1] < 2*time.Second {
-			t.Errorf("timeouts given %v", x.left)
+		if len(x.timeouts) != 2 || x.timeouts[0] != 3*time.Second || x.timeouts[1] >= x.timeouts[0] || x.timeouts[1] < 2*time.Second {
+			t.Errorf("timeouts given %v", x.timeouts)
 		}
 	})
 }
--- a/deliver/reap.go
+++ b/deliver/reap.go
@@ -15,7 +15,7 @@
 // connection. It then cancels the run's context and unblocks writes to the caller: one
 // that reads nothing would block its request forever. The function returned ends the
 // watch and reports whether the caller left, and how long ago that was noticed.
-func (x *run) watchCaller(ctx context.Context) (departed func() (time.Duration, bool)) {
+func (x *run) watchCaller(ctx context.Context) (stopWatching func() (time.Duration, bool)) {
 	ctx, cancel := context.WithCancel(ctx)
 	x.caller = ctx
 	var left atomic.Pointer[time.Time]
--- a/deliver/run.go
+++ b/deliver/run.go
@@ -72,9 +72,9 @@
 // can't be completed.
 func (s *Server) Serve(ctx context.Context, w http.ResponseWriter, call *Call) error {
 	x := &run{Server: s, w: w, lastEventID: call.LastEventID, outcome: Outcome{Call: call}}
-	departed := x.watchCaller(ctx)
+	stopWatching := x.watchCaller(ctx)
 	refused := x.serve()
-	x.outcome.Teardown, x.outcome.CallerLeft = departed()
+	x.outcome.Teardown, x.outcome.CallerLeft = stopWatching()
 	x.outcome.Took = s.Now().Sub(call.Received)
 	x.outcome.Attempts = x.sent
 	if x.retryPaid || x.retryReserved.Load() {
--- a/deliver/silent_test.go
+++ b/deliver/silent_test.go
@@ -67,11 +67,11 @@
 				x := &targets{}
 				s := x.server(r)
 				s.Suspect = func(context.Context, string) bool { return tt.suspect }
-				s.Send = func(ctx context.Context, sending deliver.Attempt) (*deliver.Reply, error) {
+				s.Send = func(ctx context.Context, attempt deliver.Attempt) (*deliver.Reply, error) {
 					if x.sent++; x.sent == 1 {
 						return streamReply(&silentBody{ctx, strings.NewReader(two)}), nil
 					}
-					return streamed(sending, false), nil
+					return streamed(attempt, false), nil
 				}
 				got := ask(s)
 				if x.sent != tt.sent || got.cut == (tt.sent == 2) {
--- a/dispatch/ended.go
+++ b/dispatch/ended.go
@@ -37,15 +37,15 @@
 
 // ApplySignals applies what a target says of itself in an answer as soon as its head has
 // arrived: the answer itself may last for minutes.
-func (b *Scheduler) ApplySignals(now time.Time, placed route.Placed, said notice.Signals) {
+func (b *Scheduler) ApplySignals(now time.Time, placed route.Placed, signals notice.Signals) {
 	x, known := b.Targets.Lookup(placed.Target)
 	if !known || x.Address != placed.Address {
 		return
 	}
-	if said.Leaving {
+	if signals.Leaving {
 		b.MarkLeaving(x, now, "its own answer")
 	}
-	if until := now.Add(min(said.Backoff, notice.MaxBackoff)); until.After(x.BackoffUntil) {
+	if until := now.Add(min(signals.Backoff, notice.MaxBackoff)); until.After(x.BackoffUntil) {
 		x.BackoffUntil = until
 	}
 }
--- a/dispatch/fairness.go
+++ b/dispatch/fairness.go
@@ -58,9 +58,9 @@
 
 // shareOf is what this box may use of a capacity: what the other boxes leave of it, but at
 // least an equal share. Boxes without a recent report are assumed to use an equal share.
-func (b *Scheduler) shareOf(capacity, others float64, unheard int) float64 {
+func (b *Scheduler) shareOf(capacity, others float64, unreported int) float64 {
 	equal := capacity / float64(b.Boxes())
-	return max(equal, capacity-others-float64(unheard)*equal)
+	return max(equal, capacity-others-float64(unreported)*equal)
 }
 
 // Demand is how many requests an account has in flight or asked for recently, within the
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -153,7 +153,7 @@
 const LeavingFor = 2 * time.Minute
 
 // MarkLeaving stops new work to a target that was reported as leaving at a time.
-func (b *Scheduler) MarkLeaving(x *target.Target, at time.Time, heard string) {
+func (b *Scheduler) MarkLeaving(x *target.Target, at time.Time, source string) {
 	if at.After(x.LeavingAt) {
 		x.LeavingAt = at
 	}
@@ -161,7 +161,7 @@
 		return
 	}
 	x.Leaving = true
-	b.OnLeaving(x.Name, heard)
+	b.OnLeaving(x.Name, source)
 }
 
 // ExpireLeaving lets targets take new work again that have not been reported as leaving
--- a/entry/hub_bench_test.go
+++ b/entry/hub_bench_test.go
@@ -42,7 +42,7 @@
 		for _, tt := range []struct {
 			name string
 			have changelog.Cursor
-		}{{"snapshot", changelog.Cursor{}}, {"one changed", changelog.Cursor{Number: hub.tables.changes.Number() - 1}}, {"unchanged", changelog.Cursor{Number: hub.tables.changes.Number()}}} {
+		}{{"whole", changelog.Cursor{}}, {"one changed", changelog.Cursor{Number: hub.tables.changes.Number() - 1}}, {"unchanged", changelog.Cursor{Number: hub.tables.changes.Number()}}} {
 			b.Run(fmt.Sprintf("%s/%d", tt.name, n), func(b *testing.B) {
 				var wire []byte
 				for b.Loop() {
--- a/entry/update_test.go
+++ b/entry/update_test.go
@@ -137,12 +137,12 @@
 // TestScope shows that cached parts are not shared between weight versions nor with isolated
 // accounts.
 func TestScope(t *testing.T) {
-	open, walled, other := job("long", 10), job("long", 10), job("long", 10)
-	walled.Account = &routing.Account{Name: "w", Isolated: true}
+	open, isolated, other := job("long", 10), job("long", 10), job("long", 10)
+	isolated.Account = &routing.Account{Name: "w", Isolated: true}
 	other.Account = &routing.Account{Name: "o", Isolated: true}
 	plain := job("long", 10)
 	plain.Account = &routing.Account{Name: "p"}
-	scopes := []string{scope(1, open), scope(2, open), scope(1, walled), scope(1, other)}
+	scopes := []string{scope(1, open), scope(2, open), scope(1, isolated), scope(1, other)}
 	for i, a := range scopes {
 		for _, b := range scopes[:i] {
 			if a == b {
@@ -153,7 +153,7 @@
 	if scope(1, plain) != scope(1, open) {
 		t.Error("accounts that are not isolated have different scopes")
 	}
-	if !outdated(scope(1, walled), "m", 2) || outdated(scope(2, open), "m", 2) || outdated(scope(1, open), "other", 2) {
+	if !outdated(scope(1, isolated), "m", 2) || outdated(scope(2, open), "m", 2) || outdated(scope(1, open), "other", 2) {
 		t.Error("wrong scopes count as outdated")
 	}
 }
@@ -209,9 +209,9 @@
 			if gone := d.tables.fleet.Target("a") == nil; gone != tt.gone {
 				t.Errorf("gone %v", gone)
 			}
-			told := d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2"}).EndedIncarnations
-			if (len(told) == 1) != tt.gone {
-				t.Errorf("reported %v", told)
+			reported := d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2"}).EndedIncarnations
+			if (len(reported) == 1) != tt.gone {
+				t.Errorf("reported %v", reported)
 			}
 		})
 	}
@@ -221,7 +221,7 @@
 // incarnation are in flight: none of them counts for the later one, however late they end.
 func TestSecondIncarnation(t *testing.T) {
 	first, second := start.Add(-time.Hour), start.Add(time.Hour)
-	life := func(born time.Time, version int64) fleet.Entry {
+	incarnation := func(born time.Time, version int64) fleet.Entry {
 		e := engine("a", version)
 		e.StartedAt = born
 		return e
@@ -234,12 +234,12 @@
 		// listed says that the later incarnation is listed after the steps.
 		listed bool
 	}{
-		{"seen in its entry", []message{list(life(second, 3))}, true},
+		{"seen in its entry", []message{list(incarnation(second, 3))}, true},
 		{"seen in its cache events", []message{cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1, StartedAt: second}}}, false},
-		{"seen in its cache events, then its entry", []message{cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1, StartedAt: second}}, list(life(first, 5)), list(life(second, 3))}, true},
-		{"reported by another box, then its entry", []message{peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a", StartedMS: first.UnixMilli()}}}}, list(life(second, 3))}, true},
-		{"seen in its entry, then another box reports the earlier one", []message{list(life(second, 3)), peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a", StartedMS: first.UnixMilli()}}}}}, true},
-		{"requests of the earlier incarnation end late", []message{list(life(second, 3)), ended, answerBegan{ended.Place}}, true},
+		{"seen in its cache events, then its entry", []message{cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1, StartedAt: second}}, list(incarnation(first, 5)), list(incarnation(second, 3))}, true},
+		{"reported by another box, then its entry", []message{peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a", StartedMS: first.UnixMilli()}}}}, list(incarnation(second, 3))}, true},
+		{"seen in its entry, then another box reports the earlier one", []message{list(incarnation(second, 3)), peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a", StartedMS: first.UnixMilli()}}}}}, true},
+		{"requests of the earlier incarnation end late", []message{list(incarnation(second, 3)), ended, answerBegan{ended.Place}}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -247,7 +247,7 @@
 			d.tables.members["b2"] = &member{}
 			d.tables.membersKnown = true
 			d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
-			d.update(start, list(life(first, 5)))
+			d.update(start, list(incarnation(first, 5)))
 			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1}})
 			key := directory.KeyOf("m@5", "p")
 			d.tables.directory.Add("a", key, 100)
--- a/exposure/gate_test.go
+++ b/exposure/gate_test.go
@@ -13,23 +13,23 @@
 
 // playBoxes simulates requests of some routes at 70 boxes that restart now and then and
 // forget their counts. It returns how many were sent and how many were exposed.
-func playBoxes(seed uint64, share float64, room func(g *exposure.Gate, route string) bool) (all, tried int) {
-	dice := rand.New(rand.NewPCG(seed, 1))
+func playBoxes(seed uint64, share float64, allow func(g *exposure.Gate, route string) bool) (all, exposed int) {
+	random := rand.New(rand.NewPCG(seed, 1))
 	gates := make([]*exposure.Gate, 70)
 	for range 6000 {
-		at := dice.IntN(len(gates))
-		if gates[at] == nil || dice.IntN(200) == 0 {
+		at := random.IntN(len(gates))
+		if gates[at] == nil || random.IntN(200) == 0 {
 			gates[at] = exposure.New(share)
 		}
-		route := string(rune('a' + dice.IntN(3)))
-		take := room(gates[at], route)
+		route := string(rune('a' + random.IntN(3)))
+		take := allow(gates[at], route)
 		gates[at].Record(route, take)
 		all++
 		if take {
-			tried++
+			exposed++
 		}
 	}
-	return all, tried
+	return all, exposed
 }
 
 // TestShareOverBoxes checks that the share holds over all boxes, whatever their order of
--- a/leastrequest/leastrequest_test.go
+++ b/leastrequest/leastrequest_test.go
@@ -18,7 +18,7 @@
 	}{
 		{"the own domain", func(*fleet.Target, *fleet.Target) {}, "", "near"},
 		{"busier", func(near, _ *fleet.Target) { near.InFlight = 2 }, "", "far"},
-		{"tried before", func(*fleet.Target, *fleet.Target) {}, "near", "far"},
+		{"tried", func(*fleet.Target, *fleet.Target) {}, "near", "far"},
 		{"leaving", func(near, _ *fleet.Target) { near.Leaving = true }, "", "far"},
 		{"failed recently", func(near, _ *fleet.Target) { near.Fail(start) }, "", "far"},
 		{"failed recently, the only one left", func(near, far *fleet.Target) { near.Fail(start); far.Leaving = true }, "", "near"},
