--- a/deliver/suspect.go
+++ b/deliver/suspect.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// abortIfSuspect cancels an attempt that has waited for longer than the silence timeout and whose target looks dead.
+// abortIfSuspect cancels an attempt that has waited for longer than the silence timeout and
+// whose target looks dead.
 func (x *run) abortIfSuspect(ctx context.Context, cancel context.CancelCauseFunc, answered <-chan struct{}, target string) {
 	timer := time.NewTicker(x.silenceTimeout())
 	defer timer.Stop()
