--- a/entry/listen.go
+++ b/entry/listen.go
@@ -14,18 +14,17 @@
 	"github.com/thymewind/thymewind/hangup"
 )
 
-// How callers are served and how a stop goes.
+// Limits of callers' connections and of a stop.
 const (
-	// headWithin bounds how long a caller may take to send a head, idleFor how
-	// long its connection rests; both are above what the platform's callers
-	// take.
-	headWithin = 3 * time.Second
-	idleFor    = 60 * time.Second
-	// headBytes bounds a head until the configuration says otherwise.
-	headBytes = 64 << 10
-	// leaveBefore is how long before the platform kills the process it ends by
+	// headerTimeout limits how long a caller may take to send a head, idleTimeout how long
+	// its connection may be idle; both are above what the platform's callers need.
+	headerTimeout = 3 * time.Second
+	idleTimeout   = 60 * time.Second
+	// maxHeaderBytes limits a head until a configuration sets its limit.
+	maxHeaderBytes = 64 << 10
+	// shutdownMargin is how long before the platform would kill the process it exits by
 	// itself.
-	leaveBefore = 600 * time.Millisecond
+	shutdownMargin = 600 * time.Millisecond
 )
 
 // listen opens all listeners before any is served.
@@ -36,7 +35,7 @@
 		handler http.Handler
 	}{
 		{d.Settings.Callers, front},
-		{d.Settings.Ready, http.HandlerFunc(d.ready)},
+		{d.Settings.Ready, http.HandlerFunc(d.serveReady)},
 		{d.Settings.Peers, d.peerHandler()},
 		{d.Settings.Metrics, promhttp.HandlerFor(d.Registry, promhttp.HandlerOpts{})},
 	}
@@ -51,12 +50,12 @@
 			return nil, trace.Wrap(err, "listening on %v", l.at)
 		}
 		listeners = append(listeners, listener)
-		servers = append(servers, &http.Server{Handler: l.handler, ReadHeaderTimeout: headWithin, IdleTimeout: idleFor, MaxHeaderBytes: headBytes, ErrorLog: d.Log.StandardLog(), ConnContext: hangup.ConnContext})
+		servers = append(servers, &http.Server{Handler: l.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: d.Log.StandardLog(), ConnContext: hangup.ConnContext})
 	}
 	for i, s := range servers {
 		d.effects.Go(func() {
 			if err := s.Serve(listeners[i]); !errors.Is(err, http.ErrServerClosed) {
-				d.Log.Error("a listener failed", "at", listeners[i].Addr(), "err", err)
+				d.Log.Error("listener failed", "at", listeners[i].Addr(), "err", err)
 			}
 		})
 	}
@@ -75,8 +74,8 @@
 	})
 }
 
-// ready answers whether this box should get new connections.
-func (d *Daemon) ready(w http.ResponseWriter, _ *http.Request) {
+// serveReady answers whether this box should get new connections.
+func (d *Daemon) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if d.stopping.Load() || d.current.Load() == nil || !d.keysFresh(d.now()) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -84,21 +83,21 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// drain stops in order: not ready at once, serving on until that was noticed,
-// then ending each connection with its next answer.
+// drain stops in order: it reports not ready at once, serves on until that was noticed, and
+// closes each connection after its next answer.
 func (d *Daemon) drain(servers []*http.Server) {
 	d.stopping.Store(true)
 	bounds := d.bounds.Load()
 	d.Log.Info("stopping", "kill_after", bounds.Stop)
-	end := d.now().Add(bounds.Stop - leaveBefore)
+	end := d.now().Add(bounds.Stop - shutdownMargin)
 	d.closing.Store(true)
 	time.Sleep(bounds.Notice)
 	ctx, cancel := context.WithTimeout(context.Background(), end.Sub(d.now()))
 	defer cancel()
 	for _, s := range servers {
 		if err := s.Shutdown(ctx); err != nil {
-			d.Log.Warn("requests were cut at the end of a stop", "err", err)
-			_ = s.Close() // The process ends next.
+			d.Log.Warn("requests were cut off at the end of the stop", "err", err)
+			_ = s.Close() // The process exits next.
 		}
 	}
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metricSet are the daemon's metrics; docs/METRICS.md names them.
+// metricSet are the daemon's metrics; docs/METRICS.md documents them.
 type metricSet struct {
 	requests          *prometheus.CounterVec
 	retries           *prometheus.CounterVec
@@ -37,25 +37,25 @@
 	rewritten         prometheus.Counter
 }
 
-// latencies are the histograms' bounds in seconds, around the goals of 0.15 to
-// 0.6 s.
-var latencies = []float64{0.02, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1, 2, 5, 15}
+// latencyBuckets are the latency histograms' buckets in seconds, around the goals of 0.15
+// to 0.6 s.
+var latencyBuckets = []float64{0.02, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1, 2, 5, 15}
 
-// weightsAges are the histogram's bounds in seconds, around the usual bound of
-// 12 s for requests on replaced weights.
-var weightsAges = []float64{0.5, 1.5, 3, 5, 8, 10, 11, 12, 15}
+// weightsAgeBuckets are the histogram's buckets in seconds, around the usual bound of 12 s
+// for requests on replaced weights.
+var weightsAgeBuckets = []float64{0.5, 1.5, 3, 5, 8, 10, 11, 12, 15}
 
-// endings are the bounds in seconds of how long work goes on for callers that
-// left. It takes some milliseconds; the platform's users count what takes over
-// half a second.
-var endings = []float64{0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1}
+// teardownBuckets are the buckets in seconds of how long work goes on for callers that
+// left. It takes some milliseconds; the platform's users count what takes over half a
+// second.
+var teardownBuckets = []float64{0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1}
 
 func newMetricSet(r *prometheus.Registry) metricSet {
 	c := metricSet{
 		requests:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_requests_total", Help: "Requests by pool, status and cause."}, []string{"pool", "status", "cause"}),
 		retries:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_retries_total", Help: "Further tries by pool."}, []string{"pool"}),
-		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_first_byte_seconds", Help: "From the request's head to the answer's first byte.", Buckets: latencies}, []string{"pool"}),
-		answer:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_answer_seconds", Help: "From the request's head to the answer's end.", Buckets: latencies}, []string{"pool"}),
+		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_first_byte_seconds", Help: "From the request's head to the answer's first byte.", Buckets: latencyBuckets}, []string{"pool"}),
+		answer:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_answer_seconds", Help: "From the request's head to the answer's end.", Buckets: latencyBuckets}, []string{"pool"}),
 
 		configuration: prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_configuration", Help: "The configuration version in force."}),
 		targets:       prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_targets", Help: "Targets known."}),
@@ -65,9 +65,9 @@
 	c.evacuated = prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_evacuated_domains", Help: "Failure domains that get no work, as the operator asks."})
 	c.cold = prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_entry_cold_targets", Help: "Targets that are cold, or may be."})
 	c.peerBytes = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_peer_bytes_total", Help: "Bytes between boxes."}, []string{"direction"})
-	c.teardown = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_caller_left_seconds", Help: "From when a caller was seen to leave until all that was under way for it had ended.", Buckets: endings}, []string{"pool"})
+	c.teardown = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "thymewind_entry_caller_left_seconds", Help: "From when a caller was seen to leave until all that was under way for it had ended.", Buckets: teardownBuckets}, []string{"pool"})
 	c.unlogged = prometheus.NewCounter(prometheus.CounterOpts{Name: "thymewind_entry_unlogged_total", Help: "Whole answers without a line of their own in the log, as there were many."})
-	c.replaced = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "thymewind_entry_replaced_weights_seconds", Help: "How long the weights of a placed request had been replaced by newer ones; only requests on replaced weights count.", Buckets: weightsAges})
+	c.replaced = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "thymewind_entry_replaced_weights_seconds", Help: "How long the weights of a placed request had been replaced by newer ones; only requests on replaced weights count.", Buckets: weightsAgeBuckets})
 	c.refusals = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_refusals_total", Help: "Refused requests by the refusal's code."}, []string{"code"})
 	c.silentConnections = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_silent_connections_total", Help: "Connections given up as they said nothing, by what they led to."}, []string{"to"})
 	c.cutOff = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "thymewind_entry_cut_total", Help: "Requests that a target may have run and gave no whole answer to, by pool."}, []string{"pool"})
@@ -88,12 +88,13 @@
 	return c
 }
 
-// countQuarantined does so when a request is refused, or not any more, and now and then.
+// countQuarantined updates the gauge, whenever the set of quarantined requests changes and
+// regularly.
 func (d *Daemon) countQuarantined(t *tables) {
 	d.metrics.quarantined.Set(float64(len(t.quarantine.Refused())))
 }
 
-// countTables writes the tables' sizes into the metrics.
+// countTables exports the tables' sizes as metrics.
 func (d *Daemon) countTables(t *tables) {
 	d.metrics.targets.Set(float64(t.fleet.Len()))
 	d.metrics.cold.Set(float64(t.coldTargets(d.now(), d.current.Load())))
@@ -106,21 +107,21 @@
 	d.countQuarantined(t)
 }
 
-// ReportSilence notes that a connection was given up as it said nothing for long: to
-// what it led, and what was waited for. It may be called once Run has begun.
+// ReportSilence records that a connection was closed because it was silent for too long:
+// where it led to, and how long was waited. It may be called once Run has begun.
 func (d *Daemon) ReportSilence(to, call string, waited time.Duration) {
 	d.metrics.silentConnections.WithLabelValues(to).Inc()
-	d.Log.Warn("silent connection given up", "to", to, "call", call, "waited", waited)
+	d.Log.Warn("silent connection closed", "to", to, "call", call, "waited", waited)
 }
 
-// ReportSilentTarget is Silence for a connection to a target. Requests that wait there on
-// others may wait in vain as well.
+// ReportSilentTarget is ReportSilence for a connection to a target. Requests that wait on
+// other connections to it may wait in vain as well.
 func (d *Daemon) ReportSilentTarget(at netip.AddrPort, waited time.Duration) {
 	d.ReportSilence(ToTarget, at.String(), waited)
 	d.post(silenceSeen{at})
 }
 
-// What silent connections led to.
+// Where silent connections led to.
 const (
 	ToTableService = "table service"
 	ToTarget       = "target"
