--- a/boottime/source_test.go
+++ b/boottime/source_test.go
@@ -19,7 +19,7 @@
 var exceptions = []struct{ file, function, why string }{
 	{"boottime/boottime.go", "runtime", "implements the clock"},
 	{"caller/answer.go", "event", "a connection's deadline uses the runtime's clock"},
-	{"deliver/admit.go", "read", "a connection's deadline uses the runtime's clock"},
+	{"deliver/admit.go", "readBody", "a connection's deadline uses the runtime's clock"},
 	{"duty.go", "order", "sends engines a wall clock time"},
 	{"decision/decision.go", "Add", "shows people a wall clock time"},
 	{"target/queue.go", "started", "a reference; the times compared with it come from the caller"},
