--- a/caller/answer.go
+++ b/caller/answer.go
@@ -13,21 +13,21 @@
 	"github.com/thymewind/thymewind/stream"
 )
 
-// writePatience is how long a caller may take no text.
-const writePatience = 30 * time.Second
+// writeTimeout is how long a caller may take no text.
+const writeTimeout = 30 * time.Second
 
-// answer writes one completion in the API's shape.
-type answer struct {
+// completionWriter writes one completion in the API's shape.
+type completionWriter struct {
 	*call
 	chat  bool
 	model string
 	// streamed sends the text as it comes. The text is collected if it isn't
 	// streamed or if the request is marked.
 	streamed bool
-	// usage adds a last chunk with the usage.
-	usage bool
-	// begun says that something was written to the caller.
-	begun bool
+	// includeUsage adds a last chunk with the usage.
+	includeUsage bool
+	// headWritten says that something was written to the caller.
+	headWritten bool
 	text  strings.Builder
 }
 
@@ -72,72 +72,72 @@
 	}
 }
 
-// open sets the headers, once the run that answers has been checked.
-func (a *answer) open(placed route.Placed) {
+// start sets the headers, once the run that answers has been checked.
+func (a *completionWriter) start(placed route.Placed) {
 	h := a.w.Header()
 	h.Set(HeaderRule, placed.Rule+": "+placed.Target)
-	h.Set(HeaderResume, a.token(placed, a.model, a.chat))
-	a.begin()
+	h.Set(HeaderResume, a.resumeToken(placed, a.model, a.chat))
+	a.writeHead()
 }
 
-// resumed sets the headers of a stream that is taken up again.
-func (a *answer) resumed(token resume.Token) {
+// setRequestID sets the headers of a stream that is taken up again.
+func (a *completionWriter) setRequestID(token resume.Token) {
 	a.id = token.Request
 	a.w.Header().Set(HeaderRequest, a.id)
 }
 
-func (a *answer) begin() {
-	if !a.streamed || a.begun {
+func (a *completionWriter) writeHead() {
+	if !a.streamed || a.headWritten {
 		return
 	}
-	a.begun = true
+	a.headWritten = true
 	h := a.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
 	a.w.WriteHeader(http.StatusOK)
 }
 
-// moved gives the caller the token of the attempt that goes on, in a comment
+// attemptChanged gives the caller the token of the attempt that goes on, in a comment
 // line that clients of the API pass over.
-func (a *answer) moved(placed route.Placed) {
+func (a *completionWriter) attemptChanged(placed route.Placed) {
 	if a.streamed {
-		fmt.Fprintf(a.w, ": resume %s\n\n", a.token(placed, a.model, a.chat))
+		fmt.Fprintf(a.w, ": resume %s\n\n", a.resumeToken(placed, a.model, a.chat))
 	}
 }
 
 // write takes the next text; offset is behind it.
-func (a *answer) write(text string, offset int) error {
-	if !a.streamed || a.marked() {
+func (a *completionWriter) write(text string, offset int) error {
+	if !a.streamed || a.notRepeatable() {
 		a.text.WriteString(text)
 	}
 	if !a.streamed {
 		return nil
 	}
-	a.begin()
+	a.writeHead()
 	return a.event(offset, a.chunk(a.delta(text), nil))
 }
 
-func (a *answer) delta(text string) choice {
+func (a *completionWriter) delta(text string) choice {
 	if a.chat {
 		return choice{Delta: &chatMessage{Role: "assistant", Content: text}}
 	}
 	return choice{Text: &text}
 }
 
-func (a *answer) chunk(c choice, u *usage) chunk {
+func (a *completionWriter) chunk(c choice, u *usage) chunk {
 	out := chunk{ID: a.prefix() + a.id, Object: a.object(), Created: a.Now().Unix(), Model: a.model, Usage: u}
 	out.Choices = append(out.Choices, c)
 	return out
 }
 
-func (a *answer) prefix() string {
+func (a *completionWriter) prefix() string {
 	if a.chat {
 		return "chatcmpl-"
 	}
 	return "cmpl-"
 }
 
-func (a *answer) object() string {
+func (a *completionWriter) object() string {
 	switch {
 	case a.chat && a.streamed:
 		return "chat.completion.chunk"
@@ -148,7 +148,7 @@
 }
 
 // event writes one server-sent event. Its ID is the offset to resume at.
-func (a *answer) event(offset int, body any) error {
+func (a *completionWriter) event(offset int, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -156,24 +156,24 @@
 	control := http.NewResponseController(a.w)
 	// A caller that takes nothing for this long is taken to have left; not
 	// every writer can be given a deadline.
-	_ = control.SetWriteDeadline(time.Now().Add(writePatience))
+	_ = control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := fmt.Fprintf(a.w, "id: %d\ndata: %s\n\n", offset, data); err != nil {
 		return err
 	}
 	return control.Flush()
 }
 
-// close ends a whole answer.
-func (a *answer) close(end stream.Frame) {
+// finish ends a whole answer.
+func (a *completionWriter) finish(end stream.Frame) {
 	if !a.streamed {
-		a.whole(end)
+		a.writeWhole(end)
 		return
 	}
-	a.begin()
+	a.writeHead()
 	last := a.delta("")
 	last.Finish = &end.Finish
 	_ = a.event(end.Total, a.chunk(last, nil))
-	if a.usage {
+	if a.includeUsage {
 		closing := a.chunk(choice{}, usageOf(end.Usage))
 		closing.Choices = []choice{}
 		_ = a.event(end.Total, closing)
@@ -181,7 +181,7 @@
 	_, _ = fmt.Fprint(a.w, "data: [DONE]\n\n")
 }
 
-func (a *answer) whole(end stream.Frame) {
+func (a *completionWriter) writeWhole(end stream.Frame) {
 	text := a.text.String()
 	c := choice{Finish: &end.Finish}
 	if a.chat {
@@ -192,10 +192,10 @@
 	a.writeJSON(a.chunk(c, usageOf(end.Usage)))
 }
 
-// broken ends an answer that is not whole. A stream that has begun gets an
+// abort ends an answer that is not whole. A stream that has begun gets an
 // error event and no [DONE]; anything else the typed error itself.
-func (a *answer) broken(err error) error {
-	if !a.begun {
+func (a *completionWriter) abort(err error) error {
+	if !a.headWritten {
 		return err
 	}
 	r := refusal.Of(err, refusal.Unknown, http.StatusBadGateway)
--- a/caller/ask.go
+++ b/caller/ask.go
@@ -14,13 +14,13 @@
 
 // The bounds of what a caller may ask for, in tokens.
 const (
-	defaultTokens = 64
-	largestTokens = 32768
+	defaultMaxTokens = 64
+	maxMaxTokens = 32768
 )
 
-// ask is the body of a chat or text completion; fields that don't matter here
+// completionRequest is the body of a chat or text completion; fields that don't matter here
 // are passed over, as the API allows.
-type ask struct {
+type completionRequest struct {
 	Model               string          `json:"model"`
 	Messages            []message       `json:"messages"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -54,8 +54,8 @@
 }
 
 // decode reads the body and checks what both kinds of completion share.
-func (c *call) decode() (ask, error) {
-	var a ask
+func (c *call) decode() (completionRequest, error) {
+	var a completionRequest
 	data, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, c.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -71,30 +71,30 @@
 	if a.N != nil && *a.N != 1 {
 		return a, bad("unsupported", "n must be 1")
 	}
-	if n := a.tokens(); n < 1 || n > largestTokens {
-		return a, bad("invalid_max_tokens", "max_tokens must be 1 to %d", largestTokens)
+	if n := a.maxTokens(); n < 1 || n > maxMaxTokens {
+		return a, bad("invalid_max_tokens", "max_tokens must be 1 to %d", maxMaxTokens)
 	}
-	m, ok := c.config.Models[a.Model]
-	if !ok || !c.allowed(m.Pool) {
+	m, ok := c.configuration.Models[a.Model]
+	if !ok || !c.poolAllowed(m.Pool) {
 		return a, refusal.New(refusal.DidNotRun, http.StatusNotFound, "model_not_found", "the model %q does not exist or is not yours to use", a.Model)
 	}
 	return a, nil
 }
 
-// tokens returns the largest number of tokens that the caller wants.
-func (a ask) tokens() int {
+// maxTokens returns the largest number of tokens that the caller wants.
+func (a completionRequest) maxTokens() int {
 	switch {
 	case a.MaxCompletionTokens != nil:
 		return *a.MaxCompletionTokens
 	case a.MaxTokens != nil:
 		return *a.MaxTokens
 	}
-	return defaultTokens
+	return defaultMaxTokens
 }
 
-// canonical returns the messages' text in the one form that prefixes are named
+// canonicalPrompt returns the messages' text in the one form that prefixes are named
 // by: the same messages give the same bytes.
-func canonical(messages []message) (string, error) {
+func canonicalPrompt(messages []message) (string, error) {
 	if len(messages) == 0 {
 		return "", bad("messages_missing", "messages must not be empty")
 	}
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -75,28 +75,28 @@
 	r       *http.Request
 	id      string
 	account account.Account
-	config  *configuration.Configuration
+	configuration  *configuration.Configuration
 }
 
 // Handler returns the routes.
 func (f *Front) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("/v1/chat/completions", f.known(http.MethodPost, (*call).chat))
-	mux.HandleFunc("/v1/completions", f.known(http.MethodPost, (*call).completion))
-	mux.HandleFunc("/v1/models", f.known(http.MethodGet, (*call).models))
-	mux.HandleFunc("/v1/models/{name...}", f.known(http.MethodGet, (*call).model))
-	mux.HandleFunc("/v1/resume", f.known(http.MethodPost, (*call).resume))
-	mux.HandleFunc(servicePrefix+"{pool}/{path...}", f.known("", (*call).service))
-	mux.HandleFunc("/", f.known("", func(*call) error {
+	mux.HandleFunc("/v1/chat/completions", f.authenticated(http.MethodPost, (*call).chat))
+	mux.HandleFunc("/v1/completions", f.authenticated(http.MethodPost, (*call).completion))
+	mux.HandleFunc("/v1/models", f.authenticated(http.MethodGet, (*call).models))
+	mux.HandleFunc("/v1/models/{name...}", f.authenticated(http.MethodGet, (*call).model))
+	mux.HandleFunc("/v1/resume", f.authenticated(http.MethodPost, (*call).resume))
+	mux.HandleFunc(servicePrefix+"{pool}/{path...}", f.authenticated("", (*call).service))
+	mux.HandleFunc("/", f.authenticated("", func(*call) error {
 		return refusal.New(refusal.DidNotRun, http.StatusNotFound, "unknown_path", "there is nothing at this path")
 	}))
 	return mux
 }
 
-// known wraps what is served to callers with a good key.
-func (f *Front) known(method string, serve func(*call) error) http.HandlerFunc {
+// authenticated wraps what is served to callers with a good key.
+func (f *Front) authenticated(method string, serve func(*call) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		c := &call{Front: f, w: w, r: r, id: f.RequestID(), config: f.Configuration()}
+		c := &call{Front: f, w: w, r: r, id: f.RequestID(), configuration: f.Configuration()}
 		w.Header().Set(HeaderRequest, c.id)
 		if err := c.serve(method, serve); err != nil {
 			c.refuse(refusal.Of(err, refusal.Unknown, http.StatusInternalServerError))
@@ -105,11 +105,11 @@
 }
 
 func (c *call) serve(method string, serve func(*call) error) error {
-	if c.config == nil || c.config.Revision == 0 {
+	if c.configuration == nil || c.configuration.Revision == 0 {
 		return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "not_ready", "this box has no configuration yet").After(time.Second)
 	}
 	key, ok := strings.CutPrefix(c.r.Header.Get("Authorization"), "Bearer ")
-	if c.account, ok = c.config.Account(key); !ok {
+	if c.account, ok = c.configuration.Account(key); !ok {
 		return refusal.New(refusal.DidNotRun, http.StatusUnauthorized, "invalid_api_key", "the API key is missing or unknown")
 	}
 	if method != "" && c.r.Method != method {
@@ -132,7 +132,7 @@
 	return min(d, c.Timeout), nil
 }
 
-func (c *call) allowed(pool string) bool {
+func (c *call) poolAllowed(pool string) bool {
 	if len(c.account.Pools) == 0 {
 		return true
 	}
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -23,8 +23,8 @@
 	"github.com/thymewind/thymewind/stream"
 )
 
-// front returns a front whose requests are answered by run.
-func front(t testing.TB, run func(relay.Request) (stream.Frame, error)) http.Handler {
+// newFront returns a front whose requests are answered by run.
+func newFront(t testing.TB, run func(relay.Request) (stream.Frame, error)) http.Handler {
 	t.Helper()
 	entry := func(kind, name, after string) configuration.Entry {
 		return configuration.Entry{Kind: kind, Name: name, After: json.RawMessage(after)}
@@ -52,8 +52,8 @@
 	return f.Handler()
 }
 
-// says answers every request with two pieces of text.
-func says(r relay.Request) (stream.Frame, error) {
+// helloThere answers every request with two pieces of text.
+func helloThere(r relay.Request) (stream.Frame, error) {
 	r.Open(route.Placed{Target: "t", Attempt: 1, Rule: "home"})
 	_ = r.Write("hello ", 6)
 	_ = r.Write("there", 11)
@@ -68,7 +68,7 @@
 	return recorder
 }
 
-func TestShapes(t *testing.T) {
+func TestCompletionFormats(t *testing.T) {
 	tests := []struct {
 		name, path, body string
 		want             []string
@@ -86,7 +86,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got := post(front(t, says), tt.path, tt.body)
+			got := post(newFront(t, helloThere), tt.path, tt.body)
 			for _, want := range tt.want {
 				if !strings.Contains(got.Body.String(), want) {
 					t.Errorf("body %q lacks %q", got.Body, want)
@@ -98,7 +98,7 @@
 
 // TestRefusalIsSentAtOnce shows the whole of a final answer.
 func TestRefusalIsSentAtOnce(t *testing.T) {
-	h := front(t, func(relay.Request) (stream.Frame, error) {
+	h := newFront(t, func(relay.Request) (stream.Frame, error) {
 		return stream.Frame{}, refusal.New(refusal.DidNotRun, http.StatusTooManyRequests, "over_limit", "too much").After(1500 * time.Millisecond)
 	})
 	got := post(h, "/v1/completions", `{"model":"m","prompt":"x","stream":true}`)
@@ -114,7 +114,7 @@
 
 // TestBrokenStreamIsNoSuccess has an answer break off behind its beginning.
 func TestBrokenStreamIsNoSuccess(t *testing.T) {
-	h := front(t, func(r relay.Request) (stream.Frame, error) {
+	h := newFront(t, func(r relay.Request) (stream.Frame, error) {
 		r.Open(route.Placed{})
 		_ = r.Write("hel", 3)
 		return stream.Frame{}, refusal.New(refusal.Unknown, http.StatusBadGateway, "no_answer", "cut")
@@ -137,7 +137,7 @@
 		if chat {
 			path = "/v1/chat/completions"
 		}
-		got := post(front(t, says), path, body)
+		got := post(newFront(t, helloThere), path, body)
 		if got.Code != http.StatusOK && !strings.Contains(got.Body.String(), `"error"`) {
 			t.Errorf("status %d with body %q", got.Code, got.Body)
 		}
--- a/caller/complete.go
+++ b/caller/complete.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return err
 	}
-	prompt, err := canonical(a.Messages)
+	prompt, err := canonicalPrompt(a.Messages)
 	if err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 }
 
 // complete runs a model request and writes its answer, streamed or whole.
-func (c *call) complete(a ask, prompt string, chat bool) error {
+func (c *call) complete(a completionRequest, prompt string, chat bool) error {
 	timeout, err := c.timeout()
 	if err != nil {
 		return err
@@ -49,26 +49,26 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.r.Context()), timeout)
 	defer cancel()
 	release := context.AfterFunc(c.r.Context(), cancel)
-	out := &answer{call: c, chat: chat, model: a.Model, streamed: a.Stream, usage: a.StreamOptions.IncludeUsage}
+	out := &completionWriter{call: c, chat: chat, model: a.Model, streamed: a.Stream, includeUsage: a.StreamOptions.IncludeUsage}
 	request := relay.Request{
-		ID: c.id, Account: c.account.Name, Model: a.Model, Pool: c.config.Models[a.Model].Pool,
-		Prompt: prompt, MaxTokens: a.tokens(),
+		ID: c.id, Account: c.account.Name, Model: a.Model, Pool: c.configuration.Models[a.Model].Pool,
+		Prompt: prompt, MaxTokens: a.maxTokens(),
 		Open: func(placed route.Placed) {
 			release()
-			out.open(placed)
+			out.start(placed)
 		},
-		Moved: out.moved,
+		Moved: out.attemptChanged,
 		Write: out.write,
 	}
-	if c.marked() {
+	if c.notRepeatable() {
 		release() // Its answer is kept for a caller that comes back.
-		return c.once(ctx, a, request, out)
+		return c.runOnce(ctx, a, request, out)
 	}
 	end, err := c.Run(ctx, request)
 	if err != nil {
-		return out.broken(err)
+		return out.abort(err)
 	}
-	out.close(end)
+	out.finish(end)
 	return nil
 }
 
@@ -88,13 +88,13 @@
 	}
 	ctx, cancel := context.WithTimeout(c.r.Context(), timeout)
 	defer cancel()
-	out := &answer{call: c, chat: token.Chat, model: token.Model, streamed: true, usage: true}
-	out.resumed(token)
+	out := &completionWriter{call: c, chat: token.Chat, model: token.Model, streamed: true, includeUsage: true}
+	out.setRequestID(token)
 	end, err := c.Resume(ctx, token, offset, out.write)
 	if err != nil {
-		return out.broken(err)
+		return out.abort(err)
 	}
-	out.close(end)
+	out.finish(end)
 	return nil
 }
 
@@ -113,8 +113,8 @@
 	return offset, nil
 }
 
-// token returns a resume token for an attempt.
-func (c *call) token(placed route.Placed, model string, chat bool) string {
+// resumeToken returns a resume token for an attempt.
+func (c *call) resumeToken(placed route.Placed, model string, chat bool) string {
 	text, err := c.SignToken(resume.Token{
 		Account: c.account.Name, Request: c.id, Target: placed.Address, Attempt: placed.Attempt,
 		Version: placed.Version, Scope: placed.Scope.String(), Model: model, Chat: chat,
@@ -137,8 +137,8 @@
 		Object string  `json:"object"`
 		Data   []entry `json:"data"`
 	}{Object: "list", Data: []entry{}}
-	for name, m := range c.config.Models {
-		if c.allowed(m.Pool) {
+	for name, m := range c.configuration.Models {
+		if c.poolAllowed(m.Pool) {
 			list.Data = append(list.Data, entry{ID: name, Object: "model", OwnedBy: "thymewind"})
 		}
 	}
@@ -148,8 +148,8 @@
 
 func (c *call) model() error {
 	name := c.r.PathValue("name")
-	m, ok := c.config.Models[name]
-	if !ok || !c.allowed(m.Pool) {
+	m, ok := c.configuration.Models[name]
+	if !ok || !c.poolAllowed(m.Pool) {
 		return refusal.New(refusal.DidNotRun, http.StatusNotFound, "model_not_found", "the model %q does not exist", name)
 	}
 	c.writeJSON(struct {
@@ -169,8 +169,8 @@
 // service passes a request on to a plain service.
 func (c *call) service() error {
 	name := c.r.PathValue("pool")
-	p, ok := c.config.Pools[name]
-	if !ok || !c.allowed(name) || p.Kind == "model" {
+	p, ok := c.configuration.Pools[name]
+	if !ok || !c.poolAllowed(name) || p.Kind == "model" {
 		return refusal.New(refusal.DidNotRun, http.StatusNotFound, "unknown_pool", "there is no service %q", name)
 	}
 	timeout, err := c.timeout()
--- a/caller/once.go
+++ b/caller/once.go
@@ -18,17 +18,17 @@
 // errReplayed says that the caller is given the answer of an earlier run.
 var errReplayed = errors.New("answered by an earlier run")
 
-// stored is a whole answer as it is kept for a caller that asks again.
-type stored struct {
+// storedAnswer is a whole answer as it is kept for a caller that asks again.
+type storedAnswer struct {
 	Text string       `json:"text"`
 	End  stream.Frame `json:"end"`
 }
 
-// marked says whether the caller marked the request as not repeatable.
-func (c *call) marked() bool { return c.r.Header.Get(forward.HeaderNotRepeatable) != "" }
+// notRepeatable says whether the caller marked the request as not repeatable.
+func (c *call) notRepeatable() bool { return c.r.Header.Get(forward.HeaderNotRepeatable) != "" }
 
-// once runs a marked model request at most once for its account and key.
-func (c *call) once(ctx context.Context, a ask, request relay.Request, out *answer) error {
+// runOnce runs a marked model request at most once for its account and key.
+func (c *call) runOnce(ctx context.Context, a completionRequest, request relay.Request, out *completionWriter) error {
 	key := c.r.Header.Get(forward.HeaderKey)
 	if key == "" {
 		return bad("key_missing", "a request marked not repeatable needs an %s header", forward.HeaderKey)
@@ -56,16 +56,16 @@
 		return out.replay(earlier)
 	}
 	if err != nil {
-		return out.broken(err)
+		return out.abort(err)
 	}
-	out.keep(ctx, p, end)
-	out.close(end)
+	out.store(ctx, p, end)
+	out.finish(end)
 	return nil
 }
 
-// keep stores a whole answer, before the caller is told that it is whole.
-func (a *answer) keep(ctx context.Context, p *idempotency.Permit, end stream.Frame) {
-	body, err := json.Marshal(stored{a.text.String(), end})
+// store stores a whole answer, before the caller is told that it is whole.
+func (a *completionWriter) store(ctx context.Context, p *idempotency.Permit, end stream.Frame) {
+	body, err := json.Marshal(storedAnswer{a.text.String(), end})
 	if err != nil {
 		return
 	}
@@ -77,8 +77,8 @@
 }
 
 // replay gives the caller the answer of an earlier run, in the shape asked for.
-func (a *answer) replay(earlier *claim.Answer) error {
-	var s stored
+func (a *completionWriter) replay(earlier *claim.Answer) error {
+	var s storedAnswer
 	if err := json.Unmarshal(earlier.Body, &s); err != nil {
 		return trace.Wrap(err)
 	}
@@ -86,6 +86,6 @@
 	if err := a.write(s.Text, len(s.Text)); err != nil {
 		return nil // The caller has left.
 	}
-	a.close(s.End)
+	a.finish(s.End)
 	return nil
 }
--- a/exchange/cancel_test.go
+++ b/exchange/cancel_test.go
@@ -13,17 +13,17 @@
 	"github.com/thymewind/thymewind/exchange"
 )
 
-// TestEndedBefore asks over a kept connection with a context that has ended:
+// TestContextEndedBeforeSend asks over a kept connection with a context that has ended:
 // nothing goes out, and the connection is there for the next request.
-func TestEndedBefore(t *testing.T) {
+func TestContextEndedBeforeSend(t *testing.T) {
 	numbers := make(chan int, 10)
 	x := serve(t, func(n int, conn *net.TCPConn, next func() *http.Request) {
 		for next() != nil {
 			numbers <- n
-			_, _ = io.WriteString(conn, ok)
+			_, _ = io.WriteString(conn, okAnswer)
 		}
 	})
-	c := client()
+	c := newClient()
 	if _, _, err := ask(c, x.at, &exchange.Request{Method: "GET", Path: "/first", Host: "h"}); err != nil {
 		t.Fatal(err)
 	}
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestUnsentIsThrownAway gives a request up whose target reads nothing yet: what
+// TestAbortDiscardsUnsent gives a request up whose target reads nothing yet: what
 // waited on this box never arrives, however late the target reads.
-func TestUnsentIsThrownAway(t *testing.T) {
+func TestAbortDiscardsUnsent(t *testing.T) {
 	accepted, given := make(chan struct{}), make(chan struct{})
 	read := make(chan error, 1)
 	x := serve(t, func(_ int, conn *net.TCPConn, _ func() *http.Request) {
@@ -70,7 +70,7 @@
 		cancel()
 	}()
 	// More than the target's buffer takes, less than the two kernels' together.
-	_, err := client().Do(ctx, x.at, &exchange.Request{Method: "POST", Path: "/", Host: "h", Header: http.Header{}, Body: make([]byte, 256<<10)})
+	_, err := newClient().Do(ctx, x.at, &exchange.Request{Method: "POST", Path: "/", Host: "h", Header: http.Header{}, Body: make([]byte, 256<<10)})
 	if !errors.Is(err, context.Canceled) {
 		t.Fatalf("err = %v", err)
 	}
@@ -91,7 +91,7 @@
 		close(left)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	answer, err := client().Do(ctx, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h", Header: http.Header{}})
+	answer, err := newClient().Do(ctx, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h", Header: http.Header{}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/exchange/connection.go
+++ b/exchange/connection.go
@@ -22,21 +22,21 @@
 	net.Conn
 	at     netip.AddrPort
 	reader *bufio.Reader
-	// used says that an exchange was done on it before.
-	used bool
-	// waiting is since when bytes are waited for; zero if they are not.
-	waiting time.Time
-	// opened is when the connection was made.
-	opened time.Time
-	// unused is when the last exchange ended.
-	unused time.Time
-	// said is how long the target says that it keeps the connection; zero if
+	// reused says that an exchange was done on it before.
+	reused bool
+	// readingSince is since when bytes are waited for; zero if they are not.
+	readingSince time.Time
+	// openedAt is when the connection was made.
+	openedAt time.Time
+	// idleSince is when the last exchange ended.
+	idleSince time.Time
+	// keepAlive is how long the target says that it keeps the connection; zero if
 	// it says nothing.
-	said time.Duration
+	keepAlive time.Duration
 }
 
 func newConnection(conn net.Conn, at netip.AddrPort) *connection {
-	c := &connection{Conn: conn, at: at, opened: boottime.Now(), unused: boottime.Now()}
+	c := &connection{Conn: conn, at: at, openedAt: boottime.Now(), idleSince: boottime.Now()}
 	c.reader = bufio.NewReaderSize(c, readBuffer)
 	return c
 }
@@ -52,45 +52,45 @@
 	_ = c.Close() // Nothing is left to learn from a connection that is given up.
 }
 
-// idleFor is how long the connection may stay unused: four fifths of what the
+// maxIdle is how long the connection may stay unused: four fifths of what the
 // target said, so that a request never crosses the target's close, or usual.
-func (c *connection) idleFor(usual time.Duration) time.Duration {
-	if c.said > 0 {
-		return min(usual, c.said*4/5)
+func (c *connection) maxIdle(usual time.Duration) time.Duration {
+	if c.keepAlive > 0 {
+		return min(usual, c.keepAlive*4/5)
 	}
 	return usual
 }
 
-// heed takes over how long the target keeps the connection, from the value of
+// applyKeepAlive takes over how long the target keeps the connection, from the value of
 // a Keep-Alive header such as "timeout=5, max=100".
-func (c *connection) heed(keepAlive string) {
+func (c *connection) applyKeepAlive(keepAlive string) {
 	for field := range strings.SplitSeq(keepAlive, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		seconds, err := strconv.Atoi(value)
 		if strings.EqualFold(name, "timeout") && err == nil && seconds >= 0 {
-			c.said = max(time.Duration(seconds)*time.Second, time.Nanosecond) // Zero seconds: not at all.
+			c.keepAlive = max(time.Duration(seconds)*time.Second, time.Nanosecond) // Zero seconds: not at all.
 		}
 	}
 }
 
-// sound says whether an unused connection is open and silent. Bytes that
+// usable says whether an unused connection is open and silent. Bytes that
 // nobody asked for, such as a surplus answer, make it unfit.
-func (c *connection) sound() bool {
+func (c *connection) usable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	if c.said > 0 && boottime.Since(c.unused) >= c.idleFor(c.said) {
+	if c.keepAlive > 0 && boottime.Since(c.idleSince) >= c.maxIdle(c.keepAlive) {
 		return false
 	}
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	return silent(raw)
+	return openWithoutData(raw)
 }
 
-// silent looks at the socket without waiting and without taking bytes.
-func silent(conn syscall.Conn) bool {
+// openWithoutData looks at the socket without waiting and without taking bytes.
+func openWithoutData(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
--- a/exchange/do.go
+++ b/exchange/do.go
@@ -14,10 +14,10 @@
 	"github.com/gravitational/trace"
 )
 
-// inline is the largest body, in bytes, that is written before the answer is
+// maxInlineBody is the largest body, in bytes, that is written before the answer is
 // read. A larger one is written beside the reading, as a target may answer
 // first and leave the body unread.
-const inline = 4 << 10
+const maxInlineBody = 4 << 10
 
 // Answer is a target's answer whose head has come.
 type Answer struct {
@@ -27,12 +27,12 @@
 	client   *Client
 	conn     *connection
 	response *http.Response
-	// cancel stops watching the request's context.
-	cancel func() bool
-	// written is closed when the request was written; unwritten tells why not.
-	written   chan struct{}
-	unwritten error
-	ended     bool
+	// stopWatch stops watching the request's context.
+	stopWatch func() bool
+	// writeDone is closed when the request was written; unwritten tells why not.
+	writeDone   chan struct{}
+	writeErr error
+	bodyRead     bool
 	once      sync.Once
 }
 
@@ -42,25 +42,25 @@
 // before the answer was read whole, the connection is reset at once, also while
 // whoever has the answer does something else.
 func (c *Client) Do(ctx context.Context, at netip.AddrPort, request *Request) (*Answer, error) {
-	conn, err := c.take(ctx, at)
+	conn, err := c.acquire(ctx, at)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	err = ctx.Err()
 	if err == nil {
-		err = request.barred()
+		err = request.blockedBy()
 	}
 	if err != nil {
-		c.shelve(conn) // Nothing was sent on it: the next request saves a new connection.
+		c.addIdle(conn) // Nothing was sent on it: the next request saves a new connection.
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	a := &Answer{client: c, conn: conn, written: make(chan struct{})}
-	a.cancel = context.AfterFunc(ctx, conn.abort)
+	a := &Answer{client: c, conn: conn, writeDone: make(chan struct{})}
+	a.stopWatch = context.AfterFunc(ctx, conn.abort)
 	if err := a.write(request); err != nil {
 		a.discard()
 		return nil, trace.Wrap(err)
 	}
-	if err := a.head(request.Method); err != nil {
+	if err := a.readHead(request.Method); err != nil {
 		a.discard()
 		if ctx.Err() != nil {
 			err = ctx.Err()
@@ -74,12 +74,12 @@
 func (a *Answer) write(request *Request) error {
 	var out bytes.Buffer
 	request.encode(&out)
-	if len(request.Body) > inline {
-		go a.send(out.Bytes(), request.Body)
+	if len(request.Body) > maxInlineBody {
+		go a.writeInBackground(out.Bytes(), request.Body)
 		return nil
 	}
 	out.Write(request.Body)
-	defer close(a.written)
+	defer close(a.writeDone)
 	n, err := a.conn.Write(out.Bytes())
 	if err != nil && n == 0 {
 		return fmt.Errorf("%w: %w", ErrNotSent, err)
@@ -87,10 +87,10 @@
 	return err
 }
 
-func (a *Answer) send(head, body []byte) {
-	defer close(a.written)
-	if _, a.unwritten = a.conn.Write(head); a.unwritten == nil {
-		_, a.unwritten = a.conn.Write(body)
+func (a *Answer) writeInBackground(head, body []byte) {
+	defer close(a.writeDone)
+	if _, a.writeErr = a.conn.Write(head); a.writeErr == nil {
+		_, a.writeErr = a.conn.Write(body)
 	}
 }
 
@@ -107,8 +107,8 @@
 	out.WriteString("\r\n")
 }
 
-// head reads the answer's head, past informational ones.
-func (a *Answer) head(method string) error {
+// readHead reads the answer's head, past informational ones.
+func (a *Answer) readHead(method string) error {
 	for {
 		response, err := http.ReadResponse(a.conn.reader, &http.Request{Method: method})
 		if err != nil {
@@ -121,8 +121,8 @@
 			continue
 		}
 		a.response, a.Status, a.Header = response, response.StatusCode, response.Header
-		a.conn.heed(response.Header.Get("Keep-Alive"))
-		a.client.hear(a.conn)
+		a.conn.applyKeepAlive(response.Header.Get("Keep-Alive"))
+		a.client.recordAnswerStart(a.conn)
 		return nil
 	}
 }
@@ -135,7 +135,7 @@
 func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.response.Body.Read(b)
 	if errors.Is(err, io.EOF) {
-		a.ended = true
+		a.bodyRead = true
 	}
 	return n, err
 }
@@ -144,9 +144,9 @@
 // read, the whole request was written, and nothing more came.
 func (a *Answer) Close() {
 	a.once.Do(func() {
-		if a.reusable() && a.cancel() {
-			a.conn.used = true
-			a.client.keep(a.conn)
+		if a.reusable() && a.stopWatch() {
+			a.conn.reused = true
+			a.client.putIdle(a.conn)
 			return
 		}
 		a.discard()
@@ -155,16 +155,16 @@
 
 func (a *Answer) reusable() bool {
 	select {
-	case <-a.written:
+	case <-a.writeDone:
 	default:
 		return false
 	}
-	return a.ended && a.unwritten == nil && !a.response.Close && a.conn.reader.Buffered() == 0
+	return a.bodyRead && a.writeErr == nil && !a.response.Close && a.conn.reader.Buffered() == 0
 }
 
 func (a *Answer) discard() {
-	if !a.cancel() { // The request was given up.
-		a.noteSilence()
+	if !a.stopWatch() { // The request was given up.
+		a.checkSilence()
 	}
-	a.client.drop(a.conn)
+	a.client.closeConnection(a.conn)
 }
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -41,21 +41,21 @@
 	// IdleTimeout is how long an unused connection is kept if its target says nothing
 	// of that; it is shorter than any target's own limit.
 	IdleTimeout time.Duration
-	// PerTarget bounds the connections to one address; zero is no bound.
-	PerTarget func(at netip.AddrPort) int
+	// MaxPerTarget bounds the connections to one address; zero is no bound.
+	MaxPerTarget func(at netip.AddrPort) int
 	// SilentAfter is how long a kept connection may say nothing before an exchange
 	// that is given up shows that it is silent; zero never takes one for that.
 	SilentAfter time.Duration
 	// OnSilent hears of each such connection; nil hears nothing.
 	OnSilent func(at netip.AddrPort, waited time.Duration)
-	// Dialed hears of each new connection; nil hears nothing.
-	Dialed func(at netip.AddrPort)
+	// OnDial hears of each new connection; nil hears nothing.
+	OnDial func(at netip.AddrPort)
 
 	mu sync.Mutex
 	// idle holds unused connections, the last used at the end.
 	idle map[netip.AddrPort][]*connection
-	// heard holds the last answers' heads, by address.
-	heard map[netip.AddrPort][]head
+	// answerStarts holds the last answers' heads, by address.
+	answerStarts map[netip.AddrPort][]answerStart
 	// open counts connections, used or not.
 	open map[netip.AddrPort]int
 }
@@ -79,9 +79,9 @@
 	Allow func() error
 }
 
-// barred returns why the request must not leave this box, or nil.
-func (r *Request) barred() error {
-	if r.late() {
+// blockedBy returns why the request must not leave this box, or nil.
+func (r *Request) blockedBy() error {
+	if r.expired() {
 		return ErrLate
 	}
 	if r.Allow != nil {
@@ -90,20 +90,20 @@
 	return nil
 }
 
-// late says that the request must not leave this box any more.
-func (r *Request) late() bool { return !r.NotAfter.IsZero() && !boottime.Now().Before(r.NotAfter) }
+// expired says that the request must not leave this box any more.
+func (r *Request) expired() bool { return !r.NotAfter.IsZero() && !boottime.Now().Before(r.NotAfter) }
 
-// take returns a kept connection that looks sound, or a new one.
-func (c *Client) take(ctx context.Context, at netip.AddrPort) (*connection, error) {
+// acquire returns a kept connection that looks sound, or a new one.
+func (c *Client) acquire(ctx context.Context, at netip.AddrPort) (*connection, error) {
 	for {
-		kept := c.pop(at)
+		kept := c.takeIdle(at)
 		if kept == nil {
 			break
 		}
-		if kept.sound() {
+		if kept.usable() {
 			return kept, nil
 		}
-		c.drop(kept)
+		c.closeConnection(kept)
 	}
 	return c.dial(ctx, at)
 }
@@ -119,16 +119,16 @@
 		c.release(at)
 		return nil, err
 	}
-	if c.Dialed != nil {
-		c.Dialed(at)
+	if c.OnDial != nil {
+		c.OnDial(at)
 	}
 	return newConnection(conn, at), nil
 }
 
 func (c *Client) reserve(at netip.AddrPort) bool {
 	most := 0
-	if c.PerTarget != nil {
-		most = c.PerTarget(at)
+	if c.MaxPerTarget != nil {
+		most = c.MaxPerTarget(at)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,8 +151,8 @@
 	}
 }
 
-// drop closes a connection for good.
-func (c *Client) drop(conn *connection) {
+// closeConnection closes a connection for good.
+func (c *Client) closeConnection(conn *connection) {
 	_ = conn.Close() // Nothing is left to learn from a connection in doubt.
 	c.release(conn.at)
 }
@@ -164,7 +164,7 @@
 	return len(c.idle[at]) > 0
 }
 
-func (c *Client) pop(at netip.AddrPort) *connection {
+func (c *Client) takeIdle(at netip.AddrPort) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[at]
@@ -177,14 +177,14 @@
 	return last
 }
 
-// keep puts a connection back for the next request.
-func (c *Client) keep(conn *connection) {
-	conn.unused = boottime.Now()
-	c.shelve(conn)
+// putIdle puts a connection back for the next request.
+func (c *Client) putIdle(conn *connection) {
+	conn.idleSince = boottime.Now()
+	c.addIdle(conn)
 }
 
-// shelve makes a connection that can be used ready for the next request.
-func (c *Client) shelve(conn *connection) {
+// addIdle makes a connection that can be used ready for the next request.
+func (c *Client) addIdle(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.idle == nil {
@@ -196,19 +196,19 @@
 // Sweep closes connections that were unused for too long or that their targets
 // closed. Call it about once a second.
 func (c *Client) Sweep(now time.Time) {
-	for _, conn := range c.overdue(now) {
-		c.drop(conn)
+	for _, conn := range c.removeExpired(now) {
+		c.closeConnection(conn)
 	}
 }
 
-func (c *Client) overdue(now time.Time) []*connection {
+func (c *Client) removeExpired(now time.Time) []*connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var old []*connection
 	for at, list := range c.idle {
 		kept := list[:0]
 		for _, conn := range list {
-			if now.Sub(conn.unused) >= conn.idleFor(c.IdleTimeout) {
+			if now.Sub(conn.idleSince) >= conn.maxIdle(c.IdleTimeout) {
 				old = append(old, conn)
 				continue
 			}
@@ -220,13 +220,13 @@
 			delete(c.idle, at)
 		}
 	}
-	maps.DeleteFunc(c.heard, func(_ netip.AddrPort, list []head) bool { return now.Sub(list[len(list)-1].at) >= c.IdleTimeout })
+	maps.DeleteFunc(c.answerStarts, func(_ netip.AddrPort, list []answerStart) bool { return now.Sub(list[len(list)-1].at) >= c.IdleTimeout })
 	return old
 }
 
 // CloseIdle closes the unused connections to an address that is gone.
 func (c *Client) CloseIdle(at netip.AddrPort) {
-	for conn := c.pop(at); conn != nil; conn = c.pop(at) {
-		c.drop(conn)
+	for conn := c.takeIdle(at); conn != nil; conn = c.takeIdle(at) {
+		c.closeConnection(conn)
 	}
 }
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -16,22 +16,22 @@
 	"github.com/thymewind/thymewind/exchange"
 )
 
-// target is a server that does with each connection what a test says.
-type target struct {
+// testTarget is a server that does with each connection what a test says.
+type testTarget struct {
 	at netip.AddrPort
 	// requests gets each request as it was read.
 	requests chan *http.Request
 }
 
 // serve runs do for each connection, with its number from 0.
-func serve(t *testing.T, do func(n int, conn *net.TCPConn, requests func() *http.Request)) *target {
+func serve(t *testing.T, do func(n int, conn *net.TCPConn, requests func() *http.Request)) *testTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	x := &target{netip.MustParseAddrPort(l.Addr().String()), make(chan *http.Request, 100)}
+	x := &testTarget{netip.MustParseAddrPort(l.Addr().String()), make(chan *http.Request, 100)}
 	go func() {
 		for n := 0; ; n++ {
 			conn, err := l.Accept()
@@ -57,7 +57,7 @@
 	return x
 }
 
-func client() *exchange.Client {
+func newClient() *exchange.Client {
 	return &exchange.Client{Dial: (&net.Dialer{}).DialContext, DialTimeout: time.Second, IdleTimeout: time.Minute}
 }
 
@@ -77,7 +77,7 @@
 	return answer.Status, string(body), err
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // TestConnections says which connections are used again.
 func TestConnections(t *testing.T) {
@@ -87,11 +87,11 @@
 		// reused says that the second request comes on the first connection.
 		reused bool
 	}{
-		{"whole answer", ok, true},
+		{"whole answer", okAnswer, true},
 		{"chunked answer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", true},
-		{"informational answer first", "HTTP/1.1 103 Early Hints\r\n\r\n" + ok, true},
+		{"informational answer first", "HTTP/1.1 103 Early Hints\r\n\r\n" + okAnswer, true},
 		{"the target says close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false},
-		{"a surplus answer behind", ok + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother", false},
+		{"a surplus answer behind", okAnswer + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother", false},
 		{"kept for no time", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", false},
 	}
 	for _, tt := range tests {
@@ -103,7 +103,7 @@
 					_, _ = io.WriteString(conn, tt.answer)
 				}
 			})
-			c := client()
+			c := newClient()
 			for range 2 {
 				if status, body, err := ask(c, x.at, &exchange.Request{Method: "POST", Path: "/a", Host: "h", Body: []byte("b")}); err != nil || status != http.StatusOK || body != "ok" {
 					t.Fatalf("got %d %q %v", status, body, err)
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestSentOnce has a target drop the connection at different moments: the
+// TestNoAutomaticResend has a target drop the connection at different moments: the
 // request is read once at most, and the error says whether anything was sent.
-func TestSentOnce(t *testing.T) {
+func TestNoAutomaticResend(t *testing.T) {
 	tests := []struct {
 		name string
 		// before is what the first request on the connection gets.
@@ -142,10 +142,10 @@
 				if next() == nil {
 					return
 				}
-				_, _ = io.WriteString(conn, ok)
+				_, _ = io.WriteString(conn, okAnswer)
 				tt.second(conn, next)
 			})
-			c := client()
+			c := newClient()
 			header := http.Header{"Idempotency-Key": {"k"}}
 			if _, _, err := ask(c, x.at, &exchange.Request{Method: "GET", Path: "/a", Host: "h", Header: header}); err != nil {
 				t.Fatal(err)
@@ -167,13 +167,13 @@
 	closed := make(chan struct{})
 	x := serve(t, func(n int, conn *net.TCPConn, next func() *http.Request) {
 		next()
-		_, _ = io.WriteString(conn, ok)
+		_, _ = io.WriteString(conn, okAnswer)
 		if n == 0 {
 			_ = conn.Close()
 			close(closed)
 		}
 	})
-	c := client()
+	c := newClient()
 	for range 2 {
 		if _, body, err := ask(c, x.at, &exchange.Request{Method: "POST", Path: "/a", Host: "h", Body: []byte("b")}); err != nil || body != "ok" {
 			t.Fatalf("got %q, %v", body, err)
@@ -193,7 +193,7 @@
 	}
 	at := netip.MustParseAddrPort(l.Addr().String())
 	_ = l.Close()
-	if _, _, err := ask(client(), at, &exchange.Request{Method: "GET", Path: "/", Host: "h"}); !errors.Is(err, exchange.ErrNotSent) {
+	if _, _, err := ask(newClient(), at, &exchange.Request{Method: "GET", Path: "/", Host: "h"}); !errors.Is(err, exchange.ErrNotSent) {
 		t.Errorf("a dead port: %v", err)
 	}
 	x := serve(t, func(_ int, conn *net.TCPConn, next func() *http.Request) {
@@ -201,8 +201,8 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok")
 		next()
 	})
-	c := client()
-	c.PerTarget = func(netip.AddrPort) int { return 1 }
+	c := newClient()
+	c.MaxPerTarget = func(netip.AddrPort) int { return 1 }
 	first, err := c.Do(context.Background(), x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h", Header: http.Header{}})
 	if err != nil {
 		t.Fatal(err)
@@ -234,7 +234,7 @@
 				}
 				_ = conn.Close()
 			})
-			answer, err := client().Do(context.Background(), x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h", Header: http.Header{}})
+			answer, err := newClient().Do(context.Background(), x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h", Header: http.Header{}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -265,9 +265,9 @@
 			return // It holds the connection and reads nothing more.
 		}
 		next()
-		_, _ = io.WriteString(conn, ok)
+		_, _ = io.WriteString(conn, okAnswer)
 	})
-	c := client()
+	c := newClient()
 	status, _, err := ask(c, x.at, &exchange.Request{Method: "POST", Path: "/a", Host: "h", Body: make([]byte, 32<<20)})
 	if err != nil || status != http.StatusRequestEntityTooLarge {
 		t.Fatalf("got %d, %v", status, err)
@@ -287,7 +287,7 @@
 		close(left)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	answer, err := client().Do(ctx, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h", Header: http.Header{}})
+	answer, err := newClient().Do(ctx, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h", Header: http.Header{}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -304,11 +304,11 @@
 	ended := make(chan struct{})
 	x := serve(t, func(_ int, conn *net.TCPConn, next func() *http.Request) {
 		for next() != nil {
-			_, _ = io.WriteString(conn, ok)
+			_, _ = io.WriteString(conn, okAnswer)
 		}
 		close(ended)
 	})
-	c := client()
+	c := newClient()
 	if _, _, err := ask(c, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h"}); err != nil {
 		t.Fatal(err)
 	}
@@ -340,7 +340,7 @@
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 	})
-	c := client()
+	c := newClient()
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			_, _, err := ask(c, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h", NotAfter: tt.by})
@@ -362,9 +362,9 @@
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	c := client()
+	c := newClient()
 	dialed := 0
-	c.Dialed = func(netip.AddrPort) { dialed++ }
+	c.OnDial = func(netip.AddrPort) { dialed++ }
 	errNot := errors.New("not allowed")
 	steps := []struct {
 		name  string
--- a/exchange/silent.go
+++ b/exchange/silent.go
@@ -10,75 +10,75 @@
 
 // Read reads and notes since when it waits, if nothing comes.
 func (c *connection) Read(b []byte) (int, error) {
-	c.waiting = boottime.Now()
+	c.readingSince = boottime.Now()
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.waiting = time.Time{}
+		c.readingSince = time.Time{}
 	}
 	return n, err
 }
 
-// heads is how many of the last answers' heads from an address are remembered. The
+// maxAnswerStarts is how many of the last answers' heads from an address are remembered. The
 // news of an engine alone brings one in 0.4 s at most.
-const heads = 16
+const maxAnswerStarts = 16
 
-// head is when an answer began, on a connection that was made at a time.
-type head struct{ at, opened time.Time }
+// answerStart is when an answer began, on a connection that was made at a time.
+type answerStart struct{ at, openedAt time.Time }
 
-// hear notes that an answer began.
-func (c *Client) hear(conn *connection) {
+// recordAnswerStart notes that an answer began.
+func (c *Client) recordAnswerStart(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.SilentAfter == 0 {
 		return
 	}
-	if c.heard == nil {
-		c.heard = make(map[netip.AddrPort][]head)
+	if c.answerStarts == nil {
+		c.answerStarts = make(map[netip.AddrPort][]answerStart)
 	}
-	list := c.heard[conn.at]
-	if len(list) == heads {
+	list := c.answerStarts[conn.at]
+	if len(list) == maxAnswerStarts {
 		list = slices.Delete(list, 0, 1)
 	}
-	c.heard[conn.at] = append(list, head{boottime.Now(), conn.opened})
+	c.answerStarts[conn.at] = append(list, answerStart{boottime.Now(), conn.openedAt})
 }
 
-// answersSince says that the target began an answer since a time on a connection
+// answeredSince says that the target began an answer since a time on a connection
 // that was there before.
-func (c *Client) answersSince(at netip.AddrPort, since time.Time) bool {
+func (c *Client) answeredSince(at netip.AddrPort, since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.ContainsFunc(c.heard[at], func(h head) bool { return h.at.After(since) && h.opened.Before(since) })
+	return slices.ContainsFunc(c.answerStarts[at], func(h answerStart) bool { return h.at.After(since) && h.openedAt.Before(since) })
 }
 
-// noteSilence looks whether an exchange that was given up shows that its
+// checkSilence looks whether an exchange that was given up shows that its
 // connection is silent. Only a kept one shows that: a target may be slow to answer
 // on a new one. A busy target that has a request wait shows nothing either, as long
 // as it answers on other connections as old: taken for silent, it had all requests
 // that waited there run twice once a single caller left. The unused connections on
 // which nothing came since either may be silent as well and are closed, as each
 // would cost a request: one costs one in all.
-func (a *Answer) noteSilence() {
+func (a *Answer) checkSilence() {
 	c, conn := a.client, a.conn
-	if c.SilentAfter == 0 || !conn.used || conn.waiting.IsZero() {
+	if c.SilentAfter == 0 || !conn.reused || conn.readingSince.IsZero() {
 		return
 	}
-	waited := boottime.Since(conn.waiting)
-	if waited < c.SilentAfter || c.answersSince(conn.at, conn.waiting) {
+	waited := boottime.Since(conn.readingSince)
+	if waited < c.SilentAfter || c.answeredSince(conn.at, conn.readingSince) {
 		return
 	}
-	c.forgetUnheard(conn.at, conn.waiting)
+	c.closeIdleSince(conn.at, conn.readingSince)
 	if c.OnSilent != nil {
 		c.OnSilent(conn.at, waited)
 	}
 }
 
-// forgetUnheard closes the unused connections to an address on which nothing came
+// closeIdleSince closes the unused connections to an address on which nothing came
 // since a time.
-func (c *Client) forgetUnheard(at netip.AddrPort, since time.Time) {
+func (c *Client) closeIdleSince(at netip.AddrPort, since time.Time) {
 	c.mu.Lock()
 	var doubted []*connection
 	c.idle[at] = slices.DeleteFunc(c.idle[at], func(conn *connection) bool {
-		unheard := conn.unused.Before(since)
+		unheard := conn.idleSince.Before(since)
 		if unheard {
 			doubted = append(doubted, conn)
 		}
@@ -89,6 +89,6 @@
 	}
 	c.mu.Unlock()
 	for _, conn := range doubted {
-		c.drop(conn)
+		c.closeConnection(conn)
 	}
 }
--- a/exchange/silent_test.go
+++ b/exchange/silent_test.go
@@ -18,24 +18,24 @@
 // silentAfter is what these tests' clients wait at least.
 const silentAfter = 50 * time.Millisecond
 
-// linked is a client of a target behind a proxy, and how often it said that a
+// clientBehindProxy is a client of a target behind a proxy, and how often it said that a
 // connection is silent.
-func linked(t *testing.T) (*exchange.Client, *loopback.Proxy, *atomic.Int64) {
+func clientBehindProxy(t *testing.T) (*exchange.Client, *loopback.Proxy, *atomic.Int64) {
 	t.Helper()
 	x := serve(t, func(_ int, conn *net.TCPConn, requests func() *http.Request) {
 		for requests() != nil {
-			_, _ = io.WriteString(conn, ok)
+			_, _ = io.WriteString(conn, okAnswer)
 		}
 	})
 	link := loopback.New(t, x.at)
 	said := &atomic.Int64{}
-	c := client()
+	c := newClient()
 	c.SilentAfter, c.OnSilent = silentAfter, func(netip.AddrPort, time.Duration) { said.Add(1) }
 	return c, link, said
 }
 
-// keep opens connections and leaves them unused.
-func keep(t *testing.T, c *exchange.Client, at netip.AddrPort, n int) {
+// openIdle opens connections and leaves them unused.
+func openIdle(t *testing.T, c *exchange.Client, at netip.AddrPort, n int) {
 	t.Helper()
 	var answers []*exchange.Answer
 	for range n {
@@ -53,8 +53,8 @@
 	}
 }
 
-// giveUp sends a request and gives it up after a time.
-func giveUp(c *exchange.Client, at netip.AddrPort, after time.Duration) error {
+// doWithTimeout sends a request and gives it up after a time.
+func doWithTimeout(c *exchange.Client, at netip.AddrPort, after time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), after)
 	defer cancel()
 	a, err := c.Do(ctx, at, &exchange.Request{Method: "GET", Path: "/", Header: http.Header{}})
@@ -64,16 +64,16 @@
 	return err
 }
 
-func everything(string) bool { return true }
+func anyConnection(string) bool { return true }
 
-// TestSilentKept silences kept connections: they cost one request, not one each.
-func TestSilentKept(t *testing.T) {
-	c, link, said := linked(t)
-	keep(t, c, link.At, 4)
-	if n := link.Hush(everything); n != 4 {
+// TestSilentIdleConnections silences kept connections: they cost one request, not one each.
+func TestSilentIdleConnections(t *testing.T) {
+	c, link, said := clientBehindProxy(t)
+	openIdle(t, c, link.At, 4)
+	if n := link.Hush(anyConnection); n != 4 {
 		t.Fatalf("silenced %d", n)
 	}
-	if err := giveUp(c, link.At, 2*silentAfter); !errors.Is(err, context.DeadlineExceeded) {
+	if err := doWithTimeout(c, link.At, 2*silentAfter); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("the first request: %v", err)
 	}
 	for range 3 {
@@ -101,15 +101,15 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c, link, said := linked(t)
-			keep(t, c, link.At, tt.kept)
+			c, link, said := clientBehindProxy(t)
+			openIdle(t, c, link.At, tt.kept)
 			link.Set(loopback.Delays)
 			link.SetDelay(10 * silentAfter)
-			if err := giveUp(c, link.At, tt.after); err == nil {
+			if err := doWithTimeout(c, link.At, tt.after); err == nil {
 				t.Fatal("answered")
 			}
 			link.Set(loopback.Passes)
-			keep(t, c, link.At, max(tt.kept-1, 0))
+			openIdle(t, c, link.At, max(tt.kept-1, 0))
 			if want := max(tt.kept, 1); said.Load() != 0 || link.Came() != want {
 				t.Errorf("said %d times, %d connections came, want %d", said.Load(), link.Came(), want)
 			}
@@ -120,8 +120,8 @@
 // TestSlowReader has whoever reads an answer stop for long and then give it up:
 // that says nothing of the connection.
 func TestSlowReader(t *testing.T) {
-	c, link, said := linked(t)
-	keep(t, c, link.At, 2)
+	c, link, said := clientBehindProxy(t)
+	openIdle(t, c, link.At, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	a, err := c.Do(ctx, link.At, &exchange.Request{Method: "GET", Path: "/", Header: http.Header{}})
 	if err != nil {
@@ -141,7 +141,7 @@
 	x := serve(t, func(_ int, conn *net.TCPConn, requests func() *http.Request) {
 		for r := requests(); r != nil; r = requests() {
 			if r.URL.Path != "/stream" {
-				_, _ = io.WriteString(conn, ok)
+				_, _ = io.WriteString(conn, okAnswer)
 				continue
 			}
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nfirst")
@@ -149,9 +149,9 @@
 	})
 	link := loopback.New(t, x.at)
 	said := &atomic.Int64{}
-	c := client()
+	c := newClient()
 	c.SilentAfter, c.OnSilent = silentAfter, func(netip.AddrPort, time.Duration) { said.Add(1) }
-	keep(t, c, link.At, 2)
+	openIdle(t, c, link.At, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	a, err := c.Do(ctx, link.At, &exchange.Request{Method: "GET", Path: "/stream", Header: http.Header{}})
@@ -162,7 +162,7 @@
 	if _, err := io.ReadFull(a, first); err != nil {
 		t.Fatal(err)
 	}
-	link.Hush(everything)
+	link.Hush(anyConnection)
 	timer := time.AfterFunc(2*silentAfter, cancel)
 	defer timer.Stop()
 	if _, err := a.Read(first); err == nil {
@@ -192,13 +192,13 @@
 					if r.URL.Path == "/queued" {
 						continue // It waits for its turn.
 					}
-					_, _ = io.WriteString(conn, ok)
+					_, _ = io.WriteString(conn, okAnswer)
 				}
 			})
 			said := &atomic.Int64{}
-			c := client()
+			c := newClient()
 			c.SilentAfter, c.OnSilent = silentAfter, func(netip.AddrPort, time.Duration) { said.Add(1) }
-			keep(t, c, x.at, 5)
+			openIdle(t, c, x.at, 5)
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan error, 1)
 			go func() {
--- a/peer/link.go
+++ b/peer/link.go
@@ -16,42 +16,42 @@
 )
 
 const (
-	// dialFor bounds the making of a connection. A call that is given up earlier
+	// dialTimeout bounds the making of a connection. A call that is given up earlier
 	// leaves it to the next one.
-	dialFor = time.Second
-	// writeFor bounds the writing of one message; a whole configuration takes a
+	dialTimeout = time.Second
+	// writeTimeout bounds the writing of one message; a whole configuration takes a
 	// second on a link of 10 Mbit/s.
-	writeFor = 2 * time.Second
-	// leastSilent and mostSilent bound how long a connection with unanswered calls
+	writeTimeout = 2 * time.Second
+	// minSilence and mostSilent bound how long a connection with unanswered calls
 	// may say nothing before it is given up. A peer answers in milliseconds, so the
 	// least is what counts as a rule; it lies below the time after which gossip is
 	// given up, so that one call in vain is enough. With a fixed second, the shares
 	// of a box behind a silent connection were missing for 2.6 s.
-	leastSilent = 250 * time.Millisecond
-	mostSilent  = time.Second
-	// queued is how many messages may wait to be written.
-	queued = 64
+	minSilence = 250 * time.Millisecond
+	maxSilence  = time.Second
+	// writeQueueSize is how many messages may wait to be written.
+	writeQueueSize = 64
 )
 
-// errLost says that the connection ended before the answer came.
-var errLost = trace.ConnectionProblem(nil, "the connection ended")
+// errConnectionLost says that the connection ended before the answer came.
+var errConnectionLost = trace.ConnectionProblem(nil, "the connection ended")
 
 // link is where one peer is called: a connection that is made when it is
 // needed, and made again when it was lost.
 type link struct {
 	node *Node
 	at   netip.AddrPort
-	// bound is how long an answer is waited for, by the times seen of this peer.
-	bound *adaptive.Timeout
+	// answerTimeout is how long an answer is waited for, by the times seen of this peer.
+	answerTimeout *adaptive.Timeout
 
 	mu sync.Mutex
-	// wire is the connection in use; nil if there is none.
-	wire *wire
-	// dialling is closed when the dial under way ends; nil if none is.
-	dialling chan struct{}
-	// dialled is the last dial's error.
-	dialled error
-	used    time.Time
+	// conn is the connection in use; nil if there is none.
+	conn *connection
+	// dialDone is closed when the dial under way ends; nil if none is.
+	dialDone chan struct{}
+	// dialErr is the last dial's error.
+	dialErr error
+	lastUsed    time.Time
 }
 
 // call sends a message and waits for its answer.
@@ -65,18 +65,18 @@
 
 // connect returns a live connection. It goes on in the background when ctx ends
 // first.
-func (l *link) connect(ctx context.Context) (*wire, error) {
+func (l *link) connect(ctx context.Context) (*connection, error) {
 	l.mu.Lock()
-	l.used = boottime.Now()
-	if l.wire != nil && l.wire.live() {
+	l.lastUsed = boottime.Now()
+	if l.conn != nil && l.conn.isOpen() {
 		defer l.mu.Unlock()
-		return l.wire, nil
+		return l.conn, nil
 	}
-	if l.dialling == nil {
-		l.dialling = make(chan struct{})
-		go l.dial(context.WithoutCancel(ctx), l.dialling)
+	if l.dialDone == nil {
+		l.dialDone = make(chan struct{})
+		go l.dial(context.WithoutCancel(ctx), l.dialDone)
 	}
-	dialling := l.dialling
+	dialling := l.dialDone
 	l.mu.Unlock()
 	select {
 	case <-dialling:
@@ -86,99 +86,99 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.wire != nil:
-		return l.wire, nil
-	case l.dialled != nil:
-		return nil, trace.Wrap(l.dialled)
+	case l.conn != nil:
+		return l.conn, nil
+	case l.dialErr != nil:
+		return nil, trace.Wrap(l.dialErr)
 	}
-	return nil, errLost
+	return nil, errConnectionLost
 }
 
 func (l *link) dial(ctx context.Context, done chan struct{}) {
-	ctx, cancel := context.WithTimeout(ctx, dialFor)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	header := http.Header{"Authorization": {"Bearer " + l.node.credential()}}
 	conn, _, err := websocket.Dial(ctx, l.node.Scheme+"://"+l.at.String()+"/peer", &websocket.DialOptions{HTTPClient: l.node.HTTP, HTTPHeader: header})
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.wire, l.dialled, l.dialling = nil, err, nil
+	l.conn, l.dialErr, l.dialDone = nil, err, nil
 	if err == nil {
-		l.wire = newWire(l, conn)
+		l.conn = newConnection(l, conn)
 	}
 	close(done)
 }
 
-// close ends the connection if it was not used since a time.
-func (l *link) close(since time.Time) bool {
+// closeIfIdle ends the connection if it was not used since a time.
+func (l *link) closeIfIdle(since time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.used.After(since) || l.dialling != nil {
+	if l.lastUsed.After(since) || l.dialDone != nil {
 		return false
 	}
-	if l.wire != nil {
-		l.wire.end()
+	if l.conn != nil {
+		l.conn.close()
 	}
-	l.wire = nil
+	l.conn = nil
 	return true
 }
 
-// wire is one connection to a peer. Calls share it and are answered in any
+// connection is one connection to a peer. Calls share it and are answered in any
 // order.
-type wire struct {
+type connection struct {
 	node  *Node
 	at    netip.AddrPort
-	bound *adaptive.Timeout
+	answerTimeout *adaptive.Timeout
 	conn  *websocket.Conn
 	// queue holds messages that wait to be written.
 	queue chan []byte
-	// ended is closed when the connection is.
-	ended chan struct{}
-	once  sync.Once
+	// closed is closed when the connection is.
+	closed chan struct{}
+	closeOnce  sync.Once
 
 	mu sync.Mutex
-	// last numbers the calls; waiting holds those that have no answer yet.
-	last    uint64
-	waiting map[uint64]pending
-	// asked is when the first call went out since anything came; zero if none did.
-	asked time.Time
+	// lastNumber numbers the calls; waiting holds those that have no answer yet.
+	lastNumber    uint64
+	pending map[uint64]pendingCall
+	// unansweredSince is when the first call went out since anything came; zero if none did.
+	unansweredSince time.Time
 }
 
-// pending is a call that has no answer yet; the channel has room for it.
-type pending struct {
+// pendingCall is a call that has no answer yet; the channel has room for it.
+type pendingCall struct {
 	answer chan Message
-	asked  time.Time
+	sentAt  time.Time
 }
 
-func newWire(l *link, conn *websocket.Conn) *wire {
+func newConnection(l *link, conn *websocket.Conn) *connection {
 	conn.SetReadLimit(maxMessage)
-	w := &wire{
-		node: l.node, at: l.at, bound: l.bound, conn: conn, queue: make(chan []byte, queued), ended: make(chan struct{}),
-		waiting: make(map[uint64]pending),
+	w := &connection{
+		node: l.node, at: l.at, answerTimeout: l.answerTimeout, conn: conn, queue: make(chan []byte, writeQueueSize), closed: make(chan struct{}),
+		pending: make(map[uint64]pendingCall),
 	}
 	go w.read()
 	go w.write()
 	return w
 }
 
-func (w *wire) live() bool {
+func (w *connection) isOpen() bool {
 	select {
-	case <-w.ended:
+	case <-w.closed:
 		return false
 	default:
 		return true
 	}
 }
 
-func (w *wire) end() {
-	w.once.Do(func() {
-		close(w.ended)
+func (w *connection) close() {
+	w.closeOnce.Do(func() {
+		close(w.closed)
 		_ = w.conn.CloseNow() // It is given up; how it closes makes no odds.
 	})
 }
 
-func (w *wire) call(ctx context.Context, m Message) (Message, error) {
-	number, answer := w.expect()
-	defer w.forget(number)
+func (w *connection) call(ctx context.Context, m Message) (Message, error) {
+	number, answer := w.register()
+	defer w.unregister(number)
 	m.Number = number
 	data, err := cbor.Marshal(m)
 	if err != nil {
@@ -186,105 +186,105 @@
 	}
 	select {
 	case w.queue <- data:
-	case <-w.ended:
-		return Message{}, errLost
+	case <-w.closed:
+		return Message{}, errConnectionLost
 	case <-ctx.Done():
-		return Message{}, w.doubt(ctx.Err())
+		return Message{}, w.checkSilence(ctx.Err())
 	}
 	select {
 	case a := <-answer:
 		return a, nil
-	case <-w.ended:
-		return Message{}, errLost
+	case <-w.closed:
+		return Message{}, errConnectionLost
 	case <-ctx.Done():
-		return Message{}, w.doubt(ctx.Err())
+		return Message{}, w.checkSilence(ctx.Err())
 	}
 }
 
-// expect numbers a call and returns where its answer comes.
-func (w *wire) expect() (uint64, chan Message) {
+// register numbers a call and returns where its answer comes.
+func (w *connection) register() (uint64, chan Message) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	if w.asked.IsZero() {
-		w.asked = now
+	if w.unansweredSince.IsZero() {
+		w.unansweredSince = now
 	}
-	w.last++
-	p := pending{make(chan Message, 1), now}
-	w.waiting[w.last] = p
-	return w.last, p.answer
+	w.lastNumber++
+	p := pendingCall{make(chan Message, 1), now}
+	w.pending[w.lastNumber] = p
+	return w.lastNumber, p.answer
 }
 
-func (w *wire) forget(number uint64) {
+func (w *connection) unregister(number uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.waiting, number)
+	delete(w.pending, number)
 }
 
-// doubt ends the connection if calls went out and nothing came for long; then it
+// checkSilence ends the connection if calls went out and nothing came for long; then it
 // returns ErrSilent in place of the error that the call was given up with.
-func (w *wire) doubt(err error) error {
+func (w *connection) checkSilence(err error) error {
 	w.mu.Lock()
-	asked := w.asked
+	asked := w.unansweredSince
 	w.mu.Unlock()
 	waited := time.Since(asked)
-	if asked.IsZero() || waited < w.bound.Wait() {
+	if asked.IsZero() || waited < w.answerTimeout.Wait() {
 		return err
 	}
-	if !w.live() {
-		return errLost
+	if !w.isOpen() {
+		return errConnectionLost
 	}
-	w.end()
-	w.bound.TimedOut()
+	w.close()
+	w.answerTimeout.TimedOut()
 	if w.node.OnSilent != nil {
 		w.node.OnSilent(w.at, waited)
 	}
 	return ErrSilent
 }
 
-// heard notes that something came: nothing is waited for in vain, but what is
+// noteReceived notes that something came: nothing is waited for in vain, but what is
 // asked from now on.
-func (w *wire) heard() {
+func (w *connection) noteReceived() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.asked = time.Time{}
-	if len(w.waiting) > 0 {
-		w.asked = time.Now()
+	w.unansweredSince = time.Time{}
+	if len(w.pending) > 0 {
+		w.unansweredSince = time.Now()
 	}
 }
 
 // read hands answers to the calls that wait for them. An answer to a call that
 // was given up is dropped.
-func (w *wire) read() {
-	defer w.end()
+func (w *connection) read() {
+	defer w.close()
 	for {
-		m, err := w.node.read(context.Background(), w.conn, w.heard)
+		m, err := w.node.read(context.Background(), w.conn, w.noteReceived)
 		if err != nil {
 			return // The calls that wait learn it from ended.
 		}
 		w.mu.Lock()
-		p, known := w.waiting[m.Number]
-		delete(w.waiting, m.Number)
-		if len(w.waiting) == 0 {
-			w.asked = time.Time{}
+		p, known := w.pending[m.Number]
+		delete(w.pending, m.Number)
+		if len(w.pending) == 0 {
+			w.unansweredSince = time.Time{}
 		}
 		w.mu.Unlock()
 		if known {
-			w.bound.Observe(time.Since(p.asked))
+			w.answerTimeout.Observe(time.Since(p.sentAt))
 			p.answer <- m
 		}
 	}
 }
 
-func (w *wire) write() {
-	defer w.end()
+func (w *connection) write() {
+	defer w.close()
 	for {
 		select {
 		case data := <-w.queue:
 			if w.node.send(w.conn, data) != nil {
 				return // The calls that wait learn it from ended.
 			}
-		case <-w.ended:
+		case <-w.closed:
 			return
 		}
 	}
--- a/peer/link_test.go
+++ b/peer/link_test.go
@@ -15,20 +15,20 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// slow answers messages about "slow" when released, others at once.
-type slow struct {
+// slowPeer answers messages about "slow" when released, others at once.
+type slowPeer struct {
 	peer.Node
 	release chan struct{}
 	// entered hears of each such message; it has room for some.
 	entered chan struct{}
-	// dialled counts the connections that came.
-	dialled atomic.Int64
+	// connections counts the connections that came.
+	connections atomic.Int64
 	at      netip.AddrPort
 }
 
-func startSlow(t *testing.T) *slow {
+func startSlowPeer(t *testing.T) *slowPeer {
 	t.Helper()
-	s := &slow{release: make(chan struct{}), entered: make(chan struct{}, 9)}
+	s := &slowPeer{release: make(chan struct{}), entered: make(chan struct{}, 9)}
 	s.Node = peer.Node{
 		Credential: "secret",
 		OnSent:     func(int) {}, OnReceived: func(int) {},
@@ -43,7 +43,7 @@
 	server := httptest.NewUnstartedServer(s.Handler())
 	server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
-			s.dialled.Add(1)
+			s.connections.Add(1)
 		}
 	}
 	server.Start()
@@ -52,16 +52,16 @@
 	return s
 }
 
-func caller(t *testing.T) *peer.Node {
+func newCaller(t *testing.T) *peer.Node {
 	t.Helper()
-	n := node("secret")
+	n := newNode("secret")
 	t.Cleanup(n.Close)
 	return n
 }
 
-// TestCallsDoNotWait has a call answered while an earlier one is not.
-func TestCallsDoNotWait(t *testing.T) {
-	s, n := startSlow(t), caller(t)
+// TestConcurrentCalls has a call answered while an earlier one is not.
+func TestConcurrentCalls(t *testing.T) {
+	s, n := startSlowPeer(t), newCaller(t)
 	held := make(chan error, 1)
 	go func() {
 		answer, err := n.Call(context.Background(), s.at, peer.Message{Statement: "slow"})
@@ -81,15 +81,15 @@
 	if err := <-held; err != nil {
 		t.Error(err)
 	}
-	if got := s.dialled.Load(); got != 1 {
+	if got := s.connections.Load(); got != 1 {
 		t.Errorf("%d connections", got)
 	}
 }
 
-// TestGivenUpCall shows that a call that was given up leaves the connection to
+// TestAbandonedCall shows that a call that was given up leaves the connection to
 // the others, and that its late answer reaches none of them.
-func TestGivenUpCall(t *testing.T) {
-	s, n := startSlow(t), caller(t)
+func TestAbandonedCall(t *testing.T) {
+	s, n := startSlowPeer(t), newCaller(t)
 	if _, err := n.Call(context.Background(), s.at, peer.Message{Statement: "first"}); err != nil {
 		t.Fatal(err)
 	}
@@ -105,14 +105,14 @@
 			t.Fatalf("answer %q, %v", answer.Statement, err)
 		}
 	}
-	if got := s.dialled.Load(); got != 1 {
+	if got := s.connections.Load(); got != 1 {
 		t.Errorf("%d connections", got)
 	}
 }
 
 // TestManyCalls mixes up many calls on one connection.
 func TestManyCalls(t *testing.T) {
-	s, n := startSlow(t), caller(t)
+	s, n := startSlowPeer(t), newCaller(t)
 	var calls sync.WaitGroup
 	for i := range 200 {
 		calls.Go(func() {
@@ -124,7 +124,7 @@
 		})
 	}
 	calls.Wait()
-	if got := s.dialled.Load(); got != 1 {
+	if got := s.connections.Load(); got != 1 {
 		t.Errorf("%d connections", got)
 	}
 }
@@ -132,7 +132,7 @@
 // TestConnectionLost ends calls at once when their connection does, and dials
 // again for the next.
 func TestConnectionLost(t *testing.T) {
-	s, n := startSlow(t), caller(t)
+	s, n := startSlowPeer(t), newCaller(t)
 	defer close(s.release)
 	failed := make(chan error, 1)
 	go func() {
@@ -152,7 +152,7 @@
 // TestSilentPeer gives a connection up on which nothing comes for long, and
 // keeps one that had no calls.
 func TestSilentPeer(t *testing.T) {
-	s, n := startSlow(t), caller(t)
+	s, n := startSlowPeer(t), newCaller(t)
 	defer close(s.release)
 	give := func(patience time.Duration) {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -162,11 +162,11 @@
 		}
 	}
 	give(10 * time.Millisecond)
-	if _, err := n.Call(context.Background(), s.at, peer.Message{Statement: "quick"}); err != nil || s.dialled.Load() != 1 {
-		t.Errorf("%v, %d connections", err, s.dialled.Load())
+	if _, err := n.Call(context.Background(), s.at, peer.Message{Statement: "quick"}); err != nil || s.connections.Load() != 1 {
+		t.Errorf("%v, %d connections", err, s.connections.Load())
 	}
 	give(1100 * time.Millisecond)
-	if _, err := n.Call(context.Background(), s.at, peer.Message{Statement: "quick"}); err != nil || s.dialled.Load() != 2 {
-		t.Errorf("%v, %d connections", err, s.dialled.Load())
+	if _, err := n.Call(context.Background(), s.at, peer.Message{Statement: "quick"}); err != nil || s.connections.Load() != 2 {
+		t.Errorf("%v, %d connections", err, s.connections.Load())
 	}
 }
--- a/peer/node.go
+++ b/peer/node.go
@@ -27,10 +27,10 @@
 const maxMessage = 32 << 20
 
 const (
-	// idle is how long a link without calls is kept.
-	idle = 15 * time.Second
-	// atOnce bounds the messages of one peer that are answered at the same time.
-	atOnce = 64
+	// idleTimeout is how long a link without calls is kept.
+	idleTimeout = 15 * time.Second
+	// maxConcurrent bounds the messages of one peer that are answered at the same time.
+	maxConcurrent = 64
 )
 
 // ErrSilent says that the connection said nothing for so long that it was given up.
@@ -62,7 +62,7 @@
 // Handler accepts peers that show the credential.
 func (n *Node) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !n.genuine(r.Header.Get("Authorization")) {
+		if !n.authenticated(r.Header.Get("Authorization")) {
 			http.Error(w, "the peer credential is missing or wrong", http.StatusUnauthorized)
 			return
 		}
@@ -82,9 +82,9 @@
 	var answers sync.WaitGroup
 	defer answers.Wait()
 	defer cancel()
-	room := make(chan struct{}, atOnce)
+	room := make(chan struct{}, maxConcurrent)
 	for {
-		m, err := n.next(ctx, conn)
+		m, err := n.readNext(ctx, conn)
 		if err != nil {
 			return // The peer closed the connection, or will dial again.
 		}
@@ -96,9 +96,9 @@
 	}
 }
 
-// next reads a message; a connection without any is given up.
-func (n *Node) next(ctx context.Context, conn *websocket.Conn) (Message, error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*idle)
+// readNext reads a message; a connection without any is given up.
+func (n *Node) readNext(ctx context.Context, conn *websocket.Conn) (Message, error) {
+	ctx, cancel := context.WithTimeout(ctx, 2*idleTimeout)
 	defer cancel()
 	return n.read(ctx, conn, func() {})
 }
@@ -116,7 +116,7 @@
 	}
 }
 
-func (n *Node) genuine(header string) bool {
+func (n *Node) authenticated(header string) bool {
 	got := sha256.Sum256([]byte(header))
 	want := sha256.Sum256([]byte("Bearer " + n.credential()))
 	return subtle.ConstantTimeCompare(got[:], want[:]) == 1
@@ -146,7 +146,7 @@
 	}
 	l, ok := n.links[at]
 	if !ok {
-		l = &link{node: n, at: at, bound: &adaptive.Timeout{Min: leastSilent, Max: mostSilent}}
+		l = &link{node: n, at: at, answerTimeout: &adaptive.Timeout{Min: minSilence, Max: maxSilence}}
 		n.links[at] = l
 	}
 	return l
@@ -157,14 +157,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for at, l := range n.links {
-		if l.close(now.Add(-idle)) {
+		if l.closeIfIdle(now.Add(-idleTimeout)) {
 			delete(n.links, at)
 		}
 	}
 }
 
 // Close drops all links.
-func (n *Node) Close() { n.Sweep(boottime.Now().Add(2 * idle)) }
+func (n *Node) Close() { n.Sweep(boottime.Now().Add(2 * idleTimeout)) }
 
 // read reads one message and tells heard of each piece of it.
 func (n *Node) read(ctx context.Context, conn *websocket.Conn, heard func()) (Message, error) {
@@ -173,7 +173,7 @@
 	if err != nil {
 		return m, err
 	}
-	data, err := io.ReadAll(hearing{pieces, heard})
+	data, err := io.ReadAll(notifyingReader{pieces, heard})
 	if err != nil {
 		return m, err
 	}
@@ -184,22 +184,22 @@
 	return m, trace.Wrap(cbor.Unmarshal(data, &m))
 }
 
-// hearing tells of each piece that is read.
-type hearing struct {
+// notifyingReader tells of each piece that is read.
+type notifyingReader struct {
 	io.Reader
-	heard func()
+	onRead func()
 }
 
-func (h hearing) Read(b []byte) (int, error) {
+func (h notifyingReader) Read(b []byte) (int, error) {
 	n, err := h.Reader.Read(b)
 	if n > 0 {
-		h.heard()
+		h.onRead()
 	}
 	return n, err
 }
 
 func (n *Node) send(conn *websocket.Conn, data []byte) error {
-	ctx, cancel := context.WithTimeout(context.Background(), writeFor)
+	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
 	n.OnSent(len(data))
 	return conn.Write(ctx, websocket.MessageBinary, data)
--- a/peer/node_test.go
+++ b/peer/node_test.go
@@ -12,7 +12,7 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-func node(credential string) *peer.Node {
+func newNode(credential string) *peer.Node {
 	return &peer.Node{
 		Credential: credential, HTTP: http.DefaultClient, Scheme: "ws", OnSent: func(int) {}, OnReceived: func(int) {},
 		Handle: func(_ context.Context, m peer.Message) peer.Message {
@@ -22,7 +22,7 @@
 }
 
 func TestCall(t *testing.T) {
-	server := httptest.NewServer(node("secret").Handler())
+	server := httptest.NewServer(newNode("secret").Handler())
 	defer server.Close()
 	at := netip.MustParseAddrPort(server.Listener.Addr().String())
 	tests := []struct {
@@ -35,7 +35,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			n := node(tt.credential)
+			n := newNode(tt.credential)
 			defer n.Close()
 			for i := range uint64(3) {
 				got, err := n.Call(context.Background(), at, peer.Message{Kind: peer.KindGossip, Revision: i})
--- a/peer/silent_test.go
+++ b/peer/silent_test.go
@@ -14,11 +14,11 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// linked is a caller of a peer behind a proxy, and how often it said that a
+// callerBehindProxy is a caller of a peer behind a proxy, and how often it said that a
 // connection is silent.
-func linked(t *testing.T) (*peer.Node, *loopback.Proxy, *atomic.Int64) {
+func callerBehindProxy(t *testing.T) (*peer.Node, *loopback.Proxy, *atomic.Int64) {
 	t.Helper()
-	answering := node("secret")
+	answering := newNode("secret")
 	answering.Handle = func(_ context.Context, m peer.Message) peer.Message {
 		if m.Statement == "large" {
 			return peer.Message{Statement: strings.Repeat("x", 800<<10)}
@@ -27,32 +27,32 @@
 	}
 	server := httptest.NewServer(answering.Handler())
 	t.Cleanup(server.Close)
-	n := caller(t)
+	n := newCaller(t)
 	link := loopback.New(t, netip.MustParseAddrPort(server.Listener.Addr().String()))
 	said := &atomic.Int64{}
 	n.OnSilent = func(netip.AddrPort, time.Duration) { said.Add(1) }
 	return n, link, said
 }
 
-// callFor is a call that is given up after a time.
-func callFor(n *peer.Node, at netip.AddrPort, what string, within time.Duration) error {
+// callWithTimeout is a call that is given up after a time.
+func callWithTimeout(n *peer.Node, at netip.AddrPort, what string, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	_, err := n.Call(ctx, at, peer.Message{Statement: what})
 	return err
 }
 
-// gossipFor is how long the daemon waits for such an answer.
-const gossipFor = 300 * time.Millisecond
+// gossipTimeout is how long the daemon waits for such an answer.
+const gossipTimeout = 300 * time.Millisecond
 
 // TestSilentConnection silences the connections to three peers at the same time:
 // each costs one call, and the next one goes over a new connection.
 func TestSilentConnection(t *testing.T) {
-	n, first, said := linked(t)
+	n, first, said := callerBehindProxy(t)
 	links := []*loopback.Proxy{first, loopback.New(t, first.At), loopback.New(t, first.At)}
 	for range 3 {
 		for _, link := range links {
-			if err := callFor(n, link.At, "quick", time.Minute); err != nil {
+			if err := callWithTimeout(n, link.At, "quick", time.Minute); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -61,12 +61,12 @@
 		link.Hush(func(string) bool { return true })
 	}
 	for _, link := range links {
-		if err := callFor(n, link.At, "quick", gossipFor); !errors.Is(err, peer.ErrSilent) {
+		if err := callWithTimeout(n, link.At, "quick", gossipTimeout); !errors.Is(err, peer.ErrSilent) {
 			t.Errorf("the first call: %v", err)
 		}
 	}
 	for _, link := range links {
-		if err := callFor(n, link.At, "quick", time.Minute); err != nil {
+		if err := callWithTimeout(n, link.At, "quick", time.Minute); err != nil {
 			t.Errorf("the next call: %v", err)
 		}
 	}
@@ -78,21 +78,21 @@
 // TestSlowPeers have answers come ten times as late, or in many pieces: no
 // connection is taken for silent.
 func TestSlowPeers(t *testing.T) {
-	n, link, said := linked(t)
+	n, link, said := callerBehindProxy(t)
 	link.Set(loopback.Delays)
 	for _, each := range []time.Duration{2 * time.Millisecond, 20 * time.Millisecond} {
 		link.SetDelay(each)
 		for range 30 {
-			if err := callFor(n, link.At, "quick", gossipFor); err != nil {
+			if err := callWithTimeout(n, link.At, "quick", gossipTimeout); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	// The answer of 800 KB in chunks of 16 KB takes a second.
 	large := make(chan error, 1)
-	go func() { large <- callFor(n, link.At, "large", time.Minute) }()
+	go func() { large <- callWithTimeout(n, link.At, "large", time.Minute) }()
 	for range 3 {
-		_ = callFor(n, link.At, "quick", gossipFor/2) // Behind the large one; it may be late.
+		_ = callWithTimeout(n, link.At, "quick", gossipTimeout/2) // Behind the large one; it may be late.
 	}
 	if err := <-large; err != nil {
 		t.Errorf("a large message: %v", err)
@@ -102,24 +102,24 @@
 	}
 }
 
-// TestSilentAsks has only short calls, as those for places are: some in vain are
+// TestSilentConnectionShortCalls has only short calls, as those for places are: some in vain are
 // enough to replace a silent connection.
-func TestSilentAsks(t *testing.T) {
+func TestSilentConnectionShortCalls(t *testing.T) {
 	const within = 100 * time.Millisecond
-	n, link, said := linked(t)
+	n, link, said := callerBehindProxy(t)
 	for range 3 {
-		if err := callFor(n, link.At, "quick", time.Minute); err != nil {
+		if err := callWithTimeout(n, link.At, "quick", time.Minute); err != nil {
 			t.Fatal(err)
 		}
 	}
 	link.Hush(func(string) bool { return true })
 	vain := 0
 	for said.Load() == 0 && vain < 10 {
-		if callFor(n, link.At, "quick", within) != nil {
+		if callWithTimeout(n, link.At, "quick", within) != nil {
 			vain++
 		}
 	}
-	if err := callFor(n, link.At, "quick", time.Minute); err != nil || vain > 3 {
+	if err := callWithTimeout(n, link.At, "quick", time.Minute); err != nil || vain > 3 {
 		t.Errorf("%d calls in vain, then %v", vain, err)
 	}
 }
