--- a/caller/answer.go
+++ b/caller/answer.go
@@ -28,7 +28,7 @@
 	includeUsage bool
 	// headWritten says that something was written to the caller.
 	headWritten bool
-	text  strings.Builder
+	text        strings.Builder
 }
 
 // chunk is one completion or one piece of a streamed one.
--- a/caller/ask.go
+++ b/caller/ask.go
@@ -15,7 +15,7 @@
 // The bounds of what a caller may ask for, in tokens.
 const (
 	defaultMaxTokens = 64
-	maxMaxTokens = 32768
+	maxMaxTokens     = 32768
 )
 
 // completionRequest is the body of a chat or text completion; fields that don't matter here
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -71,11 +71,11 @@
 // call is one request of a known account.
 type call struct {
 	*Front
-	w       http.ResponseWriter
-	r       *http.Request
-	id      string
-	account account.Account
-	configuration  *configuration.Configuration
+	w             http.ResponseWriter
+	r             *http.Request
+	id            string
+	account       account.Account
+	configuration *configuration.Configuration
 }
 
 // Handler returns the routes.
--- a/exchange/cancel_test.go
+++ b/exchange/cancel_test.go
@@ -13,8 +13,8 @@
 	"github.com/thymewind/thymewind/exchange"
 )
 
-// TestContextEndedBeforeSend asks over a kept connection with a context that has ended:
-// nothing goes out, and the connection is there for the next request.
+// TestContextEndedBeforeSend sends over a kept connection with a context that has already ended:
+// nothing is sent, and the connection stays usable for the next request.
 func TestContextEndedBeforeSend(t *testing.T) {
 	numbers := make(chan int, 10)
 	x := serve(t, func(n int, conn *net.TCPConn, next func() *http.Request) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestAbortDiscardsUnsent gives a request up whose target reads nothing yet: what
-// waited on this box never arrives, however late the target reads.
+// TestAbortDiscardsUnsent abandons a request whose target has not read it yet: bytes still queued
+// on this box never arrive, however late the target reads.
 func TestAbortDiscardsUnsent(t *testing.T) {
 	accepted, given := make(chan struct{}), make(chan struct{})
 	read := make(chan error, 1)
@@ -66,22 +66,22 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-accepted
-		<-time.After(50 * time.Millisecond) // By then this box's kernel has it all.
+		<-time.After(50 * time.Millisecond) // By then all of it is in this box's kernel.
 		cancel()
 	}()
-	// More than the target's buffer takes, less than the two kernels' together.
+	// More than the target's buffer holds, less than both kernels' buffers together.
 	_, err := newClient().Do(ctx, x.at, &exchange.Request{Method: "POST", Path: "/", Host: "h", Header: http.Header{}, Body: make([]byte, 256<<10)})
 	if !errors.Is(err, context.Canceled) {
 		t.Fatalf("err = %v", err)
 	}
 	close(given)
 	if err := <-read; err == nil {
-		t.Error("the whole request arrived after it was given up")
+		t.Error("the whole request arrived after it was abandoned")
 	}
 }
 
-// TestCancelWithoutReader gives up an answer that nobody reads at that moment: its
-// target sees it at once.
+// TestCancelWithoutReader cancels an answer that nothing is reading at that moment: the target
+// notices at once.
 func TestCancelWithoutReader(t *testing.T) {
 	left := make(chan struct{})
 	x := serve(t, func(_ int, conn *net.TCPConn, next func() *http.Request) {
@@ -100,6 +100,6 @@
 	select {
 	case <-left:
 	case <-time.After(10 * time.Second):
-		t.Error("the target waits on")
+		t.Error("the target did not notice the cancellation")
 	}
 }
--- a/exchange/connection.go
+++ b/exchange/connection.go
@@ -13,8 +13,8 @@
 	"github.com/thymewind/thymewind/boottime"
 )
 
-// readBuffer holds an answer's head and some events, in bytes. Larger buffers
-// cost memory for each connection without saving reads.
+// readBuffer is the read buffer's size in bytes: room for an answer's head and some events. A
+// larger buffer costs memory per connection without saving reads.
 const readBuffer = 2 << 10
 
 // connection is one connection to a target.
@@ -22,16 +22,14 @@
 	net.Conn
 	at     netip.AddrPort
 	reader *bufio.Reader
-	// reused says that an exchange was done on it before.
+	// reused is set once the connection has completed an exchange.
 	reused bool
-	// readingSince is since when bytes are waited for; zero if they are not.
+	// readingSince is when the pending read started; zero if no read is waiting for bytes.
 	readingSince time.Time
-	// openedAt is when the connection was made.
-	openedAt time.Time
+	openedAt     time.Time
 	// idleSince is when the last exchange ended.
 	idleSince time.Time
-	// keepAlive is how long the target says that it keeps the connection; zero if
-	// it says nothing.
+	// keepAlive is the target's announced keep-alive timeout; zero if it announced none.
 	keepAlive time.Duration
 }
 
@@ -41,40 +39,39 @@
 	return c
 }
 
-// abort closes the connection with a reset, whatever is being read or written on
-// it. What still waits here to be sent is thrown away: after an ordinary close the
-// kernel goes on sending, and a target that was slow to read, or behind a link that
-// was down, would get the whole request long after its caller gave it up.
+// abort resets the connection, even while it is being read or written, so that unsent data is
+// discarded. After an ordinary close the kernel keeps sending: a slow target, or one behind a link
+// that was down, would receive the whole request long after its caller gave up.
 func (c *connection) abort() {
 	if conn, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
-		_ = conn.SetLinger(0) // If it fails, the close is an ordinary one.
+		_ = conn.SetLinger(0) // If this fails, Close closes the connection without a reset.
 	}
-	_ = c.Close() // Nothing is left to learn from a connection that is given up.
+	_ = c.Close() // The connection is discarded, so the error does not matter.
 }
 
-// maxIdle is how long the connection may stay unused: four fifths of what the
-// target said, so that a request never crosses the target's close, or usual.
-func (c *connection) maxIdle(usual time.Duration) time.Duration {
+// maxIdle returns how long the connection may stay idle: four fifths of the target's keep-alive
+// timeout, so that a request does not race with the target's close, and at most limit.
+func (c *connection) maxIdle(limit time.Duration) time.Duration {
 	if c.keepAlive > 0 {
-		return min(usual, c.keepAlive*4/5)
+		return min(limit, c.keepAlive*4/5)
 	}
-	return usual
+	return limit
 }
 
-// applyKeepAlive takes over how long the target keeps the connection, from the value of
-// a Keep-Alive header such as "timeout=5, max=100".
+// applyKeepAlive records the target's keep-alive timeout from a Keep-Alive header such as
+// "timeout=5, max=100".
 func (c *connection) applyKeepAlive(keepAlive string) {
 	for field := range strings.SplitSeq(keepAlive, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		seconds, err := strconv.Atoi(value)
 		if strings.EqualFold(name, "timeout") && err == nil && seconds >= 0 {
-			c.keepAlive = max(time.Duration(seconds)*time.Second, time.Nanosecond) // Zero seconds: not at all.
+			c.keepAlive = max(time.Duration(seconds)*time.Second, time.Nanosecond) // Zero seconds: don't keep it at all.
 		}
 	}
 }
 
-// usable says whether an unused connection is open and silent. Bytes that
-// nobody asked for, such as a surplus answer, make it unfit.
+// usable reports whether an idle connection is open and has no unread bytes. Unsolicited bytes,
+// such as a second answer, make it unusable.
 func (c *connection) usable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -89,7 +86,7 @@
 	return openWithoutData(raw)
 }
 
-// openWithoutData looks at the socket without waiting and without taking bytes.
+// openWithoutData peeks at the socket: it neither blocks nor consumes bytes.
 func openWithoutData(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/exchange/do.go
+++ b/exchange/do.go
@@ -14,12 +14,11 @@
 	"github.com/gravitational/trace"
 )
 
-// maxInlineBody is the largest body, in bytes, that is written before the answer is
-// read. A larger one is written beside the reading, as a target may answer
-// first and leave the body unread.
+// maxInlineBody is the largest body, in bytes, that is written before the answer is read. A larger
+// one is written concurrently, as a target may answer first and leave the body unread.
 const maxInlineBody = 4 << 10
 
-// Answer is a target's answer whose head has come.
+// Answer is a target's answer whose head has been read.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -29,18 +28,17 @@
 	response *http.Response
 	// stopWatch stops watching the request's context.
 	stopWatch func() bool
-	// writeDone is closed when the request was written; unwritten tells why not.
-	writeDone   chan struct{}
-	writeErr error
-	bodyRead     bool
+	// writeDone is closed when the write of the request has ended; writeErr is its error, if any.
+	writeDone chan struct{}
+	writeErr  error
+	bodyRead  bool
 	once      sync.Once
 }
 
-// Do sends a request and waits for the head of the answer until ctx ends. The
-// error is ErrNotSent if no byte left this box; otherwise the target may have
-// run the request. After an error there is no answer to close. When ctx ends
-// before the answer was read whole, the connection is reset at once, also while
-// whoever has the answer does something else.
+// Do sends a request and waits for the head of the answer until ctx ends. The error is ErrNotSent
+// if no byte left this box; otherwise the target may have run the request. After an error there is
+// no answer to close. If ctx ends before the whole answer has been read, the connection is reset
+// at once, even if nothing is reading from it.
 func (c *Client) Do(ctx context.Context, at netip.AddrPort, request *Request) (*Answer, error) {
 	conn, err := c.acquire(ctx, at)
 	if err != nil {
@@ -51,7 +49,7 @@
 		err = request.blockedBy()
 	}
 	if err != nil {
-		c.addIdle(conn) // Nothing was sent on it: the next request saves a new connection.
+		c.addIdle(conn) // Nothing was sent on it, so the next request can use it.
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	a := &Answer{client: c, conn: conn, writeDone: make(chan struct{})}
@@ -70,7 +68,7 @@
 	return a, nil
 }
 
-// write sends the request. It fails only if nothing can come back.
+// write sends the request. It fails only if no answer can come back.
 func (a *Answer) write(request *Request) error {
 	var out bytes.Buffer
 	request.encode(&out)
@@ -107,7 +105,7 @@
 	out.WriteString("\r\n")
 }
 
-// readHead reads the answer's head, past informational ones.
+// readHead reads the answer's head and skips informational ones.
 func (a *Answer) readHead(method string) error {
 	for {
 		response, err := http.ReadResponse(a.conn.reader, &http.Request{Method: method})
@@ -115,7 +113,7 @@
 			return err
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return trace.BadParameter("the target switches protocols")
+			return trace.BadParameter("the target answered 101 Switching Protocols, which is not supported")
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
@@ -127,11 +125,11 @@
 	}
 }
 
-// Length is the body's length in bytes, or -1 if the head does not tell it.
+// Length is the body's length in bytes, or -1 if the head does not state it.
 func (a *Answer) Length() int64 { return a.response.ContentLength }
 
-// Read reads the body. It returns io.EOF only at the end of a whole body: a
-// body without length that is cut off by a reset is an error.
+// Read reads the body. It returns io.EOF only at the end of a complete body: a reset in a body
+// without a length is an error.
 func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.response.Body.Read(b)
 	if errors.Is(err, io.EOF) {
@@ -140,8 +138,8 @@
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept only if the whole answer was
-// read, the whole request was written, and nothing more came.
+// Close ends the exchange. The connection is kept only if the whole request was written, the whole
+// answer was read, and no further bytes have arrived.
 func (a *Answer) Close() {
 	a.once.Do(func() {
 		if a.reusable() && a.stopWatch() {
@@ -163,7 +161,7 @@
 }
 
 func (a *Answer) discard() {
-	if !a.stopWatch() { // The request was given up.
+	if !a.stopWatch() { // The context has ended.
 		a.checkSilence()
 	}
 	a.client.closeConnection(a.conn)
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -1,8 +1,8 @@
-// Package exchange sends HTTP/1.1 requests to targets over kept connections
-// and never sends one twice: a request that may have reached its target is
-// reported so, and a connection in doubt is closed instead of kept.
+// Package exchange sends HTTP/1.1 requests to targets over persistent connections and never
+// resends one: the error says whether a request may have reached its target, and a connection in
+// an uncertain state is closed instead of kept.
 //
-//	c := exchange.Client{Dial: dialer.DialContext, Idle: 10 * time.Second, PerTarget: 32}
+//	c := exchange.Client{Dial: dialer.DialContext, DialTimeout: time.Second, IdleTimeout: 10 * time.Second}
 //	answer, err := c.Do(ctx, at, &exchange.Request{Method: "GET", Path: "/x", Header: h})
 //	if errors.Is(err, exchange.ErrNotSent) { // no byte left this box
 //	}
@@ -25,61 +25,61 @@
 // ErrNotSent says that no byte of the request left this box.
 var ErrNotSent = errors.New("the request was not sent")
 
-// ErrConnectionLimit says that all connections to a target that this box may have are in
-// use. It comes with ErrNotSent.
-var ErrConnectionLimit = errors.New("all connections to the target are in use")
+// ErrConnectionLimit says that this box has reached its limit of connections to the target, and
+// all are in use. It is wrapped together with ErrNotSent.
+var ErrConnectionLimit = errors.New("the limit of connections to the target is reached")
 
-// ErrLate says that the request's NotAfter was over. It comes with ErrNotSent.
-var ErrLate = errors.New("it is too late to send the request")
+// ErrLate says that the request's NotAfter has passed. It is wrapped together with ErrNotSent.
+var ErrLate = errors.New("the request's deadline for sending has passed")
 
-// Client keeps connections to targets. Set the exported fields before first
-// use; it is safe for concurrent use after that.
+// Client keeps connections to targets. Set the exported fields before first use; it is safe for
+// concurrent use after that.
 type Client struct {
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// DialTimeout bounds how long a new connection may take.
+	// DialTimeout bounds how long connecting may take.
 	DialTimeout time.Duration
-	// IdleTimeout is how long an unused connection is kept if its target says nothing
-	// of that; it is shorter than any target's own limit.
+	// IdleTimeout is how long an idle connection is kept if its target announces no keep-alive
+	// timeout; it is shorter than any target's own limit.
 	IdleTimeout time.Duration
-	// MaxPerTarget bounds the connections to one address; zero is no bound.
+	// MaxPerTarget returns the limit of connections to an address; nil or zero means no limit.
 	MaxPerTarget func(at netip.AddrPort) int
-	// SilentAfter is how long a kept connection may say nothing before an exchange
-	// that is given up shows that it is silent; zero never takes one for that.
+	// SilentAfter is how long an abandoned exchange must have waited for bytes on a kept
+	// connection before that counts as silent; zero turns the detection off.
 	SilentAfter time.Duration
-	// OnSilent hears of each such connection; nil hears nothing.
+	// OnSilent is called for each connection found silent; may be nil.
 	OnSilent func(at netip.AddrPort, waited time.Duration)
-	// OnDial hears of each new connection; nil hears nothing.
+	// OnDial is called for each new connection; may be nil.
 	OnDial func(at netip.AddrPort)
 
 	mu sync.Mutex
-	// idle holds unused connections, the last used at the end.
+	// idle holds idle connections, the most recently used last.
 	idle map[netip.AddrPort][]*connection
-	// answerStarts holds the last answers' heads, by address.
+	// answerStarts holds when the latest answers began, by address.
 	answerStarts map[netip.AddrPort][]answerStart
-	// open counts connections, used or not.
+	// open counts connections, idle and in use.
 	open map[netip.AddrPort]int
 }
 
-// Request is what goes out. Header holds end-to-end headers only; the length
-// and the connection's own headers are added.
+// Request is a request to send. Header holds end-to-end headers only; Content-Length and
+// hop-by-hop headers are added.
 type Request struct {
 	Method string
-	// Path is the request target as it goes on the wire: escaped, with query.
+	// Path is the request target as sent: escaped, with the query.
 	Path   string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// NotAfter is when the request must not leave this box any more, by the clock of
-	// package boottime; zero lets it leave at any time. A context tells that late if
-	// the machine was suspended while a connection was made.
+	// NotAfter is when the request may no longer leave this box, by the clock of package boottime;
+	// zero means no limit. A context would notice too late if the machine was suspended while
+	// connecting.
 	NotAfter time.Time
-	// Allow is asked right before the first byte leaves this box, when a connection
-	// stands, however long that took; its error, which comes with ErrNotSent, keeps the
-	// request here. Nil allows it.
+	// Allow is called right before the first byte leaves this box, when the connection is
+	// established, however long that took. An error keeps the request from being sent and is
+	// wrapped together with ErrNotSent. Nil allows it.
 	Allow func() error
 }
 
-// blockedBy returns why the request must not leave this box, or nil.
+// blockedBy returns why the request may not leave this box, or nil.
 func (r *Request) blockedBy() error {
 	if r.expired() {
 		return ErrLate
@@ -90,10 +90,10 @@
 	return nil
 }
 
-// expired says that the request must not leave this box any more.
+// expired reports whether NotAfter has passed.
 func (r *Request) expired() bool { return !r.NotAfter.IsZero() && !boottime.Now().Before(r.NotAfter) }
 
-// acquire returns a kept connection that looks sound, or a new one.
+// acquire returns a usable idle connection, or a new one.
 func (c *Client) acquire(ctx context.Context, at netip.AddrPort) (*connection, error) {
 	for {
 		kept := c.takeIdle(at)
@@ -126,13 +126,13 @@
 }
 
 func (c *Client) reserve(at netip.AddrPort) bool {
-	most := 0
+	limit := 0
 	if c.MaxPerTarget != nil {
-		most = c.MaxPerTarget(at)
+		limit = c.MaxPerTarget(at)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if most > 0 && c.open[at] >= most {
+	if limit > 0 && c.open[at] >= limit {
 		return false
 	}
 	if c.open == nil {
@@ -151,13 +151,13 @@
 	}
 }
 
-// closeConnection closes a connection for good.
+// closeConnection closes a connection and frees its place under the limit.
 func (c *Client) closeConnection(conn *connection) {
-	_ = conn.Close() // Nothing is left to learn from a connection in doubt.
+	_ = conn.Close() // The connection is discarded, so the error does not matter.
 	c.release(conn.at)
 }
 
-// HasIdle says that an unused connection to a target is kept.
+// HasIdle reports whether there is an idle connection to a target.
 func (c *Client) HasIdle(at netip.AddrPort) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,13 +177,13 @@
 	return last
 }
 
-// putIdle puts a connection back for the next request.
+// putIdle makes a connection available after its exchange.
 func (c *Client) putIdle(conn *connection) {
 	conn.idleSince = boottime.Now()
 	c.addIdle(conn)
 }
 
-// addIdle makes a connection that can be used ready for the next request.
+// addIdle makes a usable connection available for the next request.
 func (c *Client) addIdle(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,8 +193,7 @@
 	c.idle[conn.at] = append(c.idle[conn.at], conn)
 }
 
-// Sweep closes connections that were unused for too long or that their targets
-// closed. Call it about once a second.
+// Sweep closes connections that have been idle for too long. Call it about once a second.
 func (c *Client) Sweep(now time.Time) {
 	for _, conn := range c.removeExpired(now) {
 		c.closeConnection(conn)
@@ -224,7 +223,7 @@
 	return old
 }
 
-// CloseIdle closes the unused connections to an address that is gone.
+// CloseIdle closes the idle connections to an address that is gone.
 func (c *Client) CloseIdle(at netip.AddrPort) {
 	for conn := c.takeIdle(at); conn != nil; conn = c.takeIdle(at) {
 		c.closeConnection(conn)
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -16,14 +16,14 @@
 	"github.com/thymewind/thymewind/exchange"
 )
 
-// testTarget is a server that does with each connection what a test says.
+// testTarget is a server that handles each connection as a test says.
 type testTarget struct {
 	at netip.AddrPort
-	// requests gets each request as it was read.
+	// requests receives each request read.
 	requests chan *http.Request
 }
 
-// serve runs do for each connection, with its number from 0.
+// serve runs do for each connection, with its index from 0.
 func serve(t *testing.T, do func(n int, conn *net.TCPConn, requests func() *http.Request)) *testTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,7 +61,7 @@
 	return &exchange.Client{Dial: (&net.Dialer{}).DialContext, DialTimeout: time.Second, IdleTimeout: time.Minute}
 }
 
-// ask does one exchange and reads the answer whole.
+// ask does one exchange and reads the whole answer.
 func ask(c *exchange.Client, at netip.AddrPort, r *exchange.Request) (int, string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -79,20 +79,20 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// TestConnections says which connections are used again.
+// TestConnections checks which connections are reused.
 func TestConnections(t *testing.T) {
 	tests := []struct {
 		name   string
 		answer string
-		// reused says that the second request comes on the first connection.
+		// reused is whether the second request comes on the first connection.
 		reused bool
 	}{
-		{"whole answer", okAnswer, true},
+		{"complete answer", okAnswer, true},
 		{"chunked answer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", true},
 		{"informational answer first", "HTTP/1.1 103 Early Hints\r\n\r\n" + okAnswer, true},
-		{"the target says close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false},
-		{"a surplus answer behind", okAnswer + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother", false},
-		{"kept for no time", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", false},
+		{"the target asks to close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false},
+		{"a second, unsolicited answer", okAnswer + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother", false},
+		{"keep-alive timeout of zero", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -116,21 +116,21 @@
 	}
 }
 
-// TestNoAutomaticResend has a target drop the connection at different moments: the
-// request is read once at most, and the error says whether anything was sent.
+// TestNoAutomaticResend has a target drop the connection at different moments: the request is read
+// at most once, and the error says whether anything was sent.
 func TestNoAutomaticResend(t *testing.T) {
 	tests := []struct {
 		name string
-		// before is what the first request on the connection gets.
+		// second handles the second request on the connection.
 		second func(conn *net.TCPConn, next func() *http.Request)
 		reads  int
 	}{
 		{"closed after the request was read", func(_ *net.TCPConn, next func() *http.Request) { next() }, 2},
-		{"half an answer", func(conn *net.TCPConn, next func() *http.Request) {
+		{"partial answer", func(conn *net.TCPConn, next func() *http.Request) {
 			next()
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhalf")
 		}, 2},
-		{"no HTTP", func(conn *net.TCPConn, next func() *http.Request) {
+		{"not HTTP", func(conn *net.TCPConn, next func() *http.Request) {
 			next()
 			_, _ = io.WriteString(conn, "what?\r\n\r\n")
 		}, 2},
@@ -161,8 +161,8 @@
 	}
 }
 
-// TestIdleClosed has the target close a kept connection: the next request goes
-// out on a new one, as nothing was sent on the old.
+// TestIdleClosed has the target close a kept connection: the next request is sent on a new one, as
+// nothing was sent on the old one.
 func TestIdleClosed(t *testing.T) {
 	closed := make(chan struct{})
 	x := serve(t, func(n int, conn *net.TCPConn, next func() *http.Request) {
@@ -185,7 +185,7 @@
 	}
 }
 
-// TestNotSent covers what never leaves this box.
+// TestNotSent covers requests that never leave this box.
 func TestNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -194,7 +194,7 @@
 	at := netip.MustParseAddrPort(l.Addr().String())
 	_ = l.Close()
 	if _, _, err := ask(newClient(), at, &exchange.Request{Method: "GET", Path: "/", Host: "h"}); !errors.Is(err, exchange.ErrNotSent) {
-		t.Errorf("a dead port: %v", err)
+		t.Errorf("a closed port: %v", err)
 	}
 	x := serve(t, func(_ int, conn *net.TCPConn, next func() *http.Request) {
 		next()
@@ -208,7 +208,7 @@
 		t.Fatal(err)
 	}
 	if _, _, err := ask(c, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h"}); !errors.Is(err, exchange.ErrConnectionLimit) || !errors.Is(err, exchange.ErrNotSent) {
-		t.Errorf("over the bound: %v", err)
+		t.Errorf("over the limit: %v", err)
 	}
 	first.Close()
 	if n := len(x.requests); n != 1 {
@@ -216,7 +216,8 @@
 	}
 }
 
-// TestBodyWithoutLength is whole only if its connection ends in order.
+// TestBodyWithoutLength checks that a body without a length is complete only if the connection is
+// closed without a reset.
 func TestBodyWithoutLength(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -251,9 +252,8 @@
 	}
 }
 
-// TestEarlyAnswer has a target answer before it has read a long body: the
-// answer comes, and the connection is not used again, where the rest of the
-// body would be taken for the next request.
+// TestEarlyAnswer has a target answer before it has read a long body: the answer arrives, and the
+// connection is not reused, as the rest of the body would be taken for the next request.
 func TestEarlyAnswer(t *testing.T) {
 	x := serve(t, func(n int, conn *net.TCPConn, next func() *http.Request) {
 		if n == 0 {
@@ -262,7 +262,7 @@
 				return
 			}
 			_, _ = io.WriteString(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n")
-			return // It holds the connection and reads nothing more.
+			return // The connection stays open, but nothing more is read.
 		}
 		next()
 		_, _ = io.WriteString(conn, okAnswer)
@@ -277,7 +277,7 @@
 	}
 }
 
-// TestCancel breaks an exchange off when its context ends.
+// TestCancel ends an exchange's context while its answer is being read.
 func TestCancel(t *testing.T) {
 	left := make(chan struct{})
 	x := serve(t, func(_ int, conn *net.TCPConn, next func() *http.Request) {
@@ -293,13 +293,13 @@
 	}
 	cancel()
 	if _, err := io.ReadAll(answer); err == nil {
-		t.Error("the body read on after its context ended")
+		t.Error("the body was read to its end after the context had ended")
 	}
 	answer.Close()
 	<-left
 }
 
-// TestSweep closes what was unused for too long.
+// TestSweep checks that connections are closed after IdleTimeout.
 func TestSweep(t *testing.T) {
 	ended := make(chan struct{})
 	x := serve(t, func(_ int, conn *net.TCPConn, next func() *http.Request) {
@@ -313,17 +313,16 @@
 		t.Fatal(err)
 	}
 	if !c.HasIdle(x.at) {
-		t.Error("no connection rests after a request")
+		t.Error("no idle connection after a request")
 	}
 	c.Sweep(time.Now().Add(2 * time.Minute))
 	<-ended
 	if c.HasIdle(x.at) {
-		t.Error("a connection that is closed rests")
+		t.Error("a closed connection is listed as idle")
 	}
 }
 
-// TestNotAfter lets nothing leave when it is too late, also if the connection was made in
-// time; the connection is kept.
+// TestNotAfter checks that nothing is sent after NotAfter, and that the connection is kept.
 func TestNotAfter(t *testing.T) {
 	now := boottime.Now()
 	tests := []struct {
@@ -354,8 +353,8 @@
 	}
 }
 
-// TestAllow asks right before a request leaves, on a new connection and on one that is
-// kept; what is kept back costs no connection.
+// TestAllow checks that Allow is called right before a request is sent, on a new connection and on
+// a kept one, and that a request held back does not cost its connection.
 func TestAllow(t *testing.T) {
 	x := serve(t, func(_ int, conn *net.TCPConn, requests func() *http.Request) {
 		for requests() != nil {
@@ -371,9 +370,9 @@
 		allow error
 	}{
 		{"on a new connection", errNot},
-		{"on the one that was kept", nil},
-		{"on a kept one", errNot},
-		{"and again", nil},
+		{"on the kept connection", nil},
+		{"on a kept connection", errNot},
+		{"allowed again", nil},
 	}
 	for _, s := range steps {
 		_, _, err := ask(c, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h", Allow: func() error { return s.allow }})
--- a/exchange/silent.go
+++ b/exchange/silent.go
@@ -8,7 +8,7 @@
 	"github.com/thymewind/thymewind/boottime"
 )
 
-// Read reads and notes since when it waits, if nothing comes.
+// Read records how long it has been waiting while no bytes arrive.
 func (c *connection) Read(b []byte) (int, error) {
 	c.readingSince = boottime.Now()
 	n, err := c.Conn.Read(b)
@@ -18,14 +18,14 @@
 	return n, err
 }
 
-// maxAnswerStarts is how many of the last answers' heads from an address are remembered. The
-// news of an engine alone brings one in 0.4 s at most.
+// maxAnswerStarts is how many answers per address are remembered. The feed of cache events from an
+// engine alone brings one at least every 0.4 s.
 const maxAnswerStarts = 16
 
-// answerStart is when an answer began, on a connection that was made at a time.
+// answerStart is when an answer began, on a connection opened at openedAt.
 type answerStart struct{ at, openedAt time.Time }
 
-// recordAnswerStart notes that an answer began.
+// recordAnswerStart records that an answer began.
 func (c *Client) recordAnswerStart(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,21 +42,22 @@
 	c.answerStarts[conn.at] = append(list, answerStart{boottime.Now(), conn.openedAt})
 }
 
-// answeredSince says that the target began an answer since a time on a connection
-// that was there before.
+// answeredSince reports whether the target began an answer after since on a connection that was
+// open before.
 func (c *Client) answeredSince(at netip.AddrPort, since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.ContainsFunc(c.answerStarts[at], func(h answerStart) bool { return h.at.After(since) && h.openedAt.Before(since) })
 }
 
-// checkSilence looks whether an exchange that was given up shows that its
-// connection is silent. Only a kept one shows that: a target may be slow to answer
-// on a new one. A busy target that has a request wait shows nothing either, as long
-// as it answers on other connections as old: taken for silent, it had all requests
-// that waited there run twice once a single caller left. The unused connections on
-// which nothing came since either may be silent as well and are closed, as each
-// would cost a request: one costs one in all.
+// checkSilence reports the connection of an abandoned exchange as silent if no bytes came for
+// SilentAfter. Only a reused connection can be found silent: a target may be slow to answer on a
+// new one. Neither is a connection silent while the target answers on others that were open before
+// the wait began: the target is busy and has queued this request. Treating that as silence made
+// all requests queued at a target run twice as soon as one caller left.
+//
+// Idle connections on which nothing has arrived since may be silent too. They are closed, so that
+// they cost one request in total instead of one each.
 func (a *Answer) checkSilence() {
 	c, conn := a.client, a.conn
 	if c.SilentAfter == 0 || !conn.reused || conn.readingSince.IsZero() {
@@ -66,29 +67,28 @@
 	if waited < c.SilentAfter || c.answeredSince(conn.at, conn.readingSince) {
 		return
 	}
-	c.closeIdleSince(conn.at, conn.readingSince)
+	c.closeIdleBefore(conn.at, conn.readingSince)
 	if c.OnSilent != nil {
 		c.OnSilent(conn.at, waited)
 	}
 }
 
-// closeIdleSince closes the unused connections to an address on which nothing came
-// since a time.
-func (c *Client) closeIdleSince(at netip.AddrPort, since time.Time) {
+// closeIdleBefore closes the idle connections to an address that were last used before since.
+func (c *Client) closeIdleBefore(at netip.AddrPort, since time.Time) {
 	c.mu.Lock()
-	var doubted []*connection
+	var suspects []*connection
 	c.idle[at] = slices.DeleteFunc(c.idle[at], func(conn *connection) bool {
-		unheard := conn.idleSince.Before(since)
-		if unheard {
-			doubted = append(doubted, conn)
+		stale := conn.idleSince.Before(since)
+		if stale {
+			suspects = append(suspects, conn)
 		}
-		return unheard
+		return stale
 	})
 	if len(c.idle[at]) == 0 {
 		delete(c.idle, at)
 	}
 	c.mu.Unlock()
-	for _, conn := range doubted {
+	for _, conn := range suspects {
 		c.closeConnection(conn)
 	}
 }
--- a/exchange/silent_test.go
+++ b/exchange/silent_test.go
@@ -15,11 +15,11 @@
 	"github.com/thymewind/thymewind/internal/loopback"
 )
 
-// silentAfter is what these tests' clients wait at least.
+// silentAfter is SilentAfter for the clients of these tests.
 const silentAfter = 50 * time.Millisecond
 
-// clientBehindProxy is a client of a target behind a proxy, and how often it said that a
-// connection is silent.
+// clientBehindProxy returns a client, a proxy in front of its target, and the number of
+// connections reported silent.
 func clientBehindProxy(t *testing.T) (*exchange.Client, *loopback.Proxy, *atomic.Int64) {
 	t.Helper()
 	x := serve(t, func(_ int, conn *net.TCPConn, requests func() *http.Request) {
@@ -28,13 +28,13 @@
 		}
 	})
 	link := loopback.New(t, x.at)
-	said := &atomic.Int64{}
+	reported := &atomic.Int64{}
 	c := newClient()
-	c.SilentAfter, c.OnSilent = silentAfter, func(netip.AddrPort, time.Duration) { said.Add(1) }
-	return c, link, said
+	c.SilentAfter, c.OnSilent = silentAfter, func(netip.AddrPort, time.Duration) { reported.Add(1) }
+	return c, link, reported
 }
 
-// openIdle opens connections and leaves them unused.
+// openIdle opens n connections and leaves them idle.
 func openIdle(t *testing.T, c *exchange.Client, at netip.AddrPort, n int) {
 	t.Helper()
 	var answers []*exchange.Answer
@@ -53,7 +53,7 @@
 	}
 }
 
-// doWithTimeout sends a request and gives it up after a time.
+// doWithTimeout sends a request and abandons it after a time.
 func doWithTimeout(c *exchange.Client, at netip.AddrPort, after time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), after)
 	defer cancel()
@@ -66,42 +66,42 @@
 
 func anyConnection(string) bool { return true }
 
-// TestSilentIdleConnections silences kept connections: they cost one request, not one each.
+// TestSilentIdleConnections silences all kept connections: they cost one request in total, not one
+// each.
 func TestSilentIdleConnections(t *testing.T) {
-	c, link, said := clientBehindProxy(t)
+	c, link, reported := clientBehindProxy(t)
 	openIdle(t, c, link.At, 4)
 	if n := link.Hush(anyConnection); n != 4 {
 		t.Fatalf("silenced %d", n)
 	}
 	if err := doWithTimeout(c, link.At, 2*silentAfter); !errors.Is(err, context.DeadlineExceeded) {
-		t.Fatalf("the first request: %v", err)
+		t.Fatalf("first request: %v", err)
 	}
 	for range 3 {
 		if status, _, err := ask(c, link.At, &exchange.Request{Method: "GET", Path: "/"}); err != nil || status != http.StatusOK {
-			t.Errorf("a request behind it: %d, %v", status, err)
+			t.Errorf("a later request: %d, %v", status, err)
 		}
 	}
-	if said.Load() != 1 || link.Came() != 5 {
-		t.Errorf("said %d times, %d connections came", said.Load(), link.Came())
+	if reported.Load() != 1 || link.Came() != 5 {
+		t.Errorf("%d reported silent, %d connections opened", reported.Load(), link.Came())
 	}
 }
 
-// TestNotSilent gives requests up without any sign that their connection is
-// silent: the kept ones stay.
+// TestNotSilent abandons requests without evidence that their connection is silent: the kept
+// connections stay.
 func TestNotSilent(t *testing.T) {
 	tests := []struct {
 		name string
-		// kept is how many connections are left unused, after is when the request
-		// is given up.
+		// kept is the number of idle connections, after is when the request is abandoned.
 		kept  int
 		after time.Duration
 	}{
-		{"given up early", 3, silentAfter / 5},
+		{"abandoned early", 3, silentAfter / 5},
 		{"a new connection to a target that hangs", 0, 2 * silentAfter},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c, link, said := clientBehindProxy(t)
+			c, link, reported := clientBehindProxy(t)
 			openIdle(t, c, link.At, tt.kept)
 			link.Set(loopback.Delays)
 			link.SetDelay(10 * silentAfter)
@@ -110,17 +110,17 @@
 			}
 			link.Set(loopback.Passes)
 			openIdle(t, c, link.At, max(tt.kept-1, 0))
-			if want := max(tt.kept, 1); said.Load() != 0 || link.Came() != want {
-				t.Errorf("said %d times, %d connections came, want %d", said.Load(), link.Came(), want)
+			if want := max(tt.kept, 1); reported.Load() != 0 || link.Came() != want {
+				t.Errorf("%d reported silent, %d connections opened, want %d", reported.Load(), link.Came(), want)
 			}
 		})
 	}
 }
 
-// TestSlowReader has whoever reads an answer stop for long and then give it up:
-// that says nothing of the connection.
+// TestSlowReader stops reading an answer for a long time and then abandons it: that is no evidence
+// about the connection.
 func TestSlowReader(t *testing.T) {
-	c, link, said := clientBehindProxy(t)
+	c, link, reported := clientBehindProxy(t)
 	openIdle(t, c, link.At, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	a, err := c.Do(ctx, link.At, &exchange.Request{Method: "GET", Path: "/", Header: http.Header{}})
@@ -130,13 +130,13 @@
 	<-time.After(2 * silentAfter)
 	cancel()
 	a.Close()
-	if said.Load() != 0 {
-		t.Error("taken for silent")
+	if reported.Load() != 0 {
+		t.Error("the connection was reported silent")
 	}
 }
 
-// TestSilentStream silences a stream under way: whoever reads it gives it up, and
-// the unused connections that were not heard of since are not used any more.
+// TestSilentStream silences the connection of a running stream: when its reader gives up, idle
+// connections without traffic since are not used any more.
 func TestSilentStream(t *testing.T) {
 	x := serve(t, func(_ int, conn *net.TCPConn, requests func() *http.Request) {
 		for r := requests(); r != nil; r = requests() {
@@ -148,9 +148,9 @@
 		}
 	})
 	link := loopback.New(t, x.at)
-	said := &atomic.Int64{}
+	reported := &atomic.Int64{}
 	c := newClient()
-	c.SilentAfter, c.OnSilent = silentAfter, func(netip.AddrPort, time.Duration) { said.Add(1) }
+	c.SilentAfter, c.OnSilent = silentAfter, func(netip.AddrPort, time.Duration) { reported.Add(1) }
 	openIdle(t, c, link.At, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -166,21 +166,21 @@
 	timer := time.AfterFunc(2*silentAfter, cancel)
 	defer timer.Stop()
 	if _, err := a.Read(first); err == nil {
-		t.Error("read on")
+		t.Error("the silenced stream could still be read")
 	}
 	a.Close()
-	if status, _, err := ask(c, link.At, &exchange.Request{Method: "GET", Path: "/"}); err != nil || status != http.StatusOK || said.Load() != 1 {
-		t.Errorf("the next request: %d, %v; said %d times", status, err, said.Load())
+	if status, _, err := ask(c, link.At, &exchange.Request{Method: "GET", Path: "/"}); err != nil || status != http.StatusOK || reported.Load() != 1 {
+		t.Errorf("next request: %d, %v; %d reported silent", status, err, reported.Load())
 	}
 }
 
-// TestBusyIsNotSilent has a target let one request wait while it answers others, on
-// connections as old: it is not taken for silent when that one is given up.
+// TestBusyIsNotSilent has a target leave one request waiting while it answers others on
+// connections that are as old: abandoning the request does not mark the connection silent.
 func TestBusyIsNotSilent(t *testing.T) {
 	tests := []struct {
-		name   string
-		others bool // Whether other requests are answered meanwhile.
-		said   int64
+		name     string
+		others   bool // Whether other requests are answered meanwhile.
+		reported int64
 	}{
 		{"others are answered", true, 0},
 		{"nothing is answered", false, 1},
@@ -190,14 +190,14 @@
 			x := serve(t, func(_ int, conn *net.TCPConn, requests func() *http.Request) {
 				for r := requests(); r != nil; r = requests() {
 					if r.URL.Path == "/queued" {
-						continue // It waits for its turn.
+						continue // The request stays queued.
 					}
 					_, _ = io.WriteString(conn, okAnswer)
 				}
 			})
-			said := &atomic.Int64{}
+			reported := &atomic.Int64{}
 			c := newClient()
-			c.SilentAfter, c.OnSilent = silentAfter, func(netip.AddrPort, time.Duration) { said.Add(1) }
+			c.SilentAfter, c.OnSilent = silentAfter, func(netip.AddrPort, time.Duration) { reported.Add(1) }
 			openIdle(t, c, x.at, 5)
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan error, 1)
@@ -220,8 +220,8 @@
 			if err := <-done; !errors.Is(err, context.Canceled) {
 				t.Fatal(err)
 			}
-			if got := said.Load(); got != tt.said {
-				t.Errorf("said silent %d times, want %d", got, tt.said)
+			if got := reported.Load(); got != tt.reported {
+				t.Errorf("%d reported silent, want %d", got, tt.reported)
 			}
 		})
 	}
--- a/peer/link.go
+++ b/peer/link.go
@@ -28,7 +28,7 @@
 	// given up, so that one call in vain is enough. With a fixed second, the shares
 	// of a box behind a silent connection were missing for 2.6 s.
 	minSilence = 250 * time.Millisecond
-	maxSilence  = time.Second
+	maxSilence = time.Second
 	// writeQueueSize is how many messages may wait to be written.
 	writeQueueSize = 64
 )
@@ -50,8 +50,8 @@
 	// dialDone is closed when the dial under way ends; nil if none is.
 	dialDone chan struct{}
 	// dialErr is the last dial's error.
-	dialErr error
-	lastUsed    time.Time
+	dialErr  error
+	lastUsed time.Time
 }
 
 // call sends a message and waits for its answer.
@@ -125,20 +125,20 @@
 // connection is one connection to a peer. Calls share it and are answered in any
 // order.
 type connection struct {
-	node  *Node
-	at    netip.AddrPort
+	node          *Node
+	at            netip.AddrPort
 	answerTimeout *adaptive.Timeout
-	conn  *websocket.Conn
+	conn          *websocket.Conn
 	// queue holds messages that wait to be written.
 	queue chan []byte
 	// closed is closed when the connection is.
-	closed chan struct{}
-	closeOnce  sync.Once
+	closed    chan struct{}
+	closeOnce sync.Once
 
 	mu sync.Mutex
 	// lastNumber numbers the calls; waiting holds those that have no answer yet.
-	lastNumber    uint64
-	pending map[uint64]pendingCall
+	lastNumber uint64
+	pending    map[uint64]pendingCall
 	// unansweredSince is when the first call went out since anything came; zero if none did.
 	unansweredSince time.Time
 }
@@ -146,7 +146,7 @@
 // pendingCall is a call that has no answer yet; the channel has room for it.
 type pendingCall struct {
 	answer chan Message
-	sentAt  time.Time
+	sentAt time.Time
 }
 
 func newConnection(l *link, conn *websocket.Conn) *connection {
--- a/peer/link_test.go
+++ b/peer/link_test.go
@@ -23,7 +23,7 @@
 	entered chan struct{}
 	// connections counts the connections that came.
 	connections atomic.Int64
-	at      netip.AddrPort
+	at          netip.AddrPort
 }
 
 func startSlowPeer(t *testing.T) *slowPeer {
