--- a/caller/complete.go
+++ b/caller/complete.go
@@ -39,7 +39,7 @@
 }
 
 // complete runs a model request and writes its answer, streamed or whole.
-func (c *call) complete(a completionRequest, prompt string, chat bool) error {
+func (c *call) complete(a ask, prompt string, chat bool) error {
 	timeout, err := c.timeout()
 	if err != nil {
 		return err
--- a/caller/once.go
+++ b/caller/once.go
@@ -18,8 +18,8 @@
 // errReplayed says that the caller is given the answer of an earlier run.
 var errReplayed = errors.New("answered by an earlier run")
 
-// storedAnswer is a complete answer as stored for a caller that retries.
-type storedAnswer struct {
+// stored is a complete answer as stored for a caller that retries.
+type stored struct {
 	Text string       `json:"text"`
 	End  stream.Frame `json:"end"`
 }
@@ -28,7 +28,7 @@
 func (c *call) notRepeatable() bool { return c.r.Header.Get(forward.HeaderNotRepeatable) != "" }
 
 // runOnce runs a request marked not repeatable at most once for its account and key.
-func (c *call) runOnce(ctx context.Context, a completionRequest, request relay.Request, out *completionWriter) error {
+func (c *call) runOnce(ctx context.Context, a ask, request relay.Request, out *completionWriter) error {
 	key := c.r.Header.Get(forward.HeaderKey)
 	if key == "" {
 		return bad("key_missing", "a request marked not repeatable needs an %s header", forward.HeaderKey)
@@ -65,7 +65,7 @@
 
 // store stores a complete answer, before the caller learns that it is complete.
 func (a *completionWriter) store(ctx context.Context, p *idempotency.Permit, end stream.Frame) {
-	body, err := json.Marshal(storedAnswer{a.text.String(), end})
+	body, err := json.Marshal(stored{a.text.String(), end})
 	if err != nil {
 		return
 	}
@@ -78,7 +78,7 @@
 
 // replay sends the caller the answer of an earlier run, in the requested format.
 func (a *completionWriter) replay(earlier *claim.Answer) error {
-	var s storedAnswer
+	var s stored
 	if err := json.Unmarshal(earlier.Body, &s); err != nil {
 		return trace.Wrap(err)
 	}
--- a/caller/request.go
+++ b/caller/request.go
@@ -18,9 +18,9 @@
 	maxMaxTokens     = 32768
 )
 
-// completionRequest is the body of a chat or text completion; other fields are ignored, as the API
+// ask is the body of a chat or text completion; other fields are ignored, as the API
 // allows.
-type completionRequest struct {
+type ask struct {
 	Model               string          `json:"model"`
 	Messages            []message       `json:"messages"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -54,8 +54,8 @@
 }
 
 // decode reads the body and checks what both kinds of completion have in common.
-func (c *call) decode() (completionRequest, error) {
-	var a completionRequest
+func (c *call) decode() (ask, error) {
+	var a ask
 	data, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, c.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -82,7 +82,7 @@
 }
 
 // maxTokens returns the largest number of tokens that the caller wants.
-func (a completionRequest) maxTokens() int {
+func (a ask) maxTokens() int {
 	switch {
 	case a.MaxCompletionTokens != nil:
 		return *a.MaxCompletionTokens
