--- a/caller/request.go
+++ b/caller/request.go
@@ -19,7 +19,7 @@
 )
 
 // ask is the body of a chat or text completion; other fields are ignored, as the API
-// allows.
+// allows. JSON errors that are sent to callers contain the type's name.
 type ask struct {
 	Model               string          `json:"model"`
 	Messages            []message       `json:"messages"`
--- a/peer/node_test.go
+++ b/peer/node_test.go
@@ -31,7 +31,7 @@
 	}{
 		{"the shared credential", "secret", true},
 		{"another credential", "Secret", false},
-		{"no credential", "", false},
+		{"none", "", false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
