--- a/peer/hub.go
+++ b/peer/hub.go
@@ -101,7 +101,7 @@
 	WeightVersions map[string][]WeightVersion `cbor:"6,keyasint"`
 	// Evacuated are the failure domains that must get no work.
 	Evacuated []string `cbor:"7,keyasint,omitempty"`
-	// Quarantined are the requests that the hub refuses because targets crashed under them.
+	// Quarantined are the requests that the hub refuses because targets ended while running them.
 	// QuarantineVersion numbers that set, which is sent only if the asking box has another one.
 	Quarantined       []fingerprint.Sum `cbor:"8,keyasint,omitempty"`
 	QuarantineVersion uint64            `cbor:"9,keyasint,omitempty"`
@@ -168,7 +168,7 @@
 	Versions map[string]int64 `cbor:"8,keyasint,omitempty"`
 	// StartedMS is when the target's incarnation began, in Unix milliseconds; zero if unknown.
 	StartedMS int64 `cbor:"10,keyasint,omitempty"`
-	// ColdMS is the remaining time of the target's slow start, in milliseconds.
+	// ColdMS is the remaining time of the target's cold start, in milliseconds.
 	ColdMS int64 `cbor:"9,keyasint,omitempty"`
 	// Lapsed says that the entry is missing from the list after an outage, or after the hub alone
 	// was cut off, and may come back.
--- a/peer/link.go
+++ b/peer/link.go
@@ -222,10 +222,10 @@
 // then returns ErrSilent instead of err.
 func (c *connection) checkSilence(err error) error {
 	c.mu.Lock()
-	asked := c.unansweredSince
+	since := c.unansweredSince
 	c.mu.Unlock()
-	waited := time.Since(asked)
-	if asked.IsZero() || waited < c.answerTimeout.Wait() {
+	waited := time.Since(since)
+	if since.IsZero() || waited < c.answerTimeout.Wait() {
 		return err
 	}
 	if !c.isOpen() {
--- a/peer/message.go
+++ b/peer/message.go
@@ -17,7 +17,7 @@
 
 // Message is a request between daemons; answers have the same type. It carries soft state only:
 // correctness does not depend on any one message. The field numbers 21 and 26 had other meanings
-// in earlier releases and must not be reused.
+// in earlier releases.
 type Message struct {
 	Kind string `cbor:"1,keyasint"`
 	// From names the sending box.
@@ -50,8 +50,8 @@
 	// EndedIncarnations are incarnations of targets known to have ended, because another replica
 	// has the address or the target started again.
 	EndedIncarnations []Incarnation `cbor:"20,keyasint,omitempty"`
-	// CrashReports are requests that were running on targets when these crashed, as the sender
-	// found recently; Lifted are such requests that completed after all.
+	// CrashReports are requests that were running on targets when these ended, as the sender found
+	// recently; Lifted are such requests that completed after all.
 	CrashReports []CrashReport     `cbor:"23,keyasint,omitempty"`
 	Lifted       []fingerprint.Sum `cbor:"24,keyasint,omitempty"`
 	// QuarantineVersion is the version of the hub's quarantine that the sender has.
@@ -100,7 +100,7 @@
 	StartedMS int64 `cbor:"2,keyasint,omitempty"`
 }
 
-// CrashReport names the requests that were running on a target when it crashed.
+// CrashReport names the requests that were running on a target when it ended.
 type CrashReport struct {
 	// Incarnation is the key of the target's incarnation, the same on all boxes.
 	Incarnation  string            `cbor:"1,keyasint"`
--- a/peer/node.go
+++ b/peer/node.go
@@ -190,10 +190,10 @@
 	onRead func()
 }
 
-func (h notifyingReader) Read(b []byte) (int, error) {
-	n, err := h.Reader.Read(b)
+func (r notifyingReader) Read(b []byte) (int, error) {
+	n, err := r.Reader.Read(b)
 	if n > 0 {
-		h.onRead()
+		r.onRead()
 	}
 	return n, err
 }
--- a/peer/ratelimit.go
+++ b/peer/ratelimit.go
@@ -36,12 +36,12 @@
 	if l.AgeMS < 0 || !(l.PerSecond >= 0) {
 		return notice.TargetLimit{}, trace.BadParameter("rate limit of target %q is out of range: %v requests a second, %d ms old", l.Target, l.PerSecond, l.AgeMS)
 	}
-	life := fleet.Incarnation{ID: l.Target}
+	incarnation := fleet.Incarnation{ID: l.Target}
 	if l.StartedMS != 0 {
-		life.StartedAt = time.UnixMilli(l.StartedMS)
+		incarnation.StartedAt = time.UnixMilli(l.StartedMS)
 	}
 	return notice.TargetLimit{
-		Incarnation: life,
+		Incarnation: incarnation,
 		Limit:       notice.Limit{Active: l.Active, PerSecond: l.PerSecond, At: made.Add(-time.Duration(l.AgeMS) * time.Millisecond)},
 	}, nil
 }
