--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -38,8 +38,8 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// DialTimeout bounds how long connecting may take.
 	DialTimeout time.Duration
-	// IdleTimeout is how long an idle connection is kept if its target announces no keep-alive
-	// timeout; it is shorter than any target's own limit.
+	// IdleTimeout is how long an idle connection is kept, unless its target announces a shorter
+	// keep-alive timeout; it is shorter than any target's own limit.
 	IdleTimeout time.Duration
 	// MaxPerTarget returns the limit of connections to an address; nil or zero means no limit.
 	MaxPerTarget func(at netip.AddrPort) int
@@ -60,8 +60,8 @@
 	open map[netip.AddrPort]int
 }
 
-// Request is a request to send. Header holds end-to-end headers only; Content-Length and
-// hop-by-hop headers are added.
+// Request is a request to send. Header holds end-to-end headers only; Host and Content-Length are
+// added.
 type Request struct {
 	Method string
 	// Path is the request target as sent: escaped, with the query.
