--- a/caller/caller.go
+++ b/caller/caller.go
@@ -1,6 +1,5 @@
-// Package caller is the HTTP front for callers: the OpenAI-compatible API for
-// models, a path prefix per pool for plain services, and the resuming of cut
-// streams.
+// Package caller is the HTTP front for callers: the OpenAI-compatible API for models, a path
+// prefix per pool for plain services, and resuming interrupted streams.
 //
 //	f := caller.Front{Configuration: current, Run: relay.Run, ...}
 //	http.Serve(listener, f.Handler())
@@ -26,12 +25,12 @@
 const (
 	// HeaderRequest carries the request ID.
 	HeaderRequest = "X-Request-Id"
-	// HeaderResume carries the resume token, both ways.
+	// HeaderResume carries the resume token, in both directions.
 	HeaderResume = "Thymewind-Resume"
-	// HeaderOffset is the offset behind the last text that the caller has, if
-	// it does not send Last-Event-ID.
+	// HeaderOffset is the offset after the last text that the caller has, if it does not send
+	// Last-Event-ID.
 	HeaderOffset = "Thymewind-Offset"
-	// HeaderOutcome tells what became of a refused request.
+	// HeaderOutcome says what became of a refused request.
 	HeaderOutcome = "Thymewind-Outcome"
 	// HeaderRule says why the target was chosen.
 	HeaderRule = "Thymewind-Rule"
@@ -39,64 +38,64 @@
 	HeaderTimeout = "Thymewind-Timeout"
 )
 
-// servicePrefix is the path before a pool's name.
+// servicePrefix precedes a pool's name in the path.
 const servicePrefix = "/services/"
 
-// Front serves callers. Set the exported fields before Handler; it is safe for
-// concurrent use after that.
+// Front serves callers. Set the exported fields before Handler; it is safe for concurrent use
+// after that.
 type Front struct {
 	// Configuration returns the revision in force; nil before the first.
 	Configuration func() *configuration.Configuration
-	// Permits gives marked requests the permission to run.
+	// Permits ensures that requests marked not repeatable run at most once.
 	Permits *idempotency.Guard
 	Run     func(ctx context.Context, request relay.Request) (stream.Frame, error)
 	Forward func(w http.ResponseWriter, r *http.Request, call forward.Call) error
-	// Resume reads a run again from an offset.
+	// Resume continues the answer of a run from an offset.
 	Resume      func(ctx context.Context, token resume.Token, offset int, write func(text string, offset int) error) (stream.Frame, error)
 	SignToken   func(resume.Token) (string, error)
 	VerifyToken func(text, account string, now time.Time) (resume.Token, error)
-	// OnRefused hears of every refusal, for counters and records.
+	// OnRefused is called for every refusal, for counters and records.
 	OnRefused func(request, account string, r *refusal.Refusal)
-	// RequestID returns a new request ID each time.
+	// RequestID returns a new request ID.
 	RequestID func() string
 	Now       func() time.Time
 	// MaxBodyBytes bounds a request's body.
 	MaxBodyBytes int64
-	// Timeout bounds a request that names no bound of its own.
+	// Timeout bounds every request; callers may set a shorter one.
 	Timeout time.Duration
 	// ResumeRetention is how long engines keep a run for resuming.
 	ResumeRetention time.Duration
 }
 
-// call is one request of a known account.
+// call is one request.
 type call struct {
 	*Front
-	w       http.ResponseWriter
-	r       *http.Request
-	id      string
-	account account.Account
-	config  *configuration.Configuration
+	w             http.ResponseWriter
+	r             *http.Request
+	id            string
+	account       account.Account
+	configuration *configuration.Configuration
 }
 
 // Handler returns the routes.
 func (f *Front) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("/v1/chat/completions", f.known(http.MethodPost, (*call).chat))
-	mux.HandleFunc("/v1/completions", f.known(http.MethodPost, (*call).completion))
-	mux.HandleFunc("/v1/models", f.known(http.MethodGet, (*call).models))
-	mux.HandleFunc("/v1/models/{name...}", f.known(http.MethodGet, (*call).model))
-	mux.HandleFunc("/v1/resume", f.known(http.MethodPost, (*call).resume))
-	mux.HandleFunc(servicePrefix+"{pool}/{path...}", f.known("", (*call).service))
-	mux.HandleFunc("/", f.known("", func(*call) error {
+	mux.HandleFunc("/v1/chat/completions", f.authenticated(http.MethodPost, (*call).chat))
+	mux.HandleFunc("/v1/completions", f.authenticated(http.MethodPost, (*call).completion))
+	mux.HandleFunc("/v1/models", f.authenticated(http.MethodGet, (*call).models))
+	mux.HandleFunc("/v1/models/{name...}", f.authenticated(http.MethodGet, (*call).model))
+	mux.HandleFunc("/v1/resume", f.authenticated(http.MethodPost, (*call).resume))
+	mux.HandleFunc(servicePrefix+"{pool}/{path...}", f.authenticated("", (*call).service))
+	mux.HandleFunc("/", f.authenticated("", func(*call) error {
 		return refusal.New(refusal.DidNotRun, http.StatusNotFound, "unknown_path", "there is nothing at this path")
 	}))
 	return mux
 }
 
-// known wraps what is served to callers with a good key.
-func (f *Front) known(method string, serve func(*call) error) http.HandlerFunc {
+// authenticated wraps a handler for callers with a valid API key.
+func (f *Front) authenticated(method string, serve func(*call) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		c := &call{Front: f, w: w, r: r, id: f.RequestID(), config: f.Configuration()}
+		c := &call{Front: f, w: w, r: r, id: f.RequestID(), configuration: f.Configuration()}
 		w.Header().Set(HeaderRequest, c.id)
 		if err := c.serve(method, serve); err != nil {
 			c.refuse(refusal.Of(err, refusal.Unknown, http.StatusInternalServerError))
@@ -105,11 +104,11 @@
 }
 
 func (c *call) serve(method string, serve func(*call) error) error {
-	if c.config == nil || c.config.Revision == 0 {
+	if c.configuration == nil || c.configuration.Revision == 0 {
 		return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "not_ready", "this box has no configuration yet").After(time.Second)
 	}
 	key, ok := strings.CutPrefix(c.r.Header.Get("Authorization"), "Bearer ")
-	if c.account, ok = c.config.Account(key); !ok {
+	if c.account, ok = c.configuration.Account(key); !ok {
 		return refusal.New(refusal.DidNotRun, http.StatusUnauthorized, "invalid_api_key", "the API key is missing or unknown")
 	}
 	if method != "" && c.r.Method != method {
@@ -119,7 +118,7 @@
 	return serve(c)
 }
 
-// timeout returns how long the caller gives the request.
+// timeout returns the request's timeout.
 func (c *call) timeout() (time.Duration, error) {
 	text := c.r.Header.Get(HeaderTimeout)
 	if text == "" {
@@ -132,7 +131,7 @@
 	return min(d, c.Timeout), nil
 }
 
-func (c *call) allowed(pool string) bool {
+func (c *call) poolAllowed(pool string) bool {
 	if len(c.account.Pools) == 0 {
 		return true
 	}
--- a/caller/ask.go
+++ b/caller/request.go
@@ -12,14 +12,14 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// The bounds of what a caller may ask for, in tokens.
+// The default and the limit of max_tokens.
 const (
-	defaultTokens = 64
-	largestTokens = 32768
+	defaultMaxTokens = 64
+	maxMaxTokens     = 32768
 )
 
-// ask is the body of a chat or text completion; fields that don't matter here
-// are passed over, as the API allows.
+// ask is the body of a chat or text completion; other fields are ignored, as the API
+// allows. JSON errors that are sent to callers contain the type's name.
 type ask struct {
 	Model               string          `json:"model"`
 	Messages            []message       `json:"messages"`
@@ -30,7 +30,7 @@
 	MaxCompletionTokens *int            `json:"max_completion_tokens"`
 	N                   *int            `json:"n"`
 
-	// body is the whole of it.
+	// body is the raw body.
 	body []byte
 }
 
@@ -53,7 +53,7 @@
 	return refusal.New(refusal.DidNotRun, http.StatusBadRequest, code, format, args...)
 }
 
-// decode reads the body and checks what both kinds of completion share.
+// decode reads the body and checks what both kinds of completion have in common.
 func (c *call) decode() (ask, error) {
 	var a ask
 	data, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, c.MaxBodyBytes))
@@ -71,30 +71,30 @@
 	if a.N != nil && *a.N != 1 {
 		return a, bad("unsupported", "n must be 1")
 	}
-	if n := a.tokens(); n < 1 || n > largestTokens {
-		return a, bad("invalid_max_tokens", "max_tokens must be 1 to %d", largestTokens)
+	if n := a.maxTokens(); n < 1 || n > maxMaxTokens {
+		return a, bad("invalid_max_tokens", "max_tokens must be 1 to %d", maxMaxTokens)
 	}
-	m, ok := c.config.Models[a.Model]
-	if !ok || !c.allowed(m.Pool) {
+	m, ok := c.configuration.Models[a.Model]
+	if !ok || !c.poolAllowed(m.Pool) {
 		return a, refusal.New(refusal.DidNotRun, http.StatusNotFound, "model_not_found", "the model %q does not exist or is not yours to use", a.Model)
 	}
 	return a, nil
 }
 
-// tokens returns the largest number of tokens that the caller wants.
-func (a ask) tokens() int {
+// maxTokens returns the largest number of tokens that the caller wants.
+func (a ask) maxTokens() int {
 	switch {
 	case a.MaxCompletionTokens != nil:
 		return *a.MaxCompletionTokens
 	case a.MaxTokens != nil:
 		return *a.MaxTokens
 	}
-	return defaultTokens
+	return defaultMaxTokens
 }
 
-// canonical returns the messages' text in the one form that prefixes are named
-// by: the same messages give the same bytes.
-func canonical(messages []message) (string, error) {
+// canonicalPrompt returns the messages' text in the canonical form from which prefixes are named:
+// the same messages give the same bytes.
+func canonicalPrompt(messages []message) (string, error) {
 	if len(messages) == 0 {
 		return "", bad("messages_missing", "messages must not be empty")
 	}
@@ -116,7 +116,7 @@
 	return b.String(), nil
 }
 
-// contentText reads content that is a string or a list of text parts.
+// contentText decodes content that is a string or a list of text parts.
 func contentText(raw json.RawMessage) (string, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return "", nil
@@ -132,14 +132,14 @@
 	var b strings.Builder
 	for _, p := range parts {
 		if p.Type != "text" {
-			return "", trace.BadParameter("only text is served")
+			return "", trace.BadParameter("content part of type %q is not supported, only text", p.Type)
 		}
 		b.WriteString(p.Text)
 	}
 	return b.String(), nil
 }
 
-// promptText reads a prompt that is a string, or a list of one.
+// promptText decodes a prompt that is a string, or a list of one.
 func promptText(raw json.RawMessage) (string, error) {
 	var text string
 	if json.Unmarshal(raw, &text) != nil {
--- a/exchange/do.go
+++ b/exchange/do.go
@@ -14,12 +14,11 @@
 	"github.com/gravitational/trace"
 )
 
-// inline is the largest body, in bytes, that is written before the answer is
-// read. A larger one is written beside the reading, as a target may answer
-// first and leave the body unread.
-const inline = 4 << 10
+// maxInlineBody is the largest body, in bytes, that is written before the answer is read. A larger
+// one is written concurrently, as a target may answer first and leave the body unread.
+const maxInlineBody = 4 << 10
 
-// Answer is a target's answer whose head has come.
+// Answer is a target's answer whose head has been read.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -27,40 +26,39 @@
 	client   *Client
 	conn     *connection
 	response *http.Response
-	// cancel stops watching the request's context.
-	cancel func() bool
-	// written is closed when the request was written; unwritten tells why not.
-	written   chan struct{}
-	unwritten error
-	ended     bool
+	// stopWatch stops watching the request's context.
+	stopWatch func() bool
+	// writeDone is closed when the write of the request has ended; writeErr is its error, if any.
+	writeDone chan struct{}
+	writeErr  error
+	bodyRead  bool
 	once      sync.Once
 }
 
-// Do sends a request and waits for the head of the answer until ctx ends. The
-// error is ErrNotSent if no byte left this box; otherwise the target may have
-// run the request. After an error there is no answer to close. When ctx ends
-// before the answer was read whole, the connection is reset at once, also while
-// whoever has the answer does something else.
+// Do sends a request and waits for the head of the answer until ctx ends. The error is ErrNotSent
+// if no byte left this box; otherwise the target may have run the request. After an error there is
+// no answer to close. If ctx ends before the whole answer has been read, the connection is reset
+// at once, even if nothing is reading from it.
 func (c *Client) Do(ctx context.Context, at netip.AddrPort, request *Request) (*Answer, error) {
-	conn, err := c.take(ctx, at)
+	conn, err := c.acquire(ctx, at)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	err = ctx.Err()
 	if err == nil {
-		err = request.barred()
+		err = request.blockedBy()
 	}
 	if err != nil {
-		c.shelve(conn) // Nothing was sent on it: the next request saves a new connection.
+		c.addIdle(conn) // Nothing was sent on it, so the next request can use it.
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	a := &Answer{client: c, conn: conn, written: make(chan struct{})}
-	a.cancel = context.AfterFunc(ctx, conn.abort)
+	a := &Answer{client: c, conn: conn, writeDone: make(chan struct{})}
+	a.stopWatch = context.AfterFunc(ctx, conn.abort)
 	if err := a.write(request); err != nil {
 		a.discard()
 		return nil, trace.Wrap(err)
 	}
-	if err := a.head(request.Method); err != nil {
+	if err := a.readHead(request.Method); err != nil {
 		a.discard()
 		if ctx.Err() != nil {
 			err = ctx.Err()
@@ -70,16 +68,16 @@
 	return a, nil
 }
 
-// write sends the request. It fails only if nothing can come back.
+// write sends the request. It fails only if no answer can come back.
 func (a *Answer) write(request *Request) error {
 	var out bytes.Buffer
 	request.encode(&out)
-	if len(request.Body) > inline {
-		go a.send(out.Bytes(), request.Body)
+	if len(request.Body) > maxInlineBody {
+		go a.writeInBackground(out.Bytes(), request.Body)
 		return nil
 	}
 	out.Write(request.Body)
-	defer close(a.written)
+	defer close(a.writeDone)
 	n, err := a.conn.Write(out.Bytes())
 	if err != nil && n == 0 {
 		return fmt.Errorf("%w: %w", ErrNotSent, err)
@@ -87,10 +85,10 @@
 	return err
 }
 
-func (a *Answer) send(head, body []byte) {
-	defer close(a.written)
-	if _, a.unwritten = a.conn.Write(head); a.unwritten == nil {
-		_, a.unwritten = a.conn.Write(body)
+func (a *Answer) writeInBackground(head, body []byte) {
+	defer close(a.writeDone)
+	if _, a.writeErr = a.conn.Write(head); a.writeErr == nil {
+		_, a.writeErr = a.conn.Write(body)
 	}
 }
 
@@ -107,46 +105,46 @@
 	out.WriteString("\r\n")
 }
 
-// head reads the answer's head, past informational ones.
-func (a *Answer) head(method string) error {
+// readHead reads the answer's head and skips informational ones.
+func (a *Answer) readHead(method string) error {
 	for {
 		response, err := http.ReadResponse(a.conn.reader, &http.Request{Method: method})
 		if err != nil {
 			return err
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return trace.BadParameter("the target switches protocols")
+			return trace.BadParameter("the target answered 101 Switching Protocols, which is not supported")
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
 		a.response, a.Status, a.Header = response, response.StatusCode, response.Header
-		a.conn.heed(response.Header.Get("Keep-Alive"))
-		a.client.hear(a.conn)
+		a.conn.applyKeepAlive(response.Header.Get("Keep-Alive"))
+		a.client.recordAnswerStart(a.conn)
 		return nil
 	}
 }
 
-// Length is the body's length in bytes, or -1 if the head does not tell it.
+// Length is the body's length in bytes, or -1 if the head does not state it.
 func (a *Answer) Length() int64 { return a.response.ContentLength }
 
-// Read reads the body. It returns io.EOF only at the end of a whole body: a
-// body without length that is cut off by a reset is an error.
+// Read reads the body. It returns io.EOF only at the end of a complete body: a reset in a body
+// without a length is an error.
 func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.response.Body.Read(b)
 	if errors.Is(err, io.EOF) {
-		a.ended = true
+		a.bodyRead = true
 	}
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept only if the whole answer was
-// read, the whole request was written, and nothing more came.
+// Close ends the exchange. The connection is kept only if the whole request was written, the whole
+// answer was read, and no further bytes have arrived.
 func (a *Answer) Close() {
 	a.once.Do(func() {
-		if a.reusable() && a.cancel() {
-			a.conn.used = true
-			a.client.keep(a.conn)
+		if a.reusable() && a.stopWatch() {
+			a.conn.reused = true
+			a.client.putIdle(a.conn)
 			return
 		}
 		a.discard()
@@ -155,16 +153,16 @@
 
 func (a *Answer) reusable() bool {
 	select {
-	case <-a.written:
+	case <-a.writeDone:
 	default:
 		return false
 	}
-	return a.ended && a.unwritten == nil && !a.response.Close && a.conn.reader.Buffered() == 0
+	return a.bodyRead && a.writeErr == nil && !a.response.Close && a.conn.reader.Buffered() == 0
 }
 
 func (a *Answer) discard() {
-	if !a.cancel() { // The request was given up.
-		a.noteSilence()
+	if !a.stopWatch() { // The context has ended.
+		a.checkSilence()
 	}
-	a.client.drop(a.conn)
+	a.client.closeConnection(a.conn)
 }
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -16,22 +16,22 @@
 	"github.com/thymewind/thymewind/exchange"
 )
 
-// target is a server that does with each connection what a test says.
-type target struct {
+// testTarget is a server that handles each connection as a test says.
+type testTarget struct {
 	at netip.AddrPort
-	// requests gets each request as it was read.
+	// requests receives each request read.
 	requests chan *http.Request
 }
 
-// serve runs do for each connection, with its number from 0.
-func serve(t *testing.T, do func(n int, conn *net.TCPConn, requests func() *http.Request)) *target {
+// serve runs do for each connection, with its index from 0.
+func serve(t *testing.T, do func(n int, conn *net.TCPConn, requests func() *http.Request)) *testTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	x := &target{netip.MustParseAddrPort(l.Addr().String()), make(chan *http.Request, 100)}
+	x := &testTarget{netip.MustParseAddrPort(l.Addr().String()), make(chan *http.Request, 100)}
 	go func() {
 		for n := 0; ; n++ {
 			conn, err := l.Accept()
@@ -57,11 +57,11 @@
 	return x
 }
 
-func client() *exchange.Client {
+func newClient() *exchange.Client {
 	return &exchange.Client{Dial: (&net.Dialer{}).DialContext, DialTimeout: time.Second, IdleTimeout: time.Minute}
 }
 
-// ask does one exchange and reads the answer whole.
+// ask does one exchange and reads the whole answer.
 func ask(c *exchange.Client, at netip.AddrPort, r *exchange.Request) (int, string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -77,22 +77,22 @@
 	return answer.Status, string(body), err
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// TestConnections says which connections are used again.
+// TestConnections checks which connections are reused.
 func TestConnections(t *testing.T) {
 	tests := []struct {
 		name   string
 		answer string
-		// reused says that the second request comes on the first connection.
+		// reused is whether the second request comes on the first connection.
 		reused bool
 	}{
-		{"whole answer", ok, true},
+		{"complete answer", okAnswer, true},
 		{"chunked answer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", true},
-		{"informational answer first", "HTTP/1.1 103 Early Hints\r\n\r\n" + ok, true},
-		{"the target says close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false},
-		{"a surplus answer behind", ok + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother", false},
-		{"kept for no time", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", false},
+		{"informational answer first", "HTTP/1.1 103 Early Hints\r\n\r\n" + okAnswer, true},
+		{"the target asks to close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false},
+		{"a second, unsolicited answer", okAnswer + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother", false},
+		{"keep-alive timeout of zero", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -103,7 +103,7 @@
 					_, _ = io.WriteString(conn, tt.answer)
 				}
 			})
-			c := client()
+			c := newClient()
 			for range 2 {
 				if status, body, err := ask(c, x.at, &exchange.Request{Method: "POST", Path: "/a", Host: "h", Body: []byte("b")}); err != nil || status != http.StatusOK || body != "ok" {
 					t.Fatalf("got %d %q %v", status, body, err)
@@ -116,21 +116,21 @@
 	}
 }
 
-// TestSentOnce has a target drop the connection at different moments: the
-// request is read once at most, and the error says whether anything was sent.
-func TestSentOnce(t *testing.T) {
+// TestNoAutomaticResend has a target drop the connection at different moments: the request is read
+// at most once, and the error says whether anything was sent.
+func TestNoAutomaticResend(t *testing.T) {
 	tests := []struct {
 		name string
-		// before is what the first request on the connection gets.
+		// second handles the second request on the connection.
 		second func(conn *net.TCPConn, next func() *http.Request)
 		reads  int
 	}{
 		{"closed after the request was read", func(_ *net.TCPConn, next func() *http.Request) { next() }, 2},
-		{"half an answer", func(conn *net.TCPConn, next func() *http.Request) {
+		{"partial answer", func(conn *net.TCPConn, next func() *http.Request) {
 			next()
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhalf")
 		}, 2},
-		{"no HTTP", func(conn *net.TCPConn, next func() *http.Request) {
+		{"not HTTP", func(conn *net.TCPConn, next func() *http.Request) {
 			next()
 			_, _ = io.WriteString(conn, "what?\r\n\r\n")
 		}, 2},
@@ -142,10 +142,10 @@
 				if next() == nil {
 					return
 				}
-				_, _ = io.WriteString(conn, ok)
+				_, _ = io.WriteString(conn, okAnswer)
 				tt.second(conn, next)
 			})
-			c := client()
+			c := newClient()
 			header := http.Header{"Idempotency-Key": {"k"}}
 			if _, _, err := ask(c, x.at, &exchange.Request{Method: "GET", Path: "/a", Host: "h", Header: header}); err != nil {
 				t.Fatal(err)
@@ -161,19 +161,19 @@
 	}
 }
 
-// TestIdleClosed has the target close a kept connection: the next request goes
-// out on a new one, as nothing was sent on the old.
+// TestIdleClosed has the target close a kept connection: the next request is sent on a new one, as
+// nothing was sent on the old one.
 func TestIdleClosed(t *testing.T) {
 	closed := make(chan struct{})
 	x := serve(t, func(n int, conn *net.TCPConn, next func() *http.Request) {
 		next()
-		_, _ = io.WriteString(conn, ok)
+		_, _ = io.WriteString(conn, okAnswer)
 		if n == 0 {
 			_ = conn.Close()
 			close(closed)
 		}
 	})
-	c := client()
+	c := newClient()
 	for range 2 {
 		if _, body, err := ask(c, x.at, &exchange.Request{Method: "POST", Path: "/a", Host: "h", Body: []byte("b")}); err != nil || body != "ok" {
 			t.Fatalf("got %q, %v", body, err)
@@ -185,7 +185,7 @@
 	}
 }
 
-// TestNotSent covers what never leaves this box.
+// TestNotSent covers requests that never leave this box.
 func TestNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -193,22 +193,22 @@
 	}
 	at := netip.MustParseAddrPort(l.Addr().String())
 	_ = l.Close()
-	if _, _, err := ask(client(), at, &exchange.Request{Method: "GET", Path: "/", Host: "h"}); !errors.Is(err, exchange.ErrNotSent) {
-		t.Errorf("a dead port: %v", err)
+	if _, _, err := ask(newClient(), at, &exchange.Request{Method: "GET", Path: "/", Host: "h"}); !errors.Is(err, exchange.ErrNotSent) {
+		t.Errorf("a closed port: %v", err)
 	}
 	x := serve(t, func(_ int, conn *net.TCPConn, next func() *http.Request) {
 		next()
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok")
 		next()
 	})
-	c := client()
-	c.PerTarget = func(netip.AddrPort) int { return 1 }
+	c := newClient()
+	c.MaxPerTarget = func(netip.AddrPort) int { return 1 }
 	first, err := c.Do(context.Background(), x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h", Header: http.Header{}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := ask(c, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h"}); !errors.Is(err, exchange.ErrConnectionLimit) || !errors.Is(err, exchange.ErrNotSent) {
-		t.Errorf("over the bound: %v", err)
+		t.Errorf("over the limit: %v", err)
 	}
 	first.Close()
 	if n := len(x.requests); n != 1 {
@@ -216,7 +216,8 @@
 	}
 }
 
-// TestBodyWithoutLength is whole only if its connection ends in order.
+// TestBodyWithoutLength checks that a body without a length is complete only if the connection is
+// closed without a reset.
 func TestBodyWithoutLength(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -234,7 +235,7 @@
 				}
 				_ = conn.Close()
 			})
-			answer, err := client().Do(context.Background(), x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h", Header: http.Header{}})
+			answer, err := newClient().Do(context.Background(), x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h", Header: http.Header{}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -251,9 +252,8 @@
 	}
 }
 
-// TestEarlyAnswer has a target answer before it has read a long body: the
-// answer comes, and the connection is not used again, where the rest of the
-// body would be taken for the next request.
+// TestEarlyAnswer has a target answer before it has read a long body: the answer arrives, and the
+// connection is not reused, as the rest of the body would be taken for the next request.
 func TestEarlyAnswer(t *testing.T) {
 	x := serve(t, func(n int, conn *net.TCPConn, next func() *http.Request) {
 		if n == 0 {
@@ -262,12 +262,12 @@
 				return
 			}
 			_, _ = io.WriteString(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n")
-			return // It holds the connection and reads nothing more.
+			return // The connection stays open, but nothing more is read.
 		}
 		next()
-		_, _ = io.WriteString(conn, ok)
+		_, _ = io.WriteString(conn, okAnswer)
 	})
-	c := client()
+	c := newClient()
 	status, _, err := ask(c, x.at, &exchange.Request{Method: "POST", Path: "/a", Host: "h", Body: make([]byte, 32<<20)})
 	if err != nil || status != http.StatusRequestEntityTooLarge {
 		t.Fatalf("got %d, %v", status, err)
@@ -277,7 +277,7 @@
 	}
 }
 
-// TestCancel breaks an exchange off when its context ends.
+// TestCancel ends an exchange's context while its answer is being read.
 func TestCancel(t *testing.T) {
 	left := make(chan struct{})
 	x := serve(t, func(_ int, conn *net.TCPConn, next func() *http.Request) {
@@ -287,43 +287,42 @@
 		close(left)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	answer, err := client().Do(ctx, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h", Header: http.Header{}})
+	answer, err := newClient().Do(ctx, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h", Header: http.Header{}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	cancel()
 	if _, err := io.ReadAll(answer); err == nil {
-		t.Error("the body read on after its context ended")
+		t.Error("the body was read to its end after the context had ended")
 	}
 	answer.Close()
 	<-left
 }
 
-// TestSweep closes what was unused for too long.
+// TestSweep checks that connections are closed after IdleTimeout.
 func TestSweep(t *testing.T) {
 	ended := make(chan struct{})
 	x := serve(t, func(_ int, conn *net.TCPConn, next func() *http.Request) {
 		for next() != nil {
-			_, _ = io.WriteString(conn, ok)
+			_, _ = io.WriteString(conn, okAnswer)
 		}
 		close(ended)
 	})
-	c := client()
+	c := newClient()
 	if _, _, err := ask(c, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h"}); err != nil {
 		t.Fatal(err)
 	}
 	if !c.HasIdle(x.at) {
-		t.Error("no connection rests after a request")
+		t.Error("no idle connection after a request")
 	}
 	c.Sweep(time.Now().Add(2 * time.Minute))
 	<-ended
 	if c.HasIdle(x.at) {
-		t.Error("a connection that is closed rests")
+		t.Error("a closed connection is listed as idle")
 	}
 }
 
-// TestNotAfter lets nothing leave when it is too late, also if the connection was made in
-// time; the connection is kept.
+// TestNotAfter checks that nothing is sent after NotAfter, and that the connection is kept.
 func TestNotAfter(t *testing.T) {
 	now := boottime.Now()
 	tests := []struct {
@@ -340,7 +339,7 @@
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 	})
-	c := client()
+	c := newClient()
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			_, _, err := ask(c, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h", NotAfter: tt.by})
@@ -354,26 +353,26 @@
 	}
 }
 
-// TestAllow asks right before a request leaves, on a new connection and on one that is
-// kept; what is kept back costs no connection.
+// TestAllow checks that Allow is called right before a request is sent, on a new connection and on
+// a kept one, and that a request held back does not cost its connection.
 func TestAllow(t *testing.T) {
 	x := serve(t, func(_ int, conn *net.TCPConn, requests func() *http.Request) {
 		for requests() != nil {
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	c := client()
+	c := newClient()
 	dialed := 0
-	c.Dialed = func(netip.AddrPort) { dialed++ }
+	c.OnDial = func(netip.AddrPort) { dialed++ }
 	errNot := errors.New("not allowed")
 	steps := []struct {
 		name  string
 		allow error
 	}{
 		{"on a new connection", errNot},
-		{"on the one that was kept", nil},
-		{"on a kept one", errNot},
-		{"and again", nil},
+		{"on the kept connection", nil},
+		{"on a kept connection", errNot},
+		{"allowed again", nil},
 	}
 	for _, s := range steps {
 		_, _, err := ask(c, x.at, &exchange.Request{Method: "GET", Path: "/", Host: "h", Allow: func() error { return s.allow }})
--- a/exchange/silent.go
+++ b/exchange/silent.go
@@ -8,87 +8,87 @@
 	"github.com/thymewind/thymewind/boottime"
 )
 
-// Read reads and notes since when it waits, if nothing comes.
+// Read records how long it has been waiting while no bytes arrive.
 func (c *connection) Read(b []byte) (int, error) {
-	c.waiting = boottime.Now()
+	c.readingSince = boottime.Now()
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.waiting = time.Time{}
+		c.readingSince = time.Time{}
 	}
 	return n, err
 }
 
-// heads is how many of the last answers' heads from an address are remembered. The
-// news of an engine alone brings one in 0.4 s at most.
-const heads = 16
+// maxAnswerStarts is how many answers per address are remembered. The feed of cache events from an
+// engine alone brings one at least every 0.4 s.
+const maxAnswerStarts = 16
 
-// head is when an answer began, on a connection that was made at a time.
-type head struct{ at, opened time.Time }
+// answerStart is when an answer began, on a connection opened at openedAt.
+type answerStart struct{ at, openedAt time.Time }
 
-// hear notes that an answer began.
-func (c *Client) hear(conn *connection) {
+// recordAnswerStart records that an answer began.
+func (c *Client) recordAnswerStart(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.SilentAfter == 0 {
 		return
 	}
-	if c.heard == nil {
-		c.heard = make(map[netip.AddrPort][]head)
+	if c.answerStarts == nil {
+		c.answerStarts = make(map[netip.AddrPort][]answerStart)
 	}
-	list := c.heard[conn.at]
-	if len(list) == heads {
+	list := c.answerStarts[conn.at]
+	if len(list) == maxAnswerStarts {
 		list = slices.Delete(list, 0, 1)
 	}
-	c.heard[conn.at] = append(list, head{boottime.Now(), conn.opened})
+	c.answerStarts[conn.at] = append(list, answerStart{boottime.Now(), conn.openedAt})
 }
 
-// answersSince says that the target began an answer since a time on a connection
-// that was there before.
-func (c *Client) answersSince(at netip.AddrPort, since time.Time) bool {
+// answeredSince reports whether the target began an answer after since on a connection that was
+// open before.
+func (c *Client) answeredSince(at netip.AddrPort, since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.ContainsFunc(c.heard[at], func(h head) bool { return h.at.After(since) && h.opened.Before(since) })
+	return slices.ContainsFunc(c.answerStarts[at], func(h answerStart) bool { return h.at.After(since) && h.openedAt.Before(since) })
 }
 
-// noteSilence looks whether an exchange that was given up shows that its
-// connection is silent. Only a kept one shows that: a target may be slow to answer
-// on a new one. A busy target that has a request wait shows nothing either, as long
-// as it answers on other connections as old: taken for silent, it had all requests
-// that waited there run twice once a single caller left. The unused connections on
-// which nothing came since either may be silent as well and are closed, as each
-// would cost a request: one costs one in all.
-func (a *Answer) noteSilence() {
+// checkSilence reports the connection of an abandoned exchange as silent if no bytes came for
+// SilentAfter. Only a reused connection can be found silent: a target may be slow to answer on a
+// new one. Neither is a connection silent while the target answers on others that were open before
+// the wait began: the target is busy and has queued this request. Treating that as silence made
+// all requests queued at a target run twice as soon as one caller left.
+//
+// Idle connections on which nothing has arrived since may be silent too. They are closed, so that
+// they cost one request in total instead of one each.
+func (a *Answer) checkSilence() {
 	c, conn := a.client, a.conn
-	if c.SilentAfter == 0 || !conn.used || conn.waiting.IsZero() {
+	if c.SilentAfter == 0 || !conn.reused || conn.readingSince.IsZero() {
 		return
 	}
-	waited := boottime.Since(conn.waiting)
-	if waited < c.SilentAfter || c.answersSince(conn.at, conn.waiting) {
+	waited := boottime.Since(conn.readingSince)
+	if waited < c.SilentAfter || c.answeredSince(conn.at, conn.readingSince) {
 		return
 	}
-	c.forgetUnheard(conn.at, conn.waiting)
+	c.closeIdleBefore(conn.at, conn.readingSince)
 	if c.OnSilent != nil {
 		c.OnSilent(conn.at, waited)
 	}
 }
 
-// forgetUnheard closes the unused connections to an address on which nothing came
-// since a time.
-func (c *Client) forgetUnheard(at netip.AddrPort, since time.Time) {
+// closeIdleBefore closes the idle connections to an address that were last used before since.
+func (c *Client) closeIdleBefore(at netip.AddrPort, since time.Time) {
 	c.mu.Lock()
-	var doubted []*connection
+	var suspects []*connection
 	c.idle[at] = slices.DeleteFunc(c.idle[at], func(conn *connection) bool {
-		unheard := conn.unused.Before(since)
-		if unheard {
-			doubted = append(doubted, conn)
+		stale := conn.idleSince.Before(since)
+		if stale {
+			suspects = append(suspects, conn)
 		}
-		return unheard
+		return stale
 	})
 	if len(c.idle[at]) == 0 {
 		delete(c.idle, at)
 	}
 	c.mu.Unlock()
-	for _, conn := range doubted {
-		c.drop(conn)
+	for _, conn := range suspects {
+		c.closeConnection(conn)
 	}
 }
--- a/peer/link.go
+++ b/peer/link.go
@@ -16,67 +16,64 @@
 )
 
 const (
-	// dialFor bounds the making of a connection. A call that is given up earlier
-	// leaves it to the next one.
-	dialFor = time.Second
-	// writeFor bounds the writing of one message; a whole configuration takes a
-	// second on a link of 10 Mbit/s.
-	writeFor = 2 * time.Second
-	// leastSilent and mostSilent bound how long a connection with unanswered calls
-	// may say nothing before it is given up. A peer answers in milliseconds, so the
-	// least is what counts as a rule; it lies below the time after which gossip is
-	// given up, so that one call in vain is enough. With a fixed second, the shares
-	// of a box behind a silent connection were missing for 2.6 s.
-	leastSilent = 250 * time.Millisecond
-	mostSilent  = time.Second
-	// queued is how many messages may wait to be written.
-	queued = 64
+	// dialTimeout bounds dialing. A call that gives up earlier leaves the connection to later
+	// calls.
+	dialTimeout = time.Second
+	// writeTimeout bounds writing one message; a whole configuration takes a second on a link of
+	// 10 Mbit/s.
+	writeTimeout = 2 * time.Second
+	// minSilence and maxSilence bound how long a connection with unanswered calls may be silent
+	// before it is closed. Peers answer in milliseconds, so minSilence usually applies. It is
+	// shorter than the gossip timeout, so that a single failed call is enough. With a fixed
+	// second, the target loads of a box behind a silent connection were missing for 2.6 s.
+	minSilence = 250 * time.Millisecond
+	maxSilence = time.Second
+	// writeQueueSize is how many messages may wait to be written.
+	writeQueueSize = 64
 )
 
-// errLost says that the connection ended before the answer came.
-var errLost = trace.ConnectionProblem(nil, "the connection ended")
+// errConnectionLost says that the connection ended before the answer arrived.
+var errConnectionLost = trace.ConnectionProblem(nil, "the connection ended before the answer arrived")
 
-// link is where one peer is called: a connection that is made when it is
-// needed, and made again when it was lost.
+// link holds the connection to one peer. It is dialed on demand and redialed after it was lost.
 type link struct {
 	node *Node
 	at   netip.AddrPort
-	// bound is how long an answer is waited for, by the times seen of this peer.
-	bound *adaptive.Timeout
+	// answerTimeout adapts the wait for an answer to the answer times of this peer.
+	answerTimeout *adaptive.Timeout
 
 	mu sync.Mutex
-	// wire is the connection in use; nil if there is none.
-	wire *wire
-	// dialling is closed when the dial under way ends; nil if none is.
-	dialling chan struct{}
-	// dialled is the last dial's error.
-	dialled error
-	used    time.Time
+	// conn is the current connection; nil if there is none.
+	conn *connection
+	// dialDone is closed when the dial in progress ends; nil if there is none.
+	dialDone chan struct{}
+	// dialErr is the error of the last dial.
+	dialErr  error
+	lastUsed time.Time
 }
 
 // call sends a message and waits for its answer.
 func (l *link) call(ctx context.Context, m Message) (Message, error) {
-	w, err := l.connect(ctx)
+	c, err := l.connect(ctx)
 	if err != nil {
 		return Message{}, err
 	}
-	return w.call(ctx, m)
+	return c.call(ctx, m)
 }
 
-// connect returns a live connection. It goes on in the background when ctx ends
-// first.
-func (l *link) connect(ctx context.Context) (*wire, error) {
+// connect returns an open connection. If ctx ends first, dialing goes on in the background.
+func (l *link) connect(ctx context.Context) (*connection, error) {
 	l.mu.Lock()
-	l.used = boottime.Now()
-	if l.wire != nil && l.wire.live() {
+	l.lastUsed = boottime.Now()
+	if l.conn != nil && l.conn.isOpen() {
 		defer l.mu.Unlock()
-		return l.wire, nil
+		return l.conn, nil
 	}
-	if l.dialling == nil {
-		l.dialling = make(chan struct{})
-		go l.dial(context.WithoutCancel(ctx), l.dialling)
+	if l.dialDone == nil {
+		l.dialDone = make(chan struct{})
+		go l.dial(context.WithoutCancel(ctx), l.dialDone)
 	}
-	dialling := l.dialling
+	dialling := l.dialDone
 	l.mu.Unlock()
 	select {
 	case <-dialling:
@@ -86,205 +83,203 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.wire != nil:
-		return l.wire, nil
-	case l.dialled != nil:
-		return nil, trace.Wrap(l.dialled)
+	case l.conn != nil:
+		return l.conn, nil
+	case l.dialErr != nil:
+		return nil, trace.Wrap(l.dialErr)
 	}
-	return nil, errLost
+	return nil, errConnectionLost
 }
 
 func (l *link) dial(ctx context.Context, done chan struct{}) {
-	ctx, cancel := context.WithTimeout(ctx, dialFor)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	header := http.Header{"Authorization": {"Bearer " + l.node.credential()}}
 	conn, _, err := websocket.Dial(ctx, l.node.Scheme+"://"+l.at.String()+"/peer", &websocket.DialOptions{HTTPClient: l.node.HTTP, HTTPHeader: header})
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.wire, l.dialled, l.dialling = nil, err, nil
+	l.conn, l.dialErr, l.dialDone = nil, err, nil
 	if err == nil {
-		l.wire = newWire(l, conn)
+		l.conn = newConnection(l, conn)
 	}
 	close(done)
 }
 
-// close ends the connection if it was not used since a time.
-func (l *link) close(since time.Time) bool {
+// closeIfIdle closes the connection unless it was used after since.
+func (l *link) closeIfIdle(since time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.used.After(since) || l.dialling != nil {
+	if l.lastUsed.After(since) || l.dialDone != nil {
 		return false
 	}
-	if l.wire != nil {
-		l.wire.end()
+	if l.conn != nil {
+		l.conn.close()
 	}
-	l.wire = nil
+	l.conn = nil
 	return true
 }
 
-// wire is one connection to a peer. Calls share it and are answered in any
-// order.
-type wire struct {
-	node  *Node
-	at    netip.AddrPort
-	bound *adaptive.Timeout
-	conn  *websocket.Conn
-	// queue holds messages that wait to be written.
+// connection is one connection to a peer. Calls share it and may be answered in any order.
+type connection struct {
+	node          *Node
+	at            netip.AddrPort
+	answerTimeout *adaptive.Timeout
+	conn          *websocket.Conn
+	// queue holds messages waiting to be written.
 	queue chan []byte
-	// ended is closed when the connection is.
-	ended chan struct{}
-	once  sync.Once
+	// closed is closed when the connection ends.
+	closed    chan struct{}
+	closeOnce sync.Once
 
 	mu sync.Mutex
-	// last numbers the calls; waiting holds those that have no answer yet.
-	last    uint64
-	waiting map[uint64]pending
-	// asked is when the first call went out since anything came; zero if none did.
-	asked time.Time
+	// lastNumber is the number of the last call; pending holds the calls without an answer.
+	lastNumber uint64
+	pending    map[uint64]pendingCall
+	// unansweredSince is when the first call was sent since anything was received; zero if there
+	// is none.
+	unansweredSince time.Time
 }
 
-// pending is a call that has no answer yet; the channel has room for it.
-type pending struct {
+// pendingCall is a call without an answer; the channel has room for it.
+type pendingCall struct {
 	answer chan Message
-	asked  time.Time
+	sentAt time.Time
 }
 
-func newWire(l *link, conn *websocket.Conn) *wire {
+func newConnection(l *link, conn *websocket.Conn) *connection {
 	conn.SetReadLimit(maxMessage)
-	w := &wire{
-		node: l.node, at: l.at, bound: l.bound, conn: conn, queue: make(chan []byte, queued), ended: make(chan struct{}),
-		waiting: make(map[uint64]pending),
+	c := &connection{
+		node: l.node, at: l.at, answerTimeout: l.answerTimeout, conn: conn, queue: make(chan []byte, writeQueueSize), closed: make(chan struct{}),
+		pending: make(map[uint64]pendingCall),
 	}
-	go w.read()
-	go w.write()
-	return w
+	go c.read()
+	go c.write()
+	return c
 }
 
-func (w *wire) live() bool {
+func (c *connection) isOpen() bool {
 	select {
-	case <-w.ended:
+	case <-c.closed:
 		return false
 	default:
 		return true
 	}
 }
 
-func (w *wire) end() {
-	w.once.Do(func() {
-		close(w.ended)
-		_ = w.conn.CloseNow() // It is given up; how it closes makes no odds.
+func (c *connection) close() {
+	c.closeOnce.Do(func() {
+		close(c.closed)
+		_ = c.conn.CloseNow() // The connection is discarded, so the error does not matter.
 	})
 }
 
-func (w *wire) call(ctx context.Context, m Message) (Message, error) {
-	number, answer := w.expect()
-	defer w.forget(number)
+func (c *connection) call(ctx context.Context, m Message) (Message, error) {
+	number, answer := c.register()
+	defer c.unregister(number)
 	m.Number = number
 	data, err := cbor.Marshal(m)
 	if err != nil {
 		return Message{}, trace.Wrap(err)
 	}
 	select {
-	case w.queue <- data:
-	case <-w.ended:
-		return Message{}, errLost
+	case c.queue <- data:
+	case <-c.closed:
+		return Message{}, errConnectionLost
 	case <-ctx.Done():
-		return Message{}, w.doubt(ctx.Err())
+		return Message{}, c.checkSilence(ctx.Err())
 	}
 	select {
 	case a := <-answer:
 		return a, nil
-	case <-w.ended:
-		return Message{}, errLost
+	case <-c.closed:
+		return Message{}, errConnectionLost
 	case <-ctx.Done():
-		return Message{}, w.doubt(ctx.Err())
+		return Message{}, c.checkSilence(ctx.Err())
 	}
 }
 
-// expect numbers a call and returns where its answer comes.
-func (w *wire) expect() (uint64, chan Message) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// register numbers a call and returns the channel for its answer.
+func (c *connection) register() (uint64, chan Message) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	if w.asked.IsZero() {
-		w.asked = now
+	if c.unansweredSince.IsZero() {
+		c.unansweredSince = now
 	}
-	w.last++
-	p := pending{make(chan Message, 1), now}
-	w.waiting[w.last] = p
-	return w.last, p.answer
+	c.lastNumber++
+	p := pendingCall{make(chan Message, 1), now}
+	c.pending[c.lastNumber] = p
+	return c.lastNumber, p.answer
 }
 
-func (w *wire) forget(number uint64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.waiting, number)
+func (c *connection) unregister(number uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.pending, number)
 }
 
-// doubt ends the connection if calls went out and nothing came for long; then it
-// returns ErrSilent in place of the error that the call was given up with.
-func (w *wire) doubt(err error) error {
-	w.mu.Lock()
-	asked := w.asked
-	w.mu.Unlock()
-	waited := time.Since(asked)
-	if asked.IsZero() || waited < w.bound.Wait() {
+// checkSilence closes the connection if calls were sent and nothing was received for too long; it
+// then returns ErrSilent instead of err.
+func (c *connection) checkSilence(err error) error {
+	c.mu.Lock()
+	since := c.unansweredSince
+	c.mu.Unlock()
+	waited := time.Since(since)
+	if since.IsZero() || waited < c.answerTimeout.Wait() {
 		return err
 	}
-	if !w.live() {
-		return errLost
+	if !c.isOpen() {
+		return errConnectionLost
 	}
-	w.end()
-	w.bound.TimedOut()
-	if w.node.OnSilent != nil {
-		w.node.OnSilent(w.at, waited)
+	c.close()
+	c.answerTimeout.TimedOut()
+	if c.node.OnSilent != nil {
+		c.node.OnSilent(c.at, waited)
 	}
 	return ErrSilent
 }
 
-// heard notes that something came: nothing is waited for in vain, but what is
-// asked from now on.
-func (w *wire) heard() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.asked = time.Time{}
-	if len(w.waiting) > 0 {
-		w.asked = time.Now()
+// noteReceived restarts the silence timer, and stops it if no calls are pending.
+func (c *connection) noteReceived() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.unansweredSince = time.Time{}
+	if len(c.pending) > 0 {
+		c.unansweredSince = time.Now()
 	}
 }
 
-// read hands answers to the calls that wait for them. An answer to a call that
-// was given up is dropped.
-func (w *wire) read() {
-	defer w.end()
+// read delivers answers to their calls. An answer to an abandoned call is dropped.
+func (c *connection) read() {
+	defer c.close()
 	for {
-		m, err := w.node.read(context.Background(), w.conn, w.heard)
+		m, err := c.node.read(context.Background(), c.conn, c.noteReceived)
 		if err != nil {
-			return // The calls that wait learn it from ended.
+			return // Pending calls see that closed is closed.
 		}
-		w.mu.Lock()
-		p, known := w.waiting[m.Number]
-		delete(w.waiting, m.Number)
-		if len(w.waiting) == 0 {
-			w.asked = time.Time{}
+		c.mu.Lock()
+		p, known := c.pending[m.Number]
+		delete(c.pending, m.Number)
+		if len(c.pending) == 0 {
+			c.unansweredSince = time.Time{}
 		}
-		w.mu.Unlock()
+		c.mu.Unlock()
 		if known {
-			w.bound.Observe(time.Since(p.asked))
+			c.answerTimeout.Observe(time.Since(p.sentAt))
 			p.answer <- m
 		}
 	}
 }
 
-func (w *wire) write() {
-	defer w.end()
+func (c *connection) write() {
+	defer c.close()
 	for {
 		select {
-		case data := <-w.queue:
-			if w.node.send(w.conn, data) != nil {
-				return // The calls that wait learn it from ended.
+		case data := <-c.queue:
+			if c.node.send(c.conn, data) != nil {
+				return // Pending calls see that closed is closed.
 			}
-		case <-w.ended:
+		case <-c.closed:
 			return
 		}
 	}
--- a/peer/node.go
+++ b/peer/node.go
@@ -1,6 +1,6 @@
 // Package peer carries messages between daemons over WebSocket, in CBOR.
 //
-//	n := peer.Node{Credential: secret, Handle: answer}
+//	n := peer.Node{Credential: secret, Handle: answer, HTTP: client, Scheme: "wss", OnSent: count, OnReceived: count}
 //	go http.Serve(listener, n.Handler())
 //	reply, err := n.Call(ctx, address, peer.Message{Kind: peer.KindGossip})
 package peer
@@ -27,22 +27,22 @@
 const maxMessage = 32 << 20
 
 const (
-	// idle is how long a link without calls is kept.
-	idle = 15 * time.Second
-	// atOnce bounds the messages of one peer that are answered at the same time.
-	atOnce = 64
+	// idleTimeout is how long a link without calls is kept.
+	idleTimeout = 15 * time.Second
+	// maxConcurrent bounds how many messages of one peer are handled concurrently.
+	maxConcurrent = 64
 )
 
-// ErrSilent says that the connection said nothing for so long that it was given up.
-// The next call makes a new one.
+// ErrSilent says that the connection was silent for too long and was closed. The next call dials
+// again.
 var ErrSilent = trace.ConnectionProblem(nil, "the connection is silent")
 
-// Node calls peers and answers them. Set the exported fields before first use;
-// it is safe for concurrent use after that.
+// Node calls peers and answers them. Set the exported fields before first use; it is safe for
+// concurrent use after that.
 type Node struct {
-	// Credential is what all daemons of a deployment share.
+	// Credential is shared by all daemons of a deployment.
 	Credential string
-	// CredentialFunc returns the credential if it is learnt later; nil shows Credential.
+	// CredentialFunc returns the credential if it becomes known later; nil uses Credential.
 	CredentialFunc func() string
 	// Handle answers one message.
 	Handle func(ctx context.Context, m Message) Message
@@ -50,19 +50,19 @@
 	HTTP *http.Client
 	// Scheme is ws or wss.
 	Scheme string
-	// OnSilent hears of each connection that is given up as silent; nil hears nothing.
+	// OnSilent is called for each connection closed as silent; may be nil.
 	OnSilent func(at netip.AddrPort, waited time.Duration)
-	// OnSent and Received hear of the bytes that travel.
+	// OnSent and OnReceived are called with the size of each message; they must be set.
 	OnSent, OnReceived func(bytes int)
 
 	mu    sync.Mutex
 	links map[netip.AddrPort]*link
 }
 
-// Handler accepts peers that show the credential.
+// Handler accepts peers that present the credential.
 func (n *Node) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !n.genuine(r.Header.Get("Authorization")) {
+		if !n.authenticated(r.Header.Get("Authorization")) {
 			http.Error(w, "the peer credential is missing or wrong", http.StatusUnauthorized)
 			return
 		}
@@ -76,15 +76,15 @@
 	})
 }
 
-// serve answers a peer's messages, each as soon as it can.
+// serve answers a peer's messages concurrently.
 func (n *Node) serve(ctx context.Context, conn *websocket.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	var answers sync.WaitGroup
 	defer answers.Wait()
 	defer cancel()
-	room := make(chan struct{}, atOnce)
+	room := make(chan struct{}, maxConcurrent)
 	for {
-		m, err := n.next(ctx, conn)
+		m, err := n.readNext(ctx, conn)
 		if err != nil {
 			return // The peer closed the connection, or will dial again.
 		}
@@ -96,14 +96,14 @@
 	}
 }
 
-// next reads a message; a connection without any is given up.
-func (n *Node) next(ctx context.Context, conn *websocket.Conn) (Message, error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*idle)
+// readNext reads a message, with a timeout of twice idleTimeout.
+func (n *Node) readNext(ctx context.Context, conn *websocket.Conn) (Message, error) {
+	ctx, cancel := context.WithTimeout(ctx, 2*idleTimeout)
 	defer cancel()
 	return n.read(ctx, conn, func() {})
 }
 
-// answer answers one message. A peer that can't be written to notices itself.
+// answer answers one message. If writing fails, it closes the connection, which the peer notices.
 func (n *Node) answer(ctx context.Context, conn *websocket.Conn, m Message) {
 	answer := n.Handle(ctx, m)
 	answer.Number = m.Number
@@ -116,7 +116,7 @@
 	}
 }
 
-func (n *Node) genuine(header string) bool {
+func (n *Node) authenticated(header string) bool {
 	got := sha256.Sum256([]byte(header))
 	want := sha256.Sum256([]byte("Bearer " + n.credential()))
 	return subtle.ConstantTimeCompare(got[:], want[:]) == 1
@@ -146,60 +146,60 @@
 	}
 	l, ok := n.links[at]
 	if !ok {
-		l = &link{node: n, at: at, bound: &adaptive.Timeout{Min: leastSilent, Max: mostSilent}}
+		l = &link{node: n, at: at, answerTimeout: &adaptive.Timeout{Min: minSilence, Max: maxSilence}}
 		n.links[at] = l
 	}
 	return l
 }
 
-// Sweep closes links that were idle for long. Call it now and then.
+// Sweep closes links that have been idle for longer than idleTimeout. Call it periodically.
 func (n *Node) Sweep(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for at, l := range n.links {
-		if l.close(now.Add(-idle)) {
+		if l.closeIfIdle(now.Add(-idleTimeout)) {
 			delete(n.links, at)
 		}
 	}
 }
 
-// Close drops all links.
-func (n *Node) Close() { n.Sweep(boottime.Now().Add(2 * idle)) }
+// Close closes all links that are not being dialed.
+func (n *Node) Close() { n.Sweep(boottime.Now().Add(2 * idleTimeout)) }
 
-// read reads one message and tells heard of each piece of it.
-func (n *Node) read(ctx context.Context, conn *websocket.Conn, heard func()) (Message, error) {
+// read reads one message and calls onRead for each piece received.
+func (n *Node) read(ctx context.Context, conn *websocket.Conn, onRead func()) (Message, error) {
 	var m Message
 	kind, pieces, err := conn.Reader(ctx)
 	if err != nil {
 		return m, err
 	}
-	data, err := io.ReadAll(hearing{pieces, heard})
+	data, err := io.ReadAll(notifyingReader{pieces, onRead})
 	if err != nil {
 		return m, err
 	}
 	if kind != websocket.MessageBinary {
-		return m, trace.BadParameter("peers speak CBOR")
+		return m, trace.BadParameter("a peer's message is not binary")
 	}
 	n.OnReceived(len(data))
 	return m, trace.Wrap(cbor.Unmarshal(data, &m))
 }
 
-// hearing tells of each piece that is read.
-type hearing struct {
+// notifyingReader calls onRead for each piece read.
+type notifyingReader struct {
 	io.Reader
-	heard func()
+	onRead func()
 }
 
-func (h hearing) Read(b []byte) (int, error) {
-	n, err := h.Reader.Read(b)
+func (r notifyingReader) Read(b []byte) (int, error) {
+	n, err := r.Reader.Read(b)
 	if n > 0 {
-		h.heard()
+		r.onRead()
 	}
 	return n, err
 }
 
 func (n *Node) send(conn *websocket.Conn, data []byte) error {
-	ctx, cancel := context.WithTimeout(context.Background(), writeFor)
+	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
 	n.OnSent(len(data))
 	return conn.Write(ctx, websocket.MessageBinary, data)
--- a/peer/node_test.go
+++ b/peer/node_test.go
@@ -12,7 +12,7 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-func node(credential string) *peer.Node {
+func newNode(credential string) *peer.Node {
 	return &peer.Node{
 		Credential: credential, HTTP: http.DefaultClient, Scheme: "ws", OnSent: func(int) {}, OnReceived: func(int) {},
 		Handle: func(_ context.Context, m peer.Message) peer.Message {
@@ -22,7 +22,7 @@
 }
 
 func TestCall(t *testing.T) {
-	server := httptest.NewServer(node("secret").Handler())
+	server := httptest.NewServer(newNode("secret").Handler())
 	defer server.Close()
 	at := netip.MustParseAddrPort(server.Listener.Addr().String())
 	tests := []struct {
@@ -30,12 +30,12 @@
 		ok               bool
 	}{
 		{"the shared credential", "secret", true},
-		{"another one", "Secret", false},
+		{"another credential", "Secret", false},
 		{"none", "", false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			n := node(tt.credential)
+			n := newNode(tt.credential)
 			defer n.Close()
 			for i := range uint64(3) {
 				got, err := n.Call(context.Background(), at, peer.Message{Kind: peer.KindGossip, Revision: i})
@@ -47,7 +47,7 @@
 	}
 }
 
-// FuzzMessage looks for bytes of a peer that crash the reader.
+// FuzzMessage looks for a peer's bytes that crash the decoder.
 func FuzzMessage(f *testing.F) {
 	data, err := cbor.Marshal(peer.Message{Kind: peer.KindGossip, Loads: []peer.Load{{Target: 7}}, Leaving: []peer.Leaving{{Target: 1}}})
 	if err != nil {
