--- a/boottime/source_test.go
+++ b/boottime/source_test.go
@@ -18,16 +18,16 @@
 // exceptions are the functions that may use them, and why.
 var exceptions = []struct{ file, function, why string }{
 	{"boottime/boottime.go", "runtime", "implements the clock"},
-	{"caller/answer.go", "event", "a connection's deadline uses the runtime's clock"},
+	{"caller/writer.go", "event", "a connection's deadline uses the runtime's clock"},
 	{"deliver/admit.go", "readBody", "a connection's deadline uses the runtime's clock"},
 	{"duty.go", "order", "sends engines a wall clock time"},
 	{"decision/decision.go", "Add", "shows people a wall clock time"},
 	{"target/queue.go", "started", "a reference; the times compared with it come from the caller"},
 	{"platform/store/call.go", "do", "measures response times, without suspensions"},
-	{"platform/replica/news.go", "events", "measures response times, without suspensions"},
-	{"peer/link.go", "expect", "measures response times, without suspensions"},
-	{"peer/link.go", "doubt", "measures response times, without suspensions"},
-	{"peer/link.go", "heard", "measures response times, without suspensions"},
+	{"platform/replica/events.go", "cacheEventsOnce", "measures response times, without suspensions"},
+	{"peer/link.go", "register", "measures response times, without suspensions"},
+	{"peer/link.go", "checkSilence", "measures response times, without suspensions"},
+	{"peer/link.go", "noteReceived", "measures response times, without suspensions"},
 	{"peer/link.go", "read", "measures response times, without suspensions"},
 }
 
