--- a/boxes/boxes.go
+++ b/boxes/boxes.go
@@ -47,9 +47,9 @@
 	Base string
 	HTTP *http.Client
 
-	// tag is the entity tag of the list last read, so that an unchanged one is
+	// etag is the entity tag of the list last read, so that an unchanged one is
 	// not sent again.
-	tag string
+	etag string
 }
 
 // Read returns the boxes listed now, or false if they are those of last time.
@@ -57,7 +57,7 @@
 	var answer struct {
 		Boxes []Box `json:"boxes"`
 	}
-	request, err := sling.New().Base(l.Base).Get("/v1/boxes").Set("If-None-Match", l.tag).Request()
+	request, err := sling.New().Base(l.Base).Get("/v1/boxes").Set("If-None-Match", l.etag).Request()
 	if err != nil {
 		return nil, false, trace.Wrap(err)
 	}
@@ -67,7 +67,7 @@
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
-		l.tag = response.Header.Get("ETag")
+		l.etag = response.Header.Get("ETag")
 		return answer.Boxes, true, nil
 	case http.StatusNotModified:
 		return nil, false, nil
--- a/charge/charge.go
+++ b/charge/charge.go
@@ -1,13 +1,14 @@
-// Package charge brings what requests cost into the table service: never
-// doubled, never for work that did not run, and lost only with the process.
+// Package charge records the accounts' usage in the table service. A request is
+// charged at most once and only if it ran; charges are lost only if the process
+// ends before they are written or the buffer is full.
 //
-// Each daemon adds up its charges and writes them in numbered batches; whoever
-// has the duty applies each batch once to the accounts' rows:
+// Each daemon sums its charges and writes them in numbered batches. The holder of
+// the lease applies each batch once to the accounts' totals:
 //
 //	l := charge.Ledger{Incarnation: id, Commit: c.Commit, Read: c.Read, ...}
 //	l.Add("menu-app", usage)
-//	err := l.Flush(ctx)  // on every daemon, now and then
-//	n, err := l.Apply(ctx) // on the one with the duty
+//	err := l.Flush(ctx)    // periodically on every daemon
+//	n, err := l.Apply(ctx) // on the holder of the lease
 package charge
 
 import (
@@ -31,21 +32,21 @@
 	usagePrefix = "usage/"
 )
 
-// maxAccounts bounds the accounts in one batch, and so one transaction.
+// maxAccounts bounds the accounts in one batch, and so the size of a row.
 const maxAccounts = 200
 
-// maxBatches bounds the batches that are applied in one transaction.
+// maxBatches bounds the batches applied in one transaction.
 const maxBatches = 200
 
-// shards is the number of rows that the accounts' totals are kept in. One row
-// for each account would cost a read for each account that was active.
+// shards is the number of rows that hold the accounts' totals. With one row for
+// each account, Apply would need a read for each active account.
 const shards = 64
 
-// Sum is what an account's requests cost.
+// Sum is an account's usage.
 type Sum struct {
 	Requests int `json:"requests"`
-	// Prompt, Cached and Completion are tokens; Cached is the part of Prompt
-	// that was reused or imported.
+	// Prompt, Cached and Completion are tokens. Cached is the part of Prompt that
+	// was reused or imported.
 	Prompt     int `json:"prompt"`
 	Cached     int `json:"cached"`
 	Completion int `json:"completion"`
@@ -55,26 +56,26 @@
 	return Sum{s.Requests + o.Requests, s.Prompt + o.Prompt, s.Cached + o.Cached, s.Completion + o.Completion}
 }
 
-// Ledger adds charges up and writes them. Set the exported fields before first
-// use; it is safe for concurrent use after that.
+// Ledger sums charges and writes them. Set the exported fields before first use;
+// it is safe for concurrent use after that.
 type Ledger struct {
-	// Incarnation names this run of the daemon; no other run has it.
+	// Incarnation is unique to this run of the daemon.
 	Incarnation string
 	Commit      func(ctx context.Context, tx table.Transaction) error
 	Read        func(ctx context.Context, key string) (table.Row, error)
 	ListAll     func(ctx context.Context, prefix string) ([]table.Row, error)
-	// MaxAccounts bounds the accounts that wait while the table service is
-	// down. Charges of further accounts are counted by Lost and dropped.
+	// MaxAccounts bounds the accounts with pending charges while the table service
+	// is down. Charges of further accounts are dropped and reported to Lost.
 	MaxAccounts int
-	// Lost hears of dropped charges.
+	// Lost is called with the number of requests whose charges were dropped.
 	Lost func(requests int)
 
 	mu sync.Mutex
-	// waiting is not in any batch yet.
-	waiting map[string]Sum
+	// pending holds the charges that are in no batch yet.
+	pending map[string]Sum
 	// flushing serializes Flush.
 	flushing sync.Mutex
-	// batch is numbered and may have been written; nil if there is none.
+	// batch is the batch being written, which may be stored already; nil if none.
 	batch *batch
 	// written is the number of the last batch known to be written.
 	written uint64
@@ -86,41 +87,43 @@
 	Sums   map[string]Sum `json:"sums"`
 }
 
-// batchHead is the value of a head row: the last batch that was written. It
-// keeps a late copy of a batch from being written again after it was applied.
+// batchHead is the value of a head row: the number of the last batch written. It
+// prevents a delayed copy of a batch from being written after the batch was
+// applied and deleted.
 type batchHead struct {
 	Last uint64 `json:"last"`
 }
 
-// Add charges an account for one request that ran to its end, by the engine's
-// own figures. Call it once for each request.
+// Add charges an account for one completed request, by the engine's token counts.
+// Call it once for each request.
 func (l *Ledger) Add(account string, u stream.Usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.waiting == nil {
-		l.waiting = make(map[string]Sum)
+	if l.pending == nil {
+		l.pending = make(map[string]Sum)
 	}
-	sum, known := l.waiting[account]
-	if !known && len(l.waiting) >= l.MaxAccounts {
+	sum, known := l.pending[account]
+	if !known && len(l.pending) >= l.MaxAccounts {
 		l.Lost(1)
 		return
 	}
-	l.waiting[account] = sum.plus(Sum{Requests: 1, Prompt: u.Prompt, Cached: u.Reused + u.Imported, Completion: u.Completion})
+	l.pending[account] = sum.plus(Sum{Requests: 1, Prompt: u.Prompt, Cached: u.Reused + u.Imported, Completion: u.Completion})
 }
 
-// Waiting counts the accounts whose charges are not written yet.
+// Waiting returns the number of accounts with charges not known to be written. An
+// account that is both in the current batch and pending counts twice.
 func (l *Ledger) Waiting() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := len(l.waiting)
+	n := len(l.pending)
 	if l.batch != nil {
 		n += len(l.batch.Sums)
 	}
 	return n
 }
 
-// Flush writes what waits. A batch whose answer was lost is written again with
-// the same number, which the head row lets through at most once.
+// Flush writes the pending charges. A batch with an unknown outcome is written again
+// under the same number, which the head row admits at most once.
 func (l *Ledger) Flush(ctx context.Context) error {
 	l.flushing.Lock()
 	defer l.flushing.Unlock()
@@ -139,20 +142,20 @@
 	}
 }
 
-// take returns the batch under way or makes the next one.
+// take returns the batch being written or makes the next one.
 func (l *Ledger) take() *batch {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.batch != nil || len(l.waiting) == 0 {
+	if l.batch != nil || len(l.pending) == 0 {
 		return l.batch
 	}
 	l.batch = &batch{Number: l.written + 1, Sums: make(map[string]Sum)}
-	for account, sum := range l.waiting {
+	for account, sum := range l.pending {
 		if len(l.batch.Sums) == maxAccounts {
 			break
 		}
 		l.batch.Sums[account] = sum
-		delete(l.waiting, account)
+		delete(l.pending, account)
 	}
 	return l.batch
 }
@@ -164,7 +167,7 @@
 		return trace.Wrap(err)
 	}
 	if head.Last >= b.Number {
-		return nil // An earlier try was applied after all.
+		return nil // An earlier write of this batch was committed.
 	}
 	value, err := json.Marshal(b)
 	if err != nil {
@@ -196,9 +199,9 @@
 	return head, row.Revision, trace.Wrap(err)
 }
 
-// Apply adds every written batch to the accounts' rows and returns how many
-// were applied. Two daemons may do so at once: each batch is deleted in the
-// same transaction that adds it.
+// Apply adds every written batch to the accounts' totals and returns how many were
+// applied. Two daemons may run it at once, as each batch is deleted in the
+// transaction that adds it.
 func (l *Ledger) Apply(ctx context.Context) (int, error) {
 	rows, err := l.ListAll(ctx, batchPrefix)
 	if err != nil {
@@ -212,7 +215,8 @@
 		case err == nil:
 			applied += n
 		case trace.IsCompareFailed(err), errors.Is(err, table.ErrLost):
-			// Another applied some, or the next round reads whether this did.
+			// Another daemon applied some of them, or the outcome is unknown. The next
+			// call lists what is left.
 		default:
 			return applied, trace.Wrap(err)
 		}
@@ -221,7 +225,7 @@
 	return applied, nil
 }
 
-// applyGroup applies some batches in one transaction.
+// applyGroup applies batches in one transaction.
 func (l *Ledger) applyGroup(ctx context.Context, rows []table.Row) error {
 	var tx table.Transaction
 	sums := make(map[string]Sum)
@@ -236,7 +240,7 @@
 		tx.Expect = append(tx.Expect, table.Condition{Key: row.Key, Revision: row.Revision})
 		tx.Delete = append(tx.Delete, row.Key)
 	}
-	for key, part := range sharded(sums) {
+	for key, part := range shardSums(sums) {
 		totals, revision, err := l.totals(ctx, key)
 		if err != nil {
 			return trace.Wrap(err)
@@ -254,8 +258,8 @@
 	return trace.Wrap(l.Commit(ctx, tx))
 }
 
-// sharded divides sums by the row that their accounts' totals are kept in.
-func sharded(sums map[string]Sum) map[string]map[string]Sum {
+// shardSums groups sums by the row that holds their accounts' totals.
+func shardSums(sums map[string]Sum) map[string]map[string]Sum {
 	rows := make(map[string]map[string]Sum)
 	for account, sum := range sums {
 		key := fmt.Sprintf("%s%02d", usagePrefix, xxhash.Sum64String(account)%shards)
@@ -267,7 +271,7 @@
 	return rows
 }
 
-// totals reads one row of accounts' totals.
+// totals reads one row of accounts' totals and its revision.
 func (l *Ledger) totals(ctx context.Context, key string) (map[string]Sum, uint64, error) {
 	totals := make(map[string]Sum)
 	row, err := l.Read(ctx, key)
@@ -281,7 +285,7 @@
 	return totals, row.Revision, trace.Wrap(err)
 }
 
-// Sums returns the accounts' totals as applied so far.
+// Sums returns the accounts' totals of all applied batches.
 func (l *Ledger) Sums(ctx context.Context) (map[string]Sum, error) {
 	rows, err := l.ListAll(ctx, usagePrefix)
 	if err != nil {
--- a/charge/charge_test.go
+++ b/charge/charge_test.go
@@ -18,7 +18,7 @@
 
 type commit func(context.Context, table.Transaction) error
 
-// What a daemon does next.
+// Actions of a daemon.
 const (
 	adds = iota
 	flushes
@@ -27,17 +27,17 @@
 	steps
 )
 
-// settled plays a generated history on three daemons and returns the requests
-// that were charged for, those that ran, and those that died with a daemon
-// before they were written.
-func settled(seam func(*fake.Table) commit, faults, actions []int) (charged, ran, lost int) {
+// play runs a generated history on three daemons and returns how many requests
+// were charged, how many ran, and how many were lost when a daemon ended before
+// it wrote their charges.
+func play(commitOf func(*fake.Table) commit, faults, actions []int) (charged, ran, lost int) {
 	rows := &fake.Table{Fault: (&fake.Script{Kinds: faults}).Draw}
 	ctx := context.Background()
 	incarnation := 0
 	start := func() *charge.Ledger {
 		incarnation++
 		return &charge.Ledger{
-			Incarnation: fmt.Sprint(incarnation), Commit: seam(rows), Read: rows.Read, ListAll: rows.ListAll,
+			Incarnation: fmt.Sprint(incarnation), Commit: commitOf(rows), Read: rows.Read, ListAll: rows.ListAll,
 			MaxAccounts: 100, Lost: func(int) {},
 		}
 	}
@@ -73,11 +73,11 @@
 	return sums["a"].Requests, ran, lost
 }
 
-// chargedOnce says that every request that ran is charged once, but for those
-// that died with their daemon, which may be lost.
-func chargedOnce(seam func(*fake.Table) commit) gopter.Prop {
+// chargedOnce checks that every request that ran is charged exactly once, except
+// that charges may be lost with their daemon.
+func chargedOnce(commitOf func(*fake.Table) commit) gopter.Prop {
 	return prop.ForAll(func(faults, actions []int) bool {
-		charged, ran, lost := settled(seam, faults, actions)
+		charged, ran, lost := play(commitOf, faults, actions)
 		return charged <= ran && charged >= ran-lost
 	}, gen.SliceOfN(13, gen.IntRange(0, int(fake.Kinds)-1)), gen.SliceOfN(60, gen.IntRange(0, steps-1)))
 }
@@ -101,17 +101,18 @@
 	}
 }
 
-// lateCopy has a batch whose answer is lost written again and applied before
-// its first copy arrives, and returns the requests charged for one that ran.
-func lateCopy(t *testing.T, seam func(*fake.Table) commit) int {
+// lateCopy writes a batch whose first copy is delayed: the batch is written again
+// and applied before the first copy arrives. It returns the requests charged for
+// the one that ran.
+func lateCopy(t *testing.T, commitOf func(*fake.Table) commit) int {
 	t.Helper()
 	rows := &fake.Table{Fault: func() fake.Kind { return fake.None }}
 	l := &charge.Ledger{
-		Incarnation: "1", Commit: seam(rows), Read: rows.Read, ListAll: rows.ListAll, MaxAccounts: 9, Lost: func(int) {},
+		Incarnation: "1", Commit: commitOf(rows), Read: rows.Read, ListAll: rows.ListAll, MaxAccounts: 9, Lost: func(int) {},
 	}
 	ctx := t.Context()
 	l.Add("a", stream.Usage{Prompt: 10})
-	// The read of the head goes through, the write is late.
+	// The read of the head succeeds, the write is delayed.
 	calls := 0
 	rows.Fault = func() fake.Kind {
 		calls++
@@ -121,13 +122,13 @@
 		return fake.None
 	}
 	if l.Flush(ctx) == nil {
-		t.Fatal("the answer was not lost")
+		t.Fatal("the flush succeeded, want its answer lost")
 	}
 	rows.Fault = nil
 	if err := l.Flush(ctx); err != nil {
 		t.Fatal(err)
 	}
-	for range 6 { // The copy arrives between two of these.
+	for range 6 { // The delayed copy arrives during one of these rounds.
 		if _, err := l.Apply(ctx); err != nil {
 			t.Fatal(err)
 		}
@@ -150,6 +151,6 @@
 
 func TestLateCopyIsNotChargedNeedsTheConditions(t *testing.T) {
 	if got := lateCopy(t, func(t *fake.Table) commit { return t.Unconditional }); got == 1 {
-		t.Error("the control was removed and nothing was charged twice: it proves nothing")
+		t.Error("without the conditions nothing was charged twice, so the test proves nothing")
 	}
 }
--- a/claim/book.go
+++ b/claim/book.go
@@ -12,50 +12,54 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// maxGroup bounds the writes in one transaction.
+// maxGroup is the largest number of writes in one transaction.
 const maxGroup = 200
 
-// Book takes, releases and finishes claims. Writes that come while one
-// transaction is in flight go together in the next. Set the exported fields
-// before Run.
+// Book takes, releases and finishes claims. It batches writes: those that arrive
+// while a transaction is in flight are committed together in the next one. Set
+// the exported fields before Run.
 type Book struct {
 	Commit func(ctx context.Context, tx table.Transaction) error
 	Read   func(ctx context.Context, key string) (table.Row, error)
-	// Nonce returns a new nonce each time.
+	// Nonce returns a new nonce on each call.
 	Nonce func() string
 	Now   func() time.Time
 	// Box is this box's name.
 	Box string
-	// Patience bounds how long one transaction and its reading back may take.
+	// Patience bounds a transaction with the reads after a conflict, a Lookup, and
+	// one pass over the orphans.
 	Patience time.Duration
-	// Forget is how long a claim whose insert was lost is looked for, to be
-	// taken back. It is longer than any transaction can be under way.
+	// Forget is for how long an insert with an unknown outcome is looked for, so
+	// that its row is deleted. It must be longer than any transaction can be in
+	// flight.
 	Forget time.Duration
 
-	once    sync.Once
-	waiting chan *write
-	lost    chan *write
+	once  sync.Once
+	queue chan *write
+	// orphans are claims whose row may exist though no request holds them.
+	orphans chan *write
 }
 
-// write is one row to be written, with its answer.
+// write is one queued write of a row.
 type write struct {
 	key    string
 	expect uint64
 	// claim is the row to put; nil deletes it.
 	claim  *Claim
 	answer chan error
-	// until is when to stop looking for a lost insert.
+	// until is when to stop looking for an orphan.
 	until time.Time
 }
 
 func (b *Book) start() {
 	b.once.Do(func() {
-		b.waiting = make(chan *write, maxGroup)
-		b.lost = make(chan *write, 4096)
+		b.queue = make(chan *write, maxGroup)
+		b.orphans = make(chan *write, 4096)
 	})
 }
 
-// Run writes groups until ctx ends. It returns when the last one is written.
+// Run commits queued writes and deletes orphans until ctx ends. It finishes the
+// group in progress before it returns.
 func (b *Book) Run(ctx context.Context) {
 	b.start()
 	ticker := time.NewTicker(time.Second)
@@ -65,24 +69,24 @@
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-b.waiting:
+		case first := <-b.queue:
 			for group := []*write{first}; len(group) > 0; {
 				var next []*write
-				group, next = b.gather(group)
-				b.group(ctx, group)
+				group, next = b.collect(group)
+				b.commitGroup(ctx, group)
 				group = next
 			}
-		case w := <-b.lost:
+		case w := <-b.orphans:
 			orphans = append(orphans, w)
 		case <-ticker.C:
-			orphans = b.takeBack(ctx, orphans)
+			orphans = b.deleteOrphans(ctx, orphans)
 		}
 	}
 }
 
-// Take inserts a claim. The claim it returns is the permission to dispatch.
-// It fails with *Taken if the key is in use and with ErrDown if the table
-// service does not answer; either way the request has not run.
+// Take inserts a claim. The returned claim is the permission to dispatch. Take
+// fails with *Taken if the key is in use and with ErrDown if the table service
+// does not answer. In both cases the request has not run.
 func (b *Book) Take(ctx context.Context, c Claim) (Claim, error) {
 	b.start()
 	c.Nonce = b.Nonce()
@@ -95,24 +99,24 @@
 	case err == nil:
 		return c, nil
 	case trace.IsCompareFailed(err):
-		return b.taken(ctx, w)
+		return b.resolveConflict(ctx, w)
 	case errors.Is(err, table.ErrLost):
-		return b.afterLost(ctx, w)
+		return b.resolveUnknown(ctx, w)
 	}
 	return Claim{}, trace.Wrap(ErrDown, "%v", err)
 }
 
-// Lookup returns the claim that stands for a key, or trace.NotFound.
+// Lookup returns the stored claim of a key, or trace.NotFound.
 func (b *Book) Lookup(ctx context.Context, account, key string) (Claim, error) {
 	ctx, cancel := context.WithTimeout(ctx, b.Patience)
 	defer cancel()
-	c, _, err := b.stored(ctx, rowKey(account, key))
+	c, _, err := b.readClaim(ctx, rowKey(account, key))
 	return c, trace.Wrap(err)
 }
 
-// taken finds out who has the claim.
-func (b *Book) taken(ctx context.Context, w *write) (Claim, error) {
-	stored, _, err := b.stored(ctx, w.key)
+// resolveConflict returns the stored claim if it is this insert's own, else *Taken.
+func (b *Book) resolveConflict(ctx context.Context, w *write) (Claim, error) {
+	stored, _, err := b.readClaim(ctx, w.key)
 	if err != nil {
 		return Claim{}, trace.Wrap(ErrDown, "%v", err)
 	}
@@ -122,30 +126,30 @@
 	return Claim{}, &Taken{By: stored}
 }
 
-// afterLost reads back an insert whose answer was lost. If it can't be seen it
-// may still arrive, so it is looked for and taken back later; the permission
-// is given up at once.
-func (b *Book) afterLost(ctx context.Context, w *write) (Claim, error) {
-	stored, _, err := b.stored(ctx, w.key)
+// resolveUnknown reads back an insert with an unknown outcome. One that is not
+// visible may still arrive: Take fails at once, and the row becomes an orphan that
+// is deleted when it appears.
+func (b *Book) resolveUnknown(ctx context.Context, w *write) (Claim, error) {
+	stored, _, err := b.readClaim(ctx, w.key)
 	if err == nil && stored.Nonce == w.claim.Nonce {
 		return stored, nil
 	}
 	if err == nil {
 		return Claim{}, &Taken{By: stored}
 	}
-	b.abandon(w)
-	return Claim{}, trace.Wrap(ErrDown, "the insert's answer was lost")
+	b.addOrphan(w)
+	return Claim{}, trace.Wrap(ErrDown, "outcome of inserting row %s unknown", w.key)
 }
 
-func (b *Book) abandon(w *write) {
+func (b *Book) addOrphan(w *write) {
 	w.until = b.Now().Add(b.Forget)
 	select {
-	case b.lost <- w:
-	default: // Too many; the key then stays taken, which is safe.
+	case b.orphans <- w:
+	default: // The queue is full. The key stays taken, which is safe.
 	}
 }
 
-func (b *Book) stored(ctx context.Context, key string) (Claim, uint64, error) {
+func (b *Book) readClaim(ctx context.Context, key string) (Claim, uint64, error) {
 	row, err := b.Read(ctx, key)
 	if err != nil {
 		return Claim{}, 0, trace.Wrap(err)
@@ -155,17 +159,18 @@
 	return c, row.Revision, trace.Wrap(err)
 }
 
-// Release takes a claim back by its exact nonce. Call it only if nothing can
-// have been sent. If it fails the key stays taken and is looked after later.
+// Release deletes a claim if its nonce still matches. Call it only if nothing can
+// have been sent. If it fails, the key stays taken until the orphan's row is
+// deleted.
 func (b *Book) Release(ctx context.Context, c Claim) error {
 	err := b.replace(ctx, c, nil)
 	if err != nil {
-		b.abandon(&write{key: rowKey(c.Account, c.Key), claim: &c})
+		b.addOrphan(&write{key: rowKey(c.Account, c.Key), claim: &c})
 	}
 	return trace.Wrap(err)
 }
 
-// Finish stores the answer for callers that ask again.
+// Finish stores the answer for callers that retry with the key.
 func (b *Book) Finish(ctx context.Context, c Claim, answer Answer) error {
 	done := c
 	done.State = Done
@@ -173,15 +178,15 @@
 	return trace.Wrap(b.replace(ctx, c, &done))
 }
 
-// replace writes over the row of the claim held, or deletes it.
+// replace overwrites the row of a held claim, or deletes it if with is nil.
 func (b *Book) replace(ctx context.Context, held Claim, with *Claim) error {
 	key := rowKey(held.Account, held.Key)
-	stored, revision, err := b.stored(ctx, key)
+	stored, revision, err := b.readClaim(ctx, key)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	if stored.Nonce != held.Nonce {
-		return trace.CompareFailed("the claim is another's")
+		return trace.CompareFailed("row %s holds the claim of request %s", key, stored.Request)
 	}
 	return b.submit(ctx, &write{key: key, expect: revision, claim: with, answer: make(chan error, 1)})
 }
@@ -189,7 +194,7 @@
 func (b *Book) submit(ctx context.Context, w *write) error {
 	b.start()
 	select {
-	case b.waiting <- w:
+	case b.queue <- w:
 	case <-ctx.Done():
 		return trace.ConnectionProblem(ctx.Err(), "nothing was written")
 	}
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -19,14 +19,14 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// control is what a sister test removes.
+// control holds what a control test replaces.
 type control struct {
 	commit func(*fake.Table) func(context.Context, table.Transaction) error
 }
 
-var inForce = control{commit: func(t *fake.Table) func(context.Context, table.Transaction) error { return t.Commit }}
+var conditional = control{commit: func(t *fake.Table) func(context.Context, table.Transaction) error { return t.Commit }}
 
-// What a daemon does with the permission.
+// Actions of a daemon that holds the claim.
 const (
 	sends = iota
 	sendsLate
@@ -36,14 +36,14 @@
 	actions
 )
 
-// history is what happened to one key.
+// history records the runs of one key.
 type history struct {
 	mu sync.Mutex
 	// ran counts the runs on the target.
 	ran int
 }
 
-// attempt is one caller's try at one daemon.
+// attempt makes one caller's attempt at one daemon.
 func (h *history) attempt(book *claim.Book, digest string, action int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -55,7 +55,7 @@
 	switch action {
 	case sends, sendsLate:
 		if action == sendsLate {
-			time.Sleep(45 * time.Second) // Frozen, then thawed.
+			time.Sleep(45 * time.Second) // A daemon that is suspended while it holds the claim.
 		}
 		h.run()
 		_ = book.Finish(background, held, claim.Answer{Status: 201})
@@ -97,7 +97,7 @@
 		var callers sync.WaitGroup
 		for i, action := range tries {
 			callers.Go(func() {
-				// Callers that lost their answer come back, at any daemon.
+				// Callers without an answer retry at any daemon.
 				time.Sleep(time.Duration(i/3) * 10 * time.Second)
 				h.attempt(books[i%daemons], "same body", action%actions)
 			})
@@ -116,14 +116,14 @@
 	}, gen.IntRange(1, 4), gen.SliceOfN(9, gen.IntRange(0, int(fake.Kinds)-1)), gen.SliceOfN(12, gen.IntRange(0, actions-1)))
 }
 
-func TestAtMostOneRun(t *testing.T) { proof.Holds(t, atMostOnce(t, inForce)) }
+func TestAtMostOneRun(t *testing.T) { proof.Holds(t, atMostOnce(t, conditional)) }
 
 func TestAtMostOneRunNeedsTheCondition(t *testing.T) {
 	removed := control{commit: func(t *fake.Table) func(context.Context, table.Transaction) error { return t.Unconditional }}
 	proof.Breaks(t, atMostOnce(t, removed))
 }
 
-// start runs a book over a table service.
+// start returns a running Book over a fake table service.
 func start(ctx context.Context, rows *fake.Table) *claim.Book {
 	n := 0
 	b := &claim.Book{
@@ -134,14 +134,14 @@
 	return b
 }
 
-// TestTakeAnswers checks what a second caller with the same key is told.
+// TestTakeAnswers checks the result of a second Take with the same key.
 func TestTakeAnswers(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults []int
-		// before is done by the first holder.
+		// before is what the first holder does.
 		before func(ctx context.Context, b *claim.Book, held claim.Claim) error
-		// want says what the second Take does: an error to match, or none.
+		// taken and down say which error the second Take returns, if any.
 		taken, down bool
 	}{
 		{name: "running", taken: true},
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestReleaseIsByNonce shows that a release that comes late does not undo a
-// later claim.
+// TestReleaseIsByNonce checks that a repeated release of a claim does not delete a
+// later claim of the same key.
 func TestReleaseIsByNonce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/claim/group.go
+++ b/claim/group.go
@@ -9,9 +9,9 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// gather adds what waits to a group, each row at most once, and returns the
+// collect adds queued writes to a group, at most one for each row, and returns the
 // writes that must wait for the next group.
-func (b *Book) gather(first []*write) (group, next []*write) {
+func (b *Book) collect(first []*write) (group, next []*write) {
 	rows := make(map[string]bool)
 	add := func(w *write) {
 		if rows[w.key] {
@@ -26,7 +26,7 @@
 	}
 	for len(group)+len(next) < maxGroup {
 		select {
-		case w := <-b.waiting:
+		case w := <-b.queue:
 			add(w)
 		default:
 			return group, next
@@ -35,8 +35,9 @@
 	return group, next
 }
 
-// group commits the writes; a row that conflicts is answered and left out.
-func (b *Book) group(ctx context.Context, group []*write) {
+// commitGroup commits the writes in one transaction. A write that conflicts gets the
+// error, and the others are committed without it.
+func (b *Book) commitGroup(ctx context.Context, group []*write) {
 	ctx, cancel := context.WithTimeout(ctx, b.Patience)
 	defer cancel()
 	for len(group) > 0 {
@@ -49,16 +50,16 @@
 		}
 		left := group[:0:0]
 		for _, w := range group {
-			if b.stands(ctx, w) {
+			if b.conditionHolds(ctx, w) {
 				left = append(left, w)
 			} else {
 				w.answer <- err
 			}
 		}
 		if len(left) == len(group) {
-			// The conflict is gone again; say so rather than go round.
+			// The conflict is not visible any more. Fail rather than retry without end.
 			for _, w := range left {
-				w.answer <- trace.LimitExceeded("the row changes too fast")
+				w.answer <- trace.LimitExceeded("row %s changed again during its conflict check", w.key)
 			}
 			return
 		}
@@ -66,8 +67,8 @@
 	}
 }
 
-// stands says whether a write's condition still holds.
-func (b *Book) stands(ctx context.Context, w *write) bool {
+// conditionHolds reports whether a write's condition still holds.
+func (b *Book) conditionHolds(ctx context.Context, w *write) bool {
 	row, err := b.Read(ctx, w.key)
 	if trace.IsNotFound(err) {
 		return w.expect == 0
--- a/claim/orphan.go
+++ b/claim/orphan.go
@@ -6,22 +6,23 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// takeBack deletes rows of abandoned claims and returns those still sought.
-func (b *Book) takeBack(ctx context.Context, orphans []*write) []*write {
+// deleteOrphans deletes the rows of orphans and returns the orphans to look for
+// again.
+func (b *Book) deleteOrphans(ctx context.Context, orphans []*write) []*write {
 	ctx, cancel := context.WithTimeout(ctx, b.Patience)
 	defer cancel()
 	left := orphans[:0:0]
 	for _, w := range orphans {
-		if !b.takeBackOne(ctx, w) && b.Now().Before(w.until) {
+		if !b.deleteOrphan(ctx, w) && b.Now().Before(w.until) {
 			left = append(left, w)
 		}
 	}
 	return left
 }
 
-// takeBackOne says whether the row is certain to be gone.
-func (b *Book) takeBackOne(ctx context.Context, w *write) bool {
-	stored, revision, err := b.stored(ctx, w.key)
+// deleteOrphan reports whether the orphan's row was found and deleted.
+func (b *Book) deleteOrphan(ctx context.Context, w *write) bool {
+	stored, revision, err := b.readClaim(ctx, w.key)
 	if err != nil || stored.Nonce != w.claim.Nonce {
 		return false
 	}
--- a/configuration/configuration.go
+++ b/configuration/configuration.go
@@ -36,9 +36,9 @@
 	Pools    map[string]pool.Pool
 	Models   map[string]model.Model
 
-	// names maps each account.HashKey in force to its account. No two
+	// accountByKey maps each account.HashKey in force to its account. No two
 	// accounts share a key.
-	names map[string]string
+	accountByKey map[string]string
 }
 
 // Entry is the change of one entity.
@@ -78,7 +78,7 @@
 
 // Account returns the account that an API key belongs to.
 func (c *Configuration) Account(key string) (account.Account, bool) {
-	name, ok := c.names[account.HashKey(key)]
+	name, ok := c.accountByKey[account.HashKey(key)]
 	return c.Accounts[name], ok
 }
 
@@ -189,13 +189,13 @@
 }
 
 func (c *Configuration) index(findings *finding.List) {
-	c.names = make(map[string]string, len(c.Accounts))
+	c.accountByKey = make(map[string]string, len(c.Accounts))
 	for name, a := range c.Accounts {
 		for _, hash := range a.KeyHashes {
-			if other, taken := c.names[hash]; taken {
+			if other, taken := c.accountByKey[hash]; taken {
 				findings.Add("account "+name, "has a key of account %s", other)
 			}
-			c.names[hash] = name
+			c.accountByKey[hash] = name
 		}
 	}
 }
--- a/configuration/rows.go
+++ b/configuration/rows.go
@@ -18,7 +18,7 @@
 	headKey      = "config-head"
 	entityPrefix = "config/"
 	auditPrefix  = "audit/"
-	refusedTable = "audit-refused/"
+	refusedPrefix = "audit-refused/"
 )
 
 // head is the value of the head row.
@@ -76,7 +76,7 @@
 
 // Refusals returns the refused changes that were recorded.
 func (r *Rows) Refusals(ctx context.Context) ([]Change, error) {
-	rows, err := r.ListAll(ctx, refusedTable)
+	rows, err := r.ListAll(ctx, refusedPrefix)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -155,15 +155,15 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if err := r.settle(ctx, tx, change); err != nil {
+	if err := r.commitUntilKnown(ctx, tx, change); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return next, nil
 }
 
-// settle commits until the outcome is certain. Committing again is safe: the
+// commitUntilKnown commits until the outcome is certain. Committing again is safe: the
 // condition on the head row lets at most one of the tries through.
-func (r *Rows) settle(ctx context.Context, tx table.Transaction, change Change) error {
+func (r *Rows) commitUntilKnown(ctx context.Context, tx table.Transaction, change Change) error {
 	const pause = 200 * time.Millisecond
 	lost := false
 	for {
@@ -212,7 +212,7 @@
 		return trace.Wrap(err)
 	}
 	return trace.Wrap(r.Commit(ctx, table.Transaction{
-		Put: []table.Row{{Key: refusedTable + change.ID, Value: value}},
+		Put: []table.Row{{Key: refusedPrefix + change.ID, Value: value}},
 	}))
 }
 
--- a/document/document.go
+++ b/document/document.go
@@ -29,16 +29,16 @@
 	Name string
 
 	findings finding.List
-	// places maps the path of each value seen, such as "limits.body_bytes" or
+	// positions maps the path of each value seen, such as "limits.body_bytes" or
 	// "accounts[2].name", to its place.
-	places map[string]string
+	positions map[string]string
 }
 
 // Decode reads data into the struct that into points to. Fields that are not
 // in the file keep their values, so defaults are set beforehand. Problems are
 // collected; see Err.
 func (d *Document) Decode(data []byte, into any) {
-	d.places = make(map[string]string)
+	d.positions = make(map[string]string)
 	file, err := parser.ParseBytes(data, 0)
 	if err != nil {
 		d.findings.Add(d.Name, "%s", firstLine(err))
@@ -51,13 +51,13 @@
 	if len(file.Docs) > 1 {
 		d.findings.Add(d.Name, "the file holds more than one document")
 	}
-	d.value("", file.Docs[0].Body, reflect.ValueOf(into).Elem())
+	d.decodeValue("", file.Docs[0].Body, reflect.ValueOf(into).Elem())
 }
 
 // Add records a finding about the value at path, such as "peers" or
 // "pools[0].kind".
 func (d *Document) Add(path, format string, args ...any) {
-	place, known := d.places[path]
+	place, known := d.positions[path]
 	if !known {
 		place = d.Name
 	}
@@ -67,13 +67,13 @@
 // Err returns all findings as one error, or nil.
 func (d *Document) Err() error { return d.findings.Err() }
 
-func (d *Document) value(path string, node ast.Node, into reflect.Value) {
-	d.places[path] = d.place(node.GetToken())
+func (d *Document) decodeValue(path string, node ast.Node, into reflect.Value) {
+	d.positions[path] = d.position(node.GetToken())
 	switch {
 	case into.Kind() == reflect.Struct && !isText(into):
-		d.fields(path, node, into)
+		d.decodeStruct(path, node, into)
 	case into.Kind() == reflect.Slice && into.Type().Elem().Kind() == reflect.Struct && !isText(reflect.New(into.Type().Elem()).Elem()):
-		d.elements(path, node, into)
+		d.decodeSlice(path, node, into)
 	default:
 		if err := yaml.NodeToValue(node, into.Addr().Interface()); err != nil {
 			d.Add(path, "%s", firstLine(err))
@@ -81,7 +81,7 @@
 	}
 }
 
-func (d *Document) fields(path string, node ast.Node, into reflect.Value) {
+func (d *Document) decodeStruct(path string, node ast.Node, into reflect.Value) {
 	mapping, ok := node.(ast.MapNode)
 	if !ok {
 		d.Add(path, "must be a mapping")
@@ -91,7 +91,7 @@
 	for entries := mapping.MapRange(); entries.Next(); {
 		key := entries.Key().String()
 		at := join(path, key)
-		d.places[at] = d.place(entries.Key().GetToken())
+		d.positions[at] = d.position(entries.Key().GetToken())
 		field := fieldOf(into, key)
 		switch {
 		case !field.IsValid():
@@ -99,13 +99,13 @@
 		case seen[key]:
 			d.Add(at, "stands twice")
 		default:
-			d.value(at, entries.Value(), field)
+			d.decodeValue(at, entries.Value(), field)
 		}
 		seen[key] = true
 	}
 }
 
-func (d *Document) elements(path string, node ast.Node, into reflect.Value) {
+func (d *Document) decodeSlice(path string, node ast.Node, into reflect.Value) {
 	sequence, ok := node.(*ast.SequenceNode)
 	if !ok {
 		d.Add(path, "must be a list")
@@ -113,12 +113,12 @@
 	}
 	list := reflect.MakeSlice(into.Type(), len(sequence.Values), len(sequence.Values))
 	for i, element := range sequence.Values {
-		d.value(fmt.Sprintf("%s[%d]", path, i), element, list.Index(i))
+		d.decodeValue(fmt.Sprintf("%s[%d]", path, i), element, list.Index(i))
 	}
 	into.Set(list)
 }
 
-func (d *Document) place(t *token.Token) string {
+func (d *Document) position(t *token.Token) string {
 	return fmt.Sprintf("%s:%d:%d", d.Name, t.Position.Line, t.Position.Column)
 }
 
--- a/engine/client.go
+++ b/engine/client.go
@@ -43,8 +43,8 @@
 	return said
 }
 
-// maxFrame bounds one line of a stream, in bytes.
-const maxFrame = 1 << 20
+// maxFrameBytes bounds one line of a stream, in bytes.
+const maxFrameBytes = 1 << 20
 
 // Client calls engines. Set the exported fields before first use.
 type Client struct {
@@ -65,10 +65,10 @@
 	Close func() error
 }
 
-// framesOf reads frames from the lines of a body.
-func framesOf(body io.ReadCloser) *Frames {
+// newFrames reads frames from the lines of a body.
+func newFrames(body io.ReadCloser) *Frames {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxFrame)
+	lines.Buffer(nil, maxFrameBytes)
 	next := func() (stream.Frame, error) {
 		var frame stream.Frame
 		if !lines.Scan() {
@@ -113,21 +113,21 @@
 	answer := struct {
 		Started bool `json:"started"`
 	}{Started: true}
-	err = c.call(ctx, c.to(at).Post("/v1/cancel").BodyJSON(body), &answer)
+	err = c.call(ctx, c.endpoint(at).Post("/v1/cancel").BodyJSON(body), &answer)
 	return answer.Started || err != nil, trace.Wrap(err)
 }
 
 // Load reads the engine's report.
 func (c *Client) Load(ctx context.Context, at netip.AddrPort) (Load, error) {
 	var load Load
-	err := c.call(ctx, c.to(at).Get("/v1/load"), &load)
+	err := c.call(ctx, c.endpoint(at).Get("/v1/load"), &load)
 	return load, trace.Wrap(err)
 }
 
 // Send gives an order. It fails with trace.CompareFailed when the engine has
 // seen a higher epoch.
 func (c *Client) Send(ctx context.Context, at netip.AddrPort, order Order) error {
-	return trace.Wrap(c.call(ctx, c.to(at).Post("/v1/orders").BodyJSON(order), nil))
+	return trace.Wrap(c.call(ctx, c.endpoint(at).Post("/v1/orders").BodyJSON(order), nil))
 }
 
 // Export has the engine write the cache of one run's prompt to a store box and
@@ -141,16 +141,16 @@
 	var answer struct {
 		Pieces []kvcache.Piece `json:"pieces"`
 	}
-	err := c.call(ctx, c.to(at).Post("/v1/export").BodyJSON(body), &answer)
+	err := c.call(ctx, c.endpoint(at).Post("/v1/export").BodyJSON(body), &answer)
 	return answer.Pieces, trace.Wrap(err)
 }
 
-func (c *Client) to(at netip.AddrPort) *sling.Sling {
+func (c *Client) endpoint(at netip.AddrPort) *sling.Sling {
 	return sling.New().Client(c.HTTP).Base("http://" + at.String())
 }
 
 func (c *Client) open(ctx context.Context, at netip.AddrPort, path string, body any) (*Frames, error) {
-	request, err := c.to(at).Post(path).BodyJSON(body).Request()
+	request, err := c.endpoint(at).Post(path).BodyJSON(body).Request()
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -172,7 +172,7 @@
 		defer response.Body.Close()
 		return nil, refusal(response)
 	}
-	frames := framesOf(response.Body)
+	frames := newFrames(response.Body)
 	frames.Said = Said(response)
 	return frames, nil
 }
--- a/eventstream/eventstream.go
+++ b/eventstream/eventstream.go
@@ -21,8 +21,8 @@
 // makes and keeps a spoilt stream from filling memory.
 const Longest = 1 << 20
 
-// firstBuffer holds a few usual events, in bytes.
-const firstBuffer = 1 << 10
+// initialBuffer holds a few usual events, in bytes.
+const initialBuffer = 1 << 10
 
 // Reader reads events. Set From before first use.
 type Reader struct {
@@ -40,11 +40,11 @@
 // io.EOF at the end of a whole stream and ErrCut if a part of an event is left.
 func (r *Reader) Next() ([]byte, error) {
 	for {
-		if event := r.event(); event != nil {
+		if event := r.buffered(); event != nil {
 			return event, nil
 		}
 		if r.err != nil {
-			return nil, r.ended()
+			return nil, r.endError()
 		}
 		if r.end-r.start > Longest {
 			return nil, trace.LimitExceeded("an event has over %d bytes", Longest)
@@ -53,10 +53,10 @@
 	}
 }
 
-func (r *Reader) event() []byte {
+func (r *Reader) buffered() []byte {
 	unread := r.buffer[r.start:r.end]
 	from := max(r.searched-3, 0)
-	length := boundary(unread[from:])
+	length := eventLength(unread[from:])
 	if length < 0 {
 		r.searched = len(unread)
 		return nil
@@ -67,8 +67,8 @@
 	return unread[:length]
 }
 
-// boundary returns the length up to the end of the first blank line, or -1.
-func boundary(b []byte) int {
+// eventLength returns the length up to the end of the first blank line, or -1.
+func eventLength(b []byte) int {
 	plain := bytes.Index(b, []byte("\n\n"))
 	windows := bytes.Index(b, []byte("\r\n\r\n"))
 	if windows >= 0 && (plain < 0 || windows < plain) {
@@ -80,7 +80,7 @@
 	return -1
 }
 
-func (r *Reader) ended() error {
+func (r *Reader) endError() error {
 	if r.err == io.EOF && r.end > r.start {
 		return ErrCut
 	}
@@ -94,7 +94,7 @@
 		r.end -= r.start
 		r.start = 0
 	case r.end == len(r.buffer):
-		r.buffer = append(r.buffer, make([]byte, max(firstBuffer, len(r.buffer)))...)
+		r.buffer = append(r.buffer, make([]byte, max(initialBuffer, len(r.buffer)))...)
 	}
 	n, err := r.From.Read(r.buffer[r.end:])
 	r.end += n
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -11,8 +11,9 @@
 	"github.com/thymewind/thymewind/route"
 )
 
-// answer passes the target's answer to the caller and stores it with a claim.
-// If it breaks off, so does the caller's connection: a part never looks whole.
+// answer copies the target's answer to the caller and stores the answer to a
+// not-repeatable request with its claim. If the answer breaks off, the caller's
+// connection is aborted, so that a part never looks complete.
 func (x *exchange) answer(w http.ResponseWriter, response *http.Response, placed route.Placed) {
 	defer func() { _ = response.Body.Close() }()
 	x.Said(placed, engine.Said(response))
@@ -22,45 +23,46 @@
 	}
 	w.Header().Set(HeaderTarget, placed.Target)
 	w.WriteHeader(response.StatusCode)
-	copied := &tee{to: w, flush: http.NewResponseController(w), persist: x.once}
+	copied := &tee{caller: w, flush: http.NewResponseController(w), drain: x.atMostOnce}
 	_, err := io.Copy(copied, response.Body)
-	x.Ended(route.Ended{Placed: placed, Failed: err != nil && !copied.gone})
-	if err == nil && x.once {
+	x.Ended(route.Ended{Placed: placed, Failed: err != nil && !copied.callerLeft})
+	if err == nil && x.atMostOnce {
 		x.permit.Complete(x.ctx, claim.Answer{
-			Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: copied.kept, Cut: copied.over,
+			Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: copied.stored, Cut: copied.truncated,
 		})
 	}
-	if err != nil || copied.gone {
+	if err != nil || copied.callerLeft {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// tee writes to the caller at once and keeps the beginning.
+// tee writes to the caller without buffering and stores the answer for replay, up
+// to idempotency.MaxStored bytes.
 type tee struct {
-	to    http.ResponseWriter
-	flush *http.ResponseController
-	kept  []byte
-	over  bool
-	// persist reads on when the caller has left, which gone tells.
-	persist, gone bool
+	caller    http.ResponseWriter
+	flush     *http.ResponseController
+	stored    []byte
+	truncated bool
+	// drain goes on reading after the caller has left; callerLeft records that it has.
+	drain, callerLeft bool
 }
 
 // Write implements io.Writer.
 func (t *tee) Write(b []byte) (int, error) {
-	if len(t.kept)+len(b) <= idempotency.MaxStored {
-		t.kept = append(t.kept, b...)
+	if len(t.stored)+len(b) <= idempotency.MaxStored {
+		t.stored = append(t.stored, b...)
 	} else {
-		t.over = true
+		t.truncated = true
 	}
-	if t.gone {
+	if t.callerLeft {
 		return len(b), nil
 	}
-	_, err := t.to.Write(b)
+	_, err := t.caller.Write(b)
 	if err == nil {
 		err = t.flush.Flush()
 	}
-	t.gone = err != nil
-	if t.gone && !t.persist {
+	t.callerLeft = err != nil
+	if t.callerLeft && !t.drain {
 		return 0, err
 	}
 	return len(b), nil
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -1,7 +1,7 @@
-// Package forward passes callers' requests on to plain services, with their
-// method, query, headers, body and status as they are.
+// Package forward proxies callers' requests to plain services and keeps method,
+// query, headers, body and status unchanged.
 //
-// A request marked not repeatable runs at most once for its client account and
+// A request marked not repeatable runs at most once for each client account and
 // key: it is placed first, then claimed, and only then sent.
 //
 //	f := forward.Forwarder{Place: loop.place, Permits: &office, ...}
@@ -20,60 +20,60 @@
 	"github.com/thymewind/thymewind/route"
 )
 
-// The headers by which callers mark a request.
+// The headers of marked requests and of answers.
 const (
 	// HeaderNotRepeatable marks a request that must run at most once.
 	HeaderNotRepeatable = "Thymewind-Not-Repeatable"
 	// HeaderKey is the key of the IETF Idempotency-Key draft.
 	HeaderKey = "Idempotency-Key"
-	// HeaderReplayed is set on an answer that was given before.
+	// HeaderReplayed is set on a stored answer of an earlier request.
 	HeaderReplayed = "Idempotency-Replayed"
 	// HeaderTarget names the target that answered.
 	HeaderTarget = "Thymewind-Target"
 )
 
-// Call is one request to a plain service, of a caller that is known.
+// Call is one authenticated request to a plain service.
 type Call struct {
 	Request string
 	Account string
 	Pool    string
-	// Path is the escaped path behind the pool's prefix; it starts with a slash.
+	// Path is the escaped path after the pool's prefix. It starts with a slash.
 	Path string
 	// BodyBytes bounds the request's body.
 	BodyBytes int64
-	// Timeout bounds a request marked not repeatable.
+	// Timeout bounds a not-repeatable request as a whole, and for every request
+	// the wait for a target's answer to begin.
 	Timeout time.Duration
-	// OnceByTarget says that the pool's targets run one key at most once.
+	// OnceByTarget says that the pool's targets themselves run a key at most once.
 	OnceByTarget bool
 }
 
-// Forwarder passes requests on. Set the exported fields before first use; it
-// is safe for concurrent use after that.
+// Forwarder proxies requests. Set the exported fields before first use; it is
+// safe for concurrent use after that.
 type Forwarder struct {
 	Place func(ctx context.Context, ask route.Ask) (route.Placed, error)
-	// Ended hears of every attempt that was placed, exactly once.
+	// Ended is called exactly once for each placed attempt.
 	Ended func(route.Ended)
-	// Said hears what the head of an answer says of its target, before any of the answer
-	// is passed on.
+	// Said gets the signals in the headers of a target's answer, before any of the answer
+	// is copied.
 	Said func(route.Placed, notice.Signals)
-	// Allow is asked right before a request leaves this box; its error keeps it here.
+	// Allow is called right before a request leaves this box; its error stops the send.
 	Allow func(route.Placed) error
-	// Permits gives marked requests the permission to run.
+	// Permits acquires the claims of not-repeatable requests.
 	Permits *idempotency.Guard
-	// Send does one exchange on a connection of its own and says whether any
-	// byte was written. It waits no longer than patience for the answer to
-	// begin. See Sender.
-	Send func(request *http.Request, at netip.AddrPort, patience time.Duration) (response *http.Response, wrote bool, err error)
-	// Retry asks the retry budget for one more attempt.
+	// Send makes one attempt on a new connection and reports whether any byte was
+	// written. It waits up to timeout for the answer's headers. See Sender.
+	Send func(request *http.Request, at netip.AddrPort, timeout time.Duration) (response *http.Response, wrote bool, err error)
+	// Retry spends one attempt of the retry budget, or returns false if none is left.
 	Retry func(pool string) bool
 	// Attempts bounds the attempts of one request. It is at least 1.
 	Attempts int
-	// ComeBack says when a refused caller should return.
+	// ComeBack returns the delay after which a refused caller should retry.
 	ComeBack func() time.Duration
 }
 
-// Sender sends requests on fresh connections, so that the HTTP library never
-// sends a request again by itself. Set Dial before first use.
+// Sender sends each request on a new connection, so that the HTTP transport never
+// resends one by itself. Set Dial before first use.
 type Sender struct {
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -32,7 +32,7 @@
 	"github.com/thymewind/thymewind/route"
 )
 
-// What the fake target does with one exchange.
+// Behaviors of the fake target in one attempt.
 const (
 	unreachable = iota
 	runsThenSilent
@@ -77,14 +77,14 @@
 
 type send func(*http.Request, netip.AddrPort, time.Duration) (*http.Response, bool, error)
 
-// exchange is one call's outcome.
+// exchange is the outcome of one call.
 type exchange struct {
 	refused *refusal.Refusal
 	cut     bool
 	status  int
 }
 
-// serve runs one call on a forwarder with real claims over a fake table.
+// serve runs one call on a forwarder.
 func serve(f *forward.Forwarder, method, key string) (x exchange) {
 	request := httptest.NewRequest(method, "/services/orders/orders", strings.NewReader("2 x adobo"))
 	if key != "" {
@@ -105,6 +105,7 @@
 
 func comeBack() time.Duration { return time.Second }
 
+// forwarder returns a Forwarder with real claims over a fake table service.
 func forwarder(ctx context.Context, rows *fake.Table, placing *fake.Script, send send) *forward.Forwarder {
 	n := 0
 	book := &claim.Book{
@@ -127,14 +128,14 @@
 	}
 }
 
-// toldNot says whether a call was told did-not-run.
-func toldNot(x exchange) bool {
+// isDidNotRun reports whether a call was refused as did-not-run.
+func isDidNotRun(x exchange) bool {
 	return x.refused != nil && x.refused.Outcome == refusal.DidNotRun
 }
 
-// toldTheTruth says that a call told did-not-run did not run, and that a
-// marked one ran at most once over all its retries.
-func toldTheTruth(t *testing.T, seam func(send) send) gopter.Prop {
+// outcomeIsTrue checks that a call refused as did-not-run did not run, and that a
+// marked one runs at most once over all its retries.
+func outcomeIsTrue(t *testing.T, seam func(send) send) gopter.Prop {
 	return prop.ForAll(func(marked bool, method string, sends, faults, places []int) bool {
 		ok := true
 		synctest.Test(t, func(*testing.T) {
@@ -149,11 +150,11 @@
 			for range 4 {
 				before := x.ran
 				got := serve(f, method, key)
-				if toldNot(got) && x.ran > before {
+				if isDidNotRun(got) && x.ran > before {
 					ok = false
 				}
-				// Nor did an earlier try with the key, unless it can't be known.
-				if marked && x.ran > 0 && toldNot(got) && got.refused.Code != "no_permission" {
+				// Nor may an earlier call with the key have run, unless that is unknown.
+				if marked && x.ran > 0 && isDidNotRun(got) && got.refused.Code != "no_permission" {
 					ok = false
 				}
 				time.Sleep(40 * time.Second)
@@ -170,13 +171,13 @@
 }
 
 func TestDidNotRunIsTrue(t *testing.T) {
-	proof.Holds(t, toldTheTruth(t, func(s send) send { return s }))
+	proof.Holds(t, outcomeIsTrue(t, func(s send) send { return s }))
 }
 
 func TestDidNotRunNeedsToKnowWhatWasWritten(t *testing.T) {
-	proof.Breaks(t, toldTheTruth(t, func(s send) send {
-		return func(r *http.Request, at netip.AddrPort, patience time.Duration) (*http.Response, bool, error) {
-			response, _, err := s(r, at, patience)
+	proof.Breaks(t, outcomeIsTrue(t, func(s send) send {
+		return func(r *http.Request, at netip.AddrPort, timeout time.Duration) (*http.Response, bool, error) {
+			response, _, err := s(r, at, timeout)
 			return response, false, err
 		}
 	}))
@@ -209,7 +210,7 @@
 				began := time.Now()
 				got := serve(forwarder(ctx, rows, &fake.Script{}, x.send), tt.method, tt.key)
 				if waited := time.Since(began); waited > 0 {
-					t.Errorf("the final answer was held back for %v", waited)
+					t.Errorf("the final answer was delayed by %v", waited)
 				}
 				switch {
 				case tt.outcome == "" && (got.refused != nil || got.status != tt.status):
@@ -224,8 +225,8 @@
 	}
 }
 
-// TestReplay shows that a caller that comes back with its key is told the
-// first answer, and with another body is refused.
+// TestReplay checks that a retry with the same key gets the first answer, and that
+// another request with the key is refused.
 func TestReplay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -247,9 +248,9 @@
 	})
 }
 
-// TestSenderNeverSendsAgain has a target that reads a request and hangs up.
-// The HTTP library would send a request with an idempotency key again on a
-// connection that it had used before.
+// TestSenderNeverSendsAgain uses a target that reads a request and closes the
+// connection. On a reused connection the HTTP transport would resend a request that
+// has an idempotency key.
 func TestSenderNeverSendsAgain(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -279,16 +280,16 @@
 	response, wrote, err := sender.Send(request, at, time.Minute)
 	if err == nil {
 		_ = response.Body.Close()
-		t.Fatal("there can be no answer")
+		t.Fatal("got an answer from a target that gives none")
 	}
 	if !wrote || requests.Load() != 1 {
 		t.Errorf("wrote %v, the target read %d requests, want true and 1", wrote, requests.Load())
 	}
 }
 
-// TestSaid has targets say something of themselves in the head of an answer that lasts: it
-// is heard before any of the answer is passed on.
-func TestSaid(t *testing.T) {
+// TestSignals lets targets send signals in the headers of an answer. They must be read
+// before any of its body.
+func TestSignals(t *testing.T) {
 	tests := []struct {
 		name   string
 		status int
@@ -296,33 +297,33 @@
 		want   notice.Signals
 	}{
 		{"nothing", http.StatusOK, http.Header{}, notice.Signals{Unlimited: true}},
-		{"it leaves", http.StatusOK, http.Header{engine.HeaderLeaving: {"1"}}, notice.Signals{Leaving: true, Unlimited: true}},
-		{"it wants no requests", http.StatusServiceUnavailable, http.Header{"Retry-After": {"3"}}, notice.Signals{Backoff: 3 * time.Second, Unlimited: true}},
-		{"the request alone is to wait", http.StatusTooManyRequests, http.Header{"Retry-After": {"3"}}, notice.Signals{Unlimited: true}},
-		{"it limits requests", http.StatusOK, http.Header{engine.HeaderLimit: {"3.6"}}, notice.Signals{Limited: true, Rate: 3.6}},
+		{"leaving", http.StatusOK, http.Header{engine.HeaderLeaving: {"1"}}, notice.Signals{Leaving: true, Unlimited: true}},
+		{"backoff", http.StatusServiceUnavailable, http.Header{"Retry-After": {"3"}}, notice.Signals{Backoff: 3 * time.Second, Unlimited: true}},
+		{"backoff of one request only", http.StatusTooManyRequests, http.Header{"Retry-After": {"3"}}, notice.Signals{Unlimited: true}},
+		{"rate limit", http.StatusOK, http.Header{engine.HeaderLimit: {"3.6"}}, notice.Signals{Limited: true, Rate: 3.6}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var heard []notice.Signals
+			var got []notice.Signals
 			body := &counting{}
 			f := forwarder(t.Context(), &fake.Table{}, &fake.Script{}, func(*http.Request, netip.AddrPort, time.Duration) (*http.Response, bool, error) {
 				return &http.Response{StatusCode: tt.status, Header: tt.header, Body: io.NopCloser(body)}, true, nil
 			})
 			f.Said = func(_ route.Placed, said notice.Signals) {
 				if body.read > 0 {
-					t.Error("heard behind the answer's beginning")
+					t.Error("signals arrived after the answer's first bytes")
 				}
-				heard = append(heard, said)
+				got = append(got, said)
 			}
 			serve(f, http.MethodGet, "")
-			if len(heard) != 1 || heard[0] != tt.want {
-				t.Errorf("heard %+v, want %+v", heard, tt.want)
+			if len(got) != 1 || got[0] != tt.want {
+				t.Errorf("signals %+v, want %+v", got, tt.want)
 			}
 		})
 	}
 }
 
-// counting is an empty body that counts how often it is read.
+// counting is an empty body that counts its reads.
 type counting struct{ read int }
 
 func (c *counting) Read([]byte) (int, error) {
--- a/forward/serve.go
+++ b/forward/serve.go
@@ -21,28 +21,30 @@
 	*Forwarder
 	call Call
 	in   *http.Request
-	// ctx ends when the caller leaves; for a marked request only when its time
-	// is up, so that its answer is still kept for the caller's return.
+	// ctx ends when the caller leaves. That of a not-repeatable request ends only
+	// after Call.Timeout, so that its answer is stored for the caller's retry.
 	ctx context.Context
 	key string
-	// path is the call's, unescaped.
+	// path is Call.Path, unescaped.
 	path string
-	// once says that the request is marked not repeatable.
-	once bool
-	// repeatable says that running it twice does no harm.
+	// atMostOnce says that the request needs a claim: it is marked not repeatable, or
+	// has a key and a method that is not repeatable.
+	atMostOnce bool
+	// repeatable says that the request may be sent to a second target after the first
+	// may have run it.
 	repeatable bool
-	// body is the whole body of a marked request; others are streamed.
+	// body is the complete body of an atMostOnce request; others are streamed.
 	body []byte
-	// read says that some of a streamed body was taken.
-	read bool
-	// sent says that a target may have got some of the request.
-	sent bool
-	// permit is that of a marked request.
+	// bodyRead says that some of a streamed body was read, so it can't be resent.
+	bodyRead bool
+	// maybeSent says that a target may have received a part of the request.
+	maybeSent bool
+	// permit is set for atMostOnce requests.
 	permit *idempotency.Permit
 }
 
-// Serve passes a request on and writes the answer. The error is a
-// *refusal.Refusal, returned only if nothing was written to w.
+// Serve proxies a request and writes the answer. The error is a *refusal.Refusal,
+// returned only if nothing was written to w.
 func (f *Forwarder) Serve(w http.ResponseWriter, in *http.Request, call Call) error {
 	x := &exchange{Forwarder: f, call: call, in: in, ctx: in.Context(), key: in.Header.Get(HeaderKey)}
 	path, err := url.PathUnescape(call.Path)
@@ -55,11 +57,11 @@
 	x.path = path
 	x.repeatable = in.Method == http.MethodGet || in.Method == http.MethodHead || in.Method == http.MethodOptions
 	marked := in.Header.Get(HeaderNotRepeatable) != ""
-	x.once = marked || (x.key != "" && !x.repeatable)
-	if x.once && x.key == "" {
+	x.atMostOnce = marked || (x.key != "" && !x.repeatable)
+	if x.atMostOnce && x.key == "" {
 		return refusal.New(refusal.DidNotRun, http.StatusBadRequest, "key_missing", "a request marked not repeatable needs an %s header", HeaderKey)
 	}
-	if x.once {
+	if x.atMostOnce {
 		x.repeatable = false
 		if err := x.readBody(); err != nil {
 			return err
@@ -99,16 +101,17 @@
 	return refusal.New(refusal.DidNotRun, http.StatusRequestEntityTooLarge, "too_large", "the request's body has over %d bytes", bound)
 }
 
-// run tries targets until one answers or the outcome can't be known.
+// run tries targets until one answers, no attempt is left, or the outcome is
+// unknown.
 func (x *exchange) run(w http.ResponseWriter) error {
 	ask := route.Ask{Request: x.call.Request, Account: x.call.Account, Pool: x.call.Pool}
 	for {
 		ask.Attempt++
 		placed, err := x.Place(x.ctx, ask)
 		if err != nil {
-			return x.notRun(err)
+			return x.giveUp(err)
 		}
-		if x.once {
+		if x.atMostOnce {
 			earlier, err := x.permit.Acquire(x.ctx)
 			if err != nil || earlier != nil {
 				x.Ended(route.Ended{Placed: placed})
@@ -126,37 +129,37 @@
 			x.answer(w, response, placed)
 			return nil
 		}
-		x.sent = x.sent || wrote
-		kept := errors.Is(err, notice.ErrLimited)
-		x.Ended(route.Ended{Placed: placed, Failed: x.ctx.Err() == nil && !kept, Refused: kept})
+		x.maybeSent = x.maybeSent || wrote
+		limited := errors.Is(err, notice.ErrLimited)
+		x.Ended(route.Ended{Placed: placed, Failed: x.ctx.Err() == nil && !limited, Refused: limited})
 		if wrote && !x.repeatable {
 			return refusal.New(refusal.Unknown, http.StatusBadGateway, "no_answer", "the request was sent to %s but no answer came", placed.Target)
 		}
-		last := ask.Attempt >= x.Attempts || x.read || x.ctx.Err() != nil
+		last := ask.Attempt >= x.Attempts || x.bodyRead || x.ctx.Err() != nil
 		if last || !x.Retry(x.call.Pool) {
-			return x.notRun(refusal.New(refusal.DidNotRun, http.StatusBadGateway, "unreachable", "no target gave an answer: %v", err).After(x.ComeBack()))
+			return x.giveUp(refusal.New(refusal.DidNotRun, http.StatusBadGateway, "unreachable", "no target gave an answer: %v", err).After(x.ComeBack()))
 		}
 		ask.Exclude = append(ask.Exclude, placed.Target)
 		ask.AvoidDomain = placed.Domain
 	}
 }
 
-// notRun gives the request up. Only if no target can have got any of it does
-// it take the claim back and say that the request did not run.
-func (x *exchange) notRun(err error) error {
+// giveUp returns the final refusal. It releases the claim, and reports that the
+// request did not run, only if no target can have received any of it.
+func (x *exchange) giveUp(err error) error {
 	known := refusal.Of(err, refusal.DidNotRun, http.StatusServiceUnavailable)
-	if x.sent {
+	if x.maybeSent {
 		answer := *known
 		answer.Outcome = refusal.Unknown
 		return &answer
 	}
-	if x.once {
+	if x.atMostOnce {
 		x.permit.Abandon(x.ctx)
 	}
 	return known
 }
 
-// replay gives a caller the answer of an earlier run.
+// replay writes the stored answer of an earlier run.
 func replay(w http.ResponseWriter, answer *claim.Answer) {
 	w.Header().Set("Content-Type", answer.ContentType)
 	w.Header().Set(HeaderReplayed, "true")
@@ -164,7 +167,7 @@
 	_, _ = w.Write(answer.Body)
 }
 
-// send does one exchange with the target placed.
+// send makes one attempt on the chosen target.
 func (x *exchange) send(placed route.Placed) (*http.Response, bool, error) {
 	if err := x.Allow(placed); err != nil {
 		return nil, false, err
@@ -177,33 +180,33 @@
 	out.Host = ""
 	out.RequestURI = ""
 	hop.Strip(out.Header)
-	// The caller's key to this system is no business of the target.
+	// The target must not see the caller's API key for this system.
 	out.Header.Del("Authorization")
 	out.Header.Set("X-Request-Id", x.call.Request)
 	switch {
-	case x.once:
+	case x.atMostOnce:
 		out.Body = io.NopCloser(bytes.NewReader(x.body))
 		out.ContentLength = int64(len(x.body))
 	case x.in.ContentLength != 0:
-		out.Body = io.NopCloser(&watched{from: http.MaxBytesReader(nil, x.in.Body, x.call.BodyBytes), read: &x.read})
+		out.Body = io.NopCloser(&readRecorder{from: http.MaxBytesReader(nil, x.in.Body, x.call.BodyBytes), read: &x.bodyRead})
 	default:
 		out.Body = nil
 	}
-	patience := x.call.Timeout
+	timeout := x.call.Timeout
 	if placed.FirstToken > 0 {
-		patience = min(patience, placed.FirstToken)
+		timeout = min(timeout, placed.FirstToken)
 	}
-	return x.Send(out, placed.Address, patience)
+	return x.Send(out, placed.Address, timeout)
 }
 
-// watched notes that a body was read from, so that it can't be sent again.
-type watched struct {
+// readRecorder records that a body was read from, so that it is not sent again.
+type readRecorder struct {
 	from io.Reader
 	read *bool
 }
 
 // Read implements io.Reader.
-func (b *watched) Read(p []byte) (int, error) {
+func (b *readRecorder) Read(p []byte) (int, error) {
 	*b.read = true
 	return b.from.Read(p)
 }
--- a/logqueue/logqueue.go
+++ b/logqueue/logqueue.go
@@ -26,7 +26,7 @@
 
 	once  sync.Once
 	lines chan []byte
-	ended chan struct{}
+	done chan struct{}
 	// mu keeps writers from a queue that is closed.
 	mu      sync.RWMutex
 	closed  bool
@@ -36,7 +36,7 @@
 func (q *Queue) start() {
 	q.once.Do(func() {
 		q.lines = make(chan []byte, q.Lines)
-		q.ended = make(chan struct{})
+		q.done = make(chan struct{})
 	})
 }
 
@@ -60,7 +60,7 @@
 // Run writes queued lines until Close. It tells of dropped ones in their place.
 func (q *Queue) Run() {
 	q.start()
-	defer close(q.ended)
+	defer close(q.done)
 	out := bufio.NewWriter(q.To)
 	told := int64(0)
 	for line := range q.lines {
@@ -88,5 +88,5 @@
 		close(q.lines)
 	}
 	q.mu.Unlock()
-	<-q.ended
+	<-q.done
 }
--- a/logqueue/logqueue_test.go
+++ b/logqueue/logqueue_test.go
@@ -9,15 +9,15 @@
 	"github.com/thymewind/thymewind/logqueue"
 )
 
-// stuck takes nothing until it is let go.
-type stuck struct {
-	let chan struct{}
+// blockedWriter takes nothing until it is let go.
+type blockedWriter struct {
+	release chan struct{}
 	mu  sync.Mutex
 	got bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
-	<-s.let
+func (s *blockedWriter) Write(b []byte) (int, error) {
+	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got.Write(b)
@@ -25,7 +25,7 @@
 
 // TestNeverWaits writes far more lines than fit while the output takes none.
 func TestNeverWaits(t *testing.T) {
-	out := &stuck{let: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	q := logqueue.Queue{To: out, Lines: 10}
 	go q.Run()
 	const lines = 1000
@@ -39,7 +39,7 @@
 	if q.Dropped() < lines-10-1 {
 		t.Errorf("dropped %d", q.Dropped())
 	}
-	close(out.let)
+	close(out.release)
 	q.Close()
 	written := strings.Count(out.got.String(), "line\n")
 	if int64(written)+q.Dropped() != lines {
--- a/naming/naming.go
+++ b/naming/naming.go
@@ -18,9 +18,9 @@
 	"time"
 )
 
-// most is how many versions are remembered. Namings come seconds apart at the
+// maxVersions is how many versions are remembered. Namings come seconds apart at the
 // quickest, and only those within the bound and the one before matter.
-const most = 64
+const maxVersions = 64
 
 // Naming is one version and the earliest time at which it can have been named.
 type Naming struct {
@@ -33,8 +33,8 @@
 // Record holds the namings of one model. The zero value is ready; it is not safe
 // for concurrent use.
 type Record struct {
-	// list has rising versions, each once.
-	list []Naming
+	// entries has rising versions, each once.
+	entries []Naming
 }
 
 // Prove notes that a version was not named yet at a time. Of several proofs the
@@ -45,8 +45,8 @@
 		r.insert(i, Naming{Version: version, At: at})
 		return
 	}
-	if n := r.list[i]; n.Assumed || at.After(n.At) {
-		r.list[i] = Naming{Version: version, At: at}
+	if n := r.entries[i]; n.Assumed || at.After(n.At) {
+		r.entries[i] = Naming{Version: version, At: at}
 	}
 }
 
@@ -58,27 +58,27 @@
 		r.insert(i, Naming{version, at, true})
 		return
 	}
-	if n := &r.list[i]; n.Assumed && at.Before(n.At) {
+	if n := &r.entries[i]; n.Assumed && at.Before(n.At) {
 		n.At = at
 	}
 }
 
 // insert adds a naming and forgets the lowest version if there are too many.
 func (r *Record) insert(i int, n Naming) {
-	r.list = slices.Insert(r.list, i, n)
-	if len(r.list) > most {
-		r.list = slices.Delete(r.list, 0, 1)
+	r.entries = slices.Insert(r.entries, i, n)
+	if len(r.entries) > maxVersions {
+		r.entries = slices.Delete(r.entries, 0, 1)
 	}
 }
 
 func (r *Record) find(version int64) (int, bool) {
-	return slices.BinarySearchFunc(r.list, version, func(n Naming, v int64) int { return cmp.Compare(n.Version, v) })
+	return slices.BinarySearchFunc(r.entries, version, func(n Naming, v int64) int { return cmp.Compare(n.Version, v) })
 }
 
 // Required returns the lowest version on which a request may begin: the newest
 // one that can have been named for as long as within. It is zero if there is none.
 func (r *Record) Required(now time.Time, within time.Duration) int64 {
-	for _, n := range slices.Backward(r.list) {
+	for _, n := range slices.Backward(r.entries) {
 		if now.Sub(n.At) >= within {
 			return n.Version
 		}
@@ -90,7 +90,7 @@
 // given can have been named, or false if none is known.
 func (r *Record) ReplacedAt(version int64) (time.Time, bool) {
 	var first time.Time
-	for _, n := range r.list {
+	for _, n := range r.entries {
 		if n.Version > version && (first.IsZero() || n.At.Before(first)) {
 			first = n.At
 		}
@@ -102,18 +102,18 @@
 // before a time already.
 func (r *Record) Since(before time.Time) []Naming {
 	newest := int64(0)
-	for _, n := range r.list {
+	for _, n := range r.entries {
 		if n.At.Before(before) {
 			newest = n.Version
 		}
 	}
-	return slices.DeleteFunc(slices.Clone(r.list), func(n Naming) bool { return n.Version < newest })
+	return slices.DeleteFunc(slices.Clone(r.entries), func(n Naming) bool { return n.Version < newest })
 }
 
 // Least returns the lowest version that is remembered, or zero if there is none.
 func (r *Record) Least() int64 {
-	if len(r.list) == 0 {
+	if len(r.entries) == 0 {
 		return 0
 	}
-	return r.list[0].Version
+	return r.entries[0].Version
 }
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -14,9 +14,9 @@
 
 type scope func(account, version string) prefix.Key
 
-// apart says that no key is shared between different pairs of account and
+// keysIsolated says that no key is shared between different pairs of account and
 // version, and that equal prefixes of one pair share all their keys.
-func apart(s scope) gopter.Prop {
+func keysIsolated(s scope) gopter.Prop {
 	return prop.ForAll(func(a, b, v, w, text, tail string) bool {
 		prompt := []byte(text + "the same menu for everybody, long enough for a few pieces")
 		one := prefix.Chain(s(a, v), prompt, 16)
@@ -35,14 +35,14 @@
 		gen.OneConstOf("bc", "c", "v1", "v2"), gen.OneConstOf("bc", "c", "v1", "v2"), gen.AlphaString(), gen.AlphaString())
 }
 
-func TestKeysApart(t *testing.T) { proof.Holds(t, apart(prefix.Scope)) }
+func TestKeysIsolated(t *testing.T) { proof.Holds(t, keysIsolated(prefix.Scope)) }
 
-func TestKeysApartNeedsTheAccount(t *testing.T) {
-	proof.Breaks(t, apart(func(_, version string) prefix.Key { return prefix.Scope("", version) }))
+func TestKeysIsolatedNeedsTheAccount(t *testing.T) {
+	proof.Breaks(t, keysIsolated(func(_, version string) prefix.Key { return prefix.Scope("", version) }))
 }
 
-func TestKeysApartNeedsTheVersion(t *testing.T) {
-	proof.Breaks(t, apart(func(account, _ string) prefix.Key { return prefix.Scope(account, "") }))
+func TestKeysIsolatedNeedsTheVersion(t *testing.T) {
+	proof.Breaks(t, keysIsolated(func(account, _ string) prefix.Key { return prefix.Scope(account, "") }))
 }
 
 func TestHome(t *testing.T) {
--- a/query/query.go
+++ b/query/query.go
@@ -106,7 +106,7 @@
 help
 Values: words, "text", numbers, true, false, [lists]. A column is compared by =, !=, < or >.`
 
-var words = lexer.MustSimple([]lexer.SimpleRule{
+var tokens = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Number", Pattern: `[0-9]+(\.[0-9]+)?\b`},
 	{Name: "Word", Pattern: `[A-Za-z0-9_][A-Za-z0-9_./:-]*`},
 	{Name: "String", Pattern: `"(\\.|[^"\\])*"`},
@@ -115,7 +115,7 @@
 })
 
 var parser = participle.MustBuild[Statement](
-	participle.Lexer(words), participle.Unquote("String"), participle.UseLookahead(2),
+	participle.Lexer(tokens), participle.Unquote("String"), participle.UseLookahead(2),
 )
 
 // maxStatement bounds a statement, in bytes.
@@ -149,15 +149,15 @@
 	const farthest = 2
 	best, distance := "", farthest+1
 	for _, k := range known {
-		if d := edits(word, k); d < distance {
+		if d := editDistance(word, k); d < distance {
 			best, distance = k, d
 		}
 	}
 	return best
 }
 
-// edits is the Levenshtein distance of two short words.
-func edits(a, b string) int {
+// editDistance is the Levenshtein distance of two short words.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,9 +1,10 @@
-// Package relay carries one model request to an engine and the answer back,
-// over as many attempts as it takes, and says truly what became of it.
+// Package relay sends one model request to an engine and streams the answer
+// back, with retries on other targets and resumes of broken streams. It reports
+// whether the request can have run.
 //
 //	r := relay.Relay{Place: loop.place, Generate: engines.Generate, ...}
 //	end, err := r.Run(ctx, relay.Request{ID: "r1", Prompt: prompt, Write: write})
-//	// err is nil only for a whole answer; else it is a *refusal.Refusal
+//	// err is nil only for a complete answer; otherwise it is a *refusal.Refusal
 package relay
 
 import (
@@ -17,7 +18,7 @@
 	"github.com/thymewind/thymewind/stream"
 )
 
-// Request is one model request that was admitted.
+// Request is one admitted model request.
 type Request struct {
 	ID      string
 	Account string
@@ -26,18 +27,18 @@
 	Prompt  string
 	// MaxTokens bounds the answer. It is at least 1.
 	MaxTokens int
-	// Once says that the request must not run again once it may have started.
+	// Once forbids a retry after an attempt that may have started.
 	Once bool
-	// Permit, if it is set, is asked once, right before the first send; its
-	// error ends the request as it is. GiveBack is called behind it if nothing
-	// can have been sent after all.
+	// Permit, if set, is called once, right before the first send. Its error ends
+	// the request and is returned unchanged. GiveBack is called after it if
+	// nothing can have been sent.
 	Permit   func(ctx context.Context) error
 	GiveBack func(ctx context.Context)
-	// Open is called once, before the first Write, with the attempt that
-	// begins the answer. Moved is called when another target goes on with it.
+	// Open is called once, before the first Write, with the attempt that starts
+	// the answer. Moved is called when another target continues it.
 	Open  func(route.Placed)
 	Moved func(route.Placed)
-	// Write takes the answer's next text and the offset behind it.
+	// Write gets the next text of the answer and the byte offset after it.
 	Write func(text string, offset int) error
 }
 
@@ -48,28 +49,28 @@
 	Generate func(ctx context.Context, at netip.AddrPort, run engine.Run) (*engine.Frames, error)
 	Resume   func(ctx context.Context, at netip.AddrPort, request string, attempt, offset int) (*engine.Frames, error)
 	Cancel   func(ctx context.Context, at netip.AddrPort, request string, attempt int) (started bool, err error)
-	// Accept checks a frame; it is (*stream.Checker).Accept.
+	// Accept validates a frame; it is (*stream.Checker).Accept outside tests.
 	Accept func(c *stream.Checker, f stream.Frame) (string, error)
-	// Ended hears of every attempt that was placed, exactly once.
+	// Ended is called exactly once for each placed attempt.
 	Ended func(route.Ended)
-	// Said hears what the head of an answer says of its target, before any of the answer
-	// is passed on.
+	// Said gets the signals in the headers of a target's answer, before any of its text
+	// is written.
 	Said func(route.Placed, notice.Signals)
-	// Allow is asked right before a request leaves this box; its error keeps it here.
+	// Allow is called right before a request leaves this box; its error stops the send.
 	Allow func(route.Placed) error
-	// Retry asks the retry budget for one more attempt and says whether there
-	// is any left.
+	// Retry spends one attempt of the retry budget, or returns false if none is
+	// left.
 	Retry func(pool string) bool
 	Now   func() time.Time
 	// Attempts bounds the attempts of one request, Resumes the resumes of one
 	// attempt. Both are at least 1.
 	Attempts, Resumes int
-	// Stall bounds the wait between two frames once the answer has begun; an
-	// engine that is silent for longer is given up. Before the first text the
-	// bound is Placed.FirstToken.
+	// Stall bounds the wait for the next text once the answer has begun. An
+	// attempt whose engine is silent for longer is abandoned. Before the first
+	// text the bound is the placement's FirstToken.
 	Stall time.Duration
 	// CancelPatience bounds the wait for an engine to confirm a cancel.
 	CancelPatience time.Duration
-	// ComeBack says when a refused caller should return.
+	// ComeBack returns the delay after which a refused caller should retry.
 	ComeBack func() time.Duration
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -26,16 +26,15 @@
 	"github.com/thymewind/thymewind/stream"
 )
 
-// answer is the text that every engine generates; whole in pieces of a few
-// bytes.
+// answer is the text that every engine generates, in pieces of a few bytes.
 const answer = "sinigang, adobo and pancit are left tonight"
 
-// What goes wrong with one stream, drawn anew for each frame or call.
+// Faults of a stream, drawn for each frame.
 const (
 	fine = iota
 	cut
-	doubled
-	crossed
+	duplicated
+	misrouted
 	skipped
 	shifted
 	endsEarly
@@ -43,7 +42,7 @@
 	streamKinds
 )
 
-// What goes wrong with opening a stream.
+// Results of opening a stream.
 const (
 	opens = iota
 	notSent
@@ -53,14 +52,14 @@
 	openKinds
 )
 
-// engines fakes all engines at once.
+// engines is a fake of all engines.
 type engines struct {
 	opening, streams fake.Script
-	// started counts runs that began on some engine.
+	// started counts the runs that started on any engine.
 	started int
-	// queued runs have not started, as Cancel then confirms.
+	// queued holds the engines whose run has not started, which cancel confirms.
 	queued map[string]bool
-	// versions are the weights that each engine's run uses.
+	// versions maps each engine to the weight version of its run.
 	versions map[string]string
 }
 
@@ -97,7 +96,7 @@
 
 var scope = route.Placed{}
 
-// frames streams the answer from an offset, with faults.
+// frames streams the answer from an offset, with the faults drawn.
 func (e *engines) frames(request string, attempt int, version, scope string, offset int) *engine.Frames {
 	const piece = 7
 	var queue []stream.Frame
@@ -123,9 +122,9 @@
 		case cut:
 			queue = nil
 			return stream.Frame{}, trace.ConnectionProblem(nil, "cut")
-		case doubled:
+		case duplicated:
 			queue = append([]stream.Frame{f}, queue...)
-		case crossed:
+		case misrouted:
 			queue = append([]stream.Frame{f}, queue...)
 			return stream.Frame{Kind: stream.KindPiece, Request: "other", Attempt: 1, Text: "another caller's"}, nil
 		case skipped:
@@ -149,21 +148,21 @@
 	return &engine.Frames{Next: next, Close: func() error { return nil }}
 }
 
-// seams are what sister tests replace.
-type seams struct {
+// hooks are the functions that control tests replace.
+type hooks struct {
 	accept func(*stream.Checker, stream.Frame) (string, error)
 	cancel func(*engines) func(context.Context, netip.AddrPort, string, int) (bool, error)
 }
 
-var inForce = seams{
+var production = hooks{
 	accept: (*stream.Checker).Accept,
 	cancel: func(e *engines) func(context.Context, netip.AddrPort, string, int) (bool, error) { return e.cancel },
 }
 
-// unheard is for tests in which targets say nothing of themselves.
-func unheard(route.Placed, notice.Signals) {}
+// ignoreSignals is the Said hook of tests without signals.
+func ignoreSignals(route.Placed, notice.Signals) {}
 
-func allowed(route.Placed) error { return nil }
+func allowAll(route.Placed) error { return nil }
 
 // outcome is what the caller got.
 type outcome struct {
@@ -174,7 +173,7 @@
 	started int
 }
 
-func run(s seams, once bool, opening, streams []int) outcome {
+func run(s hooks, once bool, opening, streams []int) outcome {
 	e := &engines{opening: fake.Script{Kinds: opening}, streams: fake.Script{Kinds: streams}, queued: make(map[string]bool), versions: make(map[string]string)}
 	var got outcome
 	var text strings.Builder
@@ -186,7 +185,7 @@
 			}, nil
 		},
 		Generate: e.generate, Resume: e.resume, Cancel: s.cancel(e), Accept: s.accept,
-		Ended: func(route.Ended) {}, Said: unheard, Allow: allowed, Retry: func(string) bool { return true },
+		Ended: func(route.Ended) {}, Said: ignoreSignals, Allow: allowAll, Retry: func(string) bool { return true },
 		Now: func() time.Time { return time.Time{} }, Attempts: 3, Resumes: 2, Stall: time.Minute,
 		ComeBack: func() time.Duration { return time.Second },
 	}
@@ -205,9 +204,9 @@
 	return got
 }
 
-// wholeOrTyped says that a success carries the whole answer, that anything
-// else is a typed refusal, and that all text relayed is the answer's beginning.
-func wholeOrTyped(s seams) gopter.Prop {
+// wholeOrTyped checks that a success carries the complete answer, that anything
+// else is a typed refusal, and that all relayed text is a prefix of the answer.
+func wholeOrTyped(s hooks) gopter.Prop {
 	return prop.ForAll(func(once bool, opening, streams []int) bool {
 		got := run(s, once, opening, streams)
 		if got.whole && got.text != answer {
@@ -217,9 +216,9 @@
 	}, gen.Bool(), gen.SliceOfN(5, gen.IntRange(0, openKinds-1)), gen.SliceOfN(23, gen.IntRange(0, streamKinds-1)))
 }
 
-// didNotRunIsTrue says that a request told did-not-run started nowhere, and
-// that one marked once starts at most once.
-func didNotRunIsTrue(s seams) gopter.Prop {
+// didNotRunIsTrue checks that a request refused as did-not-run started on no
+// engine, and that one marked Once starts at most once.
+func didNotRunIsTrue(s hooks) gopter.Prop {
 	return prop.ForAll(func(once bool, opening, streams []int) bool {
 		got := run(s, once, opening, streams)
 		if got.refused != nil && got.refused.Outcome == refusal.DidNotRun && got.started > 0 {
@@ -229,39 +228,39 @@
 	}, gen.Bool(), gen.SliceOfN(4, gen.IntRange(0, openKinds-1)), gen.SliceOfN(23, gen.IntRange(0, streamKinds-1)))
 }
 
-func TestWholeAnswerOrTypedError(t *testing.T) { proof.Holds(t, wholeOrTyped(inForce)) }
+func TestWholeAnswerOrTypedError(t *testing.T) { proof.Holds(t, wholeOrTyped(production)) }
 
 func TestWholeAnswerNeedsTheChecker(t *testing.T) {
-	removed := inForce
+	removed := production
 	removed.accept = func(c *stream.Checker, f stream.Frame) (string, error) {
-		// Believe every frame: take it for the one expected.
+		// Accept every frame by making it look like the expected one.
 		f.Request, f.Attempt, f.Version, f.Scope, f.Offset, f.Total = c.Request, c.Attempt, c.Version, c.Scope, c.Offset(), c.Offset()
 		return c.Accept(f)
 	}
 	proof.Breaks(t, wholeOrTyped(removed))
 }
 
-func TestDidNotRunIsTrue(t *testing.T) { proof.Holds(t, didNotRunIsTrue(inForce)) }
+func TestDidNotRunIsTrue(t *testing.T) { proof.Holds(t, didNotRunIsTrue(production)) }
 
 func TestDidNotRunNeedsTheCancelsAnswer(t *testing.T) {
-	removed := inForce
+	removed := production
 	removed.cancel = func(*engines) func(context.Context, netip.AddrPort, string, int) (bool, error) {
 		return func(context.Context, netip.AddrPort, string, int) (bool, error) { return false, nil }
 	}
 	proof.Breaks(t, didNotRunIsTrue(removed))
 }
 
-// TestAnotherVersionIsNeverRelayed has every engine answer with other weights.
+// TestAnotherVersionIsNeverRelayed lets every engine answer with other weights.
 func TestAnotherVersionIsNeverRelayed(t *testing.T) {
-	got := run(inForce, false, []int{otherVersion}, nil)
+	got := run(production, false, []int{otherVersion}, nil)
 	if got.text != "" || got.opened != 0 || got.refused == nil {
 		t.Errorf("got %+v, want nothing relayed", got)
 	}
 }
 
-// TestSilentEngineIsLeft has the first engine go silent before or within its
-// answer; another one finishes it.
-func TestSilentEngineIsLeft(t *testing.T) {
+// TestSilentEngineIsAbandoned lets the first engine go silent before or within its
+// answer. A second engine must finish the answer after the time-out.
+func TestSilentEngineIsAbandoned(t *testing.T) {
 	tests := []struct {
 		name string
 		// after is how many frames come before the silence.
@@ -273,12 +272,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { leavesSilent(t, tt.after, tt.want) })
+			synctest.Test(t, func(t *testing.T) { checkSilentEngine(t, tt.after, tt.want) })
 		})
 	}
 }
 
-func leavesSilent(t *testing.T, after int, want time.Duration) {
+func checkSilentEngine(t *testing.T, after int, want time.Duration) {
 	e := &engines{queued: make(map[string]bool), versions: make(map[string]string)}
 	var text strings.Builder
 	r := relay.Relay{
@@ -302,7 +301,7 @@
 			return frames, err
 		},
 		Resume: e.resume, Cancel: e.cancel, Accept: (*stream.Checker).Accept,
-		Ended: func(route.Ended) {}, Said: unheard, Allow: allowed, Retry: func(string) bool { return true }, Now: time.Now,
+		Ended: func(route.Ended) {}, Said: ignoreSignals, Allow: allowAll, Retry: func(string) bool { return true }, Now: time.Now,
 		Attempts: 2, Resumes: 2, Stall: 2 * time.Second, ComeBack: func() time.Duration { return time.Second },
 	}
 	began := time.Now()
@@ -313,13 +312,13 @@
 		t.Errorf("got %q, %v", text.String(), err)
 	}
 	if waited := time.Since(began); waited != want {
-		t.Errorf("the silent engine was left after %v, want %v", waited, want)
+		t.Errorf("the silent engine was abandoned after %v, want %v", waited, want)
 	}
 }
 
-// TestSlowCallerIsNoSilentEngine has a caller take its text slowly. The engine
-// is not blamed for it.
-func TestSlowCallerIsNoSilentEngine(t *testing.T) {
+// TestSlowCallerIsNotASilentEngine lets a caller read slowly. Time spent in writes
+// to the caller must not count against the engine's time-out.
+func TestSlowCallerIsNotASilentEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &engines{queued: make(map[string]bool), versions: make(map[string]string)}
 		var text strings.Builder
@@ -339,7 +338,7 @@
 				return frames, err
 			},
 			Resume: e.resume, Cancel: e.cancel, Accept: (*stream.Checker).Accept, Ended: func(route.Ended) {},
-			Said: unheard, Allow: allowed, Retry: func(string) bool { return true }, Now: time.Now, Attempts: 3, Resumes: 2, Stall: 2 * time.Second,
+			Said: ignoreSignals, Allow: allowAll, Retry: func(string) bool { return true }, Now: time.Now, Attempts: 3, Resumes: 2, Stall: 2 * time.Second,
 			ComeBack: func() time.Duration { return time.Second },
 		}
 		_, err := r.Run(context.Background(), relay.Request{
@@ -355,21 +354,21 @@
 	})
 }
 
-// TestSaid has an engine say in the head of its stream that it leaves: that is heard before
-// any text is passed on, and again at each resume.
-func TestSaid(t *testing.T) {
+// TestSignals lets an engine signal in the headers of its stream that it is leaving. The
+// signals must arrive before any text is written.
+func TestSignals(t *testing.T) {
 	tests := []struct {
 		name string
 		said notice.Signals
 	}{
 		{"nothing", notice.Signals{}},
-		{"it leaves", notice.Signals{Leaving: true}},
+		{"leaving", notice.Signals{Leaving: true}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			e := &engines{queued: make(map[string]bool), versions: make(map[string]string)}
 			passed := 0
-			var heard []notice.Signals
+			var got []notice.Signals
 			r := relay.Relay{
 				Place: func(_ context.Context, ask route.Ask) (route.Placed, error) {
 					return route.Placed{Attempt: ask.Attempt, Version: "v1", FirstToken: time.Minute}, nil
@@ -382,18 +381,18 @@
 				Resume: e.resume, Cancel: e.cancel, Accept: (*stream.Checker).Accept, Ended: func(route.Ended) {},
 				Said: func(_ route.Placed, said notice.Signals) {
 					if passed > 0 {
-						t.Error("heard behind the answer's beginning")
+						t.Error("signals arrived after the answer's first text")
 					}
-					heard = append(heard, said)
+					got = append(got, said)
 				},
-				Allow: allowed, Retry: func(string) bool { return true }, Now: time.Now, Attempts: 1, Resumes: 1, Stall: time.Minute,
+				Allow: allowAll, Retry: func(string) bool { return true }, Now: time.Now, Attempts: 1, Resumes: 1, Stall: time.Minute,
 				ComeBack: func() time.Duration { return time.Second },
 			}
 			_, err := r.Run(t.Context(), relay.Request{
 				ID: "r", Open: func(route.Placed) {}, Write: func(string, int) error { passed++; return nil },
 			})
-			if err != nil || len(heard) != 1 || heard[0] != tt.said {
-				t.Errorf("heard %+v, want %+v, %v", heard, tt.said, err)
+			if err != nil || len(got) != 1 || got[0] != tt.said {
+				t.Errorf("signals %+v, want %+v, %v", got, tt.said, err)
 			}
 		})
 	}
--- a/relay/run.go
+++ b/relay/run.go
@@ -22,25 +22,26 @@
 	*Relay
 	request Request
 	checker stream.Checker
-	// text is the answer so far, for an engine to go on behind.
+	// text is the answer so far, which a further attempt continues.
 	text strings.Builder
-	// known is the attempt that the caller was last told of; 0 before the
-	// answer's beginning.
-	known int
-	// mayRun is set from before the first byte goes to an engine until the
-	// engine itself says that nothing started.
+	// announced is the attempt last reported to the caller through Open or Moved;
+	// 0 before the answer begins.
+	announced int
+	// mayRun is set before the first byte is sent to an engine and reset only
+	// if nothing was sent or the engine confirms that the run did not start.
 	mayRun bool
-	// permitted says that the permission to send was obtained.
-	permitted bool
-	exclude   []string
-	avoid     string
-	lastFail  error
-	// gone says that the caller takes no more text.
-	gone bool
+	// permitted is set once Permit has succeeded.
+	permitted   bool
+	exclude     []string
+	avoidDomain string
+	lastErr     error
+	// callerLeft is set when a write to the caller has failed.
+	callerLeft bool
 }
 
-// Run carries a request until its answer is whole or given up. The error is a
-// *refusal.Refusal, sent on as soon as it is known.
+// Run runs a request until its answer is complete or no further attempt is
+// possible. The error is a *refusal.Refusal; one of Permit is returned unchanged.
+// Final errors are not delayed.
 func (r *Relay) Run(ctx context.Context, request Request) (stream.Frame, error) {
 	j := &job{Relay: r, request: request}
 	j.checker.Request = request.ID
@@ -48,7 +49,7 @@
 		if attempt > 1 && !r.Retry(request.Pool) {
 			break
 		}
-		placed, err := r.Place(ctx, j.ask(attempt))
+		placed, err := r.Place(ctx, j.placementRequest(attempt))
 		if err != nil {
 			return stream.Frame{}, j.giveUp(ctx, err)
 		}
@@ -61,33 +62,34 @@
 		if err == nil {
 			return ended.End, nil
 		}
-		j.lastFail = err
+		j.lastErr = err
 		if ctx.Err() != nil || (request.Once && j.mayRun) {
 			break
 		}
 		j.exclude = append(j.exclude, placed.Target)
-		j.avoid = placed.Domain
+		j.avoidDomain = placed.Domain
 	}
-	return stream.Frame{}, j.giveUp(ctx, j.lastFail)
+	return stream.Frame{}, j.giveUp(ctx, j.lastErr)
 }
 
-func (j *job) ask(attempt int) route.Ask {
+func (j *job) placementRequest(attempt int) route.Ask {
 	return route.Ask{
 		Request: j.request.ID, Account: j.request.Account, Model: j.request.Model, Attempt: attempt,
 		Prompt: j.request.Prompt, Tokens: j.request.MaxTokens,
-		Exclude: j.exclude, AvoidDomain: j.avoid, Version: j.pinned(),
+		Exclude: j.exclude, AvoidDomain: j.avoidDomain, Version: j.pinnedVersion(),
 	}
 }
 
-// pinned is the weight version that the rest of the answer must come from.
-func (j *job) pinned() string {
+// pinnedVersion returns the weight version that the rest of an answer that has
+// begun must come from, or "".
+func (j *job) pinnedVersion() string {
 	if j.checker.Offset() == 0 {
 		return ""
 	}
 	return j.checker.Version
 }
 
-// permit asks for the permission to send, once.
+// permit calls Permit before the first send.
 func (j *job) permit(ctx context.Context) error {
 	if j.request.Permit == nil || j.permitted {
 		return nil
@@ -97,13 +99,13 @@
 	return err
 }
 
-// giveUp says what became of the request.
+// giveUp returns the final refusal, with the outcome that is certain.
 func (j *job) giveUp(ctx context.Context, err error) *refusal.Refusal {
 	if j.permitted && !j.mayRun {
 		j.request.GiveBack(ctx)
 	}
 	outcome := refusal.DidNotRun
-	if j.mayRun || j.known > 0 {
+	if j.mayRun || j.announced > 0 {
 		outcome = refusal.Unknown
 	}
 	var known *refusal.Refusal
@@ -128,8 +130,8 @@
 	sent := j.Now()
 	before := j.mayRun
 	j.mayRun = true
-	watch := j.watch(ctx, placed)
-	defer watch.end()
+	watch := j.startWatchdog(ctx, placed)
+	defer watch.stop()
 	frames, err := j.Generate(watch.ctx, placed.Address, j.run(placed))
 	var refused *engine.Refusal
 	switch {
@@ -145,21 +147,21 @@
 		return ended, trace.Wrap(err)
 	case err == nil:
 		j.Said(placed, frames.Said)
-		err = j.read(frames, watch, placed, sent, &ended)
+		err = j.relayFrames(frames, watch, placed, sent, &ended)
 	}
-	for try := 0; err != nil && try < j.Resumes && resumable(err) && watch.ctx.Err() == nil; try++ {
+	for resumes := 0; err != nil && resumes < j.Resumes && resumable(err) && watch.ctx.Err() == nil; resumes++ {
 		frames, resumeErr := j.Resume(watch.ctx, placed.Address, j.request.ID, placed.Attempt, j.checker.Offset())
 		if resumeErr != nil {
 			break
 		}
 		j.Said(placed, frames.Said)
 		j.checker.Next(placed.Attempt)
-		err = j.read(frames, watch, placed, sent, &ended)
+		err = j.relayFrames(frames, watch, placed, sent, &ended)
 	}
 	if err != nil {
 		ended.Failed = ctx.Err() == nil
 		ended.Cut = ended.Failed
-		j.stop(ctx, placed, before)
+		j.cancelAttempt(ctx, placed, before)
 		return ended, trace.Wrap(err)
 	}
 	ended.End = j.checker.End()
@@ -176,9 +178,9 @@
 	}
 }
 
-// stop cancels an attempt that was given up. If the engine confirms that it
-// never started, and no earlier one may have, the request did not run.
-func (j *job) stop(ctx context.Context, placed route.Placed, before bool) {
+// cancelAttempt cancels an abandoned attempt. If the engine confirms that it
+// never started, mayRun is set back to before, its value from earlier attempts.
+func (j *job) cancelAttempt(ctx context.Context, placed route.Placed, before bool) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), j.CancelPatience)
 	defer cancel()
 	started, err := j.Cancel(ctx, placed.Address, j.request.ID, placed.Attempt)
@@ -187,14 +189,15 @@
 	}
 }
 
-// resumable says whether the stream was cut rather than wrong.
+// resumable reports whether the stream broke or failed a check, so that the same
+// attempt may be read again; a run that the engine failed is not resumable.
 func resumable(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		trace.IsConnectionProblem(err) || trace.IsCompareFailed(err)
 }
 
-// read relays the frames of one stream until the answer is whole.
-func (j *job) read(frames *engine.Frames, watch *watch, placed route.Placed, sent time.Time, ended *route.Ended) error {
+// relayFrames relays the frames of one stream until the answer is complete.
+func (j *job) relayFrames(frames *engine.Frames, watch *watchdog, placed route.Placed, sent time.Time, ended *route.Ended) error {
 	defer func() { _ = frames.Close() }()
 	for !j.checker.Complete() {
 		frame, err := frames.Next()
@@ -211,32 +214,33 @@
 		if text == "" {
 			continue
 		}
-		watch.rest() // A slow caller is no silent engine.
-		j.pass(text, placed)
-		watch.heard()
+		watch.pause() // Time spent in a slow caller does not count as silence of the engine.
+		j.write(text, placed)
+		watch.reset()
 	}
-	j.open(placed)
+	j.announce(placed)
 	return nil
 }
 
-// pass sends text to the caller. A caller that has left doesn't end the run:
-// it may take the stream up at another box, and the work is charged here.
-func (j *job) pass(text string, placed route.Placed) {
-	j.open(placed)
+// write sends text to the caller. A caller that has left doesn't end the run:
+// it may resume the stream at another box, and the work is charged here.
+func (j *job) write(text string, placed route.Placed) {
+	j.announce(placed)
 	j.text.WriteString(text)
-	if j.gone {
+	if j.callerLeft {
 		return
 	}
-	j.gone = j.request.Write(text, j.checker.Offset()) != nil
+	j.callerLeft = j.request.Write(text, j.checker.Offset()) != nil
 }
 
-// open tells the caller where the answer comes from, once its run was checked.
-func (j *job) open(placed route.Placed) {
+// announce reports to the caller which attempt the answer comes from. It is called
+// only after the run's start frame was accepted.
+func (j *job) announce(placed route.Placed) {
 	switch {
-	case j.known == 0:
+	case j.announced == 0:
 		j.request.Open(placed)
-	case j.known != placed.Attempt && j.request.Moved != nil:
+	case j.announced != placed.Attempt && j.request.Moved != nil:
 		j.request.Moved(placed)
 	}
-	j.known = placed.Attempt
+	j.announced = placed.Attempt
 }
--- a/report/report.go
+++ b/report/report.go
@@ -52,7 +52,7 @@
 		return trace.NotFound("there is no column %q; there are %s", column, strings.Join(r.Columns, ", "))
 	}
 	r.Rows = slices.DeleteFunc(r.Rows, func(row []string) bool {
-		return !holds(compare(row[at], value), sign)
+		return !matches(compare(row[at], value), sign)
 	})
 	return nil
 }
@@ -64,7 +64,7 @@
 	}
 }
 
-func holds(order int, sign string) bool {
+func matches(order int, sign string) bool {
 	switch sign {
 	case "=":
 		return order == 0
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,8 +1,8 @@
-// Package rollout decides which targets are told to load a model's newest
-// weights, a few at a time, so that the others go on serving.
+// Package rollout selects the targets to load a model's newest weights, a few at a
+// time, so that the others continue to serve.
 //
 //	p := rollout.Plan{Least: 2, Share: 0.2}
-//	ids := p.Next(wanted, replicas)
+//	ids := p.Next(newest, replicas)
 package rollout
 
 import (
@@ -16,52 +16,52 @@
 	Target  string
 	Model   string
 	Version int64
-	// Holder and Epoch are the lease's: targets refuse a lower epoch, where
-	// they check it.
+	// Holder and Epoch are those of the lease. Epoch is the fencing token: targets
+	// that check it refuse a lower one.
 	Holder string
 	Epoch  uint64
-	// After is how many orders the target must have taken before; an order that
-	// is carried out late then comes to nothing.
+	// After is the number of orders that the target must have taken before this
+	// one. It makes a delayed order ineffective.
 	After uint64
-	// Until is when the lease ends: the order must not be sent later.
+	// Until is the end of the lease. The order must not be sent later.
 	Until time.Time
 }
 
-// Replica is a target as the rollout sees it.
+// Replica is the state of one target in the rollout.
 type Replica struct {
 	ID      string
 	Version int64
-	// Loading says that an order is under way there.
+	// Loading says that an order is in progress.
 	Loading bool
-	// Barred replicas get no order yet.
+	// Barred replicas get no order for now.
 	Barred bool
-	// Busy orders replicas: those with less work are first.
+	// Busy is the replica's load; less busy replicas are ordered first.
 	Busy int
 }
 
 // Plan bounds a rollout.
 type Plan struct {
-	// Least is how many targets may always load at the same time, Share the
-	// part of all that may.
+	// At most the larger of Least targets and Share of all targets load at the
+	// same time.
 	Least int
 	Share float64
 }
 
-// atOnce is how many of some replicas load at the same time.
-func (p Plan) atOnce(replicas int) int { return max(p.Least, int(p.Share*float64(replicas))) }
+// concurrentLoads returns how many of a number of replicas may load at the same time.
+func (p Plan) concurrentLoads(replicas int) int { return max(p.Least, int(p.Share*float64(replicas))) }
 
-// Behind counts the replicas that don't have the wanted version.
-func Behind(wanted int64, replicas []Replica) int {
+// Behind returns the number of replicas with a version older than newest.
+func Behind(newest int64, replicas []Replica) int {
 	n := 0
 	for _, r := range replicas {
-		if r.Version < wanted {
+		if r.Version < newest {
 			n++
 		}
 	}
 	return n
 }
 
-// Least returns the lowest version of some replicas, or zero if there are none.
+// Least returns the lowest version of the replicas, or zero if there are none.
 func Least(replicas []Replica) int64 {
 	var least int64
 	for i, r := range replicas {
@@ -72,16 +72,16 @@
 	return least
 }
 
-// Next returns the replicas to order now: those with the oldest version first,
-// as parts made on it are kept until no replica has it, then the least busy.
-func (p Plan) Next(wanted int64, replicas []Replica) []string {
+// Next returns the replicas to order now: the oldest version first, as its cached
+// parts are kept until no replica has that version, then the least busy.
+func (p Plan) Next(newest int64, replicas []Replica) []string {
 	loading := 0
 	var behind []Replica
 	for _, r := range replicas {
 		switch {
 		case r.Loading:
 			loading++
-		case r.Version < wanted && !r.Barred:
+		case r.Version < newest && !r.Barred:
 			behind = append(behind, r)
 		}
 	}
@@ -89,7 +89,7 @@
 		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Busy, b.Busy))
 	})
 	var next []string
-	for _, r := range behind[:min(len(behind), max(p.atOnce(len(replicas))-loading, 0))] {
+	for _, r := range behind[:min(len(behind), max(p.concurrentLoads(len(replicas))-loading, 0))] {
 		next = append(next, r.ID)
 	}
 	return next
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -7,7 +7,7 @@
 	"github.com/thymewind/thymewind/rollout"
 )
 
-// TestLargePool shows that a large pool loads a fifth at once.
+// TestLargePool checks that a fifth of a large pool loads at the same time.
 func TestLargePool(t *testing.T) {
 	replicas := make([]rollout.Replica, 112)
 	if got := len(rollout.Plan{Least: 2, Share: 0.2}.Next(2, replicas)); got != 22 {
@@ -24,9 +24,9 @@
 	}{
 		{"the least busy first", []rollout.Replica{{ID: "a", Busy: 5}, {ID: "b"}, {ID: "c", Busy: 1}}, []string{"b", "c"}, 3},
 		{"the oldest first", []rollout.Replica{{ID: "a", Version: 1}, {ID: "b", Busy: 5}, {ID: "c", Version: 1}}, []string{"b", "a"}, 3},
-		{"one loads already", []rollout.Replica{{ID: "a", Loading: true}, {ID: "b"}, {ID: "c"}}, []string{"b"}, 3},
-		{"two load already", []rollout.Replica{{ID: "a", Loading: true}, {ID: "b", Loading: true}, {ID: "c"}}, nil, 3},
-		{"done ones are left alone", []rollout.Replica{{ID: "a", Version: 2}, {ID: "b", Version: 3}}, nil, 0},
+		{"one is loading", []rollout.Replica{{ID: "a", Loading: true}, {ID: "b"}, {ID: "c"}}, []string{"b"}, 3},
+		{"two are loading", []rollout.Replica{{ID: "a", Loading: true}, {ID: "b", Loading: true}, {ID: "c"}}, nil, 3},
+		{"current ones get no order", []rollout.Replica{{ID: "a", Version: 2}, {ID: "b", Version: 3}}, nil, 0},
 		{"barred ones wait", []rollout.Replica{{ID: "a", Barred: true}, {ID: "b"}}, []string{"b"}, 2},
 		{"none", nil, nil, 0},
 	}
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -1,10 +1,10 @@
-// Package stream checks an engine's stream of answer pieces, so that only the
-// whole answer to the right request is ever reported as a success.
+// Package stream validates an engine's stream of answer frames, so that only the
+// complete answer to the right request is reported as a success.
 //
 //	c := stream.Checker{Request: "r1", Attempt: 1, Version: "v7"}
 //	text, err := c.Accept(frame)
 //	...
-//	if !c.Complete() { // the stream was cut; resume at c.Offset()
+//	if !c.Complete() { // the stream broke off; resume at c.Offset()
 //	}
 package stream
 
@@ -16,21 +16,21 @@
 
 // The kinds of frame.
 const (
-	// KindStart opens a stream and says what the run uses.
+	// KindStart opens a stream and names the run's weight version and cache scope.
 	KindStart = "start"
 	// KindPiece carries text.
 	KindPiece = "piece"
-	// KindEnd closes a complete answer.
+	// KindEnd ends a complete answer.
 	KindEnd = "end"
-	// KindError closes a run that failed.
+	// KindError ends a failed run.
 	KindError = "error"
 )
 
-// ErrGaveUp says that the engine itself ended the run before its answer was
-// whole. It can't be resumed.
-var ErrGaveUp = errors.New("the engine gave up")
+// ErrGaveUp says that the engine reported the run as failed before its answer was
+// complete. The run can't be resumed.
+var ErrGaveUp = errors.New("the engine reports that the run failed")
 
-// Frame is one message of an engine's stream, a line of JSON.
+// Frame is one message of an engine's stream, encoded as a line of JSON.
 type Frame struct {
 	Kind    string `json:"kind"`
 	Request string `json:"request"`
@@ -39,7 +39,7 @@
 	Version string `json:"version,omitempty"`
 	// Scope is the cache scope that the run reads and writes. Start frames only.
 	Scope string `json:"scope,omitempty"`
-	// Offset is where Text begins in the answer, in bytes.
+	// Offset is the byte offset of Text in the answer.
 	Offset int    `json:"offset"`
 	Text   string `json:"text,omitempty"`
 	// Total is the answer's length in bytes. End frames only.
@@ -49,72 +49,72 @@
 	Error  string `json:"error,omitempty"`
 }
 
-// Usage is what a run cost by the engine's own count, in tokens.
+// Usage is a run's token counts and prefill times as the engine reports them.
 type Usage struct {
 	Prompt int `json:"prompt"`
-	// Reused is the part of Prompt that was in the engine's cache already.
+	// Reused is the part of Prompt that was in the engine's cache.
 	Reused int `json:"reused"`
 	// Imported is the part of Prompt that came from a store box.
 	Imported   int `json:"imported"`
 	Completion int `json:"completion"`
-	// PrefillMillis and ImportMillis are the time that computing and importing
-	// the prompt's cache took.
+	// PrefillMillis and ImportMillis are the times taken to compute and to import
+	// the prompt's cache.
 	PrefillMillis float64 `json:"prefill_ms,omitempty"`
 	ImportMillis  float64 `json:"import_ms,omitempty"`
 }
 
-// Checker accepts the frames of one request. Set the exported fields before
-// the first Accept. It is not safe for concurrent use.
+// Checker validates the frames of one request. Set the exported fields before the
+// first Accept. It is not safe for concurrent use.
 type Checker struct {
 	Request string
 	Attempt int
-	// Version is the weight version that the request was pinned to.
+	// Version is the weight version that the run must use.
 	Version string
 	// Scope is the cache scope of the request's client account and Version.
 	Scope string
 
 	// offset is the length of the text accepted so far, over all attempts.
 	offset int
-	// started says that this attempt's start frame was checked.
+	// started is set once this attempt's start frame was accepted.
 	started bool
 	end     Frame
 	ended   bool
 }
 
-// Next begins another attempt, which goes on behind the text accepted so far.
+// Next starts another attempt or resume, which continues the text accepted so far.
 func (c *Checker) Next(attempt int) {
 	c.Attempt = attempt
 	c.started = false
 }
 
-// Begin sets where a resumed answer goes on.
+// Begin sets the offset at which a resumed answer continues.
 func (c *Checker) Begin(offset int) { c.offset = offset }
 
 // Offset returns the length of the text accepted so far.
 func (c *Checker) Offset() int { return c.offset }
 
-// Started says that the current attempt's start frame was accepted.
+// Started reports whether the current attempt's start frame was accepted.
 func (c *Checker) Started() bool { return c.started }
 
-// Complete says that the end frame was accepted and the text is whole.
+// Complete reports whether the end frame was accepted, so that the text is complete.
 func (c *Checker) Complete() bool { return c.ended }
 
 // End returns the accepted end frame.
 func (c *Checker) End() Frame { return c.end }
 
-// Accept checks one frame and returns the new text in it. Text that was
-// accepted before is cut off; a gap, another run's frame, another weight
-// version or text behind the end is a trace.CompareFailed error, after which
-// nothing of this attempt may be relayed.
+// Accept validates one frame and returns the new text in it, without text that was
+// accepted before. A gap, a frame of another run, another weight version or scope,
+// or a frame after the end is a trace.CompareFailed error, after which nothing
+// more of this stream may be relayed.
 func (c *Checker) Accept(f Frame) (string, error) {
 	if c.ended {
-		return "", trace.CompareFailed("a frame came behind the end of request %s", c.Request)
+		return "", trace.CompareFailed("a frame arrived after the end of request %s", c.Request)
 	}
 	if f.Request != c.Request || f.Attempt != c.Attempt {
-		return "", trace.CompareFailed("a frame of %s/%d came on the stream of %s/%d", f.Request, f.Attempt, c.Request, c.Attempt)
+		return "", trace.CompareFailed("a frame of %s/%d arrived on the stream of %s/%d", f.Request, f.Attempt, c.Request, c.Attempt)
 	}
 	if f.Kind != KindStart && f.Kind != KindError && !c.started {
-		return "", trace.CompareFailed("a %q frame came before the start", f.Kind)
+		return "", trace.CompareFailed("a %q frame arrived before the start frame", f.Kind)
 	}
 	switch f.Kind {
 	case KindStart:
@@ -126,7 +126,7 @@
 	case KindError:
 		return "", trace.Wrap(ErrGaveUp, "%s", f.Error)
 	}
-	return "", trace.BadParameter("unknown kind of frame %q", f.Kind)
+	return "", trace.BadParameter("unknown frame kind %q", f.Kind)
 }
 
 func (c *Checker) start(f Frame) error {
@@ -152,7 +152,7 @@
 
 func (c *Checker) finish(f Frame) error {
 	if f.Total != c.offset {
-		return trace.CompareFailed("the answer has %d bytes, %d came", f.Total, c.offset)
+		return trace.CompareFailed("the answer has %d bytes, but %d arrived", f.Total, c.offset)
 	}
 	c.end = f
 	c.ended = true
--- a/target/queue.go
+++ b/target/queue.go
@@ -14,9 +14,9 @@
 // it since, and the time that has passed meanwhile. A report tells of a time
 // that lies back, so what was sent after that time is added to it again.
 type queue struct {
-	// until is when the target has computed all it has; zero if nothing was
+	// busyUntil is when the target has computed all it has; zero if nothing was
 	// ever heard of or sent to it.
-	until time.Duration
+	busyUntil time.Duration
 	// sent are the latest dispatches, oldest first.
 	sent []dispatch
 }
@@ -27,35 +27,35 @@
 	busy time.Duration
 }
 
-// remembered bounds the dispatches of one target that are kept.
-const remembered = 64
+// maxDispatches bounds the dispatches of one target that are kept.
+const maxDispatches = 64
 
-// remember is how long a dispatch is kept. No report lags by more.
-const remember = 3 * time.Second
+// dispatchRetention is how long a dispatch is kept. No report lags by more.
+const dispatchRetention = 3 * time.Second
 
 // wait is how long the target is busy yet.
 func (q *queue) wait(at time.Duration) time.Duration {
-	if q.until == 0 {
+	if q.busyUntil == 0 {
 		return 0
 	}
-	return max(0, q.until-at)
+	return max(0, q.busyUntil-at)
 }
 
 func (q *queue) send(at, busy time.Duration) {
 	d := dispatch{at, busy}
 	q.add(d)
-	for len(q.sent) > 0 && (len(q.sent) >= remembered || at-q.sent[0].at > remember) {
+	for len(q.sent) > 0 && (len(q.sent) >= maxDispatches || at-q.sent[0].at > dispatchRetention) {
 		q.sent = q.sent[1:]
 	}
 	q.sent = append(q.sent, d)
 }
 
-func (q *queue) add(d dispatch) { q.until = d.at + q.wait(d.at) + d.busy }
+func (q *queue) add(d dispatch) { q.busyUntil = d.at + q.wait(d.at) + d.busy }
 
 // report begins anew from what the target told of a time, and adds what was
 // sent after it.
 func (q *queue) report(at, busy time.Duration) {
-	q.until = at + busy
+	q.busyUntil = at + busy
 	for _, d := range q.sent {
 		if d.at > at {
 			q.add(d)
--- a/target/target.go
+++ b/target/target.go
@@ -32,10 +32,10 @@
 	SentSince int
 	// InFlight counts this daemon's requests under way on the target.
 	InFlight int
-	// slow is how many times longer the target computed than its pool's mean,
+	// slowdown is how many times longer the target computed than its pool's mean,
 	// as learned at slowAt; zero if nothing was.
-	slow   float64
-	slowAt time.Time
+	slowdown   float64
+	slowdownAt time.Time
 	// queue is the prompts that wait to be computed.
 	queue queue
 
@@ -72,11 +72,11 @@
 // the moment anyone says that it is leaving, and for the time for which it asked for no
 // requests.
 func (t *Target) Usable(now time.Time) bool {
-	return t.Listed && !t.Leaving && !t.Loading && over(now, t.AvoidUntil) && over(now, t.BackoffUntil)
+	return t.Listed && !t.Leaving && !t.Loading && passed(now, t.AvoidUntil) && passed(now, t.BackoffUntil)
 }
 
-// over says that a time is over, or was never set.
-func over(now, until time.Time) bool { return until.IsZero() || !now.Before(until) }
+// passed says that a time is over, or was never set.
+func passed(now, until time.Time) bool { return until.IsZero() || !now.Before(until) }
 
 // Report takes the target's own report over, which tells how it was at a time
 // that lies back a while. busy is how long the prompts that were still to be
@@ -104,20 +104,20 @@
 		little   = 1.05
 		halfLife = 30 * time.Second
 	)
-	if t.slow < little {
+	if t.slowdown < little {
 		return 1
 	}
-	age := now.Sub(t.slowAt).Seconds() / halfLife.Seconds()
-	return min(1+(t.slow-1)*math.Exp2(-age), most)
+	age := now.Sub(t.slowdownAt).Seconds() / halfLife.Seconds()
+	return min(1+(t.slowdown-1)*math.Exp2(-age), most)
 }
 
 // Computed takes in that the target took so many times longer than its pool's
 // mean to compute a prompt.
 func (t *Target) Computed(now time.Time, times float64) {
 	const part = 0.2
-	t.slow = t.Slowness(now)
-	t.slow += (times - t.slow) * part
-	t.slowAt = now
+	t.slowdown = t.Slowness(now)
+	t.slowdown += (times - t.slowdown) * part
+	t.slowdownAt = now
 }
 
 // Wait predicts how long a request sent now waits for its turn: behind the
