--- a/boxes/boxes.go
+++ b/boxes/boxes.go
@@ -1,6 +1,6 @@
 // Package boxes reads the platform's list of live and leaving boxes.
 //
-// The list lags: a box that is gone may still be listed as live.
+// The list is stale at times: a box that is gone may still be listed as live.
 package boxes
 
 import (
@@ -18,41 +18,41 @@
 	RoleEntry = "entry"
 	// RoleEngine boxes run model engines.
 	RoleEngine = "engine"
-	// RoleStore boxes keep KV cache.
+	// RoleStore boxes store KV cache.
 	RoleStore = "store"
 	// RoleService boxes run plain services.
 	RoleService = "service"
 )
 
-// Box is one box as the platform lists it.
+// Box is one entry of the platform's list.
 type Box struct {
 	// Name is unique among live boxes.
 	Name    string         `json:"name"`
 	Role    string         `json:"role"`
 	Address netip.AddrPort `json:"address"`
-	// Peer is where an entry box's daemon talks to its peers.
+	// Peer is the address at which an entry box's daemon listens for peers.
 	Peer netip.AddrPort `json:"peer,omitzero"`
 	// Domain is the failure domain.
 	Domain string `json:"domain"`
 	// Pool names the pool a target belongs to.
 	Pool string `json:"pool,omitempty"`
-	// Leaving says that the box is about to go.
+	// Leaving says that the box is about to be removed.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// List reads the platform's list. Set the exported fields before first use. It
-// is not safe for concurrent use.
+// List reads the platform's list. Set the exported fields before first use. It is not
+// safe for concurrent use.
 type List struct {
 	// Base is the platform's URL without a trailing slash.
 	Base string
 	HTTP *http.Client
 
-	// etag is the entity tag of the list last read, so that an unchanged one is
-	// not sent again.
+	// etag is the entity tag of the list last read. An unchanged list is not sent
+	// again.
 	etag string
 }
 
-// Read returns the boxes listed now, or false if they are those of last time.
+// Read returns the listed boxes, or false if the list is the same as on the last call.
 func (l *List) Read(ctx context.Context) (all []Box, changed bool, err error) {
 	var answer struct {
 		Boxes []Box `json:"boxes"`
@@ -63,7 +63,7 @@
 	}
 	response, err := sling.New().Client(l.HTTP).Do(request.WithContext(ctx), &answer, nil)
 	if err != nil {
-		return nil, false, trace.ConnectionProblem(err, "the list of boxes can't be read")
+		return nil, false, trace.ConnectionProblem(err, "reading the list of boxes failed at %s", l.Base)
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
@@ -72,5 +72,5 @@
 	case http.StatusNotModified:
 		return nil, false, nil
 	}
-	return nil, false, trace.ConnectionProblem(nil, "the list of boxes answers status %d", response.StatusCode)
+	return nil, false, trace.ConnectionProblem(nil, "reading the list of boxes failed: status %d", response.StatusCode)
 }
--- a/charge/charge.go
+++ b/charge/charge.go
@@ -32,7 +32,8 @@
 	usagePrefix = "usage/"
 )
 
-// maxAccounts bounds the accounts in one batch, and so the size of a row.
+// maxAccounts bounds the accounts in one batch, and so the size of the transaction that
+// writes it.
 const maxAccounts = 200
 
 // maxBatches bounds the batches applied in one transaction.
--- a/configuration/configuration.go
+++ b/configuration/configuration.go
@@ -1,10 +1,10 @@
-// Package configuration holds what the operators configured: client accounts,
-// pools and models, as one revision that is in force as a whole.
+// Package configuration holds the operators' configuration: client accounts, pools
+// and models. It takes effect as one revision.
 //
-// A Configuration is never changed; Apply returns the next one:
+// A Configuration is immutable; Apply returns the next one:
 //
 //	next, err := current.Apply(change)
-//	if err != nil { // the change does not fit; every finding is in err
+//	if err != nil { // the change is invalid; err holds every finding
 //	}
 package configuration
 
@@ -36,7 +36,7 @@
 	Pools    map[string]pool.Pool
 	Models   map[string]model.Model
 
-	// accountByKey maps each account.HashKey in force to its account. No two
+	// accountByKey maps each valid key's account.HashKey to the account's name. No two
 	// accounts share a key.
 	accountByKey map[string]string
 }
@@ -51,20 +51,20 @@
 	After json.RawMessage `json:"after,omitempty"`
 }
 
-// Change is one accepted or proposed change. It is stored as the audit row.
+// Change is one proposed, accepted or refused change. It is stored as its audit row.
 type Change struct {
-	// ID is the change's own, by which its outcome is read back.
+	// ID is unique. The outcome of the change is read back by it.
 	ID    string    `json:"id"`
 	Actor string    `json:"actor"`
 	At    time.Time `json:"at"`
-	// Revision is what the change makes.
+	// Revision is the revision that the change creates.
 	Revision uint64  `json:"revision"`
 	Entries  []Entry `json:"entries"`
-	// Refused is why the change was refused; empty if it was accepted.
+	// Refused is the reason of a refusal; empty if the change was accepted.
 	Refused string `json:"refused,omitempty"`
 }
 
-// UnmarshalJSON reads a revision that a peer holds.
+// UnmarshalJSON reads and checks a revision from a peer.
 func (c *Configuration) UnmarshalJSON(data []byte) error {
 	type plain Configuration
 	if err := json.Unmarshal(data, (*plain)(c)); err != nil {
@@ -82,12 +82,11 @@
 	return c.Accounts[name], ok
 }
 
-// Supersedes says whether this revision may come into force after another: it
-// must be higher.
+// Supersedes reports whether this revision may replace another: it must be higher.
 func (c *Configuration) Supersedes(other *Configuration) bool { return c.Revision > other.Revision }
 
-// Fill returns the change with each entry's Before set from this revision and
-// its Revision set to the next.
+// Fill returns the change with each entry's Before set from this revision and with
+// Revision set to the next one.
 func (c *Configuration) Fill(change Change) Change {
 	entries := make([]Entry, len(change.Entries))
 	for i, e := range change.Entries {
@@ -99,12 +98,12 @@
 	return change
 }
 
-// Apply returns the revision that the change makes. It fails with
-// trace.CompareFailed if the change is not of the next revision, and with all
-// findings if the result would not hold together.
+// Apply returns the revision that the change creates. It fails with
+// trace.CompareFailed if the change is not for the next revision, and with all
+// findings if the result would be inconsistent.
 func (c *Configuration) Apply(change Change) (*Configuration, error) {
 	if change.Revision != c.Revision+1 {
-		return nil, trace.CompareFailed("revision %d can't follow %d", change.Revision, c.Revision)
+		return nil, trace.CompareFailed("revision %d can't follow revision %d", change.Revision, c.Revision)
 	}
 	next := &Configuration{
 		Revision: change.Revision,
@@ -235,14 +234,14 @@
 }
 
 func checkPool(findings *finding.List, place string, p pool.Pool) {
-	const smallestPiece = 64
+	const minPieceBytes = 64
 	switch p.Kind {
 	case pool.KindModel:
 		if p.Weights == "" {
 			findings.Add(place, "weights must name a version")
 		}
-		if p.PieceBytes < smallestPiece {
-			findings.Add(place, "piece_bytes must be at least %d", smallestPiece)
+		if p.PieceBytes < minPieceBytes {
+			findings.Add(place, "piece_bytes must be at least %d", minPieceBytes)
 		}
 	case pool.KindService:
 	default:
--- a/configuration/configuration_test.go
+++ b/configuration/configuration_test.go
@@ -28,17 +28,17 @@
 // input is one operation on the configuration; weight is zero for a read.
 type input struct{ revision, weight int }
 
-// output is what it answered; unknown may or may not have happened.
+// output is the result of an operation; an unknown one may or may not have been applied.
 type output struct {
 	accepted, unknown bool
 	revision, weight  int
 }
 
-// state is the configuration as the model sees it.
+// state is the configuration in the model.
 type state struct{ revision, weight int }
 
-// register is the model: a change is accepted only for the revision in force,
-// and a read returns the last accepted one.
+// register is the model: a change is accepted only for the current revision, and a read
+// returns the last accepted change.
 var register = porcupine.Model{
 	Init: func() any { return state{} },
 	Step: func(s, in, out any) (bool, any) {
@@ -62,14 +62,14 @@
 	}
 }
 
-// linear has operators race each other through lossy table services and checks
-// the history against the model.
-func linear(t *testing.T, seam func(*fake.Table) commit) gopter.Prop {
+// linear lets operators race through a lossy table service and checks that the history
+// is linearizable.
+func linear(t *testing.T, commitOf func(*fake.Table) commit) gopter.Prop {
 	return prop.ForAll(func(faults []int) bool {
 		var events []porcupine.Operation
 		synctest.Test(t, func(*testing.T) {
 			rows := &fake.Table{Fault: (&fake.Script{Kinds: faults}).Draw}
-			r := configuration.Rows{Commit: seam(rows), Read: rows.Read, List: rows.List, ListAll: rows.ListAll, Wait: pause}
+			r := configuration.Rows{Commit: commitOf(rows), Read: rows.Read, List: rows.List, ListAll: rows.ListAll, Wait: pause}
 			began := time.Now()
 			var mu sync.Mutex
 			var operators sync.WaitGroup
@@ -106,7 +106,7 @@
 	}
 }
 
-// operate reads the configuration and submits one change for it.
+// operate reads the configuration and submits one change to it.
 func operate(r configuration.Rows, client, turn int, began time.Time) []porcupine.Operation {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
@@ -138,7 +138,7 @@
 	proof.Breaks(t, linear(t, func(t *fake.Table) commit { return t.Unconditional }))
 }
 
-// TestSnapshotAndDeltas has a daemon load while changes come in.
+// TestSnapshotAndDeltas checks a load during which a change is accepted.
 func TestSnapshotAndDeltas(t *testing.T) {
 	rows := &fake.Table{}
 	r := configuration.Rows{Commit: rows.Commit, Read: rows.Read, List: rows.List, Wait: pause}
--- a/configuration/rows.go
+++ b/configuration/rows.go
@@ -13,7 +13,7 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// The keys of configuration rows.
+// The keys, and prefixes of keys, of configuration rows.
 const (
 	headKey      = "config-head"
 	entityPrefix = "config/"
@@ -27,24 +27,24 @@
 	Change   string `json:"change"`
 }
 
-// ErrUnknown says that a change may or may not have been accepted. Its ID
-// tells, once the table service answers again.
-var ErrUnknown = errors.New("the outcome of the change is not known yet")
+// ErrUnknown says that a change may or may not have been accepted. The outcome can be
+// read back by the change's ID once the table service answers again.
+var ErrUnknown = errors.New("the outcome of the change is unknown")
 
-// Rows keeps the configuration in the table service. Set the exported fields
-// before first use.
+// Rows stores the configuration in the table service. Set the exported fields before
+// first use.
 type Rows struct {
 	Commit  func(ctx context.Context, tx table.Transaction) error
 	Read    func(ctx context.Context, key string) (table.Row, error)
 	List    func(ctx context.Context, prefix, after string, limit int) ([]table.Row, error)
 	ListAll func(ctx context.Context, prefix string) ([]table.Row, error)
-	// Wait pauses between reading back a lost answer and trying again.
+	// Wait sleeps between the attempts of a change with an unknown outcome.
 	Wait func(ctx context.Context, d time.Duration) error
 }
 
 func auditKey(revision uint64) string { return fmt.Sprintf("%s%020d", auditPrefix, revision) }
 
-// Head returns the revision in force, 0 if nothing was ever configured.
+// Head returns the current revision, 0 if nothing was ever configured.
 func (r *Rows) Head(ctx context.Context) (uint64, error) {
 	h, _, err := r.head(ctx)
 	return h.Revision, trace.Wrap(err)
@@ -63,8 +63,7 @@
 	return h, row.Revision, trace.Wrap(err)
 }
 
-// Since returns the changes accepted after a revision, oldest first, up to a
-// page of them.
+// Since returns the changes accepted after a revision, oldest first, at most one page.
 func (r *Rows) Since(ctx context.Context, revision uint64) ([]Change, error) {
 	const page = 500
 	rows, err := r.List(ctx, auditPrefix, auditKey(revision), page)
@@ -74,7 +73,7 @@
 	return decodeChanges(rows)
 }
 
-// Refusals returns the refused changes that were recorded.
+// Refusals returns the recorded refused changes.
 func (r *Rows) Refusals(ctx context.Context) ([]Change, error) {
 	rows, err := r.ListAll(ctx, refusedPrefix)
 	if err != nil {
@@ -93,8 +92,8 @@
 	return changes, nil
 }
 
-// Load reads the whole configuration: the head, then every entity, then the
-// changes accepted meanwhile.
+// Load reads the complete configuration: the head, then every entity, then the changes
+// accepted in the meantime.
 func (r *Rows) Load(ctx context.Context) (*Configuration, error) {
 	revision, err := r.Head(ctx)
 	if err != nil || revision == 0 {
@@ -112,12 +111,12 @@
 	base := &Configuration{Revision: revision - 1}
 	loaded, err := base.Apply(all)
 	if err != nil {
-		return nil, trace.Wrap(err, "the stored configuration does not hold together")
+		return nil, trace.Wrap(err, "stored configuration of revision %d is inconsistent", revision)
 	}
 	return r.CatchUp(ctx, loaded)
 }
 
-// CatchUp returns the configuration with all changes accepted since applied.
+// CatchUp applies all changes accepted after the given configuration.
 func (r *Rows) CatchUp(ctx context.Context, c *Configuration) (*Configuration, error) {
 	for {
 		changes, err := r.Since(ctx, c.Revision)
@@ -135,9 +134,9 @@
 	}
 }
 
-// Submit makes a change of the revision given in current. It returns the new
-// configuration, trace.CompareFailed naming the revision that won, or
-// ErrUnknown if the table service did not tell in time.
+// Submit commits a change to the revision in current. It returns the new configuration,
+// trace.CompareFailed if another change came first, or ErrUnknown if the outcome could
+// not be read back in time.
 func (r *Rows) Submit(ctx context.Context, current *Configuration, change Change) (*Configuration, error) {
 	change = current.Fill(change)
 	next, err := current.Apply(change)
@@ -149,7 +148,7 @@
 		return nil, trace.Wrap(err)
 	}
 	if h.Revision != current.Revision {
-		return nil, trace.CompareFailed("revision %d is in force by now, the change is for %d", h.Revision, current.Revision)
+		return nil, trace.CompareFailed("current revision is %d, the change is for %d", h.Revision, current.Revision)
 	}
 	tx, err := transaction(change, headRevision)
 	if err != nil {
@@ -161,8 +160,8 @@
 	return next, nil
 }
 
-// commitUntilKnown commits until the outcome is certain. Committing again is safe: the
-// condition on the head row lets at most one of the tries through.
+// commitUntilKnown commits until the outcome is certain. Repeated commits are safe: the
+// condition on the head row admits at most one of them.
 func (r *Rows) commitUntilKnown(ctx context.Context, tx table.Transaction, change Change) error {
 	const pause = 200 * time.Millisecond
 	lost := false
@@ -180,7 +179,7 @@
 			return nil
 		}
 		if readErr == nil && winner != "" {
-			return trace.CompareFailed("revision %d was made by change %s", change.Revision, winner)
+			return trace.CompareFailed("revision %d was created by change %s", change.Revision, winner)
 		}
 		if r.Wait(ctx, pause) != nil {
 			return trace.Wrap(ErrUnknown, "change %s", change.ID)
@@ -188,7 +187,7 @@
 	}
 }
 
-// outcome reads back whether the change, or which other one, made its revision.
+// outcome reads back which change created the revision: this one or the winner.
 func (r *Rows) outcome(ctx context.Context, change Change) (mine bool, winner string, err error) {
 	row, err := r.Read(ctx, auditKey(change.Revision))
 	if trace.IsNotFound(err) {
@@ -204,7 +203,7 @@
 	return stored.ID == change.ID, stored.ID, nil
 }
 
-// Refuse records a refused change in the audit trail.
+// Refuse stores a refused change in the audit log.
 func (r *Rows) Refuse(ctx context.Context, change Change, why string) error {
 	change.Refused = why
 	value, err := json.Marshal(change)
--- a/decision/decision.go
+++ b/decision/decision.go
@@ -1,6 +1,5 @@
-// Package decision keeps the records that explain what the system did: each
-// holds the inputs seen, the candidates with their scores, the rule and the
-// result.
+// Package decision stores records that explain the system's decisions: the inputs, the
+// candidates with their scores, the rule and the result.
 //
 //	var r decision.Ring // with r.Size set
 //	r.Add(decision.Record{Kind: decision.Placed, Request: "r1", Result: "engine-2"})
@@ -34,39 +33,41 @@
 	Kind string    `json:"kind"`
 	// Request is the request ID, if the decision is about one.
 	Request string `json:"request,omitempty"`
-	// Account is the client account the request belongs to.
+	// Account is the client account of the request.
 	Account string `json:"account,omitempty"`
 	Pool    string `json:"pool,omitempty"`
-	// Rule names what decided.
+	// Rule names the rule that decided.
 	Rule string `json:"rule"`
-	// Inputs says what was seen, such as loads and predicted times.
+	// Inputs describes the inputs, such as loads and predicted times.
 	Inputs     string      `json:"inputs,omitempty"`
 	Candidates []Candidate `json:"candidates,omitempty"`
 	Result     string      `json:"result"`
 }
 
-// Candidate is one of the things that could have been chosen.
+// Candidate is one possible choice.
 type Candidate struct {
 	Name  string  `json:"name"`
 	Score float64 `json:"score"`
 	Note  string  `json:"note,omitempty"`
 }
 
-// Ring keeps the latest records. Set the exported fields before first use; it
-// is safe for concurrent use after that.
+// Ring is a ring buffer of the latest records. Set the exported fields before first
+// use; it is safe for concurrent use after that.
 type Ring struct {
-	// Size bounds the records kept. It is at least 1.
+	// Size is the capacity in records. It is at least 1.
 	Size int
-	// Box is written into each record.
+	// Box is set as Record.Box of each record.
 	Box string
 
 	mu sync.Mutex
-	// records holds at most Size records; next is where the next one goes.
+	// records holds at most Size records. Once it is full, next is the index of the
+	// oldest one, which the next record replaces.
 	records []Record
 	next    int
 }
 
-// Add keeps a record, made now if it has no time of its own, and forgets the oldest one when the ring is full.
+// Add adds a record and evicts the oldest one if the ring is full. A record without At
+// gets the current time.
 func (r *Ring) Add(record Record) {
 	record.Box = r.Box
 	if record.At.IsZero() {
--- a/engine/client.go
+++ b/engine/client.go
@@ -20,19 +20,19 @@
 	"github.com/thymewind/thymewind/stream"
 )
 
-// HeaderStarted is "no" on answers by which an engine says that the run has
-// not started and never will.
+// HeaderStarted is "no" on answers that confirm that the run has not started and
+// never will.
 const HeaderStarted = "Engine-Started"
 
 // HeaderLeaving is set on every answer of a target that takes no new work.
 const HeaderLeaving = "Target-Leaving"
 
-// HeaderLimit is how many requests a second a target takes of all entry boxes together, with a
-// fraction, for as long as its answers to requests say so.
+// HeaderLimit is the decimal number of requests per second that a target accepts from all
+// entry boxes together. It holds while the target's answers to requests carry it.
 const HeaderLimit = "Target-Limit"
 
-// Said reads what an answer to a request says of the target, an engine or a plain service,
-// that gave it.
+// Said returns the signals in the headers of an answer by a target, an engine or a plain
+// service.
 func Said(response *http.Response) notice.Signals {
 	said := notice.Signals{Leaving: response.Header.Get(HeaderLeaving) != ""}
 	if response.StatusCode == http.StatusServiceUnavailable {
@@ -43,25 +43,25 @@
 	return said
 }
 
-// maxFrameBytes bounds one line of a stream, in bytes.
+// maxFrameBytes bounds one line of a stream.
 const maxFrameBytes = 1 << 20
 
 // Client calls engines. Set the exported fields before first use.
 type Client struct {
-	// HTTP carries the calls. Its transport must not retry by itself.
+	// HTTP sends the calls. Its transport must not retry by itself.
 	HTTP *http.Client
 }
 
-// ErrNotSent says that nothing was written to the engine.
+// ErrNotSent says that no connection was made, so nothing was sent to the engine.
 var ErrNotSent = errors.New("nothing was sent to the engine")
 
 // Frames reads the frames of one stream.
 type Frames struct {
-	// Said is what the answer's head says of the engine.
+	// Said holds the signals in the answer's headers.
 	Said notice.Signals
-	// Next returns the next frame, or io.EOF behind the last.
+	// Next returns the next frame, or io.EOF after the last.
 	Next func() (stream.Frame, error)
-	// Close ends the reading; the engine keeps the run for a while.
+	// Close stops reading. The engine keeps the run for a while, for Resume.
 	Close func() error
 }
 
@@ -73,7 +73,7 @@
 		var frame stream.Frame
 		if !lines.Scan() {
 			if err := lines.Err(); err != nil {
-				return frame, trace.ConnectionProblem(err, "the stream was cut")
+				return frame, trace.ConnectionProblem(err, "engine stream broke off")
 			}
 			return frame, io.EOF
 		}
@@ -83,15 +83,14 @@
 	return &Frames{Next: next, Close: body.Close}
 }
 
-// Generate starts a run and returns its frames. It fails with *Refusal when
-// the engine says that it did not start, and with ErrNotSent when nothing was
-// written.
+// Generate starts a run and returns its frames. It fails with *Refusal if the engine
+// confirms that the run did not start, and with ErrNotSent if nothing was sent.
 func (c *Client) Generate(ctx context.Context, at netip.AddrPort, run Run) (*Frames, error) {
 	frames, err := c.open(ctx, at, "/v1/generate", run)
 	return frames, trace.Wrap(err)
 }
 
-// Resume reads a run again from an offset in bytes.
+// Resume reads a run's frames again from a byte offset.
 func (c *Client) Resume(ctx context.Context, at netip.AddrPort, request string, attempt, offset int) (*Frames, error) {
 	body := struct {
 		Request string `json:"request"`
@@ -102,9 +101,9 @@
 	return frames, trace.Wrap(err)
 }
 
-// Cancel stops a run. It returns false only if the engine knows the run and
-// confirms that it has never started and will not. An engine that does not know
-// it answers 404: the run may be on its way, or have run before a restart.
+// Cancel stops a run. It returns false only if the engine knows the run and confirms
+// that it has not started and will not. An engine that does not know the run answers
+// 404: the run may still be in transit or may have run before a restart.
 func (c *Client) Cancel(ctx context.Context, at netip.AddrPort, request string, attempt int) (started bool, err error) {
 	body := struct {
 		Request string `json:"request"`
@@ -117,21 +116,21 @@
 	return answer.Started || err != nil, trace.Wrap(err)
 }
 
-// Load reads the engine's report.
+// Load reads the engine's load report.
 func (c *Client) Load(ctx context.Context, at netip.AddrPort) (Load, error) {
 	var load Load
 	err := c.call(ctx, c.endpoint(at).Get("/v1/load"), &load)
 	return load, trace.Wrap(err)
 }
 
-// Send gives an order. It fails with trace.CompareFailed when the engine has
-// seen a higher epoch.
+// Send sends an order. It fails with trace.CompareFailed if the engine has seen a
+// higher epoch.
 func (c *Client) Send(ctx context.Context, at netip.AddrPort, order Order) error {
 	return trace.Wrap(c.call(ctx, c.endpoint(at).Post("/v1/orders").BodyJSON(order), nil))
 }
 
-// Export has the engine write the cache of one run's prompt to a store box and
-// returns the pieces, all of which are written whole.
+// Export makes the engine write the cache of one run's prompt to a store box. It
+// returns the pieces, all of which are written completely.
 func (c *Client) Export(ctx context.Context, at netip.AddrPort, request, scope string, store netip.AddrPort) ([]kvcache.Piece, error) {
 	body := struct {
 		Request string         `json:"request"`
@@ -159,14 +158,14 @@
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	request = request.WithContext(ctx)
-	// Without a way to read the body again the transport never resends it.
+	// Without GetBody the transport can't resend the body by itself.
 	request.GetBody = nil
 	response, err := c.HTTP.Do(request)
 	if err != nil && !connected.Load() {
 		return nil, trace.Wrap(fmt.Errorf("%w: engine %v: %w", ErrNotSent, at, err))
 	}
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "engine %v", at)
+		return nil, trace.ConnectionProblem(err, "no answer from engine %v", at)
 	}
 	if response.StatusCode != http.StatusOK {
 		defer response.Body.Close()
@@ -177,11 +176,11 @@
 	return frames, nil
 }
 
-// refusal turns an answer that is not a stream into an error.
+// refusal returns the error for an answer with a status other than 200.
 func refusal(response *http.Response) error {
 	reason, _ := io.ReadAll(io.LimitReader(response.Body, 512))
 	if response.Header.Get(HeaderStarted) != "no" {
-		return trace.Errorf("the engine answers status %d: %s", response.StatusCode, reason)
+		return trace.Errorf("engine answered with status %d: %s", response.StatusCode, reason)
 	}
 	return &Refusal{
 		Status: response.StatusCode,
@@ -197,7 +196,7 @@
 	}
 	response, err := call.Do(request.WithContext(ctx), success, nil)
 	if err != nil {
-		return trace.ConnectionProblem(err, "engine %s", request.URL.Host)
+		return trace.ConnectionProblem(err, "no answer from engine %s", request.URL.Host)
 	}
 	switch response.StatusCode {
 	case http.StatusOK, http.StatusNoContent:
@@ -205,7 +204,7 @@
 	case http.StatusConflict:
 		return trace.CompareFailed("engine %s has seen a higher epoch", request.URL.Host)
 	case http.StatusNotFound:
-		return trace.NotFound("engine %s does not know it", request.URL.Host)
+		return trace.NotFound("engine %s answered not found to %s", request.URL.Host, request.URL.Path)
 	}
-	return trace.Errorf("engine %s answers status %d", request.URL.Host, response.StatusCode)
+	return trace.Errorf("engine %s answered with status %d", request.URL.Host, response.StatusCode)
 }
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -1,5 +1,5 @@
-// Package pool describes a pool of targets that serve the same thing, and the
-// policy under which requests are placed on them.
+// Package pool describes a pool of targets that serve the same model or service, and
+// the policy for placing requests on them.
 package pool
 
 // The kinds of pool.
@@ -15,47 +15,46 @@
 	Name string `json:"name"`
 	// Kind is KindModel or KindService.
 	Kind string `json:"kind"`
-	// Weights is the weight version that new requests use. Model pools only.
+	// Weights is the weight version for new requests. Model pools only.
 	Weights string `json:"weights,omitempty"`
-	// Previous is the weight version that targets not rolled over yet still
-	// serve. It is set when Weights changes.
+	// Previous is the weight version that targets serve until the rollout reaches
+	// them. It is set when Weights changes.
 	Previous string `json:"previous,omitempty"`
-	// Leave names targets that get no new work, by the operators' order.
+	// Leave names the targets that operators drain: they get no new work.
 	Leave []string `json:"leave,omitempty"`
-	// ChecksFence says that the pool's targets refuse orders with a lower epoch
-	// than one they have seen.
+	// ChecksFence says that the pool's targets check the fencing token: they refuse
+	// orders with a lower epoch than one they have seen.
 	ChecksFence bool `json:"checks_fence,omitempty"`
-	// OnceByTarget says that the targets themselves run one idempotency key at
-	// most once, so that not-repeatable requests go on while the table service
-	// is down.
+	// OnceByTarget says that the targets themselves run an idempotency key at most
+	// once, so that not-repeatable requests can run while the table service is down.
 	OnceByTarget bool `json:"once_by_target,omitempty"`
-	// Policy weighs the measures against each other.
+	// Policy weighs the costs of a placement.
 	Policy Policy `json:"policy"`
-	// PieceBytes is how many prompt bytes lie between two boundaries at which
-	// cache is kept. Model pools only; at least 64.
+	// PieceBytes is the number of prompt bytes between two cache boundaries. Model
+	// pools only; at least 64.
 	PieceBytes int `json:"piece_bytes,omitempty"`
-	// Stores says whether cache is kept on store boxes.
+	// Stores says whether prefix cache is saved to store boxes.
 	Stores bool `json:"stores,omitempty"`
-	// FirstTokenMillis is the time to first token, or to the beginning of a
-	// service's answer, that the pool promises. A target that is silent for
-	// three times as long is given up. Zero means 10 s for models and the
-	// request's own time for services.
+	// FirstTokenMillis is the pool's goal for the time to first token, or to the
+	// start of a service's answer. An attempt whose target is silent for three times
+	// as long is abandoned. Zero means a bound of 10 s for models and the request's
+	// own time-out for services.
 	FirstTokenMillis int `json:"first_token_ms,omitempty"`
-	// Concurrency bounds the requests under way on one target. At least 1.
+	// Concurrency bounds the requests in flight on one target. At least 1.
 	Concurrency int `json:"concurrency"`
 }
 
-// Serves says whether new requests may run on a weight version.
+// Serves reports whether new requests may run on a weight version.
 func (p Pool) Serves(version string) bool {
 	return version != "" && (version == p.Weights || version == p.Previous)
 }
 
-// Policy weighs what the operators measure. Only the ratios matter.
+// Policy holds the weights of the costs of a placement. Only their ratios matter.
 type Policy struct {
 	// FirstToken weighs a second of waiting for the first token.
 	FirstToken float64 `json:"first_token"`
-	// Recompute weighs a second of prefill that kept cache could have saved.
+	// Recompute weighs a second of prefill that cached pieces could have saved.
 	Recompute float64 `json:"recompute"`
-	// Link weighs a second of a store link's time.
+	// Link weighs a second of use of a store link.
 	Link float64 `json:"link"`
 }
--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -1,5 +1,5 @@
-// Package prefix names the prefixes of a prompt without a tokenizer, so that
-// every box computes the same name for the same kept cache.
+// Package prefix computes the keys of a prompt's prefixes from its bytes, without a
+// tokenizer, so that every box uses the same key for the same cached piece.
 //
 //	chain := prefix.Chain(prefix.Scope("menu-app", "v7"), prompt, 8192)
 //	home := chain[0] // ranks the targets
@@ -12,18 +12,18 @@
 	"github.com/zeebo/blake3"
 )
 
-// Key names one prefix of one prompt within one client account and one weight
-// version. Two keys are equal only if account, version and bytes are.
+// Key identifies one prefix of a prompt within a client account and a weight version.
+// Two keys are equal only if account, version and bytes are.
 type Key [32]byte
 
 // String returns the key in hexadecimal, as store boxes and records show it.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// Rank returns a number to rank targets by.
+// Rank returns the part of the key that enters rendezvous hashing.
 func (k Key) Rank() uint64 { return binary.LittleEndian.Uint64(k[:8]) }
 
-// Scope returns the seed of all chains of one client account and one weight
-// version. Lengths are hashed too, so that no two pairs share a scope.
+// Scope returns the seed of all chains of a client account and a weight version. The
+// account's length is hashed too, so that no two pairs share a scope.
 func Scope(account, version string) Key {
 	var size [8]byte
 	binary.LittleEndian.PutUint64(size[:], uint64(len(account)))
@@ -36,8 +36,8 @@
 	return key
 }
 
-// Chain returns a key for each whole piece of the prompt: key i covers the
-// first (i+1)*pieceBytes bytes. The rest behind the last boundary has no key.
+// Chain returns a key for each complete piece of the prompt: key i covers the first
+// (i+1)*pieceBytes bytes. The bytes after the last boundary have no key.
 func Chain(scope Key, prompt []byte, pieceBytes int) []Key {
 	keys := make([]Key, 0, len(prompt)/pieceBytes)
 	previous := scope
@@ -51,8 +51,9 @@
 	return keys
 }
 
-// Home returns the key that ranks targets for a prompt: its first piece, or the
-// scope with the whole prompt when it is shorter than a piece.
+// Home returns the key for the rendezvous hashing of a prompt: that of its first
+// piece, or of the complete prompt if it is shorter than a piece. An empty prompt has
+// the scope.
 func Home(scope Key, prompt []byte, pieceBytes int) Key {
 	if len(prompt) < pieceBytes {
 		pieceBytes = max(len(prompt), 1)
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -14,8 +14,8 @@
 
 type scope func(account, version string) prefix.Key
 
-// keysIsolated says that no key is shared between different pairs of account and
-// version, and that equal prefixes of one pair share all their keys.
+// keysIsolated checks that different pairs of account and version share no key, and
+// that equal prefixes of one pair share all keys.
 func keysIsolated(s scope) gopter.Prop {
 	return prop.ForAll(func(a, b, v, w, text, tail string) bool {
 		prompt := []byte(text + "the same menu for everybody, long enough for a few pieces")
@@ -53,7 +53,7 @@
 		equal bool
 	}{
 		{"same first piece", "0123456789abcdef and one", "0123456789abcdef and two", true},
-		{"another first piece", "0123456789abcdef", "0123456789abcdeX", false},
+		{"different first piece", "0123456789abcdef", "0123456789abcdeX", false},
 		{"short and equal", "short", "short", true},
 		{"short and different", "short", "shorT", false},
 	}
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -1,7 +1,7 @@
-// Package refusal is the final answer to a request that the system gives up:
-// what became of it, why, and when to come back.
+// Package refusal holds the error answer to a request without a complete answer: its
+// outcome, the reason and when to retry.
 //
-//	return refusal.New(refusal.DidNotRun, http.StatusTooManyRequests, "over the account's share").After(2 * time.Second)
+//	return refusal.New(refusal.DidNotRun, http.StatusTooManyRequests, "over_limit", "the account's concurrency limit is reached").After(2 * time.Second)
 package refusal
 
 import (
@@ -10,35 +10,35 @@
 	"time"
 )
 
-// The outcomes of a request that got no whole answer.
+// The outcomes of a request without a complete answer.
 const (
-	// DidNotRun is proved: nothing reached a target, or the target itself said
-	// that it did not start.
+	// DidNotRun is certain: nothing was sent to a target, or the target confirmed
+	// that the request did not start.
 	DidNotRun = "did-not-run"
-	// Unknown says that the request may have run, in part or whole.
+	// Unknown says that the request may have run, partly or completely.
 	Unknown = "unknown"
 )
 
-// Refusal is a typed error for a caller.
+// Refusal is an error to be sent to a caller.
 type Refusal struct {
 	// Outcome is DidNotRun or Unknown.
 	Outcome string
 	// Status is the HTTP status.
 	Status int
-	// Code is a short word for programs, such as "over_limit".
+	// Code is a stable identifier for programs, such as "over_limit".
 	Code string
 	// Reason is for people.
 	Reason string
-	// RetryAfter is when to come back; zero if coming back makes no sense.
+	// RetryAfter is the delay before a retry; zero if a retry makes no sense.
 	RetryAfter time.Duration
 }
 
-// New returns a refusal without a time to come back.
+// New returns a refusal without RetryAfter.
 func New(outcome string, status int, code, format string, args ...any) *Refusal {
 	return &Refusal{Outcome: outcome, Status: status, Code: code, Reason: fmt.Sprintf(format, args...)}
 }
 
-// After returns the refusal with a time to come back.
+// After sets RetryAfter and returns the refusal.
 func (r *Refusal) After(d time.Duration) *Refusal {
 	r.RetryAfter = d
 	return r
@@ -47,8 +47,8 @@
 // Error implements error.
 func (r *Refusal) Error() string { return r.Outcome + ": " + r.Reason }
 
-// Of finds the refusal in an error's chain; an error without one becomes a
-// refusal with the outcome and status given.
+// Of returns the refusal in an error's chain. An error without one becomes a refusal
+// with the given outcome and status.
 func Of(err error, outcome string, status int) *Refusal {
 	var r *Refusal
 	if errors.As(err, &r) {
--- a/route/route.go
+++ b/route/route.go
@@ -1,5 +1,5 @@
-// Package route holds what a request and the daemon's loop say to each other:
-// a request asks for a place, is placed, and tells how the attempt ended.
+// Package route holds the messages between a request and the daemon's event loop:
+// the request for a placement, the placement, and the result of the attempt.
 //
 //	placed, err := place(ctx, route.Ask{Request: "r1", Model: "menu", Attempt: 1})
 //	...
@@ -18,39 +18,40 @@
 	"github.com/thymewind/thymewind/stream"
 )
 
-// Ask is what the loop needs to admit a request and place one attempt.
+// Ask is a request for the admission and placement of one attempt.
 type Ask struct {
 	Request string
 	Account string
-	// Model is what the caller asked for; empty for a plain service.
+	// Model is the requested model; empty for a plain service.
 	Model string
-	// Pool is the pool of a plain service; a model's follows from Model.
+	// Pool is the pool of a plain service. A model's pool follows from Model.
 	Pool    string
 	Attempt int
-	// Prompt bytes to name prefixes by.
+	// Prompt is hashed into prefix keys.
 	Prompt string
-	// Tokens is the largest number of tokens the request may use.
+	// Tokens is the largest number of tokens that the answer may have.
 	Tokens int
-	// Exclude names targets that failed this request already.
+	// Exclude names the targets on which this request failed.
 	Exclude []string
-	// AvoidDomain is the failure domain of the last failure, avoided if
-	// another one serves.
+	// AvoidDomain is the failure domain of the last failure. It is avoided if
+	// another domain has a usable target.
 	AvoidDomain string
-	// Version pins the attempt to the weight version that the answer began
-	// with; empty if it has not begun.
+	// Version pins the attempt to the weight version that the answer began with;
+	// empty if the answer has not begun.
 	Version string
-	// Home ranks the targets: of the account and the prompt's first piece.
+	// Home is the key for rendezvous hashing, from the account and the prompt's first
+	// piece.
 	Home prefix.Key
 }
 
-// Fingerprint names what a model request asks for.
+// Fingerprint identifies a model request by its content.
 func (a Ask) Fingerprint() fingerprint.Sum {
 	return fingerprint.Of(a.Account, "generate", a.Model, strconv.Itoa(a.Tokens), []byte(a.Prompt))
 }
 
-// Placed is the loop's answer.
+// Placed is the placement of one attempt.
 type Placed struct {
-	// Ask is what was asked for.
+	// Ask is the placement request.
 	Ask     Ask
 	Request string
 	Account string
@@ -63,48 +64,49 @@
 	// Scope separates the cache by client account and weight version.
 	Scope      prefix.Key
 	PieceBytes int
-	// Home is the asked one.
+	// Home is that of Ask.
 	Home prefix.Key
-	// Keys name the prompt's prefixes at the boundaries, the shortest first.
+	// Keys are the keys of the prompt's prefixes at piece boundaries, shortest first.
 	Keys []prefix.Key
-	// Store is the store box that keeps the prompt's cache; unset for none.
+	// Store is the store box for the prompt's cache; unset if there is none.
 	Store     netip.AddrPort
 	StoreName string
-	// Warm says that the target served this prompt's beginning lately.
+	// Warm says that this box last served the prompt's first piece on this target, with
+	// this weight version.
 	Warm bool
-	// Known says that this box served the prompt's beginning lately, anywhere.
+	// Known says that this box served the prompt's first piece recently, on any target.
 	Known bool
-	// KeptPieces is how many pieces the store box was found to hold.
+	// KeptPieces is the number of the prompt's pieces that the store box holds.
 	KeptPieces int
-	// At is when the request was placed. Granted says that the target limits requests and that
-	// this one is among those that this box may send.
+	// At is when the request was placed. Granted says that the target has a rate limit and that
+	// this request is within this box's quota.
 	At      time.Time
 	Granted bool
 	// FirstToken bounds the wait for the first text.
 	FirstToken time.Duration
-	// Estimate is what is known of the pool's engines and links.
+	// Estimate holds the estimated speeds of the pool's engines and links.
 	Estimate reuse.Estimate
-	// Wait is how long the target was predicted to be busy first.
+	// Wait is the predicted wait at the target.
 	Wait time.Duration
-	// Said is how long the store box says that the import takes, in seconds.
+	// Said is the import time that the store box predicts, in seconds.
 	Said float64
 	// Priority orders waiting runs on the target; lower goes first.
 	Priority int
-	// Import names kept cache to fetch, if that is thought to be faster.
+	// Import names cached pieces to fetch, if that is predicted to be faster.
 	Import *engine.Import
-	// Rule says why this target.
+	// Rule names the rule that chose the target.
 	Rule string
 }
 
-// Ended tells the loop how one attempt went.
+// Ended is the result of one attempt.
 type Ended struct {
 	Placed Placed
 	// Failed says that the target broke off or could not be reached.
 	Failed bool
-	// Cut says that it may have run and that no whole answer came, not by the caller's
-	// doing; Dead that its address refuses connections.
+	// Cut says that the request may have run and got no complete answer, and that the caller
+	// was not the cause. Dead says that the target's address refuses connections.
 	Cut, Dead bool
-	// Refused says that the target refused before starting.
+	// Refused says that the target, or this box for the target, refused before the start.
 	Refused bool
 	// FirstToken is the time from sending to the first text; zero if none came.
 	FirstToken time.Duration
--- a/table/client.go
+++ b/table/client.go
@@ -12,12 +12,12 @@
 	"github.com/gravitational/trace"
 )
 
-// Client talks to the table service. Set the exported fields before first use;
-// it is safe for concurrent use after that.
+// Client calls the table service. Set the exported fields before first use; it is
+// safe for concurrent use after that.
 type Client struct {
 	// Base is the service's URL without a trailing slash.
 	Base string
-	// HTTP carries the calls. Its transport must not retry by itself.
+	// HTTP sends the calls. Its transport must not retry by itself.
 	HTTP *http.Client
 }
 
@@ -35,7 +35,7 @@
 	status, sent, err := c.do(ctx, request, nil, &conflict)
 	switch {
 	case err != nil && !sent:
-		return trace.ConnectionProblem(err, "the table service can't be reached")
+		return trace.ConnectionProblem(err, "table service unreachable at %s", c.Base)
 	case err != nil:
 		return trace.Wrap(ErrLost, "%v", err)
 	case status == http.StatusOK:
@@ -43,11 +43,11 @@
 	case status == http.StatusConflict:
 		return trace.CompareFailed("row %q has changed", conflict.Key)
 	case status == http.StatusTooManyRequests:
-		return trace.LimitExceeded("the table service refuses more writes for now")
+		return trace.LimitExceeded("table service limits writes: status %d", status)
 	case status == http.StatusServiceUnavailable:
-		return trace.ConnectionProblem(nil, "the table service is down")
+		return trace.ConnectionProblem(nil, "table service unavailable: status %d", status)
 	case status == http.StatusBadRequest:
-		return trace.BadParameter("the table service refuses the transaction")
+		return trace.BadParameter("table service rejects the transaction: status %d", status)
 	}
 	return trace.Wrap(ErrLost, "status %d", status)
 }
@@ -64,14 +64,14 @@
 	return rows[0], nil
 }
 
-// List returns up to limit rows whose keys start with prefix and come behind
+// List returns up to limit rows whose keys start with prefix and sort after the key
 // after, in key order.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
 	rows, err := c.list(ctx, listQuery{Prefix: prefix, After: after, Limit: limit})
 	return rows, trace.Wrap(err)
 }
 
-// ListAll returns every row under prefix, page by page. Rows written meanwhile
+// ListAll returns every row under prefix, page by page. Rows written during the call
 // may or may not be included.
 func (c *Client) ListAll(ctx context.Context, prefix string) ([]Row, error) {
 	const page = 1000
@@ -108,25 +108,25 @@
 	}
 	status, _, err := c.do(ctx, request, &answer, nil)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "the table service can't be read")
+		return nil, trace.ConnectionProblem(err, "table service read failed at %s", c.Base)
 	}
 	if status == http.StatusTooManyRequests {
-		return nil, trace.LimitExceeded("the table service refuses more reads for now")
+		return nil, trace.LimitExceeded("table service limits reads: status %d", status)
 	}
 	if status != http.StatusOK {
-		return nil, trace.ConnectionProblem(nil, "the table service answers reads with status %d", status)
+		return nil, trace.ConnectionProblem(nil, "table service read failed: status %d", status)
 	}
 	return answer.Rows, nil
 }
 
-// do sends a request and reports whether any of it may have been written.
+// do sends a request and reports whether any of it may have been sent.
 func (c *Client) do(ctx context.Context, request *http.Request, success, failure any) (status int, sent bool, err error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	request = request.WithContext(ctx)
-	// Without a way to read the body again the transport never resends it.
+	// Without GetBody the transport can't resend the body by itself.
 	request.GetBody = nil
 	if request.Body != nil {
 		request.Body = io.NopCloser(request.Body)
--- a/target/queue.go
+++ b/target/queue.go
@@ -2,22 +2,21 @@
 
 import "time"
 
-// started is when this process began. Times of the queue are counted from it,
-// as durations compare faster than times and each placement looks at every
-// target.
+// started is the origin of the queue's times. Durations compare faster than times,
+// which matters as each placement looks at every target.
 var started = time.Now()
 
-// Since returns a time as WaitAt takes it.
+// Since returns a time as the duration that WaitAt takes.
 func Since(now time.Time) time.Duration { return now.Sub(started) }
 
-// queue predicts how long a target is busy: what it reported, what was sent to
-// it since, and the time that has passed meanwhile. A report tells of a time
-// that lies back, so what was sent after that time is added to it again.
+// queue predicts how long a target is busy, from its last report, the requests sent
+// since and the time passed. As a report describes an earlier time, the requests sent
+// after that time are added to it again.
 type queue struct {
-	// busyUntil is when the target has computed all it has; zero if nothing was
-	// ever heard of or sent to it.
+	// busyUntil is when the target has finished all known prompts; zero if nothing was
+	// reported or sent.
 	busyUntil time.Duration
-	// sent are the latest dispatches, oldest first.
+	// sent holds the latest dispatches, oldest first.
 	sent []dispatch
 }
 
@@ -27,13 +26,13 @@
 	busy time.Duration
 }
 
-// maxDispatches bounds the dispatches of one target that are kept.
+// maxDispatches bounds the dispatches kept for one target.
 const maxDispatches = 64
 
-// dispatchRetention is how long a dispatch is kept. No report lags by more.
+// dispatchRetention is how long a dispatch is kept. No report is delayed by more.
 const dispatchRetention = 3 * time.Second
 
-// wait is how long the target is busy yet.
+// wait returns how long the target is still busy.
 func (q *queue) wait(at time.Duration) time.Duration {
 	if q.busyUntil == 0 {
 		return 0
@@ -52,8 +51,8 @@
 
 func (q *queue) add(d dispatch) { q.busyUntil = d.at + q.wait(d.at) + d.busy }
 
-// report begins anew from what the target told of a time, and adds what was
-// sent after it.
+// report resets the prediction to the report of a time and adds the dispatches after
+// that time.
 func (q *queue) report(at, busy time.Duration) {
 	q.busyUntil = at + busy
 	for _, d := range q.sent {
--- a/target/target.go
+++ b/target/target.go
@@ -1,6 +1,6 @@
-// Package target describes one replica that requests are sent to, as this
-// daemon sees it: the platform's list, the target's own lagged report, and what
-// the daemon itself has sent since.
+// Package target holds this daemon's view of one replica that serves requests: the
+// platform's list, the target's own delayed load report, and the requests that the
+// daemon has sent since that report.
 package target
 
 import (
@@ -11,40 +11,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Target is one model engine or plain service. The fields that each placement
-// reads come first, so that they share cache lines.
+// Target is one model engine or plain service. The fields that each placement reads
+// come first, so that they share cache lines.
 type Target struct {
-	// Hash is the target's part of rendezvous ranking; it depends on Name only.
+	// Hash is the target's hash for rendezvous ranking. It depends on Name only.
 	Hash uint64
-	// Listed says that the platform's list has the target as live.
+	// Listed says that the platform's list shows the target as live.
 	Listed bool
 	// Leaving is set by the list, by the target's own answer or by a peer. It is
-	// cleared only when nothing has said so for long; see Board.StillLeaving.
+	// cleared only after a time without any such signal; see
+	// dispatch.Scheduler.ExpireLeaving.
 	Leaving bool
-	// Loading says that it loads weights and starts no run meanwhile.
+	// Loading says that the target is loading weights and starts no run meanwhile.
 	Loading bool
-	// AvoidUntil keeps new work off after failures, BackoffUntil as the target asked for a
-	// time without requests.
+	// AvoidUntil is the end of the ejection after failures, BackoffUntil the end of a
+	// backoff that the target asked for.
 	AvoidUntil, BackoffUntil time.Time
-	// Running, Waiting and Slots are the target's last report.
+	// Running, Waiting and Slots are from the target's last report.
 	Running, Waiting, Slots int
-	// SentSince counts this daemon's own dispatches since the report.
+	// SentSince counts the requests that this daemon sent since the report.
 	SentSince int
-	// InFlight counts this daemon's requests under way on the target.
+	// InFlight counts this daemon's requests in flight on the target.
 	InFlight int
-	// slowdown is how many times longer the target computed than its pool's mean,
-	// as learned at slowAt; zero if nothing was.
+	// slowdown is the target's prefill time relative to its pool's mean, as learned
+	// at slowdownAt; zero if nothing was learned.
 	slowdown   float64
 	slowdownAt time.Time
-	// queue is the prompts that wait to be computed.
+	// queue models the prompts that wait for prefill.
 	queue queue
 
-	// Limited says that it takes no more than Rate requests a second of all boxes together, as
-	// it said.
+	// Limited says that the target accepts at most Rate requests per second from all boxes
+	// together, as it signalled itself.
 	Limited bool
 	Rate    float64
 
-	// ID is that of Name and Address.
+	// ID is the hash of Name and Address; see the function ID.
 	ID      uint64
 	Name    string
 	Address netip.AddrPort
@@ -53,34 +54,32 @@
 	Domain string
 	// Version is the weight version last reported. Engines only.
 	Version string
-	// ReportedAt is when the report was received; zero means never.
+	// ReportedAt is the time that the last report describes; zero if there is none.
 	ReportedAt time.Time
-	// LeavingAt is when the list or the target last said that it is leaving.
+	// LeavingAt is when the list or the target last signalled that it is leaving.
 	LeavingAt time.Time
-	// Failures counts failures in a row.
+	// Failures counts consecutive failures.
 	Failures int
 }
 
-// ID names a target at an address, for peers. Two of a few thousand share one
-// by chance once in 10^12; the worst is that one is taken for the other until
-// its own report comes.
+// ID identifies a target at an address among peers. The chance that two of a few
+// thousand targets share an ID is about 10^-12. The worst effect is that one is
+// taken for the other until its own report arrives.
 func ID(name string, address netip.AddrPort) uint64 {
 	return xxhash.Sum64String(name + "@" + address.String())
 }
 
-// Usable says whether new work may be sent at now. A target is unusable from
-// the moment anyone says that it is leaving, and for the time for which it asked for no
-// requests.
+// Usable reports whether new work may be sent at now. A target is unusable while it is
+// not listed, leaving, loading weights, ejected after failures or in a backoff.
 func (t *Target) Usable(now time.Time) bool {
 	return t.Listed && !t.Leaving && !t.Loading && passed(now, t.AvoidUntil) && passed(now, t.BackoffUntil)
 }
 
-// passed says that a time is over, or was never set.
+// passed reports whether a time has passed or was never set.
 func passed(now, until time.Time) bool { return until.IsZero() || !now.Before(until) }
 
-// Report takes the target's own report over, which tells how it was at a time
-// that lies back a while. busy is how long the prompts that were still to be
-// computed then take.
+// Report applies the target's own load report, which describes the target at an earlier
+// time at. busy is the predicted time for the prompts that waited for prefill then.
 func (t *Target) Report(at time.Time, running, waiting int, busy time.Duration) {
 	t.Running, t.Waiting = running, waiting
 	t.ReportedAt = at
@@ -88,46 +87,45 @@
 	t.queue.report(Since(at), busy)
 }
 
-// Send counts a request in that is sent now and takes the target about busy to
-// compute.
+// Send counts a request sent at now whose prefill is predicted to take busy.
 func (t *Target) Send(now time.Time, busy time.Duration) {
 	t.SentSince++
 	t.queue.send(Since(now), busy)
 }
 
-// Slowness is how many times longer than its pool's mean the target is thought
-// to compute. What was learned fades, so that a target that has recovered is
-// tried again.
+// Slowness estimates the target's prefill time relative to its pool's mean, at least 1.
+// The estimate decays, so that a target that has recovered gets requests again.
 func (t *Target) Slowness(now time.Time) float64 {
 	const (
-		most     = 50.0
-		little   = 1.05
-		halfLife = 30 * time.Second
+		maxSlowdown = 50.0
+		// negligible is the slowdown below which a target counts as average.
+		negligible = 1.05
+		halfLife   = 30 * time.Second
 	)
-	if t.slowdown < little {
+	if t.slowdown < negligible {
 		return 1
 	}
 	age := now.Sub(t.slowdownAt).Seconds() / halfLife.Seconds()
-	return min(1+(t.slowdown-1)*math.Exp2(-age), most)
+	return min(1+(t.slowdown-1)*math.Exp2(-age), maxSlowdown)
 }
 
-// Computed takes in that the target took so many times longer than its pool's
-// mean to compute a prompt.
+// Computed adds a sample: a prefill took times as long as the pool's mean. The
+// estimate is an exponentially weighted moving average.
 func (t *Target) Computed(now time.Time, times float64) {
-	const part = 0.2
+	const weight = 0.2
 	t.slowdown = t.Slowness(now)
-	t.slowdown += (times - t.slowdown) * part
+	t.slowdown += (times - t.slowdown) * weight
 	t.slowdownAt = now
 }
 
-// Wait predicts how long a request sent now waits for its turn: behind the
-// prompts that are still to be computed, and for a slot when all are taken,
-// each for about run.
+// Wait predicts how long a request sent at now waits for the prompts ahead of it and,
+// if all slots are taken, for a free slot. run is the predicted time of a run in its
+// slot.
 func (t *Target) Wait(now time.Time, run time.Duration) time.Duration {
 	return t.WaitAt(Since(now), run)
 }
 
-// WaitAt is Wait for callers that look at many targets at one time.
+// WaitAt is Wait with a time from Since, for callers that compare many targets.
 func (t *Target) WaitAt(at, run time.Duration) time.Duration {
 	wait := t.queue.wait(at)
 	if over := t.Load() + 1 - t.Slots; over > 0 && t.Slots > 0 {
@@ -136,8 +134,8 @@
 	return wait
 }
 
-// Load estimates the requests on the target: its report plus what was sent
-// since, and at least what this daemon itself has under way.
+// Load estimates the requests on the target: its report plus the requests sent since,
+// but at least this daemon's requests in flight.
 func (t *Target) Load() int {
 	return max(t.Running+t.Waiting+t.SentSince, t.InFlight)
 }
--- a/target/target_test.go
+++ b/target/target_test.go
@@ -13,7 +13,7 @@
 	const second = time.Second
 	tests := []struct {
 		name   string
-		happen func(x *target.Target)
+		events func(x *target.Target)
 		after  time.Duration
 		want   time.Duration
 	}{
@@ -21,13 +21,13 @@
 		{"sent", func(x *target.Target) { x.Send(start, second) }, 0, second},
 		{"sent twice", func(x *target.Target) { x.Send(start, second); x.Send(start, second) }, 0, 2 * second},
 		{"time passes", func(x *target.Target) { x.Send(start, 3*second) }, second, 2 * second},
-		{"all is done", func(x *target.Target) { x.Send(start, second) }, 5 * second, 0},
+		{"queue is empty again", func(x *target.Target) { x.Send(start, second) }, 5 * second, 0},
 		{"reported", func(x *target.Target) { x.Report(start, 0, 0, 2*second) }, second, second},
-		{"a report from before what was sent", func(x *target.Target) {
+		{"report from before the dispatch", func(x *target.Target) {
 			x.Send(start, second)
 			x.Report(start.Add(-second), 0, 0, 0)
 		}, 0, second},
-		{"a report from after what was sent", func(x *target.Target) {
+		{"report from after the dispatch", func(x *target.Target) {
 			x.Send(start, 3*second)
 			x.Report(start.Add(second), 0, 0, 0)
 		}, second, 0},
@@ -36,7 +36,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			x := &target.Target{Slots: 8}
-			tt.happen(x)
+			tt.events(x)
 			if got := x.Wait(start.Add(tt.after), 2*second); got != tt.want {
 				t.Errorf("Wait = %v, want %v", got, tt.want)
 			}
@@ -44,10 +44,10 @@
 	}
 }
 
-func TestSlownessFades(t *testing.T) {
+func TestSlownessDecays(t *testing.T) {
 	x := &target.Target{}
 	if x.Slowness(start) != 1 {
-		t.Error("an unknown target is thought slow")
+		t.Error("a target without samples counts as slow")
 	}
 	for range 40 {
 		x.Computed(start, 5)
