--- a/configuration/rows.go
+++ b/configuration/rows.go
@@ -15,9 +15,9 @@
 
 // The keys, and prefixes of keys, of configuration rows.
 const (
-	headKey      = "config-head"
-	entityPrefix = "config/"
-	auditPrefix  = "audit/"
+	headKey       = "config-head"
+	entityPrefix  = "config/"
+	auditPrefix   = "audit/"
 	refusedPrefix = "audit-refused/"
 )
 
--- a/document/check.go
+++ b/document/check.go
@@ -7,38 +7,37 @@
 	"time"
 )
 
-// Listener is an address that a process listens at, and the path of its
-// setting.
+// Listener is an address that a process listens at, with the path of its setting.
 type Listener struct {
 	Path string
 	At   netip.AddrPort
-	// Optional says that the setting may be absent.
+	// Optional allows the setting to be absent.
 	Optional bool
 }
 
-// CheckSet adds a finding if a text is empty.
+// CheckSet adds a finding if a value is empty.
 func (d *Document) CheckSet(path, value string) {
 	if value == "" {
 		d.Add(path, "must be set")
 	}
 }
 
-// CheckOneOf adds a finding if a text is none of those allowed.
+// CheckOneOf adds a finding if a value is none of those allowed.
 func (d *Document) CheckOneOf(path, value string, allowed ...string) {
 	if !slices.Contains(allowed, value) {
 		d.Add(path, "%q is none of %s", value, strings.Join(allowed, ", "))
 	}
 }
 
-// CheckWithin adds a finding if a time is out of its bounds.
-func (d *Document) CheckWithin(path string, value, least, most time.Duration) {
-	if value < least || value > most {
-		d.Add(path, "%v is not within %v and %v", value, least, most)
+// CheckWithin adds a finding if a duration is out of its bounds.
+func (d *Document) CheckWithin(path string, value, lower, upper time.Duration) {
+	if value < lower || value > upper {
+		d.Add(path, "%v is not within %v and %v", value, lower, upper)
 	}
 }
 
-// CheckListeners adds a finding for each listener without an address, and for
-// each with the address of an earlier one.
+// CheckListeners adds a finding for each required listener without an address, and
+// for each listener with the address of an earlier one.
 func (d *Document) CheckListeners(listeners ...Listener) {
 	for i, l := range listeners {
 		if !d.checkAddress(l) {
@@ -52,7 +51,7 @@
 	}
 }
 
-// checkAddress says whether a listener has an address.
+// checkAddress reports whether a listener has a usable address.
 func (d *Document) checkAddress(l Listener) bool {
 	if l.Optional && !l.At.IsValid() {
 		return false
--- a/document/document.go
+++ b/document/document.go
@@ -1,5 +1,5 @@
-// Package document reads YAML into structs and collects everything that does
-// not fit, each finding with file, line and column.
+// Package document decodes YAML into structs and collects all errors as findings, each
+// with file, line and column.
 //
 //	var s Settings
 //	d := document.Document{Name: "settings.yaml"}
@@ -23,20 +23,19 @@
 	"github.com/thymewind/thymewind/finding"
 )
 
-// Document is one YAML file that is being read. Set Name before Decode.
+// Document is one YAML file to decode. Set Name before Decode.
 type Document struct {
-	// Name is the file's name as findings show it.
+	// Name is the file's name in findings.
 	Name string
 
 	findings finding.List
-	// positions maps the path of each value seen, such as "limits.body_bytes" or
-	// "accounts[2].name", to its place.
+	// positions maps the path of each value, such as "limits.body_bytes" or
+	// "accounts[2].name", to its file, line and column.
 	positions map[string]string
 }
 
-// Decode reads data into the struct that into points to. Fields that are not
-// in the file keep their values, so defaults are set beforehand. Problems are
-// collected; see Err.
+// Decode decodes data into the struct that into points to. Fields that are not in the
+// file keep their values, which serve as defaults. Errors are collected; see Err.
 func (d *Document) Decode(data []byte, into any) {
 	d.positions = make(map[string]string)
 	file, err := parser.ParseBytes(data, 0)
@@ -57,11 +56,11 @@
 // Add records a finding about the value at path, such as "peers" or
 // "pools[0].kind".
 func (d *Document) Add(path, format string, args ...any) {
-	place, known := d.positions[path]
+	at, known := d.positions[path]
 	if !known {
-		place = d.Name
+		at = d.Name
 	}
-	d.findings.Add(place+": "+path, format, args...)
+	d.findings.Add(at+": "+path, format, args...)
 }
 
 // Err returns all findings as one error, or nil.
@@ -97,7 +96,7 @@
 		case !field.IsValid():
 			d.Add(at, "unknown field")
 		case seen[key]:
-			d.Add(at, "stands twice")
+			d.Add(at, "duplicate field")
 		default:
 			d.decodeValue(at, entries.Value(), field)
 		}
@@ -122,7 +121,8 @@
 	return fmt.Sprintf("%s:%d:%d", d.Name, t.Position.Line, t.Position.Column)
 }
 
-// fieldOf finds the struct field whose yaml tag, or else json tag, names key.
+// fieldOf returns the struct field with key as its yaml tag or its json name, or an
+// invalid value.
 func fieldOf(s reflect.Value, key string) reflect.Value {
 	for i := range s.NumField() {
 		tag := s.Type().Field(i).Tag
@@ -134,7 +134,8 @@
 	return reflect.Value{}
 }
 
-// isText says whether a struct reads itself from a string, as netip.AddrPort.
+// isText reports whether a struct unmarshals itself from text, such as
+// netip.AddrPort.
 func isText(v reflect.Value) bool {
 	_, ok := v.Addr().Interface().(interface{ UnmarshalText([]byte) error })
 	return ok
@@ -147,7 +148,7 @@
 	return path + "." + key
 }
 
-// firstLine cuts the source excerpt off the YAML library's messages.
+// firstLine removes the source excerpt from an error message of the YAML library.
 func firstLine(err error) string {
 	line, _, _ := strings.Cut(err.Error(), "\n")
 	return line
--- a/entity/table.go
+++ b/entity/table.go
@@ -1,4 +1,4 @@
-// Package entity holds entities of one kind in a table that systems run over.
+// Package entity provides an ordered table for the entities of one kind.
 //
 //	var targets entity.Table[string, target.Target]
 //	targets.Put("engine-1", t)
@@ -13,9 +13,8 @@
 	"slices"
 )
 
-// Table maps keys to entities and walks them in key order, so that a run over
-// it gives the same result each time. The zero value is ready for use. It is
-// not safe for concurrent use.
+// Table maps keys to entities and iterates in key order, so that results are
+// deterministic. The zero value is ready for use. It is not safe for concurrent use.
 type Table[K cmp.Ordered, V any] struct {
 	// keys is sorted and holds exactly the keys of rows.
 	keys []K
@@ -40,7 +39,7 @@
 	return v, ok
 }
 
-// Delete removes an entity; an unknown key is fine.
+// Delete removes an entity. An unknown key is ignored.
 func (t *Table[K, V]) Delete(key K) {
 	if _, known := t.rows[key]; !known {
 		return
@@ -50,13 +49,13 @@
 	delete(t.rows, key)
 }
 
-// Len counts the entities.
+// Len returns the number of entities.
 func (t *Table[K, V]) Len() int { return len(t.keys) }
 
-// Keys returns a copy of the keys in order, for a walk that changes the table.
+// Keys returns a copy of the keys in order, for iterations that change the table.
 func (t *Table[K, V]) Keys() []K { return slices.Clone(t.keys) }
 
-// All walks the table in key order. The table must not change meanwhile.
+// All iterates over the table in key order. The table must not change during that.
 func (t *Table[K, V]) All() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, key := range t.keys {
--- a/eventstream/eventstream.go
+++ b/eventstream/eventstream.go
@@ -1,5 +1,5 @@
-// Package eventstream cuts a text/event-stream body into whole events, so that
-// an event that its sender broke off is never passed on.
+// Package eventstream splits a text/event-stream body into complete events, so that a
+// truncated event is never passed on.
 //
 //	r := eventstream.Reader{From: body}
 //	for {
@@ -15,13 +15,13 @@
 )
 
 // ErrCut says that the body ended inside an event.
-var ErrCut = trace.BadParameter("the stream ended inside an event")
+var ErrCut = trace.BadParameter("event stream ended inside an event")
 
-// Longest bounds one event, in bytes. It is far above what a step of a model
-// makes and keeps a spoilt stream from filling memory.
+// Longest bounds one event, in bytes. It is far above the size of a model's step and
+// keeps a corrupt stream from exhausting memory.
 const Longest = 1 << 20
 
-// initialBuffer holds a few usual events, in bytes.
+// initialBuffer is the initial buffer size in bytes, enough for a few typical events.
 const initialBuffer = 1 << 10
 
 // Reader reads events. Set From before first use.
@@ -31,13 +31,13 @@
 	buffer []byte
 	// start and end bound the bytes read and not yet returned.
 	start, end int
-	// searched counts the bytes behind start that hold no end of an event.
+	// searched is the number of bytes after start that contain no end of an event.
 	searched int
 	err      error
 }
 
-// Next returns the next event with the blank line that ends it. It returns
-// io.EOF at the end of a whole stream and ErrCut if a part of an event is left.
+// Next returns the next event with the blank line that ends it. It returns io.EOF at
+// the end of a complete stream and ErrCut if the stream ends inside an event.
 func (r *Reader) Next() ([]byte, error) {
 	for {
 		if event := r.buffered(); event != nil {
@@ -47,7 +47,7 @@
 			return nil, r.endError()
 		}
 		if r.end-r.start > Longest {
-			return nil, trace.LimitExceeded("an event has over %d bytes", Longest)
+			return nil, trace.LimitExceeded("event exceeds %d bytes", Longest)
 		}
 		r.fill()
 	}
@@ -67,7 +67,7 @@
 	return unread[:length]
 }
 
-// eventLength returns the length up to the end of the first blank line, or -1.
+// eventLength returns the length up to and including the first blank line, or -1.
 func eventLength(b []byte) int {
 	plain := bytes.Index(b, []byte("\n\n"))
 	windows := bytes.Index(b, []byte("\r\n\r\n"))
@@ -101,7 +101,7 @@
 	r.err = err
 }
 
-// ID returns the value of an event's id field, or an empty text.
+// ID returns the value of an event's id field, or "".
 func ID(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if value, found := bytes.CutPrefix(line, []byte("id:")); found {
--- a/eventstream/eventstream_test.go
+++ b/eventstream/eventstream_test.go
@@ -19,9 +19,9 @@
 	}{
 		{"two events", "id: 1\ndata: a\n\nid: 2\n\n", []string{"id: 1\ndata: a\n\n", "id: 2\n\n"}, io.EOF},
 		{"carriage returns", "id: 1\r\ndata: a\r\n\r\nid: 2\r\n\r\n", []string{"id: 1\r\ndata: a\r\n\r\n", "id: 2\r\n\r\n"}, io.EOF},
-		{"cut in an event", "id: 1\n\nid: 2\ndata: to", []string{"id: 1\n\n"}, eventstream.ErrCut},
-		{"cut between the line ends", "id: 1\n", nil, eventstream.ErrCut},
-		{"nothing", "", nil, io.EOF},
+		{"truncated event", "id: 1\n\nid: 2\ndata: to", []string{"id: 1\n\n"}, eventstream.ErrCut},
+		{"truncated between the line ends", "id: 1\n", nil, eventstream.ErrCut},
+		{"empty", "", nil, io.EOF},
 		{"longer than the buffer", "id: 1\n\n" + long, []string{"id: 1\n\n", long}, io.EOF},
 	}
 	for _, tt := range tests {
@@ -43,10 +43,10 @@
 	}
 }
 
-func TestEndless(t *testing.T) {
+func TestEventTooLarge(t *testing.T) {
 	r := eventstream.Reader{From: endless{}}
 	if _, err := r.Next(); err == nil {
-		t.Error("an event without end was read")
+		t.Error("an endless event gave no error")
 	}
 }
 
--- a/finding/finding.go
+++ b/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects what is wrong with an input, each with its place,
-// so that all of it is reported together.
+// Package finding collects the errors of an input, each with its position, so that they
+// are reported together.
 //
 //	var l finding.List
 //	l.Add("settings.yaml:3:9", "address %q has no port", text)
@@ -17,19 +17,18 @@
 	errors []error
 }
 
-// Add records one finding at a place such as file:line:column or a field name.
+// Add adds a finding at a place such as file:line:column or a field name.
 func (l *List) Add(place, format string, args ...any) {
 	l.errors = append(l.errors, trace.BadParameter(place+": "+format, args...))
 }
 
-// Len counts the findings.
+// Len returns the number of findings.
 func (l *List) Len() int { return len(l.errors) }
 
 // Err returns all findings as one error, or nil when there are none.
 func (l *List) Err() error { return trace.NewAggregate(l.errors...) }
 
-// Each takes the error of a List apart into its findings; any other error is
-// its own only finding.
+// Each returns the findings in the error of a List. Any other error is the only finding.
 func Each(err error) []error {
 	var all trace.Aggregate
 	if errors.As(err, &all) {
--- a/logqueue/logqueue.go
+++ b/logqueue/logqueue.go
@@ -1,6 +1,6 @@
-// Package logqueue keeps writing log lines off the path of requests: a line is
-// queued, and written by a goroutine of its own. A full queue drops the line
-// and counts it; nobody ever waits for the log.
+// Package logqueue writes log lines asynchronously, so that requests never wait for the
+// log. A separate goroutine writes the queued lines. If the queue is full, a line is
+// dropped and counted.
 //
 //	q := logqueue.Queue{To: os.Stdout, Lines: 2048}
 //	go q.Run()
@@ -17,17 +17,17 @@
 	"sync/atomic"
 )
 
-// Queue is an io.Writer that takes one line a call. Set the exported fields
-// before first use; it is safe for concurrent use after that.
+// Queue is an io.Writer that gets one line in each call. Set the exported fields before
+// first use; it is safe for concurrent use after that.
 type Queue struct {
 	To io.Writer
-	// Lines is how many lines wait at most.
+	// Lines is the capacity of the queue.
 	Lines int
 
 	once  sync.Once
 	lines chan []byte
-	done chan struct{}
-	// mu keeps writers from a queue that is closed.
+	done  chan struct{}
+	// mu prevents sends on the closed channel.
 	mu      sync.RWMutex
 	closed  bool
 	dropped atomic.Int64
@@ -40,7 +40,7 @@
 	})
 }
 
-// Write queues a copy of the line. It never fails and never waits.
+// Write queues a copy of the line. It never fails and never blocks.
 func (q *Queue) Write(line []byte) (int, error) {
 	q.start()
 	q.mu.RLock()
@@ -57,17 +57,18 @@
 	return len(line), nil
 }
 
-// Run writes queued lines until Close. It tells of dropped ones in their place.
+// Run writes queued lines until Close. Where lines were dropped, it writes a line with
+// their number.
 func (q *Queue) Run() {
 	q.start()
 	defer close(q.done)
 	out := bufio.NewWriter(q.To)
-	told := int64(0)
+	reported := int64(0)
 	for line := range q.lines {
-		_, _ = out.Write(line) // There is nowhere to report that the log can't be written.
-		if n := q.dropped.Load(); n != told {
-			_, _ = fmt.Fprintf(out, "level=warn msg=\"log lines dropped\" lines=%d\n", n-told)
-			told = n
+		_, _ = out.Write(line) // There is nowhere to report a failure to write the log.
+		if n := q.dropped.Load(); n != reported {
+			_, _ = fmt.Fprintf(out, "level=warn msg=\"log lines dropped\" lines=%d\n", n-reported)
+			reported = n
 		}
 		if len(q.lines) == 0 {
 			_ = out.Flush()
@@ -76,10 +77,10 @@
 	_ = out.Flush()
 }
 
-// Dropped counts the lines that found the queue full.
+// Dropped returns the number of lines dropped as the queue was full or closed.
 func (q *Queue) Dropped() int64 { return q.dropped.Load() }
 
-// Close has what is queued written and ends Run.
+// Close ends Run after the queued lines are written, and waits for it.
 func (q *Queue) Close() {
 	q.start()
 	q.mu.Lock()
--- a/logqueue/logqueue_test.go
+++ b/logqueue/logqueue_test.go
@@ -9,11 +9,11 @@
 	"github.com/thymewind/thymewind/logqueue"
 )
 
-// blockedWriter takes nothing until it is let go.
+// blockedWriter blocks in Write until release is closed.
 type blockedWriter struct {
 	release chan struct{}
-	mu  sync.Mutex
-	got bytes.Buffer
+	mu      sync.Mutex
+	got     bytes.Buffer
 }
 
 func (s *blockedWriter) Write(b []byte) (int, error) {
@@ -23,13 +23,13 @@
 	return s.got.Write(b)
 }
 
-// TestNeverWaits writes far more lines than fit while the output takes none.
-func TestNeverWaits(t *testing.T) {
+// TestNeverBlocks writes far more lines than the queue holds while the output is blocked.
+func TestNeverBlocks(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
 	q := logqueue.Queue{To: out, Lines: 10}
 	go q.Run()
 	const lines = 1000
-	// A line is longer than what the output buffers, so that none slips away.
+	// A line is longer than Run's output buffer, so that none is buffered there.
 	line := []byte(strings.Repeat("x", 10000) + "line\n")
 	for range lines {
 		if n, err := q.Write(line); n != len(line) || err != nil {
@@ -46,7 +46,7 @@
 		t.Errorf("%d written and %d dropped of %d", written, q.Dropped(), lines)
 	}
 	if !strings.Contains(out.got.String(), "log lines dropped") {
-		t.Error("the log does not tell of dropped lines")
+		t.Error("the log does not report dropped lines")
 	}
 	if _, err := q.Write([]byte("late\n")); err != nil {
 		t.Error(err)
--- a/naming/naming.go
+++ b/naming/naming.go
@@ -1,15 +1,14 @@
-// Package naming remembers when versions of a model's weights were named, and so
-// on which versions a request may still begin.
+// Package naming records when versions of a model's weights were announced, and derives
+// the oldest version on which a request may start.
 //
-// Each version has a bound of its own, counted from its naming: a newer version,
-// a restart of the box or a late read must not begin it anew. Nobody tells a box
-// when a version was named, so a Record keeps the earliest time at which it can
-// have been:
+// Each version has its own bound, counted from its announcement. A newer version, a
+// restart of the box or a late read must not extend it. A box does not learn the time of
+// an announcement, so a Record holds the earliest time at which it can have been:
 //
 //	var r naming.Record
 //	r.Prove(5, lastReadWithoutIt)
 //	r.Prove(6, alsoLater)
-//	least := r.Required(now, 12*time.Second) // 5, twelve seconds later
+//	oldest := r.Required(now, 12*time.Second) // 5, twelve seconds later
 package naming
 
 import (
@@ -18,27 +17,27 @@
 	"time"
 )
 
-// maxVersions is how many versions are remembered. Namings come seconds apart at the
-// quickest, and only those within the bound and the one before matter.
+// maxVersions bounds the recorded versions. Announcements are at least seconds apart, and
+// only those within the bound and the one before them matter.
 const maxVersions = 64
 
-// Naming is one version and the earliest time at which it can have been named.
+// Naming is one version and the earliest time at which it can have been announced.
 type Naming struct {
 	Version int64
 	At      time.Time
-	// Assumed says that At was not proved by a read that did not know the version.
+	// Assumed says that At was not proved by a read that lacked the version.
 	Assumed bool
 }
 
-// Record holds the namings of one model. The zero value is ready; it is not safe
-// for concurrent use.
+// Record holds the announcements of one model's versions. The zero value is ready for
+// use. It is not safe for concurrent use.
 type Record struct {
-	// entries has rising versions, each once.
+	// entries is sorted by version, each version once.
 	entries []Naming
 }
 
-// Prove notes that a version was not named yet at a time. Of several proofs the
-// latest counts, and each counts more than what was assumed.
+// Prove records that a version was not announced yet at a time. The latest proof counts,
+// and any proof replaces an assumption.
 func (r *Record) Prove(version int64, at time.Time) {
 	i, known := r.find(version)
 	if !known {
@@ -50,8 +49,7 @@
 	}
 }
 
-// Assume notes a time for a version of which nothing is proved. Of several
-// assumptions the earliest counts.
+// Assume records a time for a version without a proof. The earliest assumption counts.
 func (r *Record) Assume(version int64, at time.Time) {
 	i, known := r.find(version)
 	if !known {
@@ -63,7 +61,7 @@
 	}
 }
 
-// insert adds a naming and forgets the lowest version if there are too many.
+// insert adds an entry and drops the oldest version if there are too many.
 func (r *Record) insert(i int, n Naming) {
 	r.entries = slices.Insert(r.entries, i, n)
 	if len(r.entries) > maxVersions {
@@ -75,8 +73,8 @@
 	return slices.BinarySearchFunc(r.entries, version, func(n Naming, v int64) int { return cmp.Compare(n.Version, v) })
 }
 
-// Required returns the lowest version on which a request may begin: the newest
-// one that can have been named for as long as within. It is zero if there is none.
+// Required returns the oldest version on which a request may start: the newest one that
+// can have been announced for within or longer. It is zero if there is none.
 func (r *Record) Required(now time.Time, within time.Duration) int64 {
 	for _, n := range slices.Backward(r.entries) {
 		if now.Sub(n.At) >= within {
@@ -86,8 +84,8 @@
 	return 0
 }
 
-// ReplacedAt returns the earliest time at which a newer version than the one
-// given can have been named, or false if none is known.
+// ReplacedAt returns the earliest time at which a version newer than the given one can
+// have been announced, or false if none is known.
 func (r *Record) ReplacedAt(version int64) (time.Time, bool) {
 	var first time.Time
 	for _, n := range r.entries {
@@ -98,8 +96,7 @@
 	return first, !first.IsZero()
 }
 
-// Since returns the namings by rising version, without those that were replaced
-// before a time already.
+// Since returns the entries by version, without those that were replaced before a time.
 func (r *Record) Since(before time.Time) []Naming {
 	newest := int64(0)
 	for _, n := range r.entries {
@@ -110,7 +107,7 @@
 	return slices.DeleteFunc(slices.Clone(r.entries), func(n Naming) bool { return n.Version < newest })
 }
 
-// Least returns the lowest version that is remembered, or zero if there is none.
+// Least returns the oldest recorded version, or zero if there is none.
 func (r *Record) Least() int64 {
 	if len(r.entries) == 0 {
 		return 0
--- a/naming/naming_test.go
+++ b/naming/naming_test.go
@@ -13,27 +13,28 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// TestRequired asks on which versions requests may begin, 12 s after each naming.
+// TestRequired checks on which versions requests may start, with a bound of 12 s after each
+// announcement.
 func TestRequired(t *testing.T) {
 	tests := []struct {
-		name string
-		note func(r *naming.Record)
-		now  float64
-		want int64
+		name   string
+		events func(r *naming.Record)
+		now    float64
+		want   int64
 	}{
 		{"nothing is known", func(*naming.Record) {}, 100, 0},
 		{"within the bound", func(r *naming.Record) { r.Prove(5, at(0)) }, 11.9, 0},
 		{"after the bound", func(r *naming.Record) { r.Prove(5, at(0)) }, 12, 5},
-		{"a newer naming leaves the bound alone", func(r *naming.Record) { r.Prove(5, at(0)); r.Prove(6, at(7)) }, 12, 5},
-		{"the newer one has its own bound", func(r *naming.Record) { r.Prove(5, at(0)); r.Prove(6, at(7)) }, 19, 6},
-		{"told in another order", func(r *naming.Record) { r.Prove(6, at(7)); r.Prove(5, at(0)) }, 12, 5},
+		{"a newer version does not extend the bound", func(r *naming.Record) { r.Prove(5, at(0)); r.Prove(6, at(7)) }, 12, 5},
+		{"the newer version has its own bound", func(r *naming.Record) { r.Prove(5, at(0)); r.Prove(6, at(7)) }, 19, 6},
+		{"recorded in another order", func(r *naming.Record) { r.Prove(6, at(7)); r.Prove(5, at(0)) }, 12, 5},
 		{"a later proof counts", func(r *naming.Record) { r.Prove(5, at(0)); r.Prove(5, at(3)) }, 14, 0},
 		{"an earlier proof does not", func(r *naming.Record) { r.Prove(5, at(3)); r.Prove(5, at(0)) }, 14, 0},
 		{"a proof replaces an assumption", func(r *naming.Record) { r.Assume(5, at(4)); r.Prove(5, at(0)) }, 12, 5},
 		{"an assumption replaces no proof", func(r *naming.Record) { r.Prove(5, at(4)); r.Assume(5, at(0)) }, 12, 0},
 		{"an earlier assumption counts", func(r *naming.Record) { r.Assume(5, at(4)); r.Assume(5, at(0)) }, 12, 5},
 		{"a later assumption does not", func(r *naming.Record) { r.Assume(5, at(0)); r.Assume(5, at(4)) }, 12, 5},
-		{"many namings", func(r *naming.Record) {
+		{"more versions than recorded", func(r *naming.Record) {
 			for i := range 1000 {
 				r.Prove(int64(i+1), at(float64(i)))
 			}
@@ -42,7 +43,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var r naming.Record
-			tt.note(&r)
+			tt.events(&r)
 			if got := r.Required(at(tt.now), 12*time.Second); got != tt.want {
 				t.Errorf("Required = %d, want %d", got, tt.want)
 			}
@@ -66,7 +67,7 @@
 	}
 }
 
-// TestSince lists what others must be told.
+// TestSince checks which entries are sent to other boxes.
 func TestSince(t *testing.T) {
 	var r naming.Record
 	for i, when := range []float64{0, 10, 60} {
@@ -74,7 +75,7 @@
 	}
 	tests := []struct {
 		before float64
-		want   int64 // The lowest version told.
+		want   int64 // The oldest version returned.
 		count  int
 	}{{-1, 4, 3}, {5, 4, 3}, {50, 5, 2}, {100, 6, 1}}
 	for _, tt := range tests {
@@ -84,6 +85,6 @@
 		}
 	}
 	if r.Least() != 4 {
-		t.Errorf("the lowest is %d", r.Least())
+		t.Errorf("the oldest version is %d, want 4", r.Least())
 	}
 }
--- a/query/query.go
+++ b/query/query.go
@@ -1,4 +1,4 @@
-// Package query parses the operators' language.
+// Package query parses statements of the operators' language.
 //
 //	s, err := query.Parse(`show targets where pool = "menu"`)
 //	if err != nil { // it names the position and what was expected
@@ -16,7 +16,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Statement is one parsed line; exactly one field is set.
+// Statement is one parsed statement. Exactly one field is set.
 type Statement struct {
 	Show   *Show   `parser:"  'show' @@"`
 	Why    *string `parser:"| 'why' 'request' @(Word | String | Number)"`
@@ -30,11 +30,11 @@
 	Help   bool    `parser:"| @'help'"`
 }
 
-// Show asks for the rows of one kind of thing.
+// Show requests the rows of one kind.
 type Show struct {
 	Thing string       `parser:"@Word"`
 	Where []Comparison `parser:"( 'where' @@ ( 'and' @@ )* )?"`
-	// Last bounds the rows, if it is not zero.
+	// Last limits the result to the last rows, if it is not zero.
 	Last int `parser:"( 'last' @Number )?"`
 }
 
@@ -45,16 +45,16 @@
 	Value  string `parser:"@( Word | String | Number )"`
 }
 
-// Edit changes one entity of the configuration.
+// Edit creates, changes or removes one entity of the configuration.
 type Edit struct {
 	Kind string       `parser:"@( 'account' | 'pool' | 'model' )"`
 	Name string       `parser:"@( Word | String )"`
 	Set  []Assignment `parser:"( 'set' @@ ( ',' @@ )* )?"`
-	// IfRevision, if it is not zero, is the revision the change is for.
+	// IfRevision, if it is not zero, is the revision that must be current.
 	IfRevision uint64 `parser:"( 'if' 'revision' '=' @Number )?"`
 }
 
-// Assignment gives a field a value; List is set for a list.
+// Assignment assigns a value to a field: Value, or List for a list.
 type Assignment struct {
 	Field string   `parser:"@Word '='"`
 	Value *Literal `parser:"( @@"`
@@ -67,7 +67,7 @@
 	Text   *string `parser:"| @( Word | String )"`
 }
 
-// Roll moves a pool to another weight version.
+// Roll starts a rollout of a weight version to a pool.
 type Roll struct {
 	Pool       string `parser:"'pool' @( Word | String )"`
 	Version    string `parser:"'to' @( Word | String )"`
@@ -92,7 +92,7 @@
 	return strconv.Quote(*a.Value.Text)
 }
 
-// Help is what the statement help answers.
+// Help is the answer to the statement help.
 const Help = `show THING [where COLUMN = VALUE [and ...]] [last N]
     THING: boxes domains targets pools models accounts limits stores kept
            leases claims charges audit refusals decisions
@@ -121,10 +121,10 @@
 // maxStatement bounds a statement, in bytes.
 const maxStatement = 64 << 10
 
-// Parse reads one statement. The error tells the column and a suggestion.
+// Parse parses one statement. The error names the column and may have a suggestion.
 func Parse(text string) (Statement, error) {
 	if len(text) > maxStatement {
-		return Statement{}, trace.BadParameter("the statement has over %d bytes", maxStatement)
+		return Statement{}, trace.BadParameter("statement exceeds %d bytes: %d", maxStatement, len(text))
 	}
 	s, err := parser.ParseString("", text)
 	if err == nil {
@@ -143,11 +143,11 @@
 	return Statement{}, trace.BadParameter("column %d: %s%s", at.Position().Column, at.Message(), hint)
 }
 
-// Nearest returns the known word that is closest to a mistyped one, or "" if
-// none is close.
+// Nearest returns the known word with the smallest edit distance to a word, or "" if none
+// is close.
 func Nearest(word string, known []string) string {
-	const farthest = 2
-	best, distance := "", farthest+1
+	const maxDistance = 2
+	best, distance := "", maxDistance+1
 	for _, k := range known {
 		if d := editDistance(word, k); d < distance {
 			best, distance = k, d
@@ -156,7 +156,7 @@
 	return best
 }
 
-// editDistance is the Levenshtein distance of two short words.
+// editDistance returns the Levenshtein distance of two words.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/query/query_test.go
+++ b/query/query_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// FuzzParse looks for statements that crash the parser.
+// FuzzParse checks that no statement crashes the parser.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{`show targets where a = "b" last 3`, `change pool p set a.b = [1, "x"] if revision = 9`, `"\`, "show \x00", "why request 99999999999999999999999999", "show x last 99999999999999999999999"} {
 		f.Add(seed)
--- a/report/report.go
+++ b/report/report.go
@@ -1,5 +1,5 @@
-// Package report is the answer to an operator's statement: rows under columns,
-// or the revision that a change made.
+// Package report holds the answer to an operator's statement: a table of rows, or the
+// revision that a change created.
 //
 //	r := report.Report{Columns: []string{"name", "load"}}
 //	r.Add("engine-1", 3)
@@ -20,19 +20,19 @@
 	Columns []string `json:"columns,omitempty"`
 	// Rows have one value for each column.
 	Rows [][]string `json:"rows,omitempty"`
-	// Missing names boxes that should have answered but did not.
+	// Missing names the boxes that did not answer.
 	Missing []string `json:"missing,omitempty"`
-	// Revision is the configuration revision that a change made.
+	// Revision is the configuration revision that a change created.
 	Revision uint64 `json:"revision,omitempty"`
-	// Change is the ID of a change, by which its outcome can be read back.
+	// Change is the ID of a change. Its outcome can be read back by it.
 	Change string `json:"change,omitempty"`
-	// Text is an answer in words.
+	// Text is an answer in plain text.
 	Text string `json:"text,omitempty"`
-	// Error is why the statement was refused; empty if it was not.
+	// Error is the reason of a refusal; empty if the statement was accepted.
 	Error string `json:"error,omitempty"`
 }
 
-// Refused returns a report of a refusal.
+// Refused returns the report of a refused statement.
 func Refused(err error) Report { return Report{Error: trace.Unwrap(err).Error()} }
 
 // Add appends a row.
@@ -44,8 +44,8 @@
 	r.Rows = append(r.Rows, row)
 }
 
-// Where keeps the rows whose column compares as demanded; numbers compare as
-// numbers. It fails with trace.NotFound for an unknown column.
+// Where keeps the rows whose column satisfies a comparison. Two numbers are compared by
+// value, anything else as text. It fails with trace.NotFound for an unknown column.
 func (r *Report) Where(column, sign, value string) error {
 	at := slices.Index(r.Columns, column)
 	if at < 0 {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -13,53 +13,52 @@
 	"github.com/thymewind/thymewind/document"
 )
 
-// Settings are what one daemon knows before it talks to anyone.
+// Settings are the local settings of one daemon.
 type Settings struct {
 	// Name is the box's name, unique among live boxes.
 	Name string `yaml:"name"`
-	// Domain is the box's failure domain, Region the region it lies in.
+	// Domain is the box's failure domain, Region the region of that domain.
 	Domain string `yaml:"domain"`
 	Region string `yaml:"region"`
 	// Callers, Operators and Peers are the listeners' addresses.
 	Callers   netip.AddrPort `yaml:"callers"`
 	Operators netip.AddrPort `yaml:"operators"`
 	Peers     netip.AddrPort `yaml:"peers"`
-	// KnownPeers are asked for the configuration and the list of boxes by a
-	// daemon that boots while the platform is down. They may be gone.
+	// KnownPeers are the peers that a daemon asks for the configuration and the list of
+	// boxes if it starts while the platform is down. Some may not exist any more.
 	KnownPeers []netip.AddrPort `yaml:"known_peers"`
 	// Platform is the base URL of the platform's services.
 	Platform string `yaml:"platform"`
-	// TokenKeys sign resume tokens; the first signs, all are accepted. They
+	// TokenKeys are the keys of resume tokens: the first signs, all are accepted. They
 	// are the same on every box.
 	TokenKeys []string `yaml:"token_keys"`
-	// PeerCredential is what daemons show each other.
+	// PeerCredential authenticates daemons to each other.
 	PeerCredential string `yaml:"peer_credential"`
-	// OperatorCredentials are who may ask and order.
+	// OperatorCredentials are the operators with access to the operator API.
 	OperatorCredentials []Operator `yaml:"operator_credentials"`
-	// TLS gives a key pair to a listener; a listener without one is plain.
+	// TLS holds the listeners' key pairs. A listener without one does not use TLS.
 	TLS TLS `yaml:"tls"`
-	// Limits bound what callers may send.
+	// Limits bound callers' requests and the decision records.
 	Limits Limits `yaml:"limits"`
-	// Timing sets how often things happen.
+	// Timing sets the daemon's intervals and time-outs.
 	Timing Timing `yaml:"timing"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `yaml:"log_level"`
 }
 
-// Operator is one operator's name and the SHA-256 of the credential, in
-// hexadecimal.
+// Operator is one operator's name and the hexadecimal SHA-256 of the credential.
 type Operator struct {
 	Name   string `yaml:"name"`
 	SHA256 string `yaml:"sha256"`
 }
 
-// TLS names the key pair files of each listener.
+// TLS names the key pair files of the listeners.
 type TLS struct {
 	Callers   Pair `yaml:"callers"`
 	Operators Pair `yaml:"operators"`
 	Peers     Pair `yaml:"peers"`
-	// PeerAuthority is the certificate file that peers' certificates are
-	// checked against. It is set if Peers is.
+	// PeerAuthority is the certificate file of the authority that signs peers'
+	// certificates. It is set if Peers is.
 	PeerAuthority string `yaml:"peer_authority"`
 }
 
@@ -69,34 +68,35 @@
 	Key         string `yaml:"key"`
 }
 
-// Limits bound callers' requests, in bytes.
+// Limits bound sizes.
 type Limits struct {
+	// BodyBytes and HeaderBytes bound a caller's request.
 	BodyBytes   int64 `yaml:"body_bytes"`
 	HeaderBytes int   `yaml:"header_bytes"`
-	// Records bounds the decision records kept.
+	// Records is the number of decision records kept.
 	Records int `yaml:"records"`
 }
 
-// Timing sets the daemon's intervals.
+// Timing sets the daemon's intervals and time-outs.
 type Timing struct {
-	// Tick is how often systems run over the tables.
+	// Tick is the interval of the event loop's periodic work.
 	Tick time.Duration `yaml:"tick"`
-	// Poll is how often the list of boxes and the configuration head are read.
+	// Poll is the interval for reading the list of boxes and the configuration head.
 	Poll time.Duration `yaml:"poll"`
-	// Load is how often each target's load is read.
+	// Load is the interval for reading each target's load report.
 	Load time.Duration `yaml:"load"`
-	// Gossip is how often a few peers are told what changed.
+	// Gossip is the interval for sending changes to a few peers.
 	Gossip time.Duration `yaml:"gossip"`
-	// Lease is how long a lease lasts.
+	// Lease is the TTL of a lease.
 	Lease time.Duration `yaml:"lease"`
-	// Notice is how long a stopping daemon keeps answering new requests while
-	// the balancer notices that it is not ready.
+	// Notice is for how long a stopping daemon still accepts requests, until the load
+	// balancer has noticed that it is not ready.
 	Notice time.Duration `yaml:"notice"`
-	// Request bounds a caller's request when the caller gives no deadline.
+	// Request is the time-out of a request without a deadline of its own.
 	Request time.Duration `yaml:"request"`
 }
 
-// defaults are the settings of an empty file.
+// defaults returns the settings of an empty file.
 func defaults() Settings {
 	return Settings{
 		LogLevel: "info",
@@ -108,8 +108,8 @@
 	}
 }
 
-// Parse reads the settings in data, which came from the file called name. The
-// error holds every finding.
+// Parse decodes and checks the settings in data, the content of the named file. The error
+// holds every finding.
 func Parse(name string, data []byte) (Settings, error) {
 	s := defaults()
 	d := document.Document{Name: name}
@@ -149,17 +149,17 @@
 }
 
 func (s *Settings) checkSecrets(d *document.Document) {
-	const shortest = 16
+	const minBytes = 16
 	if len(s.TokenKeys) == 0 {
 		d.Add("token_keys", "must hold at least one key")
 	}
 	for _, key := range s.TokenKeys {
-		if len(key) < shortest {
-			d.Add("token_keys", "a key is shorter than %d bytes", shortest)
+		if len(key) < minBytes {
+			d.Add("token_keys", "a key is shorter than %d bytes", minBytes)
 		}
 	}
-	if len(s.PeerCredential) < shortest {
-		d.Add("peer_credential", "is shorter than %d bytes", shortest)
+	if len(s.PeerCredential) < minBytes {
+		d.Add("peer_credential", "is shorter than %d bytes", minBytes)
 	}
 	if len(s.OperatorCredentials) == 0 {
 		d.Add("operator_credentials", "must name at least one operator")
@@ -181,34 +181,34 @@
 		}
 	}
 	if (s.TLS.Peers.Certificate == "") != (s.TLS.PeerAuthority == "") {
-		d.Add("tls.peer_authority", "goes with tls.peers")
+		d.Add("tls.peer_authority", "must be set if and only if tls.peers is")
 	}
 }
 
 func (s *Settings) checkLimits(d *document.Document) {
 	const (
-		smallest = 1 << 10
-		largest  = 256 << 20
-		records  = 1 << 16
+		minBytes   = 1 << 10
+		maxBytes   = 256 << 20
+		maxRecords = 1 << 16
 	)
-	if s.Limits.BodyBytes < smallest || s.Limits.BodyBytes > largest {
-		d.Add("limits.body_bytes", "must be %d to %d", smallest, largest)
+	if s.Limits.BodyBytes < minBytes || s.Limits.BodyBytes > maxBytes {
+		d.Add("limits.body_bytes", "must be %d to %d", minBytes, maxBytes)
 	}
-	if s.Limits.HeaderBytes < smallest || s.Limits.HeaderBytes > largest {
-		d.Add("limits.header_bytes", "must be %d to %d", smallest, largest)
+	if s.Limits.HeaderBytes < minBytes || s.Limits.HeaderBytes > maxBytes {
+		d.Add("limits.header_bytes", "must be %d to %d", minBytes, maxBytes)
 	}
-	if s.Limits.Records < 1 || s.Limits.Records > records {
-		d.Add("limits.records", "must be 1 to %d", records)
+	if s.Limits.Records < 1 || s.Limits.Records > maxRecords {
+		d.Add("limits.records", "must be 1 to %d", maxRecords)
 	}
 }
 
 func (s *Settings) checkTiming(d *document.Document) {
-	const longest = time.Hour
+	const maxRequest = time.Hour
 	d.CheckWithin("timing.tick", s.Timing.Tick, 10*time.Millisecond, time.Second)
 	d.CheckWithin("timing.poll", s.Timing.Poll, 100*time.Millisecond, 3*time.Second)
 	d.CheckWithin("timing.load", s.Timing.Load, 50*time.Millisecond, 10*time.Second)
 	d.CheckWithin("timing.gossip", s.Timing.Gossip, 50*time.Millisecond, 3*time.Second)
 	d.CheckWithin("timing.lease", s.Timing.Lease, time.Second, time.Minute)
 	d.CheckWithin("timing.notice", s.Timing.Notice, 0, time.Minute)
-	d.CheckWithin("timing.request", s.Timing.Request, time.Second, longest)
+	d.CheckWithin("timing.request", s.Timing.Request, time.Second, maxRequest)
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -25,24 +25,24 @@
 func TestParse(t *testing.T) {
 	tests := []struct {
 		name, from, to string
-		// want are parts of the findings; none means that the settings are good.
+		// want holds parts of the expected findings; none if the settings are valid.
 		want []string
 	}{
-		{"good", "", "", nil},
+		{"valid", "", "", nil},
 		{"unknown field", "domain: zone-a", "domain: zone-a\nzone: b", []string{"test.yaml:3:1: zone: unknown field"}},
-		{"field twice", "domain: zone-a", "domain: zone-a\ndomain: zone-b", []string{"domain"}},
+		{"duplicate field", "domain: zone-a", "domain: zone-a\ndomain: zone-b", []string{"domain"}},
 		{"address without port", "127.0.0.1:8080", "127.0.0.1", []string{"test.yaml:3:"}},
 		{"host name", "127.0.0.1:8080", "localhost:8080", []string{"test.yaml:3:"}},
 		{"port 0", "127.0.0.1:8080", "127.0.0.1:0", []string{"callers"}},
-		{"the same address twice", "127.0.0.1:9080", "127.0.0.1:8080", []string{"has the address of callers"}},
-		{"peers on any address", "127.0.0.1:7080", "0.0.0.0:7080", []string{"peers can reach"}},
+		{"duplicate address", "127.0.0.1:9080", "127.0.0.1:8080", []string{"has the address of callers"}},
+		{"peers on the unspecified address", "127.0.0.1:7080", "0.0.0.0:7080", []string{"peers can reach"}},
 		{"platform", "http://127.0.0.1:7000", "127.0.0.1:7000", []string{"platform"}},
-		{"several at once", "name: entry-1\ndomain: zone-a", "log_level: loud", []string{"name: must be set", "domain: must be set", "test.yaml:1:12: log_level"}},
-		{"absurd timing", "domain: zone-a", "domain: zone-a\ntiming: {tick: 1h, lease: 0s}", []string{"timing.tick", "timing.lease"}},
+		{"several findings", "name: entry-1\ndomain: zone-a", "log_level: loud", []string{"name: must be set", "domain: must be set", "test.yaml:1:12: log_level"}},
+		{"timing out of bounds", "domain: zone-a", "domain: zone-a\ntiming: {tick: 1h, lease: 0s}", []string{"timing.tick", "timing.lease"}},
 		{"zero limits", "domain: zone-a", "domain: zone-a\nlimits: {body_bytes: 0, records: -1}", []string{"limits.body_bytes", "limits.records"}},
 		{"type", "domain: zone-a", "domain: [zone-a]", []string{"test.yaml:2:"}},
 		{"short secrets", "a-peer-credential", "short", []string{"peer_credential: is shorter"}},
-		{"half a key pair", "domain: zone-a", "domain: zone-a\ntls: {callers: {key: k.pem}}", []string{"tls.callers: needs both"}},
+		{"incomplete key pair", "domain: zone-a", "domain: zone-a\ntls: {callers: {key: k.pem}}", []string{"tls.callers: needs both"}},
 		{"not YAML", "name: entry-1", "name: [", []string{"test.yaml"}},
 	}
 	for _, tt := range tests {
@@ -60,10 +60,10 @@
 	}
 }
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../examples/local/entry-*.yaml")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no examples", err)
+		t.Fatal("no example settings found", err)
 	}
 	for _, file := range files {
 		data, err := os.ReadFile(file)
@@ -76,7 +76,7 @@
 	}
 }
 
-// FuzzParse looks for settings that crash the reader.
+// FuzzParse checks that no settings file crashes the parser.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(good))
 	for _, seed := range []string{"", "a: [", "- 1\n- 2", "name: &x\n  y: *x", "timing:\n  tick: -1s", "tls: 7", "? [a]\n: b", "name: !!int x", "---\n---\n"} {
