--- a/boxes/boxes.go
+++ b/boxes/boxes.go
@@ -1,6 +1,7 @@
 // Package boxes reads the platform's list of live and leaving boxes.
 //
-// The list is stale at times: a box that is gone may still be listed as live.
+// The list can be stale: a box that does not exist any more may still be listed as
+// live.
 package boxes
 
 import (
@@ -63,7 +64,7 @@
 	}
 	response, err := sling.New().Client(l.HTTP).Do(request.WithContext(ctx), &answer, nil)
 	if err != nil {
-		return nil, false, trace.ConnectionProblem(err, "reading the list of boxes failed at %s", l.Base)
+		return nil, false, trace.ConnectionProblem(err, "reading the list of boxes failed")
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
--- a/charge/charge.go
+++ b/charge/charge.go
@@ -66,7 +66,7 @@
 	Read        func(ctx context.Context, key string) (table.Row, error)
 	ListAll     func(ctx context.Context, prefix string) ([]table.Row, error)
 	// MaxAccounts bounds the accounts with pending charges while the table service
-	// is down. Charges of further accounts are dropped and reported to Lost.
+	// is down. Charges of further accounts are dropped and reported to OnLost.
 	MaxAccounts int
 	// Lost is called with the number of requests whose charges were dropped.
 	Lost func(requests int)
--- a/claim/book.go
+++ b/claim/book.go
@@ -85,7 +85,7 @@
 }
 
 // Take inserts a claim. The returned claim is the permission to dispatch. Take
-// fails with *Taken if the key is in use and with ErrDown if the table service
+// fails with *TakenError if the key is in use and with ErrDown if the table service
 // does not answer. In both cases the request has not run.
 func (b *Book) Take(ctx context.Context, c Claim) (Claim, error) {
 	b.start()
@@ -114,7 +114,8 @@
 	return c, trace.Wrap(err)
 }
 
-// resolveConflict returns the stored claim if it is this insert's own, else *Taken.
+// resolveConflict returns the stored claim if it is this insert's own,
+// else *TakenError.
 func (b *Book) resolveConflict(ctx context.Context, w *write) (Claim, error) {
 	stored, _, err := b.readClaim(ctx, w.key)
 	if err != nil {
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -5,10 +5,10 @@
 // it may dispatch. It is released only by the holder of its nonce, and only if
 // nothing can have been sent:
 //
-//	held, err := book.Take(ctx, claim.Claim{Account: "menu-app", Key: key, Digest: digest})
+//	held, err := store.Take(ctx, claim.Claim{Account: "menu-app", Key: key, Digest: digest})
 //	if err != nil { ... }
 //	if sent := dispatch(); !sent {
-//		book.Release(held)
+//		store.Release(ctx, held)
 //	}
 package claim
 
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -123,7 +123,7 @@
 	proof.Breaks(t, atMostOnce(t, removed))
 }
 
-// start returns a running Book over a fake table service.
+// start returns a running Store over a fake table service.
 func start(ctx context.Context, rows *fake.Table) *claim.Book {
 	n := 0
 	b := &claim.Book{
--- a/decision/decision.go
+++ b/decision/decision.go
@@ -3,7 +3,7 @@
 //
 //	var r decision.Ring // with r.Size set
 //	r.Add(decision.Record{Kind: decision.Placed, Request: "r1", Result: "engine-2"})
-//	for _, record := range r.Of("r1") { ... }
+//	for _, record := range r.ForRequest("r1") { ... }
 package decision
 
 import (
--- a/document/check_test.go
+++ b/document/check_test.go
@@ -21,9 +21,9 @@
 		{"not set", func(d *document.Document) { d.CheckSet("name", "") }, "must be set"},
 		{"allowed", func(d *document.Document) { d.CheckOneOf("level", "b", "a", "b") }, ""},
 		{"not allowed", func(d *document.Document) { d.CheckOneOf("level", "c", "a", "b") }, `"c" is none of a, b`},
-		{"at the lower bound", func(d *document.Document) { d.CheckWithin("stop", time.Second, time.Second, time.Hour) }, ""},
-		{"below the lower bound", func(d *document.Document) { d.CheckWithin("stop", 0, time.Second, time.Hour) }, "0s is not within 1s and 1h0m0s"},
-		{"above the upper bound", func(d *document.Document) { d.CheckWithin("stop", 2*time.Hour, 0, time.Hour) }, "not within"},
+		{"least", func(d *document.Document) { d.CheckWithin("stop", time.Second, time.Second, time.Hour) }, ""},
+		{"too little", func(d *document.Document) { d.CheckWithin("stop", 0, time.Second, time.Hour) }, "0s is not within 1s and 1h0m0s"},
+		{"too much", func(d *document.Document) { d.CheckWithin("stop", 2*time.Hour, 0, time.Hour) }, "not within"},
 		{"no address", func(d *document.Document) { d.CheckListeners(document.Listener{Path: "ready"}) }, "IP number and a port"},
 		{"no port", func(d *document.Document) {
 			d.CheckListeners(document.Listener{Path: "ready", At: netip.MustParseAddrPort("10.0.0.1:0")})
--- a/engine/client.go
+++ b/engine/client.go
@@ -204,7 +204,7 @@
 	case http.StatusConflict:
 		return trace.CompareFailed("engine %s has seen a higher epoch", request.URL.Host)
 	case http.StatusNotFound:
-		return trace.NotFound("engine %s answered not found to %s", request.URL.Host, request.URL.Path)
+		return trace.NotFound("engine %s answered with status 404", request.URL.Host)
 	}
 	return trace.Errorf("engine %s answered with status %d", request.URL.Host, response.StatusCode)
 }
--- a/eventstream/eventstream.go
+++ b/eventstream/eventstream.go
@@ -37,7 +37,7 @@
 }
 
 // Next returns the next event with the blank line that ends it. It returns io.EOF at
-// the end of a complete stream and ErrCut if the stream ends inside an event.
+// the end of a complete stream and ErrTruncated if the stream ends inside an event.
 func (r *Reader) Next() ([]byte, error) {
 	for {
 		if event := r.buffered(); event != nil {
--- a/eventstream/eventstream_test.go
+++ b/eventstream/eventstream_test.go
@@ -21,7 +21,7 @@
 		{"carriage returns", "id: 1\r\ndata: a\r\n\r\nid: 2\r\n\r\n", []string{"id: 1\r\ndata: a\r\n\r\n", "id: 2\r\n\r\n"}, io.EOF},
 		{"truncated event", "id: 1\n\nid: 2\ndata: to", []string{"id: 1\n\n"}, eventstream.ErrCut},
 		{"truncated between the line ends", "id: 1\n", nil, eventstream.ErrCut},
-		{"empty", "", nil, io.EOF},
+		{"nothing", "", nil, io.EOF},
 		{"longer than the buffer", "id: 1\n\n" + long, []string{"id: 1\n\n", long}, io.EOF},
 	}
 	for _, tt := range tests {
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -297,10 +297,10 @@
 		want   notice.Signals
 	}{
 		{"nothing", http.StatusOK, http.Header{}, notice.Signals{Unlimited: true}},
-		{"leaving", http.StatusOK, http.Header{engine.HeaderLeaving: {"1"}}, notice.Signals{Leaving: true, Unlimited: true}},
-		{"backoff", http.StatusServiceUnavailable, http.Header{"Retry-After": {"3"}}, notice.Signals{Backoff: 3 * time.Second, Unlimited: true}},
-		{"backoff of one request only", http.StatusTooManyRequests, http.Header{"Retry-After": {"3"}}, notice.Signals{Unlimited: true}},
-		{"rate limit", http.StatusOK, http.Header{engine.HeaderLimit: {"3.6"}}, notice.Signals{Limited: true, Rate: 3.6}},
+		{"target is leaving", http.StatusOK, http.Header{engine.HeaderLeaving: {"1"}}, notice.Signals{Leaving: true, Unlimited: true}},
+		{"target asks for a backoff", http.StatusServiceUnavailable, http.Header{"Retry-After": {"3"}}, notice.Signals{Backoff: 3 * time.Second, Unlimited: true}},
+		{"backoff of this request only", http.StatusTooManyRequests, http.Header{"Retry-After": {"3"}}, notice.Signals{Unlimited: true}},
+		{"target has a rate limit", http.StatusOK, http.Header{engine.HeaderLimit: {"3.6"}}, notice.Signals{Limited: true, Rate: 3.6}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/logqueue/logqueue.go
+++ b/logqueue/logqueue.go
@@ -2,7 +2,7 @@
 // log. A separate goroutine writes the queued lines. If the queue is full, a line is
 // dropped and counted.
 //
-//	q := logqueue.Queue{To: os.Stdout, Lines: 2048}
+//	q := logqueue.Queue{Output: os.Stdout, Capacity: 2048}
 //	go q.Run()
 //	logger := log.New(&q)
 //	...
--- a/naming/naming.go
+++ b/naming/naming.go
@@ -5,10 +5,10 @@
 // restart of the box or a late read must not extend it. A box does not learn the time of
 // an announcement, so a Record holds the earliest time at which it can have been:
 //
-//	var r naming.Record
+//	var r versiontime.Record
 //	r.Prove(5, lastReadWithoutIt)
 //	r.Prove(6, alsoLater)
-//	oldest := r.Required(now, 12*time.Second) // 5, twelve seconds later
+//	oldest := r.MinVersion(now, 12*time.Second) // 5, twelve seconds later
 package naming
 
 import (
--- a/query/query.go
+++ b/query/query.go
@@ -124,7 +124,7 @@
 // Parse parses one statement. The error names the column and may have a suggestion.
 func Parse(text string) (Statement, error) {
 	if len(text) > maxStatement {
-		return Statement{}, trace.BadParameter("statement exceeds %d bytes: %d", maxStatement, len(text))
+		return Statement{}, trace.BadParameter("statement exceeds %d bytes", maxStatement)
 	}
 	s, err := parser.ParseString("", text)
 	if err == nil {
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -1,7 +1,7 @@
 // Package refusal holds the error answer to a request without a complete answer: its
 // outcome, the reason and when to retry.
 //
-//	return refusal.New(refusal.DidNotRun, http.StatusTooManyRequests, "over_limit", "the account's concurrency limit is reached").After(2 * time.Second)
+//	return refusal.New(refusal.DidNotRun, http.StatusTooManyRequests, "over_limit", "the account's concurrency limit is reached").WithRetryAfter(2 * time.Second)
 package refusal
 
 import (
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -30,12 +30,12 @@
 	// Once forbids a retry after an attempt that may have started.
 	Once bool
 	// Permit, if set, is called once, right before the first send. Its error ends
-	// the request and is returned unchanged. GiveBack is called after it if
+	// the request and is returned unchanged. Abandon is called after it if
 	// nothing can have been sent.
 	Permit   func(ctx context.Context) error
 	GiveBack func(ctx context.Context)
 	// Open is called once, before the first Write, with the attempt that starts
-	// the answer. Moved is called when another target continues it.
+	// the answer. OnMoved, if set, is called when another target continues it.
 	Open  func(route.Placed)
 	Moved func(route.Placed)
 	// Write gets the next text of the answer and the byte offset after it.
@@ -49,7 +49,7 @@
 	Generate func(ctx context.Context, at netip.AddrPort, run engine.Run) (*engine.Frames, error)
 	Resume   func(ctx context.Context, at netip.AddrPort, request string, attempt, offset int) (*engine.Frames, error)
 	Cancel   func(ctx context.Context, at netip.AddrPort, request string, attempt int) (started bool, err error)
-	// Accept validates a frame; it is (*stream.Checker).Accept outside tests.
+	// Accept validates a frame; outside tests it is (*stream.Checker).Accept.
 	Accept func(c *stream.Checker, f stream.Frame) (string, error)
 	// Ended is called exactly once for each placed attempt.
 	Ended func(route.Ended)
@@ -62,7 +62,7 @@
 	// left.
 	Retry func(pool string) bool
 	Now   func() time.Time
-	// Attempts bounds the attempts of one request, Resumes the resumes of one
+	// Attempts bounds the attempts of one request, MaxResumes the resumes of one
 	// attempt. Both are at least 1.
 	Attempts, Resumes int
 	// Stall bounds the wait for the next text once the answer has begun. An
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -159,7 +159,7 @@
 	cancel: func(e *engines) func(context.Context, netip.AddrPort, string, int) (bool, error) { return e.cancel },
 }
 
-// ignoreSignals is the Said hook of tests without signals.
+// ignoreSignals is the OnSignals hook of tests without signals.
 func ignoreSignals(route.Placed, notice.Signals) {}
 
 func allowAll(route.Placed) error { return nil }
@@ -362,7 +362,7 @@
 		said notice.Signals
 	}{
 		{"nothing", notice.Signals{}},
-		{"leaving", notice.Signals{Leaving: true}},
+		{"engine is leaving", notice.Signals{Leaving: true}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/relay/run.go
+++ b/relay/run.go
@@ -24,13 +24,14 @@
 	checker stream.Checker
 	// text is the answer so far, which a further attempt continues.
 	text strings.Builder
-	// announced is the attempt last reported to the caller through Open or Moved;
+	// announced is the attempt last reported to the caller through OnFirstText or
+	// OnMoved;
 	// 0 before the answer begins.
 	announced int
 	// mayRun is set before the first byte is sent to an engine and reset only
 	// if nothing was sent or the engine confirms that the run did not start.
 	mayRun bool
-	// permitted is set once Permit has succeeded.
+	// permitted is set once Request.Acquire has succeeded.
 	permitted   bool
 	exclude     []string
 	avoidDomain string
@@ -40,7 +41,8 @@
 }
 
 // Run runs a request until its answer is complete or no further attempt is
-// possible. The error is a *refusal.Refusal; one of Permit is returned unchanged.
+// possible. The error is a *refusal.Refusal; one of Request.Acquire is
+// returned unchanged.
 // Final errors are not delayed.
 func (r *Relay) Run(ctx context.Context, request Request) (stream.Frame, error) {
 	j := &job{Relay: r, request: request}
@@ -89,7 +91,7 @@
 	return j.checker.Version
 }
 
-// permit calls Permit before the first send.
+// permit calls Request.Acquire before the first send.
 func (j *job) permit(ctx context.Context) error {
 	if j.request.Permit == nil || j.permitted {
 		return nil
--- a/report/report.go
+++ b/report/report.go
@@ -3,7 +3,7 @@
 //
 //	r := report.Report{Columns: []string{"name", "load"}}
 //	r.Add("engine-1", 3)
-//	r.Where("load", ">", "2")
+//	r.Filter("load", ">", "2")
 package report
 
 import (
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,7 +1,7 @@
 // Package rollout selects the targets to load a model's newest weights, a few at a
 // time, so that the others continue to serve.
 //
-//	p := rollout.Plan{Least: 2, Share: 0.2}
+//	p := rollout.Plan{MinConcurrent: 2, ConcurrentShare: 0.2}
 //	ids := p.Next(newest, replicas)
 package rollout
 
@@ -41,8 +41,8 @@
 
 // Plan bounds a rollout.
 type Plan struct {
-	// At most the larger of Least targets and Share of all targets load at the
-	// same time.
+	// At most the larger of MinConcurrent targets and ConcurrentShare of all targets
+	// load at the same time.
 	Least int
 	Share float64
 }
--- a/route/route.go
+++ b/route/route.go
@@ -1,9 +1,9 @@
 // Package route holds the messages between a request and the daemon's event loop:
 // the request for a placement, the placement, and the result of the attempt.
 //
-//	placed, err := place(ctx, route.Ask{Request: "r1", Model: "menu", Attempt: 1})
+//	placed, err := place(ctx, route.PlacementRequest{Request: "r1", Model: "menu", Attempt: 1})
 //	...
-//	ended(route.Ended{Placed: placed})
+//	ended(route.AttemptResult{Placement: placed})
 package route
 
 import (
@@ -64,7 +64,7 @@
 	// Scope separates the cache by client account and weight version.
 	Scope      prefix.Key
 	PieceBytes int
-	// Home is that of Ask.
+	// Home is that of the PlacementRequest.
 	Home prefix.Key
 	// Keys are the keys of the prompt's prefixes at piece boundaries, shortest first.
 	Keys []prefix.Key
@@ -101,7 +101,7 @@
 // Ended is the result of one attempt.
 type Ended struct {
 	Placed Placed
-	// Failed says that the target broke off or could not be reached.
+	// Failed says that the target broke off its answer or was unreachable.
 	Failed bool
 	// Cut says that the request may have run and got no complete answer, and that the caller
 	// was not the cause. Dead says that the target's address refuses connections.
@@ -112,6 +112,6 @@
 	FirstToken time.Duration
 	// Took is the time from sending to the end of the answer.
 	Took time.Duration
-	// End is the accepted end frame of a whole answer.
+	// End is the accepted end frame of a complete answer.
 	End stream.Frame
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -28,7 +28,7 @@
 		// want holds parts of the expected findings; none if the settings are valid.
 		want []string
 	}{
-		{"valid", "", "", nil},
+		{"good", "", "", nil},
 		{"unknown field", "domain: zone-a", "domain: zone-a\nzone: b", []string{"test.yaml:3:1: zone: unknown field"}},
 		{"duplicate field", "domain: zone-a", "domain: zone-a\ndomain: zone-b", []string{"domain"}},
 		{"address without port", "127.0.0.1:8080", "127.0.0.1", []string{"test.yaml:3:"}},
--- a/table/client.go
+++ b/table/client.go
@@ -35,7 +35,7 @@
 	status, sent, err := c.do(ctx, request, nil, &conflict)
 	switch {
 	case err != nil && !sent:
-		return trace.ConnectionProblem(err, "table service unreachable at %s", c.Base)
+		return trace.ConnectionProblem(err, "table service unreachable")
 	case err != nil:
 		return trace.Wrap(ErrLost, "%v", err)
 	case status == http.StatusOK:
@@ -43,11 +43,11 @@
 	case status == http.StatusConflict:
 		return trace.CompareFailed("row %q has changed", conflict.Key)
 	case status == http.StatusTooManyRequests:
-		return trace.LimitExceeded("table service limits writes: status %d", status)
+		return trace.LimitExceeded("table service limits writes for now")
 	case status == http.StatusServiceUnavailable:
-		return trace.ConnectionProblem(nil, "table service unavailable: status %d", status)
+		return trace.ConnectionProblem(nil, "table service unavailable")
 	case status == http.StatusBadRequest:
-		return trace.BadParameter("table service rejects the transaction: status %d", status)
+		return trace.BadParameter("table service rejects the transaction as malformed")
 	}
 	return trace.Wrap(ErrLost, "status %d", status)
 }
@@ -108,13 +108,13 @@
 	}
 	status, _, err := c.do(ctx, request, &answer, nil)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "table service read failed at %s", c.Base)
+		return nil, trace.ConnectionProblem(err, "reading from the table service failed")
 	}
 	if status == http.StatusTooManyRequests {
-		return nil, trace.LimitExceeded("table service limits reads: status %d", status)
+		return nil, trace.LimitExceeded("table service limits reads for now")
 	}
 	if status != http.StatusOK {
-		return nil, trace.ConnectionProblem(nil, "table service read failed: status %d", status)
+		return nil, trace.ConnectionProblem(nil, "reading from the table service failed: status %d", status)
 	}
 	return answer.Rows, nil
 }
--- a/target/target.go
+++ b/target/target.go
@@ -125,7 +125,7 @@
 	return t.WaitAt(Since(now), run)
 }
 
-// WaitAt is Wait with a time from Since, for callers that compare many targets.
+// WaitAt is Wait with a time from SinceStart, for callers that compare many targets.
 func (t *Target) WaitAt(at, run time.Duration) time.Duration {
 	wait := t.queue.wait(at)
 	if over := t.Load() + 1 - t.Slots; over > 0 && t.Slots > 0 {
