--- a/claim/claim.go
+++ b/claim/claim.go
@@ -67,8 +67,8 @@
 // Error implements error.
 func (t *Taken) Error() string { return "idempotency key taken by request " + t.By.Request }
 
-// rowKey returns the key of the claim's row. The caller's key is hashed, as it may
-// hold any bytes.
+// rowKey returns the key of the claim's row. The caller's key is hashed, as
+// callers choose its bytes and length.
 func rowKey(account, key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return "claim/" + account + "/" + hex.EncodeToString(sum[:])
--- a/claim/group.go
+++ b/claim/group.go
@@ -59,7 +59,7 @@
 		if len(left) == len(group) {
 			// The conflict is not visible any more. Fail rather than retry without end.
 			for _, w := range left {
-				w.answer <- trace.LimitExceeded("row %s changed again during its conflict check", w.key)
+				w.answer <- trace.LimitExceeded("transaction with row %s conflicted, but every condition holds on re-read", w.key)
 			}
 			return
 		}
