--- a/document/check_test.go
+++ b/document/check_test.go
@@ -9,7 +9,7 @@
 	"github.com/thymewind/thymewind/document"
 )
 
-// TestChecks names the finding that each check adds, or none.
+// TestChecks checks the finding that each check adds, if any.
 func TestChecks(t *testing.T) {
 	at := netip.MustParseAddrPort("10.0.0.1:80")
 	tests := []struct {
@@ -28,10 +28,10 @@
 		{"no port", func(d *document.Document) {
 			d.CheckListeners(document.Listener{Path: "ready", At: netip.MustParseAddrPort("10.0.0.1:0")})
 		}, "IP number and a port"},
-		{"absent, and may be", func(d *document.Document) {
+		{"optional and absent", func(d *document.Document) {
 			d.CheckListeners(document.Listener{Path: "metrics", Optional: true}, document.Listener{Path: "peers", Optional: true})
 		}, ""},
-		{"one address twice", func(d *document.Document) {
+		{"duplicate address", func(d *document.Document) {
 			d.CheckListeners(document.Listener{Path: "ready", At: at}, document.Listener{Path: "metrics", At: at, Optional: true})
 		}, "has the address of ready"},
 	}
