--- /dev/null
+++ b/attempt.go
@@ -0,0 +1,55 @@
+package thymewind
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/thymewind/thymewind/decision"
+)
+
+// attemptEnded takes an attempt's end in, explains it, and has its prompt's cache
+// kept if that is worth it.
+func (d *Daemon) attemptEnded(now time.Time, t *tables, m attemptEnded) []effect {
+	d.recordAttempt(now, m)
+	d.recordLiveness(now, t, m.Ended)
+	if t.Ended(now, m.Ended) {
+		return []effect{exportCache{m.Placed}}
+	}
+	if m.Refused {
+		return t.readLoad(m.Placed.Target) // What this box knows of it is old.
+	}
+	return nil
+}
+
+// signalsHeard takes in what a target says of itself, and explains it.
+func (d *Daemon) signalsHeard(now time.Time, t *tables, m signalsHeard) {
+	if x, known := t.Targets.Lookup(m.placed.Target); known && m.signals.Backoff > 0 && !now.Before(x.BackoffUntil) {
+		d.Log.Info("target wants no requests", "target", x.Name, "for", m.signals.Backoff, "request", m.placed.Request)
+	}
+	t.ApplySignals(now, m.placed, m.signals)
+	d.applyLimits(t)
+}
+
+func (d *Daemon) recordAttempt(now time.Time, m attemptEnded) {
+	u := m.End.Usage
+	r := decision.Record{
+		At: now, Kind: decision.Finished, Request: m.Placed.Request, Account: m.Placed.Account, Pool: m.Placed.Pool,
+		Rule: "whole answer", Result: m.Placed.Target,
+		Inputs: fmt.Sprintf("first token %v, prompt %d tokens: %d reused, %d imported; answer %d tokens", m.FirstToken.Round(time.Microsecond), u.Prompt, u.Reused, u.Imported, u.Completion),
+	}
+	switch {
+	case m.Refused:
+		r.Kind, r.Rule = decision.Refused, "refused by the target before it started"
+	case m.Failed:
+		r.Rule = "broken off"
+	default:
+		if m.FirstToken == 0 {
+			break
+		}
+		d.metrics.firstToken.WithLabelValues(m.Placed.Pool).Observe(m.FirstToken.Seconds())
+		d.metrics.tokens.WithLabelValues(m.Placed.Pool, "reused").Add(float64(u.Reused))
+		d.metrics.tokens.WithLabelValues(m.Placed.Pool, "imported").Add(float64(u.Imported))
+		d.metrics.tokens.WithLabelValues(m.Placed.Pool, "computed").Add(float64(u.Prompt - u.Reused - u.Imported))
+	}
+	d.records.Add(r)
+}
--- a/build.go
+++ b/build.go
@@ -37,22 +37,22 @@
 
 // The daemon's fixed bounds.
 const (
-	attempts       = 3
-	resumes        = 2
-	dialPatience   = time.Second
-	tablePatience  = 2 * time.Second
-	stall          = 2 * time.Second
-	cancelPatience = 500 * time.Millisecond
-	claimForget    = 30 * time.Second
-	resumeFor      = 30 * time.Second
+	maxAttempts       = 3
+	maxResumes        = 2
+	dialTimeout   = time.Second
+	tableTimeout  = 2 * time.Second
+	stallTimeout          = 2 * time.Second
+	cancelTimeout = 500 * time.Millisecond
+	claimRetention    = 30 * time.Second
+	resumeRetention      = 30 * time.Second
 	retryShare     = 0.1
 	retryBurst     = 20
-	backlog        = 1024
-	maxUnwritten   = 50000
+	messageQueueSize        = 1024
+	maxBufferedAccounts   = 50000
 )
 
-// parts are the packages that the daemon is put together from.
-type parts struct {
+// components are the packages that the daemon is put together from.
+type components struct {
 	now     func() time.Time
 	random  func() uint64
 	systems []system
@@ -82,15 +82,15 @@
 func (d *Daemon) build() error {
 	d.now = boottime.Now
 	d.random = rand.Uint64
-	d.messages = make(chan message, backlog)
-	d.counts = newCounters(d.Registry)
+	d.messages = make(chan message, messageQueueSize)
+	d.metrics = newMetricSet(d.Registry)
 	d.records = decision.Ring{Size: d.Settings.Limits.Records, Box: d.Settings.Name}
-	d.tables = tables{pending: make(map[string]bool), held: make(map[string]*duty), departed: make(map[string]departure), takedowns: newTakedowns()}
+	d.tables = tables{pending: make(map[string]bool), dutiesByName: make(map[string]*duty), tombstones: make(map[string]tombstone), crashes: newCrashState()}
 	d.supersedes = (*configuration.Configuration).Supersedes
 	d.shutdown = (*http.Server).Shutdown
-	d.buildBoard()
+	d.buildScheduler()
 	d.budget = retry.Budget{Share: retryShare, Burst: retryBurst}
-	d.systems = []system{d.pollPlatform, d.pollLoads, d.gossip, d.holdDuties, d.rollWeights, d.bill, d.expireTakedowns, d.expireLimits, d.watchRoom, d.count}
+	d.systems = []system{d.pollPlatform, d.pollLoads, d.gossip, d.renewLeases, d.advanceRollouts, d.processCharges, d.expireCrashes, d.expireLimits, d.checkCapacity, d.updateMetrics}
 	d.buildPlatform()
 	d.buildLedger()
 	if err := d.buildPeers(); err != nil {
@@ -100,17 +100,17 @@
 	return nil
 }
 
-// buildBoard prepares the decisions.
-func (d *Daemon) buildBoard() {
+// buildScheduler prepares the decisions.
+func (d *Daemon) buildScheduler() {
 	d.chooser = placement.Chooser{Usable: (*target.Target).Usable, Wait: d.tables.Wait}
 	b := &d.tables.Scheduler
-	b.Choose = d.countChoice
+	b.Choose = d.chooseAndCount
 	b.Scope = prefix.Scope
 	b.Keep = (*retention.Policy).Keep
 	b.Boxes = d.tables.boxCount
-	b.Others = func(pool string) dispatch.Usage { return d.tables.others(d.now(), pool) }
-	b.RateShare = d.part
-	b.Limit = func(account string, bound int) int { return d.tables.limit(d.now(), account, bound) }
+	b.Others = func(pool string) dispatch.Usage { return d.tables.othersUsage(d.now(), pool) }
+	b.RateShare = d.rateShare
+	b.Limit = func(account string, bound int) int { return d.tables.limitShare(d.now(), account, bound) }
 	b.Jitter = d.jitter
 	b.Record = d.records.Add
 	b.OnFailing = func(name string) { d.Log.Warn("target fails", "target", name) }
@@ -118,17 +118,17 @@
 	b.Start()
 }
 
-// countChoice counts choices by their rule.
-func (d *Daemon) countChoice(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error) {
+// chooseAndCount counts choices by their rule.
+func (d *Daemon) chooseAndCount(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error) {
 	choice, err := d.chooser.Choose(now, ask, targets)
 	if err == nil {
-		d.counts.placed.WithLabelValues(targets[choice.Index].Pool, choice.Rule).Inc()
+		d.metrics.placed.WithLabelValues(targets[choice.Index].Pool, choice.Rule).Inc()
 	}
 	return choice, trace.Wrap(err)
 }
 
 func (d *Daemon) buildPlatform() {
-	client := &http.Client{Timeout: tablePatience}
+	client := &http.Client{Timeout: tableTimeout}
 	d.boxes = boxes.List{Base: d.Settings.Platform, HTTP: client}
 	d.table = table.Client{Base: d.Settings.Platform, HTTP: client}
 	d.rows = configuration.Rows{
@@ -136,7 +136,7 @@
 	}
 	d.claims = claim.Book{
 		Commit: d.table.Commit, Read: d.table.Read, Nonce: newID, Now: d.now,
-		Box: d.Settings.Name, Patience: tablePatience, Forget: claimForget,
+		Box: d.Settings.Name, Patience: tableTimeout, Forget: claimRetention,
 	}
 }
 
@@ -144,15 +144,15 @@
 func (d *Daemon) buildLedger() {
 	d.ledger = charge.Ledger{
 		Incarnation: d.Settings.Name + "-" + newID(), Commit: d.table.Commit, Read: d.table.Read, ListAll: d.table.ListAll,
-		MaxAccounts: maxUnwritten, Lost: func(n int) { d.counts.chargesLost.Add(float64(n)) },
+		MaxAccounts: maxBufferedAccounts, Lost: func(n int) { d.metrics.chargesLost.Add(float64(n)) },
 	}
 }
 
 func (d *Daemon) buildPeers() error {
 	d.peers = peer.Node{
 		Credential: d.Settings.PeerCredential, Handle: d.answerPeer, HTTP: http.DefaultClient, Scheme: "ws",
-		OnSent:     func(n int) { d.counts.peerBytes.WithLabelValues("sent").Add(float64(n)) },
-		OnReceived: func(n int) { d.counts.peerBytes.WithLabelValues("received").Add(float64(n)) },
+		OnSent:     func(n int) { d.metrics.peerBytes.WithLabelValues("sent").Add(float64(n)) },
+		OnReceived: func(n int) { d.metrics.peerBytes.WithLabelValues("received").Add(float64(n)) },
 	}
 	if d.Settings.TLS.Peers.Certificate == "" {
 		return nil
@@ -163,7 +163,7 @@
 }
 
 func (d *Daemon) buildRequests() {
-	dialer := net.Dialer{Timeout: dialPatience}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	d.engines = engine.Client{HTTP: &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute, DisableCompression: true,
 	}}}
@@ -173,25 +173,25 @@
 	}
 	comeBack := func() time.Duration { return d.jitter(time.Second) }
 	d.relay = relay.Relay{
-		Place: d.askPlace, Generate: d.engines.Generate, Resume: d.resume, Cancel: d.engines.Cancel,
+		Place: d.requestPlacement, Generate: d.engines.Generate, Resume: d.resumeRun, Cancel: d.engines.Cancel,
 		Accept: (*stream.Checker).Accept,
-		Stall:  stall,
-		Ended:  d.tellEnded, Said: d.tellSaid, Allow: d.allow, Retry: d.spendRetry, Now: d.now, Attempts: attempts, Resumes: resumes,
-		CancelPatience: cancelPatience, ComeBack: comeBack,
+		Stall:  stallTimeout,
+		Ended:  d.reportEnded, Said: d.reportSignals, Allow: d.allow, Retry: d.spendRetry, Now: d.now, Attempts: maxAttempts, Resumes: maxResumes,
+		CancelPatience: cancelTimeout, ComeBack: comeBack,
 	}
 	sender := forward.Sender{Dial: dialer.DialContext}
 	d.permits = idempotency.Guard{
 		Lookup: d.claims.Lookup, Take: d.claims.Take, Release: d.claims.Release, Finish: d.claims.Finish,
-		Record: d.records.Add, Timeout: tablePatience, RetryAfter: comeBack,
+		Record: d.records.Add, Timeout: tableTimeout, RetryAfter: comeBack,
 	}
 	d.forward = forward.Forwarder{
-		Place: d.askPlace, Ended: d.tellEnded, Said: d.tellSaid, Allow: d.allow, Permits: &d.permits, Send: sender.Send, Retry: d.spendRetry,
-		Attempts: attempts, ComeBack: comeBack,
+		Place: d.requestPlacement, Ended: d.reportEnded, Said: d.reportSignals, Allow: d.allow, Permits: &d.permits, Send: sender.Send, Retry: d.spendRetry,
+		Attempts: maxAttempts, ComeBack: comeBack,
 	}
 	d.front = caller.Front{
 		Configuration: d.current.Load, Permits: &d.permits, Run: d.relay.Run, Forward: d.forward.Serve, Resume: d.resumeStream,
 		SignToken: d.signer.Sign, VerifyToken: d.signer.Check, OnRefused: d.recordRefused, RequestID: newID, Now: d.now,
-		MaxBodyBytes: d.Settings.Limits.BodyBytes, Timeout: d.Settings.Timing.Request, ResumeRetention: resumeFor,
+		MaxBodyBytes: d.Settings.Limits.BodyBytes, Timeout: d.Settings.Timing.Request, ResumeRetention: resumeRetention,
 	}
 }
 
--- a/keep.go
+++ b/cache.go
@@ -21,12 +21,12 @@
 
 // The bounds of finding and keeping cache.
 const (
-	findPatience   = 100 * time.Millisecond
-	exportPatience = 10 * time.Second
-	roomEvery      = 2 * time.Second
-	roomLeast      = 0.1
-	// roomPage is how many manifests are looked at to make room.
-	roomPage = 500
+	findTimeout   = 100 * time.Millisecond
+	exportTimeout = 10 * time.Second
+	capacityCheckInterval      = 2 * time.Second
+	minFreeShare      = 0.1
+	// maxEvictionCandidates is how many manifests are looked at to make room.
+	maxEvictionCandidates = 500
 )
 
 // storeFailed tells that a store box did not answer.
@@ -42,29 +42,29 @@
 	err    error
 }
 
-// makeRoom drops cache from a store box that fills up.
-type makeRoom struct {
+// evictCache drops cache from a store box that fills up.
+type evictCache struct {
 	store   string
 	address netip.AddrPort
 }
 
-// roomMade tells that the store box has been looked at.
-type roomMade struct {
+// cacheEvicted tells that the store box has been looked at.
+type cacheEvicted struct {
 	store   string
 	dropped int
 	err     error
 }
 
-// findKept looks for kept cache of a prompt that was placed and decides whether
+// findCached looks for kept cache of a prompt that was placed and decides whether
 // to import it. It runs on the request's own goroutine.
-func (d *Daemon) findKept(ctx context.Context, placed *route.Placed, prompt string) {
+func (d *Daemon) findCached(ctx context.Context, placed *route.Placed, prompt string) {
 	placed.Keys = prefix.Chain(placed.Scope, []byte(prompt), max(placed.PieceBytes, 1))
 	if !placed.Store.IsValid() || len(placed.Keys) == 0 {
 		return
 	}
-	asking, cancel := context.WithTimeout(ctx, findPatience)
+	asking, cancel := context.WithTimeout(ctx, findTimeout)
 	defer cancel()
-	keys := texts(placed.Keys)
+	keys := keyStrings(placed.Keys)
 	found, err := d.stores.Find(asking, placed.Store, keys)
 	if ctx.Err() != nil {
 		return // The caller has left; that says nothing of the store box.
@@ -75,19 +75,19 @@
 	}
 	usable := kvcache.Usable(found.Run, placed.Scope.String(), keys)
 	if len(usable) < len(found.Run) {
-		d.counts.kept.WithLabelValues("wrong").Inc()
+		d.metrics.cacheEvents.WithLabelValues("wrong").Inc()
 	}
 	if len(usable) == 0 {
-		d.counts.kept.WithLabelValues("missed").Inc()
+		d.metrics.cacheEvents.WithLabelValues("missed").Inc()
 		return
 	}
-	d.counts.kept.WithLabelValues("found").Inc()
+	d.metrics.cacheEvents.WithLabelValues("found").Inc()
 	placed.KeptPieces = len(usable)
 	found.Run = usable
 	d.decideImport(placed, prompt, found)
 }
 
-func texts(keys []prefix.Key) []string {
+func keyStrings(keys []prefix.Key) []string {
 	all := make([]string, len(keys))
 	for i, key := range keys {
 		all[i] = key.String()
@@ -117,7 +117,7 @@
 
 // export has the pieces written and, when all are, their manifests.
 func (d *Daemon) export(ctx context.Context, placed route.Placed) message {
-	ctx, cancel := context.WithTimeout(ctx, exportPatience)
+	ctx, cancel := context.WithTimeout(ctx, exportTimeout)
 	defer cancel()
 	pieces, err := d.engines.Export(ctx, placed.Address, placed.Request, placed.Scope.String(), placed.Store)
 	if err == nil && len(pieces) != len(placed.Keys) {
@@ -141,59 +141,59 @@
 	}
 	if m.err != nil {
 		r.Rule, r.Result = "not kept", trace.Unwrap(m.err).Error()
-		d.counts.kept.WithLabelValues("export failed").Inc()
+		d.metrics.cacheEvents.WithLabelValues("export failed").Inc()
 		d.records.Add(r)
 		return
 	}
-	d.counts.kept.WithLabelValues("exported").Inc()
+	d.metrics.cacheEvents.WithLabelValues("exported").Inc()
 	t.Exported(m.placed.Pool, m.run)
 	d.records.Add(r)
 }
 
-// watchRoom has one box look after each store box's room. Two boxes doing so
+// checkCapacity has one box look after each store box's room. Two boxes doing so
 // at once, while the list lags, do no harm.
-func (d *Daemon) watchRoom(now time.Time, t *tables) []effect {
-	if now.Before(t.due.room) {
+func (d *Daemon) checkCapacity(now time.Time, t *tables) []effect {
+	if now.Before(t.due.capacity) {
 		return nil
 	}
-	t.due.room = now.Add(d.jitter(roomEvery))
+	t.due.capacity = now.Add(d.jitter(capacityCheckInterval))
 	var effects []effect
 	for name, b := range t.Stores.All() {
-		if !t.pending[pendingRoom+name] && d.rankedBefore(t, placement.Hash(name)) == 0 {
-			t.pending[pendingRoom+name] = true
-			effects = append(effects, makeRoom{name, b.Address})
+		if !t.pending[pendingEviction+name] && d.rank(t, placement.Hash(name)) == 0 {
+			t.pending[pendingEviction+name] = true
+			effects = append(effects, evictCache{name, b.Address})
 		}
 	}
 	return effects
 }
 
-// makeRoom drops the manifests least worth keeping if the store box is nearly
+// evictCache drops the manifests least worth keeping if the store box is nearly
 // full; twice the least room is made, so that it is not done all the time.
-func (d *Daemon) makeRoom(ctx context.Context, e makeRoom) message {
+func (d *Daemon) evictCache(ctx context.Context, e evictCache) message {
 	room, size, err := d.stores.Capacity(ctx, e.address)
-	if err != nil || float64(room) >= roomLeast*float64(size) {
-		return roomMade{store: e.store, err: trace.Wrap(err)}
+	if err != nil || float64(room) >= minFreeShare*float64(size) {
+		return cacheEvicted{store: e.store, err: trace.Wrap(err)}
 	}
-	manifests, err := d.stores.Oldest(ctx, e.address, roomPage)
+	manifests, err := d.stores.Oldest(ctx, e.address, maxEvictionCandidates)
 	if err != nil {
-		return roomMade{store: e.store, err: trace.Wrap(err)}
+		return cacheEvicted{store: e.store, err: trace.Wrap(err)}
 	}
-	keys := retention.Evict(d.now(), manifests, int(2*roomLeast*float64(size))-room)
+	keys := retention.Evict(d.now(), manifests, int(2*minFreeShare*float64(size))-room)
 	for _, key := range keys {
 		if err := d.stores.Drop(ctx, e.address, key); err != nil {
-			return roomMade{store: e.store, err: trace.Wrap(err)}
+			return cacheEvicted{store: e.store, err: trace.Wrap(err)}
 		}
 	}
 	d.records.Add(decision.Record{
 		At: d.now(), Kind: decision.Dropped, Rule: "least tokens saved a byte, by use and age", Result: e.store,
 		Inputs: fmt.Sprintf("%d of %d bytes free, %d of %d manifests dropped", room, size, len(keys), len(manifests)),
 	})
-	return roomMade{store: e.store, dropped: len(keys)}
+	return cacheEvicted{store: e.store, dropped: len(keys)}
 }
 
-func (d *Daemon) roomMade(now time.Time, t *tables, m roomMade) {
-	delete(t.pending, pendingRoom+m.store)
-	d.counts.kept.WithLabelValues("dropped").Add(float64(m.dropped))
+func (d *Daemon) cacheEvicted(now time.Time, t *tables, m cacheEvicted) {
+	delete(t.pending, pendingEviction+m.store)
+	d.metrics.cacheEvents.WithLabelValues("dropped").Add(float64(m.dropped))
 	if m.err != nil {
 		t.StoreAvoidUntil[m.store] = now.Add(dispatch.StoreBackoff)
 	}
--- a/keep_test.go
+++ b/cache_test.go
@@ -10,10 +10,10 @@
 	"github.com/thymewind/thymewind/route"
 )
 
-// TestStoreIsNotBlamedForTheCaller shows that a caller that leaves while the
+// TestCallerLeavingDoesNotBackOffStore shows that a caller that leaves while the
 // store box is asked does not put the store box out of use, while a store box
 // that does not answer is.
-func TestStoreIsNotBlamedForTheCaller(t *testing.T) {
+func TestCallerLeavingDoesNotBackOffStore(t *testing.T) {
 	tests := []struct {
 		name   string
 		left   bool
@@ -34,7 +34,7 @@
 				Scope: prefix.Scope("a", "v"), PieceBytes: 8, StoreName: "store-1",
 				Store: netip.MustParseAddrPort("127.0.0.1:1"), // Nothing listens there.
 			}
-			d.findKept(ctx, &placed, "a prompt of some pieces")
+			d.findCached(ctx, &placed, "a prompt of some pieces")
 			if got := len(d.messages); got != tt.blamed {
 				t.Errorf("%d store boxes were blamed, want %d", got, tt.blamed)
 			}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -49,7 +49,7 @@
 	entries  string
 }
 
-func parse() (options, error) {
+func parseFlags() (options, error) {
 	var o options
 	var listen string
 	flag.StringVar(&o.box.Role, "role", "", "platform, engine, store or service")
@@ -78,7 +78,7 @@
 }
 
 func main() {
-	o, err := parse()
+	o, err := parseFlags()
 	if err != nil {
 		log.Fatal("bad command line", "err", err)
 	}
@@ -108,7 +108,7 @@
 func handlerFor(ctx context.Context, o options, sw *fault.Switch) (http.Handler, error) {
 	switch o.box.Role {
 	case rolePlatform:
-		p := platform.Platform{Fault: sw, Lag: o.lag, Silence: 3 * time.Second, Writes: o.writes, Reads: o.reads}
+		p := platform.Platform{Fault: sw, Lag: o.lag, SilenceTimeout: 3 * time.Second, Writes: o.writes, Reads: o.reads}
 		return p.Handler(), nil
 	case boxes.RoleEngine:
 		e := engine.Engine{
@@ -129,8 +129,8 @@
 	return nil, trace.BadParameter("-role %q is unknown", o.box.Role)
 }
 
-// every is how often boxes are announced.
-const every = 300 * time.Millisecond
+// announceInterval is how often boxes are announced.
+const announceInterval = 300 * time.Millisecond
 
 // announce tells the platform again and again that this box lives.
 func announce(ctx context.Context, o options, sw *fault.Switch) {
@@ -138,7 +138,7 @@
 		box := o.box
 		box.Leaving = sw.State().Leaving
 		put(ctx, o.platform, box)
-		pause(ctx)
+		sleep(ctx)
 	}
 }
 
@@ -152,19 +152,19 @@
 		log.Fatal("bad command line", "entries", entry, "err", err)
 	}
 	for ctx.Err() == nil {
-		conn, err := net.DialTimeout("tcp", at, every)
+		conn, err := net.DialTimeout("tcp", at, announceInterval)
 		if err == nil {
 			_ = conn.Close()
 			put(ctx, "http://"+o.box.Address.String(), boxes.Box{Name: name, Role: boxes.RoleEntry, Address: address, Peer: address, Domain: domain})
 		}
-		pause(ctx)
+		sleep(ctx)
 	}
 }
 
-func pause(ctx context.Context) {
+func sleep(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(every):
+	case <-time.After(announceInterval):
 	}
 }
 
--- a/cmd/thymectl/main.go
+++ b/cmd/thymectl/main.go
@@ -108,7 +108,7 @@
 
 // post sends a request and prints the report that comes back.
 func (c client) post(ctx context.Context, path string, body any) error {
-	r, err := c.ask(ctx, path, body)
+	r, err := c.send(ctx, path, body)
 	if err != nil {
 		return err
 	}
@@ -123,8 +123,8 @@
 	return trace.Wrap(err)
 }
 
-// ask sends a request and returns the report that comes back.
-func (c client) ask(ctx context.Context, path string, body any) (report.Report, error) {
+// send sends a request and returns the report that comes back.
+func (c client) send(ctx context.Context, path string, body any) (report.Report, error) {
 	var r report.Report
 	request, err := sling.New().Base(c.base).Post(path).Set("Authorization", "Bearer "+c.credential).BodyJSON(body).Request()
 	if err != nil {
--- a/cmd/thymectl/wait.go
+++ b/cmd/thymectl/wait.go
@@ -16,7 +16,7 @@
 func (c client) wait(ctx context.Context, pools []string) error {
 	const pause = 100 * time.Millisecond
 	for {
-		missing := c.missing(ctx, pools)
+		missing := c.notReady(ctx, pools)
 		if missing == "" {
 			return nil
 		}
@@ -28,8 +28,8 @@
 	}
 }
 
-// missing says what is not there yet.
-func (c client) missing(ctx context.Context, pools []string) string {
+// notReady says what is not there yet.
+func (c client) notReady(ctx context.Context, pools []string) string {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/livez", nil)
 	if err != nil {
 		return err.Error()
@@ -44,7 +44,7 @@
 	}
 	quiet := c
 	quiet.out = io.Discard
-	r, err := quiet.ask(ctx, "/v1/query", struct {
+	r, err := quiet.send(ctx, "/v1/query", struct {
 		Statement string `json:"statement"`
 	}{"show pools"})
 	if err != nil {
--- a/cmd/thymefront/main.go
+++ b/cmd/thymefront/main.go
@@ -32,26 +32,26 @@
 
 // Bounds of connections.
 const (
-	// dialFor is how long a new connection may take: a way there and back is
+	// dialTimeout is how long a new connection may take: a way there and back is
 	// 2 ms, and a lost opening packet is sent again only after a second.
-	dialFor = 400 * time.Millisecond
-	// idleFor is how long an unused connection to a target is kept.
-	idleFor = 20 * time.Second
+	dialTimeout = 400 * time.Millisecond
+	// idleTimeout is how long an unused connection to a target is kept.
+	idleTimeout = 20 * time.Second
 	// silentAfter is how long a kept connection to a target says nothing before a
 	// call that is given up shows that it is silent. A held call to a source is
 	// given up after 0.8 s; requests usually have their answer's head sooner.
 	silentAfter = 700 * time.Millisecond
-	// storePatience bounds a call to the table service, which usually answers
+	// storeTimeout bounds a call to the table service, which usually answers
 	// in 4 ms and in a slow hour in a quarter of a second. It is also waited until
 	// the first answers came.
-	storePatience = 1500 * time.Millisecond
-	// storeLeast is the least wait before a connection to it counts as silent:
+	storeTimeout = 1500 * time.Millisecond
+	// minStoreTimeout is the least wait before a connection to it counts as silent:
 	// twice a slow hour's answers. With the hold of a read, a proof of the
 	// configuration is then 3.5 s old at most, and keys are trusted for 4.3 s;
 	// with storePatience alone it was 4.5 s.
-	storeLeast = 500 * time.Millisecond
-	// logLines is how many log lines wait to be written; more are dropped.
-	logLines = 2048
+	minStoreTimeout = 500 * time.Millisecond
+	// logQueueLines is how many log lines wait to be written; more are dropped.
+	logQueueLines = 2048
 	// memoryShare is the part of the box's memory at which the runtime works
 	// harder to free some.
 	memoryShare = 0.6
@@ -61,7 +61,7 @@
 	file := flag.String("settings", "", "settings file, YAML")
 	check := flag.Bool("check", false, "check the settings and exit")
 	flag.Parse()
-	queue := &logqueue.Queue{To: os.Stdout, Lines: logLines}
+	queue := &logqueue.Queue{To: os.Stdout, Lines: logQueueLines}
 	go queue.Run()
 	defer queue.Close()
 	if err := serve(queue, *file, *check); err != nil {
@@ -73,9 +73,9 @@
 // serve runs the daemon and logs the error that ended it.
 func serve(out io.Writer, file string, check bool) error {
 	logger := log.NewWithOptions(out, log.Options{ReportTimestamp: true, Formatter: log.LogfmtFormatter})
-	s, err := read(file)
+	s, err := readSettings(file)
 	if err != nil {
-		report(logger, err)
+		logFindings(logger, err)
 		return err
 	}
 	if check {
@@ -97,7 +97,7 @@
 	return err
 }
 
-func read(file string) (settings.Settings, error) {
+func readSettings(file string) (settings.Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return settings.Settings{}, trace.ConvertSystemError(err)
@@ -105,8 +105,8 @@
 	return settings.Parse(file, data)
 }
 
-// report prints every finding.
-func report(logger *log.Logger, err error) {
+// logFindings prints every finding.
+func logFindings(logger *log.Logger, err error) {
 	all := finding.Each(err)
 	for _, found := range all {
 		logger.Error("setting", "finding", trace.UserMessage(found))
@@ -116,11 +116,11 @@
 
 func run(ctx context.Context, s settings.Settings, logger *log.Logger, reload <-chan settings.Settings) error {
 	dialer := net.Dialer{}
-	connections := &exchange.Client{Dial: dialer.DialContext, DialTimeout: dialFor, IdleTimeout: idleFor, SilentAfter: silentAfter}
+	connections := &exchange.Client{Dial: dialer.DialContext, DialTimeout: dialTimeout, IdleTimeout: idleTimeout, SilentAfter: silentAfter}
 	rows := &store.Store{
-		Base: "http://" + s.Store.Address.String(), MinTimeout: storeLeast, Timeout: storePatience,
+		Base: "http://" + s.Store.Address.String(), MinTimeout: minStoreTimeout, Timeout: storeTimeout,
 		HTTP: &http.Client{Transport: &http.Transport{
-			DialContext: (&net.Dialer{Timeout: dialFor}).DialContext, MaxIdleConnsPerHost: 4, DisableCompression: true,
+			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, MaxIdleConnsPerHost: 4, DisableCompression: true,
 		}},
 	}
 	registry := prometheus.NewRegistry()
--- a/cmd/thymefront/watch.go
+++ b/cmd/thymefront/watch.go
@@ -13,9 +13,9 @@
 	"github.com/thymewind/thymewind/entry/settings"
 )
 
-// lookEvery is how often the settings file is compared with what was read last,
+// settingsPollInterval is how often the settings file is compared with what was read last,
 // as it may change without a signal.
-const lookEvery = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
 // watch reads the settings file again on SIGHUP and when it has changed. A file
 // with errors is reported and changes nothing.
@@ -28,7 +28,7 @@
 		logger.Warn("can't read the settings again", "err", err)
 	}
 	go func() {
-		ticks := time.NewTicker(lookEvery)
+		ticks := time.NewTicker(settingsPollInterval)
 		defer ticks.Stop()
 		for {
 			signalled := false
--- a/cmd/thymefront/watch_test.go
+++ b/cmd/thymefront/watch_test.go
@@ -11,20 +11,20 @@
 	"github.com/charmbracelet/log"
 )
 
-const text = `name: "e"
+const settingsText = `name: "e"
 domain: "a"
 callers: "127.0.0.1:8080"
 ready: "127.0.0.1:8081"
 store: {address: "127.0.0.1:7000"}
 `
 
-// TestWatch shows that SIGHUP does not end the process but has the settings
+// TestSettingsReload shows that SIGHUP does not end the process but has the settings
 // read again, that a file that changed without a signal is read too, and that
 // one with errors is not. (Own days 1 and 7 of lbh-dispatch.)
-func TestWatch(t *testing.T) {
+func TestSettingsReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.yaml")
 	write := func(more string) {
-		if err := os.WriteFile(file, []byte(text+more), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(settingsText+more), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -55,8 +55,8 @@
 	}
 }
 
-func TestRead(t *testing.T) {
-	if _, err := read(filepath.Join(t.TempDir(), "none")); err == nil {
+func TestMissingSettingsFile(t *testing.T) {
+	if _, err := readSettings(filepath.Join(t.TempDir(), "none")); err == nil {
 		t.Error("a file that is not there was read")
 	}
 }
--- a/cmd/thymeload/chat.go
+++ b/cmd/thymeload/chat.go
@@ -13,14 +13,14 @@
 	standin "github.com/thymewind/thymewind/internal/standin/engine"
 )
 
-// tries bounds how often a caller comes back with one request.
-const tries = 40
+// maxAttempts bounds how often a caller comes back with one request.
+const maxAttempts = 40
 
 // answer is what a caller has of one streamed answer.
 type answer struct {
 	text  string
 	token string
-	whole bool
+	complete bool
 }
 
 // chat asks for one answer and checks it. A stream that is cut is taken up
@@ -29,24 +29,24 @@
 	prompt := w.prompt()
 	want := standin.Answer(prompt, w.tokens)
 	var a answer
-	for try := 0; try < tries && !a.whole; try++ {
+	for try := 0; try < maxAttempts && !a.complete; try++ {
 		first, status := w.ask(prompt, &a)
 		if first > 0 && try == 0 {
-			w.figures.firstToken(first)
+			w.figures.recordFirstToken(first)
 		}
-		if !strings.HasPrefix(want, a.text) || (a.whole && a.text != want) {
-			w.figures.wrong(fmt.Sprintf("prompt %.20q: got %q", prompt, a.text))
+		if !strings.HasPrefix(want, a.text) || (a.complete && a.text != want) {
+			w.figures.reportWrong(fmt.Sprintf("prompt %.20q: got %q", prompt, a.text))
 			return
 		}
-		if a.whole {
+		if a.complete {
 			break
 		}
-		w.figures.again(status)
+		w.figures.recordRetry(status)
 		time.Sleep(time.Duration(50+w.random.IntN(300)) * time.Millisecond)
 	}
-	w.figures.asked(a.whole)
+	w.figures.recordRequest(a.complete)
 	if w.engine != "" {
-		w.direct(prompt)
+		w.chatDirect(prompt)
 	}
 }
 
@@ -112,7 +112,7 @@
 			return first
 		}
 		if data == "[DONE]" {
-			a.whole = true
+			a.complete = true
 			return first
 		}
 		var chunk struct {
@@ -130,8 +130,8 @@
 	}
 }
 
-// direct asks an engine itself, without a daemon between.
-func (w *worker) direct(prompt string) {
+// chatDirect asks an engine itself, without a daemon between.
+func (w *worker) chatDirect(prompt string) {
 	began := time.Now()
 	request, err := sling.New().Base("http://" + w.engine).Post("/v1/generate").BodyJSON(struct {
 		Request string `json:"request"`
@@ -157,7 +157,7 @@
 			return
 		}
 		if strings.Contains(line, `"text"`) {
-			w.figures.direct(time.Since(began))
+			w.figures.recordDirect(time.Since(began))
 			return
 		}
 	}
--- a/cmd/thymeload/figures.go
+++ b/cmd/thymeload/figures.go
@@ -14,10 +14,10 @@
 	mu sync.Mutex
 	// first and straight hold times to first token, in microseconds, through
 	// daemons and to the engine directly.
-	first, straight *hdrhistogram.Histogram
-	requests, whole int
+	first, directFirst *hdrhistogram.Histogram
+	requests, complete int
 	retried         map[int]int
-	wrongs          int
+	wrongAnswers          int
 	// orders holds what the caller of each key was told last.
 	orders    map[string]string
 	unchecked int
@@ -40,60 +40,60 @@
 	Direct99  float64        `json:"direct_p99_ms,omitempty"`
 }
 
-func (f *figures) start() {
+func (f *figures) init() {
 	const longest = 60_000_000
 	f.first = hdrhistogram.New(1, longest, 3)
-	f.straight = hdrhistogram.New(1, longest, 3)
+	f.directFirst = hdrhistogram.New(1, longest, 3)
 	f.retried = make(map[int]int)
 	f.orders = make(map[string]string)
 }
 
-func (f *figures) firstToken(d time.Duration) {
+func (f *figures) recordFirstToken(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_ = f.first.RecordValue(d.Microseconds())
 }
 
-func (f *figures) direct(d time.Duration) {
+func (f *figures) recordDirect(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_ = f.straight.RecordValue(d.Microseconds())
+	_ = f.directFirst.RecordValue(d.Microseconds())
 }
 
-func (f *figures) again(status int) {
+func (f *figures) recordRetry(status int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.retried[status]++
 }
 
-func (f *figures) asked(whole bool) {
+func (f *figures) recordRequest(whole bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.requests++
 	if whole {
-		f.whole++
+		f.complete++
 	}
 }
 
-func (f *figures) ordered(key, outcome string) {
+func (f *figures) recordOrder(key, outcome string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.orders[key] = outcome
 }
 
-func (f *figures) wrong(what string) {
+func (f *figures) reportWrong(what string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.wrongs++
+	f.wrongAnswers++
 	fmt.Fprintln(os.Stderr, "wrong:", what)
 }
 
 func (f *figures) line(label string) line {
 	out := line{
-		Label: label, Requests: f.requests, Whole: f.whole, Orders: len(f.orders), Outcomes: make(map[string]int),
-		Retried: f.retried, Wrong: f.wrongs, Unchecked: f.unchecked,
+		Label: label, Requests: f.requests, Whole: f.complete, Orders: len(f.orders), Outcomes: make(map[string]int),
+		Retried: f.retried, Wrong: f.wrongAnswers, Unchecked: f.unchecked,
 		P50: millis(f.first, 50), P95: millis(f.first, 95), P99: millis(f.first, 99),
-		Direct50: millis(f.straight, 50), Direct99: millis(f.straight, 99),
+		Direct50: millis(f.directFirst, 50), Direct99: millis(f.directFirst, 99),
 	}
 	for _, outcome := range f.orders {
 		out.Outcomes[outcome]++
--- a/cmd/thymeload/main.go
+++ b/cmd/thymeload/main.go
@@ -94,7 +94,7 @@
 func (l *load) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), l.duration)
 	defer cancel()
-	l.figures.start()
+	l.figures.init()
 	var workers sync.WaitGroup
 	for i := range l.workers {
 		w := &worker{load: l, id: i, random: rand.New(rand.NewPCG(l.seed, uint64(i))), key: l.keys[i%len(l.keys)]}
--- a/cmd/thymeload/order.go
+++ b/cmd/thymeload/order.go
@@ -17,26 +17,26 @@
 	w.orders++
 	key := fmt.Sprintf("%s-%d-%d-%d", w.label, w.seed, w.id, w.orders)
 	outcome := ""
-	for range tries {
-		status, told, body := w.place(key)
+	for range maxAttempts {
+		status, told, body := w.sendOrder(key)
 		if status == http.StatusCreated {
 			if !strings.Contains(body, key) {
-				w.figures.wrong(fmt.Sprintf("order %s answered with %q", key, body))
+				w.figures.reportWrong(fmt.Sprintf("order %s answered with %q", key, body))
 			}
 			outcome = "answered"
 			break
 		}
 		outcome = told
-		w.figures.again(status)
+		w.figures.recordRetry(status)
 		if told == "unknown" && status == http.StatusConflict {
 			break // It may have run; asking more often does not tell.
 		}
 		time.Sleep(time.Duration(100+w.random.IntN(400)) * time.Millisecond)
 	}
-	w.figures.ordered(key, outcome)
+	w.figures.recordOrder(key, outcome)
 }
 
-func (w *worker) place(key string) (status int, outcome, body string) {
+func (w *worker) sendOrder(key string) (status int, outcome, body string) {
 	request, err := sling.New().Base(w.daemon()).Post("/services/orders/orders").
 		Set("Authorization", "Bearer "+w.key).Set("Idempotency-Key", key).Set("Thymewind-Not-Repeatable", "true").
 		Body(strings.NewReader("2 x adobo for " + key)).Request()
@@ -77,11 +77,11 @@
 	for key, outcome := range l.figures.orders {
 		switch n := ran[key]; {
 		case n > 1:
-			l.figures.wrong(fmt.Sprintf("order %s ran %d times", key, n))
+			l.figures.reportWrong(fmt.Sprintf("order %s ran %d times", key, n))
 		case n == 0 && outcome == "answered" && l.figures.unchecked == 0:
-			l.figures.wrong(fmt.Sprintf("order %s was answered but did not run", key))
+			l.figures.reportWrong(fmt.Sprintf("order %s was answered but did not run", key))
 		case n == 1 && outcome == "did-not-run":
-			l.figures.wrong(fmt.Sprintf("order %s ran but was told did-not-run", key))
+			l.figures.reportWrong(fmt.Sprintf("order %s ran but was told did-not-run", key))
 		}
 	}
 }
--- a/cmd/thymemeasure/main_test.go
+++ b/cmd/thymemeasure/main_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestCheck refuses words that mean nothing.
-func TestCheck(t *testing.T) {
+// TestCheckRefusesUnknownNames refuses words that mean nothing.
+func TestCheckRefusesUnknownNames(t *testing.T) {
 	tests := []struct {
 		name                        string
 		words                       []string
--- a/daemon.go
+++ b/daemon.go
@@ -31,12 +31,12 @@
 	Registry *prometheus.Registry
 	// Listening, if it is set, hears of the addresses once all are open. With
 	// port 0 in the settings it is the way to learn them.
-	Listening func(callers, operators, peers netip.AddrPort)
+	OnListening func(callers, operators, peers netip.AddrPort)
 
-	parts
+	components
 	tables  tables
 	records decision.Ring
-	counts  counters
+	metrics  metricSet
 	// messages is unbuffered enough that the loop is never far behind.
 	messages chan message
 	// current is the revision in force, for readers outside the loop.
--- a/daemon_test.go
+++ b/daemon_test.go
@@ -15,7 +15,7 @@
 	"github.com/thymewind/thymewind/prefix"
 )
 
-func TestWholeAnswers(t *testing.T) {
+func TestAnswersAreComplete(t *testing.T) {
 	f := newFleet(t, 2, nil)
 	prompt := strings.Repeat("sinigang, adobo, pancit; ", 20)
 	for i := range 6 {
@@ -58,9 +58,9 @@
 	}
 }
 
-// accountsApart has two accounts send the same prompts and the same keys. It
+// crossAccountLeaks has two accounts send the same prompts and the same keys. It
 // returns what crossed between them.
-func accountsApart(t *testing.T, f *fleet) (crossed []string) {
+func crossAccountLeaks(t *testing.T, f *fleet) (crossed []string) {
 	for i := range 4 {
 		prompt := fmt.Sprintf("round %d: %s", i, strings.Repeat("the same catalogue for all; ", 20))
 		if _, _, r := f.chat(0, "menu key", prompt, 3); r.status != http.StatusOK {
@@ -80,17 +80,17 @@
 	return crossed
 }
 
-func TestAccountsApart(t *testing.T) {
-	if crossed := accountsApart(t, newFleet(t, 1, nil)); len(crossed) > 0 {
+func TestAccountsAreIsolated(t *testing.T) {
+	if crossed := crossAccountLeaks(t, newFleet(t, 1, nil)); len(crossed) > 0 {
 		t.Errorf("crossed: %v", crossed)
 	}
 }
 
-func TestAccountsApartNeedsTheScope(t *testing.T) {
+func TestAccountIsolationNeedsTheScope(t *testing.T) {
 	removed := func(d *Daemon) {
 		d.tables.Scope = func(_, version string) prefix.Key { return prefix.Scope("", version) }
 	}
-	if crossed := accountsApart(t, newFleet(t, 1, removed)); len(crossed) == 0 {
+	if crossed := crossAccountLeaks(t, newFleet(t, 1, removed)); len(crossed) == 0 {
 		t.Error("the control was removed and nothing crossed: it proves nothing")
 	}
 }
@@ -115,8 +115,8 @@
 	return response, reader, line
 }
 
-// rest reads a stream to its end and says whether it ended as a whole one does.
-func rest(reader *bufio.Reader) bool {
+// readToEnd reads a stream to its end and says whether it ended as a whole one does.
+func readToEnd(reader *bufio.Reader) bool {
 	whole := false
 	for {
 		line, err := reader.ReadString('\n')
@@ -127,14 +127,14 @@
 	}
 }
 
-// stopsWhole has a daemon stop while an answer is under way and says whether
+// stopMidAnswer has a daemon stop while an answer is under way and says whether
 // the answer came whole and the daemon ended well.
-func stopsWhole(t *testing.T, change func(*Daemon)) bool {
+func stopMidAnswer(t *testing.T, change func(*Daemon)) bool {
 	f := newFleet(t, 1, change)
 	response, reader, _ := f.stream(0, "a long story", 200)
 	defer func() { _ = response.Body.Close() }()
 	f.daemons[0].stop()
-	whole := rest(reader)
+	whole := readToEnd(reader)
 	err := <-f.daemons[0].done
 	if waiting := f.daemons[0].d.ledger.Waiting(); waiting > 0 {
 		t.Errorf("the charges of %d accounts were not written", waiting)
@@ -142,23 +142,23 @@
 	return whole && err == nil
 }
 
-func TestStopCutsNothing(t *testing.T) {
-	if !stopsWhole(t, nil) {
+func TestPlannedStopDrains(t *testing.T) {
+	if !stopMidAnswer(t, nil) {
 		t.Error("a planned stop cut an answer")
 	}
 }
 
-func TestStopCutsNothingNeedsTheWait(t *testing.T) {
+func TestPlannedStopNeedsTheWait(t *testing.T) {
 	removed := func(d *Daemon) {
 		d.shutdown = func(s *http.Server, _ context.Context) error { return s.Close() }
 	}
-	if stopsWhole(t, removed) {
+	if stopMidAnswer(t, removed) {
 		t.Error("the control was removed and nothing was cut: it proves nothing")
 	}
 }
 
-// TestResumeAtAnotherBox takes a stream up at a second daemon.
-func TestResumeAtAnotherBox(t *testing.T) {
+// TestResumeOnAnotherBox takes a stream up at a second daemon.
+func TestResumeOnAnotherBox(t *testing.T) {
 	f := newFleet(t, 2, nil)
 	response, _, first := f.stream(0, "a long story", 100)
 	token := response.Header.Get("Thymewind-Resume")
@@ -214,11 +214,11 @@
 		})
 		return done
 	})
-	if !rest(reader) {
+	if !readToEnd(reader) {
 		t.Error("the run under way at the swap was cut")
 	}
 	for _, engine := range []string{"engine-1", "engine-2", "engine-3"} {
-		for _, run := range f.ran(engine) {
+		for _, run := range f.runs(engine) {
 			if want := prefix.Scope("menu-app", run.Version).String(); run.Scope != want {
 				t.Errorf("%s: a run of %s used scope %s", engine, run.Version, run.Scope)
 			}
@@ -258,9 +258,9 @@
 	}
 }
 
-// TestBootInAnOutage has a daemon boot while the platform is down. It takes
+// TestBootDuringPlatformOutage has a daemon boot while the platform is down. It takes
 // what a peer holds, and serves.
-func TestBootInAnOutage(t *testing.T) {
+func TestBootDuringPlatformOutage(t *testing.T) {
 	f := newFleet(t, 1, nil)
 	f.faults["platform"].Set(fault.State{Down: true})
 	f.start(1, func(d *Daemon) { d.Settings.KnownPeers = []netip.AddrPort{f.boxes[len(f.boxes)-1].Peer} })
@@ -278,9 +278,9 @@
 	}
 }
 
-// TestResumeOfAGivenUpRun has a run cancelled before its caller takes it up
+// TestResumeOfCancelledRun has a run cancelled before its caller takes it up
 // again. The caller is told that it is gone, so that it asks anew.
-func TestResumeOfAGivenUpRun(t *testing.T) {
+func TestResumeOfCancelledRun(t *testing.T) {
 	f := newFleet(t, 1, nil)
 	response, _, _ := f.stream(0, "a long story", 100)
 	token := response.Header.Get("Thymewind-Resume")
@@ -301,9 +301,9 @@
 	}
 }
 
-// TestServicesGetWhatCallersSent checks that method, path, query and body pass
+// TestServiceRequestsPassUnchanged checks that method, path, query and body pass
 // through as they are.
-func TestServicesGetWhatCallersSent(t *testing.T) {
+func TestServiceRequestsPassUnchanged(t *testing.T) {
 	f := newFleet(t, 1, nil)
 	tests := []struct {
 		name, method, path, body string
@@ -325,10 +325,10 @@
 	}
 }
 
-// TestMarkedModelRequests has callers ask for one licence answer over and over,
+// TestNotRepeatableModelRequests has callers ask for one licence answer over and over,
 // with the same key, at two daemons at once. It runs once, and all get its
 // answer or are told that it may be running.
-func TestMarkedModelRequests(t *testing.T) {
+func TestNotRepeatableModelRequests(t *testing.T) {
 	f := newFleet(t, 2, nil)
 	body := `{"model":"menu-assistant","prompt":"may I use track 7 in a film","max_tokens":20}`
 	header := http.Header{"Idempotency-Key": {"licence-7"}, "Thymewind-Not-Repeatable": {"true"}}
@@ -355,7 +355,7 @@
 	}
 	runs := 0
 	for _, engine := range []string{"engine-1", "engine-2", "engine-3"} {
-		runs += len(f.ran(engine))
+		runs += len(f.runs(engine))
 	}
 	if runs != 1 {
 		t.Errorf("it ran %d times", runs)
--- a/duty.go
+++ b/duty.go
@@ -30,30 +30,30 @@
 // others when they are gone.
 const dutyCandidates = 3
 
-// loadPatience is how long a target may take to load weights.
-const loadPatience = 30 * time.Second
+// weightsLoadTimeout is how long a target may take to load weights.
+const weightsLoadTimeout = 30 * time.Second
 
 // duty is one lease with what its holder needs to remember.
 type duty struct {
 	lease *lease.Lease
 	// epoch is the last one that was held; a higher one means a new start.
 	epoch uint64
-	// since is when this epoch was first seen to be held.
-	since time.Time
-	// ready says that the orders of earlier holders were read.
-	ready   bool
+	// heldSince is when this epoch was first seen to be held.
+	heldSince time.Time
+	// ordersKnown says that the orders of earlier holders were read.
+	ordersKnown   bool
 	rollout weights.Rollout
-	next    time.Time
+	nextRenewal    time.Time
 }
 
-// stepLease renews or takes a lease.
-type stepLease struct {
+// renewLease renews or takes a lease.
+type renewLease struct {
 	duty  string
 	lease *lease.Lease
 }
 
-// leaseStepped is how that went.
-type leaseStepped struct {
+// leaseRenewed is how that went.
+type leaseRenewed struct {
 	duty string
 	err  error
 }
@@ -86,26 +86,26 @@
 	version string
 }
 
-// holdDuties keeps the leases of the duties that this box is a candidate for.
-func (d *Daemon) holdDuties(now time.Time, t *tables) []effect {
+// renewLeases keeps the leases of the duties that this box is a candidate for.
+func (d *Daemon) renewLeases(now time.Time, t *tables) []effect {
 	if d.stopping.Load() {
 		return nil
 	}
 	var effects []effect
-	for _, name := range t.duties() {
+	for _, name := range t.dutyNames() {
 		x := d.duty(t, name)
-		if now.Before(x.next) || t.pending[pendingDuty+name] || !d.candidate(t, name) || !x.lease.Due() {
+		if now.Before(x.nextRenewal) || t.pending[pendingDuty+name] || !d.candidate(t, name) || !x.lease.Due() {
 			continue
 		}
-		x.next = now.Add(d.jitter(d.Settings.Timing.Lease / 4))
+		x.nextRenewal = now.Add(d.jitter(d.Settings.Timing.Lease / 4))
 		t.pending[pendingDuty+name] = true
-		effects = append(effects, stepLease{name, x.lease})
+		effects = append(effects, renewLease{name, x.lease})
 	}
 	return effects
 }
 
-// duties names the duties of this configuration.
-func (t *tables) duties() []string {
+// dutyNames names the duties of this configuration.
+func (t *tables) dutyNames() []string {
 	if t.Configuration.Revision == 0 {
 		return nil
 	}
@@ -120,7 +120,7 @@
 
 // duty returns a duty's state, new if need be.
 func (d *Daemon) duty(t *tables, name string) *duty {
-	x, known := t.held[name]
+	x, known := t.dutiesByName[name]
 	if !known {
 		length := d.Settings.Timing.Lease
 		x = &duty{
@@ -128,32 +128,32 @@
 				Name: name, Holder: d.Settings.Name, TTL: length, Margin: length / 6,
 				Commit: d.table.Commit, Read: d.table.Read, Nonce: newID, Now: d.now,
 			},
-			rollout: weights.Rollout{Timeout: loadPatience},
+			rollout: weights.Rollout{Timeout: weightsLoadTimeout},
 		}
-		t.held[name] = x
+		t.dutiesByName[name] = x
 	}
 	return x
 }
 
 // candidate says whether this box is one of those that try for a duty.
 func (d *Daemon) candidate(t *tables, name string) bool {
-	return d.rankedBefore(t, placement.Hash(name)) < dutyCandidates
+	return d.rank(t, placement.Hash(name)) < dutyCandidates
 }
 
-// leaseStepped notes whether the lease is held and under which epoch.
-func (d *Daemon) leaseStepped(now time.Time, t *tables, m leaseStepped) []effect {
+// leaseRenewed notes whether the lease is held and under which epoch.
+func (d *Daemon) leaseRenewed(now time.Time, t *tables, m leaseRenewed) []effect {
 	delete(t.pending, pendingDuty+m.duty)
 	x := d.duty(t, m.duty)
 	if m.err != nil {
-		d.counts.platformErrors.WithLabelValues("lease").Inc()
+		d.metrics.platformErrors.WithLabelValues("lease").Inc()
 		return nil
 	}
 	epoch, _, ok := x.lease.Held()
 	if !ok || epoch == x.epoch {
 		return nil
 	}
-	x.epoch, x.since, x.ready = epoch, now, false
-	d.counts.leases.WithLabelValues("taken").Inc()
+	x.epoch, x.heldSince, x.ordersKnown = epoch, now, false
+	d.metrics.leases.WithLabelValues("taken").Inc()
 	d.Log.Info("lease taken", "duty", m.duty, "epoch", epoch)
 	if name, ok := strings.CutPrefix(m.duty, dutyOrders); ok {
 		return []effect{readOrders{m.duty, name}}
@@ -171,16 +171,16 @@
 		// The order may have been sent just now, as far as this box can know.
 		x.rollout.Note(o.Target, o.Version, now)
 	}
-	x.ready = true
+	x.ordersKnown = true
 	return nil
 }
 
-// rollWeights orders targets to load the weights that are configured.
-func (d *Daemon) rollWeights(now time.Time, t *tables) []effect {
+// advanceRollouts orders targets to load the weights that are configured.
+func (d *Daemon) advanceRollouts(now time.Time, t *tables) []effect {
 	var effects []effect
 	for name, p := range t.Configuration.Pools {
-		x, known := t.held[dutyOrders+name]
-		if !known || !x.ready {
+		x, known := t.dutiesByName[dutyOrders+name]
+		if !known || !x.ordersKnown {
 			continue
 		}
 		if _, _, ok := x.lease.Held(); !ok || !d.fenced(now, p, x) {
@@ -199,7 +199,7 @@
 // check the epoch refuse it themselves; for others a new holder waits as long
 // as an earlier order could have been under way.
 func (d *Daemon) fenced(now time.Time, p pool.Pool, x *duty) bool {
-	return p.ChecksFence || now.Sub(x.since) >= d.Settings.Timing.Lease
+	return p.ChecksFence || now.Sub(x.heldSince) >= d.Settings.Timing.Lease
 }
 
 // order writes the order's row and then sends the order, all within the lease.
@@ -249,11 +249,11 @@
 	return m
 }
 
-// releaseDuties gives all leases back, for a planned stop.
-func (d *Daemon) releaseDuties(ctx context.Context) {
+// releaseLeases gives all leases back, for a planned stop.
+func (d *Daemon) releaseLeases(ctx context.Context) {
 	var leases []*lease.Lease
 	d.inspect(ctx, func(_ time.Time, t *tables) {
-		for _, x := range t.held {
+		for _, x := range t.dutiesByName {
 			leases = append(leases, x.lease)
 		}
 	})
--- a/edit.go
+++ b/edit.go
@@ -34,20 +34,20 @@
 	return d.submit(ctx, name, in.Entries, in.IfRevision)
 }
 
-// editTries is how often an edit is made anew when another change came first.
-const editTries = 5
+// maxEditAttempts is how often an edit is made anew when another change came first.
+const maxEditAttempts = 5
 
 // edit serves the statements that change the configuration. The change is made
 // of the latest revision, and anew if another one came first, unless the
 // operator said which revision it is for.
 func (d *Daemon) edit(ctx context.Context, name string, s query.Statement) report.Report {
-	return d.amend(ctx, name, revisionOf(s), func(c *configuration.Configuration) (configuration.Entry, error) {
+	return d.editEntity(ctx, name, revisionOf(s), func(c *configuration.Configuration) (configuration.Entry, error) {
 		return entryOf(c, s)
 	})
 }
 
-// amend makes a change of one entity of the latest revision.
-func (d *Daemon) amend(ctx context.Context, name string, only uint64, build func(*configuration.Configuration) (configuration.Entry, error)) report.Report {
+// editEntity makes a change of one entity of the latest revision.
+func (d *Daemon) editEntity(ctx context.Context, name string, only uint64, build func(*configuration.Configuration) (configuration.Entry, error)) report.Report {
 	for try := 1; ; try++ {
 		current, err := d.latest(ctx)
 		if err != nil {
@@ -61,8 +61,8 @@
 		if only > 0 {
 			revision = only
 		}
-		answer, err := d.submitFor(ctx, name, []configuration.Entry{entry}, &revision)
-		if !trace.IsCompareFailed(err) || only > 0 || try == editTries {
+		answer, err := d.submitWithError(ctx, name, []configuration.Entry{entry}, &revision)
+		if !trace.IsCompareFailed(err) || only > 0 || try == maxEditAttempts {
 			return answer
 		}
 	}
@@ -71,7 +71,7 @@
 // latest returns the revision in force by the table service.
 func (d *Daemon) latest(ctx context.Context) (*configuration.Configuration, error) {
 	current := d.currentOrEmpty()
-	next, err := d.newer(ctx, current)
+	next, err := d.readNewer(ctx, current)
 	if err != nil || next == nil {
 		return current, trace.Wrap(err)
 	}
@@ -97,14 +97,14 @@
 func entryOf(c *configuration.Configuration, s query.Statement) (configuration.Entry, error) {
 	switch {
 	case s.Create != nil:
-		return edited(c, *s.Create, false)
+		return applyEdit(c, *s.Create, false)
 	case s.Change != nil:
-		return edited(c, *s.Change, true)
+		return applyEdit(c, *s.Change, true)
 	case s.Remove != nil:
 		return configuration.Entry{Kind: s.Remove.Kind, Name: s.Remove.Name}, nil
 	case s.Roll != nil:
 		weights := query.Assignment{Field: "weights", Value: &query.Literal{Text: &s.Roll.Version}}
-		return edited(c, query.Edit{Kind: configuration.KindPool, Name: s.Roll.Pool, Set: []query.Assignment{weights}}, true)
+		return applyEdit(c, query.Edit{Kind: configuration.KindPool, Name: s.Roll.Pool, Set: []query.Assignment{weights}}, true)
 	}
 	return configuration.Entry{}, trace.BadParameter("the statement changes nothing")
 }
@@ -126,14 +126,14 @@
 
 // submit makes a change, tells the outcome and records it, refused or not.
 func (d *Daemon) submit(ctx context.Context, name string, entries []configuration.Entry, expect *uint64) report.Report {
-	answer, _ := d.submitFor(ctx, name, entries, expect)
+	answer, _ := d.submitWithError(ctx, name, entries, expect)
 	return answer
 }
 
-// submitFor is submit with the reason of a refusal as an error too.
-func (d *Daemon) submitFor(ctx context.Context, name string, entries []configuration.Entry, expect *uint64) (report.Report, error) {
+// submitWithError is submit with the reason of a refusal as an error too.
+func (d *Daemon) submitWithError(ctx context.Context, name string, entries []configuration.Entry, expect *uint64) (report.Report, error) {
 	change := configuration.Change{ID: newID(), Actor: name, At: d.now().UTC(), Entries: entries}
-	next, err := d.trySubmit(ctx, change, expect)
+	next, err := d.submitOnce(ctx, change, expect)
 	record := decision.Record{At: d.now(), Kind: decision.Changed, Rule: "head unchanged", Inputs: entriesText(entries)}
 	if err != nil {
 		record.Rule, record.Result = "refused", trace.Unwrap(err).Error()
@@ -152,7 +152,7 @@
 	return report.Report{Revision: next.Revision, Change: change.ID}, nil
 }
 
-func (d *Daemon) trySubmit(ctx context.Context, change configuration.Change, expect *uint64) (*configuration.Configuration, error) {
+func (d *Daemon) submitOnce(ctx context.Context, change configuration.Change, expect *uint64) (*configuration.Configuration, error) {
 	current, err := d.latest(ctx)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -163,19 +163,19 @@
 	return d.rows.Submit(ctx, current, change)
 }
 
-// edited returns the entity with the assignments made. An entity to change
+// applyEdit returns the entity with the assignments made. An entity to change
 // must exist, one to create must not.
-func edited(c *configuration.Configuration, e query.Edit, exists bool) (configuration.Entry, error) {
+func applyEdit(c *configuration.Configuration, e query.Edit, exists bool) (configuration.Entry, error) {
 	entry := configuration.Entry{Kind: e.Kind, Name: e.Name}
 	var err error
 	e.Set = append(e.Set, previousWeights(c, e)...)
 	switch e.Kind {
 	case configuration.KindAccount:
-		entry.After, err = assign(c.Accounts, e, exists, account.Account{Name: e.Name, Weight: 1})
+		entry.After, err = assignFields(c.Accounts, e, exists, account.Account{Name: e.Name, Weight: 1})
 	case configuration.KindPool:
-		entry.After, err = assign(c.Pools, e, exists, pool.Pool{Name: e.Name, Concurrency: 1})
+		entry.After, err = assignFields(c.Pools, e, exists, pool.Pool{Name: e.Name, Concurrency: 1})
 	case configuration.KindModel:
-		entry.After, err = assign(c.Models, e, exists, model.Model{Name: e.Name})
+		entry.After, err = assignFields(c.Models, e, exists, model.Model{Name: e.Name})
 	}
 	return entry, trace.Wrap(err)
 }
@@ -192,7 +192,7 @@
 	return nil
 }
 
-func assign[V any](all map[string]V, e query.Edit, exists bool, fresh V) (json.RawMessage, error) {
+func assignFields[V any](all map[string]V, e query.Edit, exists bool, fresh V) (json.RawMessage, error) {
 	v, known := all[e.Name]
 	switch {
 	case known && !exists:
@@ -203,15 +203,15 @@
 		v = fresh
 	}
 	for _, a := range e.Set {
-		if err := set(&v, a.Field, a.JSON()); err != nil {
+		if err := setField(&v, a.Field, a.JSON()); err != nil {
 			return nil, trace.Wrap(err)
 		}
 	}
 	return json.Marshal(v)
 }
 
-// set gives one field, named as in JSON, a value; a dot leads into a struct.
-func set(entity any, field, value string) error {
+// setField gives one field, named as in JSON, a value; a dot leads into a struct.
+func setField(entity any, field, value string) error {
 	if a, ok := entity.(*account.Account); ok && field == keyField {
 		var key string
 		if err := json.Unmarshal([]byte(value), &key); err != nil {
@@ -233,22 +233,22 @@
 	return nil
 }
 
-// leave stops new work to a target, or lets it have some again, by a change of
+// setLeaving stops new work to a target, or lets it have some again, by a change of
 // its pool.
-func (d *Daemon) leave(ctx context.Context, name, target string, leaves bool) report.Report {
+func (d *Daemon) setLeaving(ctx context.Context, name, target string, leaves bool) report.Report {
 	pool := ""
 	d.inspect(ctx, func(_ time.Time, t *tables) {
 		if x, known := t.Targets.Lookup(target); known {
 			pool = x.Pool
 		}
 	})
-	return d.amend(ctx, name, 0, func(c *configuration.Configuration) (configuration.Entry, error) {
-		return left(c, pool, target, leaves)
+	return d.editEntity(ctx, name, 0, func(c *configuration.Configuration) (configuration.Entry, error) {
+		return withLeaving(c, pool, target, leaves)
 	})
 }
 
-// left returns a pool with a target in or out of its list of those that leave.
-func left(c *configuration.Configuration, name, target string, leaves bool) (configuration.Entry, error) {
+// withLeaving returns a pool with a target in or out of its list of those that leave.
+func withLeaving(c *configuration.Configuration, name, target string, leaves bool) (configuration.Entry, error) {
 	p, known := c.Pools[name]
 	if !known {
 		return configuration.Entry{}, trace.NotFound("there is no target %q", target)
--- a/edit_test.go
+++ b/edit_test.go
@@ -12,9 +12,9 @@
 	"github.com/thymewind/thymewind/report"
 )
 
-// TestEditsKeepWhatOthersChanged has an operator change a field at a box that
+// TestEditKeepsConcurrentChanges has an operator change a field at a box that
 // has not heard of the latest revision yet, which changed another field.
-func TestEditsKeepWhatOthersChanged(t *testing.T) {
+func TestEditKeepsConcurrentChanges(t *testing.T) {
 	rows := &fake.Table{}
 	store := configuration.Rows{Commit: rows.Commit, Read: rows.Read, List: rows.List, ListAll: rows.ListAll, Wait: wait}
 	edit := func(d *Daemon, text string) report.Report {
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestUnchangedListCounts has the platform answer that its list is unchanged.
-func TestUnchangedListCounts(t *testing.T) {
+// TestUnchangedListRenewsLeaving has the platform answer that its list is unchanged.
+func TestUnchangedListRenewsLeaving(t *testing.T) {
 	tests := []struct {
 		name    string
 		leaving bool
@@ -62,7 +62,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon(t)
 			start := time.Unix(1000, 0)
-			d.update(start, configurationRead{configuration: inForce(1)})
+			d.update(start, configurationRead{configuration: testConfiguration(1)})
 			box := boxes.Box{Name: "engine-0", Role: boxes.RoleEngine, Pool: "menu", Address: address("engine-0"), Leaving: true}
 			d.update(start, boxesRead{list: []boxes.Box{box}})
 			box.Leaving = tt.leaving
--- a/effect.go
+++ b/effect.go
@@ -29,8 +29,8 @@
 	name string
 }
 
-// askPeer asks a peer for all that a daemon needs to boot.
-type askPeer struct{ address netip.AddrPort }
+// fetchFromPeer asks a peer for all that a daemon needs to boot.
+type fetchFromPeer struct{ address netip.AddrPort }
 
 // readLoad reads one target's report.
 type readLoad struct {
@@ -38,8 +38,8 @@
 	address netip.AddrPort
 }
 
-// tellPeer sends a peer a message and takes its answer in.
-type tellPeer struct {
+// callPeer sends a peer a message and takes its answer in.
+type callPeer struct {
 	name    string
 	address netip.AddrPort
 	message peer.Message
@@ -64,30 +64,30 @@
 	switch e := e.(type) {
 	case readBoxes:
 		list, changed, err := d.boxes.Read(ctx)
-		return boxesRead{asked: e.at, list: list, unchanged: err == nil && !changed, err: err}
-	case askPeer:
-		return d.askPeer(ctx, e.address)
+		return boxesRead{requestedAt: e.at, list: list, unchanged: err == nil && !changed, err: err}
+	case fetchFromPeer:
+		return d.fetchFromPeer(ctx, e.address)
 	case readConfiguration:
 		return d.readConfiguration(ctx, e)
 	case readLoad:
 		asked := d.now()
 		load, err := d.engines.Load(ctx, e.address)
 		return loadRead{e.target, load, err, asked}
-	case stepLease:
-		return leaseStepped{e.duty, e.lease.AcquireOrRenew(ctx)}
+	case renewLease:
+		return leaseRenewed{e.duty, e.lease.AcquireOrRenew(ctx)}
 	case readOrders:
 		return d.readOrders(ctx, e)
 	case sendOrder:
 		_ = d.order(ctx, e) // The record and the target's report tell.
 	case flushCharges:
-		return charged{pendingFlush, d.ledger.Flush(ctx)}
+		return chargesProcessed{pendingFlush, d.ledger.Flush(ctx)}
 	case applyCharges:
 		return d.applyCharges(ctx)
 	case exportCache:
 		return d.export(context.WithoutCancel(ctx), e.placed)
-	case makeRoom:
-		return d.makeRoom(ctx, e)
-	case tellPeer:
+	case evictCache:
+		return d.evictCache(ctx, e)
+	case callPeer:
 		answer, err := d.peers.Call(ctx, e.address, e.message)
 		return peerAnswered{name: e.name, message: answer, err: err}
 	}
@@ -97,24 +97,24 @@
 // readConfiguration asks the table service and, if that does not answer, the
 // peer.
 func (d *Daemon) readConfiguration(ctx context.Context, e readConfiguration) message {
-	next, err := d.newer(ctx, e.have)
+	next, err := d.readNewer(ctx, e.have)
 	if err == nil || !e.peer.IsValid() {
-		return configurationRead{asked: e.at, configuration: next, err: trace.Wrap(err)}
+		return configurationRead{requestedAt: e.at, configuration: next, err: trace.Wrap(err)}
 	}
-	held, err := d.heldBy(ctx, e.peer)
-	return configurationRead{asked: e.at, configuration: held.Configuration, err: trace.Wrap(err), from: e.name}
+	held, err := d.fetchSnapshot(ctx, e.peer)
+	return configurationRead{requestedAt: e.at, configuration: held.Configuration, err: trace.Wrap(err), from: e.name}
 }
 
-// holding is what a daemon tells a peer that has to catch up without the
+// peerSnapshot is what a daemon tells a peer that has to catch up without the
 // platform.
-type holding struct {
+type peerSnapshot struct {
 	Configuration *configuration.Configuration `json:"configuration"`
 	Boxes         []boxes.Box                  `json:"boxes"`
 }
 
-// heldBy asks a peer what it holds.
-func (d *Daemon) heldBy(ctx context.Context, at netip.AddrPort) (holding, error) {
-	var held holding
+// fetchSnapshot asks a peer what it holds.
+func (d *Daemon) fetchSnapshot(ctx context.Context, at netip.AddrPort) (peerSnapshot, error) {
+	var held peerSnapshot
 	answer, err := d.peers.Call(ctx, at, peer.Message{Kind: peer.KindConfiguration, From: d.Settings.Name})
 	if err != nil {
 		return held, trace.Wrap(err)
@@ -122,19 +122,19 @@
 	return held, trace.Wrap(json.Unmarshal(answer.Body, &held))
 }
 
-func (d *Daemon) askPeer(ctx context.Context, at netip.AddrPort) message {
-	held, err := d.heldBy(ctx, at)
+func (d *Daemon) fetchFromPeer(ctx context.Context, at netip.AddrPort) message {
+	held, err := d.fetchSnapshot(ctx, at)
 	if err != nil || len(held.Boxes) == 0 {
 		return nil
 	}
-	return peerHolds{
+	return peerSnapshotRead{
 		boxesRead{list: held.Boxes, from: at.String()},
 		configurationRead{configuration: held.Configuration, from: at.String()},
 	}
 }
 
-// newer returns the revision in force if it is higher than the one at hand.
-func (d *Daemon) newer(ctx context.Context, have *configuration.Configuration) (*configuration.Configuration, error) {
+// readNewer returns the revision in force if it is higher than the one at hand.
+func (d *Daemon) readNewer(ctx context.Context, have *configuration.Configuration) (*configuration.Configuration, error) {
 	if have.Revision == 0 {
 		return d.rows.Load(ctx)
 	}
--- a/examples/demo/main.go
+++ b/examples/demo/main.go
@@ -99,7 +99,7 @@
 	}
 	for try := 1; ; try++ {
 		response, data, err := once(request)
-		if err == nil || response == nil || response.StatusCode != http.StatusServiceUnavailable || try == tries {
+		if err == nil || response == nil || response.StatusCode != http.StatusServiceUnavailable || try == maxAttempts {
 			return response, data, err
 		}
 		after, failed := time.ParseDuration(response.Header.Get("Retry-After") + "s")
@@ -113,8 +113,8 @@
 	}
 }
 
-// tries is how often a request is sent at most.
-const tries = 5
+// maxAttempts is how often a request is sent at most.
+const maxAttempts = 5
 
 func once(request *http.Request) (*http.Response, string, error) {
 	response, err := http.DefaultClient.Do(request)
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -35,15 +35,15 @@
 	platform *httptest.Server
 	faults   map[string]*fault.Switch
 	addrs    map[string]netip.AddrPort
-	daemons  []*running
+	daemons  []*runningDaemon
 	// limited are targets that may name a rate, by name.
 	limited map[string]*limitedTarget
 	mu      sync.Mutex
 	boxes   []boxes.Box
 }
 
-// running is one daemon that runs.
-type running struct {
+// runningDaemon is one daemon that runs.
+type runningDaemon struct {
 	d       *Daemon
 	callers string
 	stop    context.CancelFunc
@@ -59,7 +59,7 @@
 	f := &fleet{t: t, faults: make(map[string]*fault.Switch), limited: make(map[string]*limitedTarget), addrs: make(map[string]netip.AddrPort)}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	p := platform.Platform{Fault: f.fault("platform"), Lag: 50 * time.Millisecond, Silence: time.Minute, Writes: 1000, Reads: 10000}
+	p := platform.Platform{Fault: f.fault("platform"), Lag: 50 * time.Millisecond, SilenceTimeout: time.Minute, Writes: 1000, Reads: 10000}
 	f.platform = httptest.NewServer(p.Handler())
 	t.Cleanup(f.platform.Close)
 	for _, name := range []string{"engine-1", "engine-2", "engine-3"} {
@@ -151,9 +151,9 @@
 		},
 		Log: log.New(io.Discard), Registry: prometheus.NewRegistry(),
 	}
-	r := &running{d: d, done: make(chan error, 1)}
+	r := &runningDaemon{d: d, done: make(chan error, 1)}
 	open := make(chan struct{})
-	d.Listening = func(callers, _, peers netip.AddrPort) {
+	d.OnListening = func(callers, _, peers netip.AddrPort) {
 		if change != nil {
 			change(d)
 		}
@@ -267,14 +267,14 @@
 	return standin.Answer("<|user|>"+content+"\n", tokens)
 }
 
-// ran lists the runs of one engine.
-func (f *fleet) ran(engine string) []standin.Ran {
+// runs lists the runs of one engine.
+func (f *fleet) runs(engine string) []standin.StartedRun {
 	response, err := http.Get("http://" + f.addrs[engine].String() + "/runs")
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	var all []standin.Ran
+	var all []standin.StartedRun
 	if err := json.NewDecoder(response.Body).Decode(&all); err != nil {
 		f.t.Fatal(err)
 	}
--- a/gossip.go
+++ b/gossip.go
@@ -13,24 +13,24 @@
 
 // The bounds of what one message holds, so that its bytes are bounded too.
 const (
-	// partners are told now and then, newsPartners when a revision is new.
-	partners     = 1
-	newsPartners = 3
-	// maxBusy bounds the reports of busy targets, maxTurn those of any, which
+	// gossipFanOut are told now and then, newsPartners when a revision is new.
+	gossipFanOut     = 1
+	newRevisionFanOut = 3
+	// maxBusyLoads bounds the reports of busy targets, maxTurn those of any, which
 	// take turns.
-	maxBusy    = 8
-	maxTurn    = 8
+	maxBusyLoads    = 8
+	maxOtherLoads    = 8
 	maxLeaving = 32
 	maxDemand  = 12
-	maxUse     = 16
+	maxUsage     = 16
 	maxLimits  = 16
-	// loadWorthless is when a report is too old to be told on.
-	loadWorthless = 10 * time.Second
-	// leavingNews is how long ago a target was said to be leaving for it to be
+	// maxLoadAge is when a report is too old to be told on.
+	maxLoadAge = 10 * time.Second
+	// maxLeavingAge is how long ago a target was said to be leaving for it to be
 	// told on. The time travels with the news, so that it comes to an end.
-	leavingNews = 30 * time.Second
-	// busyWait is the wait from which a target's report is worth telling first.
-	busyWait = 100 * time.Millisecond
+	maxLeavingAge = 30 * time.Second
+	// busyThreshold is the wait from which a target's report is worth telling first.
+	busyThreshold = 100 * time.Millisecond
 )
 
 // peerAnswered is a peer's answer, or why it gave none.
@@ -40,8 +40,8 @@
 	err     error
 }
 
-// peerSaid is a message that a peer sent; the loop answers on reply.
-type peerSaid struct {
+// peerRequest is a message that a peer sent; the loop answers on reply.
+type peerRequest struct {
 	message peer.Message
 	reply   chan<- peer.Message
 }
@@ -53,50 +53,50 @@
 	}
 	t.due.gossip = now.Add(d.jitter(d.Settings.Timing.Gossip))
 	d.peers.Sweep(now)
-	return d.tell(now, t, partners)
+	return d.gossipTo(now, t, gossipFanOut)
 }
 
-// tell sends this box's state to some random peers.
-func (d *Daemon) tell(now time.Time, t *tables, peers int) []effect {
+// gossipTo sends this box's state to some random peers.
+func (d *Daemon) gossipTo(now time.Time, t *tables, peers int) []effect {
 	var effects []effect
 	for _, name := range d.randomPeers(t, peers) {
 		p, _ := t.peers.Lookup(name)
-		effects = append(effects, tellPeer{name: name, address: p.address, message: d.state(now, t)})
+		effects = append(effects, callPeer{name: name, address: p.address, message: d.gossipMessage(now, t)})
 	}
 	return effects
 }
 
-// state is what this box tells its peers: reports of busy targets and, in turn,
+// gossipMessage is what this box tells its peers: reports of busy targets and, in turn,
 // of some others, the targets that are leaving, and its use of limited
 // accounts.
-func (d *Daemon) state(now time.Time, t *tables) peer.Message {
+func (d *Daemon) gossipMessage(now time.Time, t *tables) peer.Message {
 	m := peer.Message{Kind: peer.KindGossip, From: d.Settings.Name, Revision: t.Configuration.Revision}
 	names := t.Targets.Keys()
 	busy, turns := 0, 0
 	for i := range names {
-		x, _ := t.Targets.Lookup(names[(i+t.turn)%len(names)])
-		if said := now.Sub(x.LeavingAt); x.Leaving && said < leavingNews && len(m.Leaving) < maxLeaving {
+		x, _ := t.Targets.Lookup(names[(i+t.nextLoad)%len(names)])
+		if said := now.Sub(x.LeavingAt); x.Leaving && said < maxLeavingAge && len(m.Leaving) < maxLeaving {
 			m.Leaving = append(m.Leaving, peer.Leaving{Target: x.ID, Age: int(said.Milliseconds())})
 		}
 		age := now.Sub(x.ReportedAt)
-		if x.ReportedAt.IsZero() || age > loadWorthless {
+		if x.ReportedAt.IsZero() || age > maxLoadAge {
 			continue
 		}
 		switch {
-		case x.Wait(now, busyWait) >= busyWait && busy < maxBusy:
+		case x.Wait(now, busyThreshold) >= busyThreshold && busy < maxBusyLoads:
 			busy++
-		case turns < maxTurn:
+		case turns < maxOtherLoads:
 			turns++
 		default:
 			continue
 		}
 		m.Loads = append(m.Loads, loadOf(now, x, age))
 	}
-	t.turn += maxTurn
+	t.nextLoad += maxOtherLoads
 	m.Demand = t.demand(now)
-	m.Usage = t.use(now)
-	t.takedowns.tellTakedowns(now, &m)
-	m.RateLimits = d.limitsTold(now)
+	m.Usage = t.usage(now)
+	t.crashes.addReports(now, &m)
+	m.RateLimits = d.rateLimits(now)
 	return m
 }
 
@@ -112,11 +112,11 @@
 	return all
 }
 
-// use is what this box's requests keep busy of each pool of models.
-func (t *tables) use(now time.Time) []peer.PoolUsage {
+// usage is what this box's requests keep busy of each pool of models.
+func (t *tables) usage(now time.Time) []peer.PoolUsage {
 	var all []peer.PoolUsage
 	for name, p := range t.Configuration.Pools {
-		if p.Kind != pool.KindModel || len(all) >= maxUse {
+		if p.Kind != pool.KindModel || len(all) >= maxUsage {
 			continue
 		}
 		engines, slots := t.Used(now, name)
@@ -134,32 +134,32 @@
 	}
 }
 
-// heard takes a peer's state in. A higher revision is fetched, not believed.
-func (d *Daemon) heard(now time.Time, t *tables, m peer.Message) []effect {
+// receiveGossip takes a peer's state in. A higher revision is fetched, not believed.
+func (d *Daemon) receiveGossip(now time.Time, t *tables, m peer.Message) []effect {
 	if p, known := t.peers.Lookup(m.From); known {
-		p.heard = now
+		p.heardAt = now
 		p.revision = m.Revision
-		p.demand, p.use = m.Demand, m.Usage
+		p.demand, p.usage = m.Demand, m.Usage
 		t.peers.Put(m.From, p)
 	}
 	for _, l := range m.Loads {
-		t.heardLoad(now, l)
+		t.receiveLoad(now, l)
 	}
-	d.hearTakedowns(now, t, m)
+	d.receiveCrashReports(now, t, m)
 	for _, l := range m.Leaving {
 		if x, known := t.byID[l.Target]; known && l.Age >= 0 {
 			t.MarkLeaving(x, now.Add(-time.Duration(l.Age)*time.Millisecond), m.From)
 		}
 	}
-	d.hearLimits(now, t, m)
+	d.receiveLimits(now, t, m)
 	if m.Revision > t.Configuration.Revision {
 		return d.catchUp(now, t, m.From)
 	}
 	return nil
 }
 
-// heardLoad takes a report over that a peer told, if it is newer.
-func (t *tables) heardLoad(now time.Time, l peer.Load) {
+// receiveLoad takes a report over that a peer told, if it is newer.
+func (t *tables) receiveLoad(now time.Time, l peer.Load) {
 	x, known := t.byID[l.Target]
 	at := now.Add(-time.Duration(l.Age) * time.Millisecond)
 	if !known || l.Age < 0 || l.Queued < 0 || !at.After(x.ReportedAt) {
@@ -189,7 +189,7 @@
 	switch m.Kind {
 	case peer.KindGossip:
 		reply := make(chan peer.Message, 1)
-		if d.send(ctx, peerSaid{m, reply}) != nil {
+		if d.send(ctx, peerRequest{m, reply}) != nil {
 			answer.Error = "stopping"
 			return answer
 		}
@@ -199,7 +199,7 @@
 			answer.Error = "stopping"
 		}
 	case peer.KindConfiguration:
-		answer.Body = d.holding(ctx)
+		answer.Body = d.snapshotJSON(ctx)
 	case peer.KindQuery:
 		answer.Body = d.answerQuery(ctx, m.Statement)
 	default:
@@ -208,9 +208,9 @@
 	return answer
 }
 
-// holding is what this daemon holds of the platform's, in JSON.
-func (d *Daemon) holding(ctx context.Context) []byte {
-	held := holding{Configuration: d.current.Load()}
+// snapshotJSON is what this daemon holds of the platform's, in JSON.
+func (d *Daemon) snapshotJSON(ctx context.Context) []byte {
+	held := peerSnapshot{Configuration: d.current.Load()}
 	d.inspect(ctx, func(_ time.Time, t *tables) { held.Boxes = slices.Clone(t.list) })
 	body, err := json.Marshal(held)
 	if err != nil {
--- a/internal/fake/table.go
+++ b/internal/fake/table.go
@@ -45,23 +45,23 @@
 	rows     map[string]table.Row
 	revision uint64
 	restores uint64
-	late     []delayed
+	late     []lateTransaction
 }
 
-// delayed is a transaction under way that is applied after some more calls.
-type delayed struct {
+// lateTransaction is a transaction under way that is applied after some more calls.
+type lateTransaction struct {
 	tx    table.Transaction
 	calls int
 }
 
-// delay is how many calls a late transaction is under way for.
-const delay = 3
+// lateCalls is how many calls a late transaction is under way for.
+const lateCalls = 3
 
 // Commit applies a transaction as the fault drawn lets it.
 func (t *Table) Commit(_ context.Context, tx table.Transaction) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer t.arrive()
+	defer t.applyLate()
 	switch t.draw() {
 	case Down:
 		return trace.ConnectionProblem(nil, "down")
@@ -71,15 +71,15 @@
 	case Dropped:
 		return trace.Wrap(table.ErrLost)
 	case Late:
-		t.late = append(t.late, delayed{tx, delay})
+		t.late = append(t.late, lateTransaction{tx, lateCalls})
 		return trace.Wrap(table.ErrLost)
 	}
 	return t.apply(tx)
 }
 
-// arrive applies the late transactions whose time has come.
-func (t *Table) arrive() {
-	var waiting []delayed
+// applyLate applies the late transactions whose time has come.
+func (t *Table) applyLate() {
+	var waiting []lateTransaction
 	for _, l := range t.late {
 		l.calls--
 		if l.calls < 0 {
--- a/internal/loopback/proxy.go
+++ b/internal/loopback/proxy.go
@@ -33,8 +33,8 @@
 	Modes
 )
 
-// usualDelay is what Delays holds a chunk for until SetDelay says otherwise.
-const usualDelay = 60 * time.Millisecond
+// defaultDelay is what Delays holds a chunk for until SetDelay says otherwise.
+const defaultDelay = 60 * time.Millisecond
 
 // Proxy is a loopback link whose faults are chosen from outside.
 type Proxy struct {
@@ -43,7 +43,7 @@
 	upstream atomic.Pointer[string]
 	mode     atomic.Int32
 	delay    atomic.Int64
-	came     atomic.Int64
+	accepted     atomic.Int64
 
 	mu    sync.Mutex
 	links map[*link]bool
@@ -52,8 +52,8 @@
 // link is one connection through the proxy.
 type link struct {
 	down, up net.Conn
-	// hushed says that it carries nothing any more.
-	hushed atomic.Bool
+	// silenced says that it carries nothing any more.
+	silenced atomic.Bool
 	// gap says that bytes were swallowed: those behind them never arrive, as no
 	// network leaves a gap.
 	gap atomic.Bool
@@ -70,16 +70,16 @@
 	}
 	p := &Proxy{At: netip.MustParseAddrPort(l.Addr().String()), links: make(map[*link]bool)}
 	p.Lead(upstream)
-	p.SetDelay(usualDelay)
-	t.Cleanup(func() { _ = l.Close(); p.cut() })
+	p.SetDelay(defaultDelay)
+	t.Cleanup(func() { _ = l.Close(); p.resetAll() })
 	go func() {
 		for {
 			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			p.came.Add(1)
-			go p.carry(conn)
+			p.accepted.Add(1)
+			go p.forward(conn)
 		}
 	}()
 	return p
@@ -89,7 +89,7 @@
 func (p *Proxy) Set(mode int) {
 	p.mode.Store(int32(mode))
 	if mode == Resets {
-		p.cut()
+		p.resetAll()
 	}
 }
 
@@ -97,7 +97,7 @@
 func (p *Proxy) Lead(upstream netip.AddrPort) {
 	to := upstream.String()
 	p.upstream.Store(&to)
-	p.cut()
+	p.resetAll()
 }
 
 // SetDelay changes what Delays holds a chunk for.
@@ -115,8 +115,8 @@
 		if last := l.sent.Load(); last != nil {
 			sent = *last
 		}
-		if !l.hushed.Load() && match(sent) {
-			l.hushed.Store(true)
+		if !l.silenced.Load() && match(sent) {
+			l.silenced.Store(true)
 			n++
 		}
 	}
@@ -124,9 +124,9 @@
 }
 
 // Came is how many connections came so far.
-func (p *Proxy) Came() int { return int(p.came.Load()) }
+func (p *Proxy) Came() int { return int(p.accepted.Load()) }
 
-func (p *Proxy) cut() {
+func (p *Proxy) resetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for l := range p.links {
@@ -142,7 +142,7 @@
 	_ = conn.Close()
 }
 
-func (p *Proxy) keep(l *link, open bool) {
+func (p *Proxy) track(l *link, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if open {
@@ -152,7 +152,7 @@
 	delete(p.links, l)
 }
 
-func (p *Proxy) carry(down net.Conn) {
+func (p *Proxy) forward(down net.Conn) {
 	if p.mode.Load() == Resets {
 		reset(down)
 		return
@@ -163,8 +163,8 @@
 		return
 	}
 	l := &link{down: down, up: up}
-	p.keep(l, true)
-	defer p.keep(l, false)
+	p.track(l, true)
+	defer p.track(l, false)
 	var both sync.WaitGroup
 	both.Go(func() { p.copy(l, up, down, false) })
 	both.Go(func() { p.copy(l, down, up, true) })
@@ -184,7 +184,7 @@
 			sent := string(buffer[:n])
 			l.sent.Store(&sent)
 		}
-		swallowed := l.hushed.Load() || mode == Silences || (mode == OneWay && back)
+		swallowed := l.silenced.Load() || mode == Silences || (mode == OneWay && back)
 		if n > 0 && swallowed {
 			l.gap.Store(true)
 		}
@@ -210,7 +210,7 @@
 // end passes the end of a connection on. On a silenced one neither side hears of
 // the other's end; its own is over once both have ended.
 func (p *Proxy) end(l *link, to, from net.Conn, err error) {
-	if l.hushed.Load() {
+	if l.silenced.Load() {
 		_ = from.Close()
 		return
 	}
--- a/internal/measure/deployment.go
+++ b/internal/measure/deployment.go
@@ -24,7 +24,7 @@
 	diskRate    = 1e9
 	storeMemory = 200
 	storeDisk   = 900
-	reportEvery = 500 * time.Millisecond
+	reportInterval = 500 * time.Millisecond
 	reportLag   = 500 * time.Millisecond
 )
 
@@ -39,13 +39,13 @@
 	// Rate is the model requests a second.
 	Rate float64
 	// Prompts is how many prompts return, LeastPieces to MostPieces their size.
-	Prompts, LeastPieces, MostPieces int
+	Prompts, MinPieces, MaxPieces int
 	// Tokens is the mean answer.
 	Tokens int
-	// Once is the share of prompts that are seen once only.
-	Once float64
-	// Clients is the number of client accounts; the first two are large.
-	Clients int
+	// OneOffShare is the share of prompts that are seen once only.
+	OneOffShare float64
+	// Accounts is the number of client accounts; the first two are large.
+	Accounts int
 }
 
 // The deployments.
@@ -53,23 +53,23 @@
 	// LutongBahay has short prompts and weighs the time to first token most.
 	LutongBahay = Deployment{
 		Name: "lutong-bahay", Weights: pool.Policy{FirstToken: 4, Recompute: 1, Link: 1},
-		Replicas: 9, Domains: 3, StoreBoxes: 2, Rate: 24, Prompts: 500, LeastPieces: 1, MostPieces: 4,
-		Tokens: 60, Once: 0.2, Clients: 10,
+		Replicas: 9, Domains: 3, StoreBoxes: 2, Rate: 24, Prompts: 500, MinPieces: 1, MaxPieces: 4,
+		Tokens: 60, OneOffShare: 0.2, Accounts: 10,
 	}
 	// Sonora has long prompts and weighs recomputing and links more.
 	Sonora = Deployment{
 		Name: "sonora", Weights: pool.Policy{FirstToken: 1, Recompute: 3, Link: 2},
-		Replicas: 9, Domains: 3, StoreBoxes: 2, Rate: 6, Prompts: 180, LeastPieces: 4, MostPieces: 14,
-		Tokens: 150, Once: 0.2, Clients: 10,
+		Replicas: 9, Domains: 3, StoreBoxes: 2, Rate: 6, Prompts: 180, MinPieces: 4, MaxPieces: 14,
+		Tokens: 150, OneOffShare: 0.2, Accounts: 10,
 	}
 )
 
-// length is how much time is played.
-func (d Deployment) length() time.Duration { return 20 * time.Minute }
+// duration is how much time is played.
+func (d Deployment) duration() time.Duration { return 20 * time.Minute }
 
 func (d Deployment) accounts() map[string]account.Account {
-	all := make(map[string]account.Account, d.Clients)
-	for i := range d.Clients {
+	all := make(map[string]account.Account, d.Accounts)
+	for i := range d.Accounts {
 		name := accountName(i)
 		all[name] = account.Account{Name: name, Weight: 1}
 	}
--- a/internal/measure/engine.go
+++ b/internal/measure/engine.go
@@ -14,7 +14,7 @@
 
 // engine is a fake model engine: slots, one prefill at a time, a prefix cache.
 type engine struct {
-	*world
+	*simulation
 	name    string
 	address netip.AddrPort
 	domain  string
@@ -35,11 +35,11 @@
 	active  map[*request]bool
 }
 
-func newEngine(w *world, i int) *engine {
+func newEngine(w *simulation, i int) *engine {
 	// The size is a positive constant, the only thing that could be refused.
 	cache, _ := simplelru.NewLRU[prefix.Key, struct{}](enginePieces, nil)
 	return &engine{
-		world: w, name: fmt.Sprintf("engine-%d", i), address: addressOf(1, i),
+		simulation: w, name: fmt.Sprintf("engine-%d", i), address: addressOf(1, i),
 		domain: fmt.Sprintf("zone-%d", i%w.Deployment.Domains), cache: cache, speed: 1, active: make(map[*request]bool),
 	}
 }
@@ -111,20 +111,20 @@
 	e.computing = true
 	e.after(seconds(r.usage.PrefillMillis/1000), func() {
 		e.computing = false
-		e.first(r)
+		e.prefillDone(r)
 		e.prefill()
 	})
 }
 
-// first is when the first token of a run is out.
-func (e *engine) first(r *request) {
+// prefillDone is when the first token of a run is out.
+func (e *engine) prefillDone(r *request) {
 	if !e.active[r] {
 		return
 	}
 	for _, key := range r.placed.Keys {
 		e.cache.Add(key, struct{}{})
 	}
-	r.first = e.now
+	r.firstTokenAt = e.now
 	e.queued -= r.queued
 	decode := time.Duration(float64(r.answer) * float64(tokenTime) / e.speed)
 	e.after(decode, func() {
@@ -134,18 +134,18 @@
 		delete(e.active, r)
 		e.running--
 		e.admit()
-		e.traffic.done(r)
+		e.traffic.completed(r)
 	})
 }
 
-// die ends the engine; what it ran is broken off.
-func (e *engine) die() {
+// fail ends the engine; what it ran is broken off.
+func (e *engine) fail() {
 	e.dead, e.deadAt = true, e.now
 	e.running, e.waiting, e.prefills, e.queued = 0, nil, nil, 0
 	broken := e.active
 	e.active = make(map[*request]bool)
 	for _, r := range sorted(broken) {
-		e.traffic.broken(r)
+		e.traffic.runFailed(r)
 	}
 }
 
--- a/internal/measure/fault.go
+++ b/internal/measure/fault.go
@@ -13,7 +13,7 @@
 	FaultTableDown  = "table-down"
 	FaultListLags   = "list-lags"
 	FaultFlood      = "account-floods"
-	laggingListTime = time.Minute
+	laggingListDelay = time.Minute
 )
 
 // Faults lists all of them.
@@ -21,8 +21,8 @@
 	return []string{FaultNone, FaultStoreDead, FaultStoreFull, FaultLink, FaultDomain, FaultSlow, FaultTableDown, FaultListLags, FaultFlood}
 }
 
-// breaks brings the scenario's fault about.
-func (w *world) breaks() {
+// injectFault brings the scenario's fault about.
+func (w *simulation) injectFault() {
 	switch w.Fault {
 	case FaultStoreDead:
 		w.stores[0].dead = true
@@ -35,24 +35,24 @@
 	case FaultDomain:
 		for _, e := range w.engines {
 			if e.domain == w.engines[0].domain {
-				e.die()
+				e.fail()
 			}
 		}
 	case FaultSlow:
 		w.engines[0].speed = 0.2
 	case FaultListLags:
 		w.engines[0].leaving = true
-		w.after(laggingListTime, w.engines[0].die)
+		w.after(laggingListDelay, w.engines[0].fail)
 	case FaultFlood:
-		w.traffic.extra = 3 * w.Deployment.Rate
+		w.traffic.floodRate = 3 * w.Deployment.Rate
 	}
 	// FaultTableDown needs nothing: no decision here reads the table service.
 }
 
-// listLag is how late the list drops an engine that is gone.
-func (w *world) listLag(usual time.Duration) time.Duration {
+// listDelay is how late the list drops an engine that is gone.
+func (w *simulation) listDelay(usual time.Duration) time.Duration {
 	if w.Fault == FaultListLags {
-		return laggingListTime
+		return laggingListDelay
 	}
 	return usual
 }
--- a/internal/measure/figures.go
+++ b/internal/measure/figures.go
@@ -32,10 +32,10 @@
 		f.first = hdrhistogram.New(1, longest, 3)
 		f.small = hdrhistogram.New(1, longest, 3)
 	}
-	if now.Sub(time.Unix(0, 0)) < LutongBahay.length()/5 {
+	if now.Sub(time.Unix(0, 0)) < LutongBahay.duration()/5 {
 		return
 	}
-	took := min(r.first.Sub(r.arrived).Microseconds(), longest)
+	took := min(r.firstTokenAt.Sub(r.arrived).Microseconds(), longest)
 	_ = f.first.RecordValue(took)
 	if r.account != accountName(0) {
 		_ = f.small.RecordValue(took)
@@ -45,7 +45,7 @@
 }
 
 // finish turns the counts into figures.
-func (w *world) finish() {
+func (w *simulation) finish() {
 	f := w.figures
 	f.Requests, f.Refused, f.Retried = f.requests, f.refused, f.retried
 	if f.first != nil {
@@ -56,7 +56,7 @@
 	if f.prompt > 0 {
 		f.RecomputedShare = float64(f.computed) / float64(f.prompt)
 	}
-	all := w.Deployment.length().Seconds() * float64(len(w.stores))
+	all := w.Deployment.duration().Seconds() * float64(len(w.stores))
 	for _, s := range w.stores {
 		f.MemoryBusy += s.busy[0].Seconds() / all
 		f.DiskBusy += s.busy[1].Seconds() / all
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -6,9 +6,9 @@
 	"github.com/thymewind/thymewind/internal/measure"
 )
 
-// TestRunsAreSoundAndRepeat plays scenarios twice: nothing crosses, everything
+// TestRunsAreDeterministic plays scenarios twice: nothing crosses, everything
 // is accounted for, and the figures are the same.
-func TestRunsAreSoundAndRepeat(t *testing.T) {
+func TestRunsAreDeterministic(t *testing.T) {
 	for _, fault := range []string{measure.FaultNone, measure.FaultDomain, measure.FaultStoreDead} {
 		t.Run(fault, func(t *testing.T) {
 			s := measure.Scenario{Deployment: measure.Sonora, Policy: measure.Ours, Fault: fault, Seed: 7}
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -37,24 +37,24 @@
 	return []Policy{Ours, RoundRobin, LeastLoad, Affinity, KeepAll, NeverImport, PlainRoundRobin}
 }
 
-type choose func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error)
+type chooseFunc func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error)
 
 // chooser returns the policy's way to choose a target.
-func (p Policy) chooser(ours *placement.Chooser, random *rand.Rand) choose {
+func (p Policy) chooser(ours *placement.Chooser, random *rand.Rand) chooseFunc {
 	next := 0
 	switch p {
 	case RoundRobin, PlainRoundRobin:
-		return pick(func(usable []int, _ uint64, _ []*target.Target) int {
+		return chooseUsable(func(usable []int, _ uint64, _ []*target.Target) int {
 			next++
 			return usable[next%len(usable)]
 		})
 	case LeastLoad:
-		return pick(func(usable []int, _ uint64, all []*target.Target) int {
+		return chooseUsable(func(usable []int, _ uint64, all []*target.Target) int {
 			random.Shuffle(len(usable), func(i, j int) { usable[i], usable[j] = usable[j], usable[i] })
 			return slices.MinFunc(usable, func(i, j int) int { return cmp.Compare(all[i].Load(), all[j].Load()) })
 		})
 	case Affinity:
-		return pick(func(usable []int, home uint64, all []*target.Target) int {
+		return chooseUsable(func(usable []int, home uint64, all []*target.Target) int {
 			return slices.MaxFunc(usable, func(i, j int) int {
 				return cmp.Compare(placement.Weight(home, all[i].Hash), placement.Weight(home, all[j].Hash))
 			})
@@ -63,8 +63,8 @@
 	return ours.Choose
 }
 
-// pick makes a chooser of a function over the usable targets.
-func pick(of func(usable []int, home uint64, all []*target.Target) int) choose {
+// chooseUsable makes a chooser of a function over the usable targets.
+func chooseUsable(of func(usable []int, home uint64, all []*target.Target) int) chooseFunc {
 	return func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error) {
 		var choice placement.Choice
 		var usable []int
@@ -83,8 +83,8 @@
 	}
 }
 
-// keep returns the policy's way to decide what is kept.
-func (p Policy) keep() func(*retention.Policy, retention.Candidate) bool {
+// keepFunc returns the policy's way to decide what is kept.
+func (p Policy) keepFunc() func(*retention.Policy, retention.Candidate) bool {
 	switch p {
 	case KeepAll:
 		return func(*retention.Policy, retention.Candidate) bool { return true }
@@ -94,8 +94,8 @@
 	return (*retention.Policy).Keep
 }
 
-// imports returns how many of the pieces found are imported.
-func (p Policy) imports(now time.Time, e reuse.Estimate, weights pool.Policy, c reuse.Choice) int {
+// importPieces returns how many of the pieces found are imported.
+func (p Policy) importPieces(now time.Time, e reuse.Estimate, weights pool.Policy, c reuse.Choice) int {
 	switch p {
 	case KeepAll:
 		return len(c.Found.Run)
@@ -105,8 +105,8 @@
 	return e.Best(now, weights, c)
 }
 
-// drop returns what a full store box loses.
-func (p Policy) drop(now time.Time, all []kvcache.Manifest, need int) []string {
+// evict returns what a full store box loses.
+func (p Policy) evict(now time.Time, all []kvcache.Manifest, need int) []string {
 	if p != KeepAll {
 		return retention.Evict(now, all, need)
 	}
--- a/internal/measure/store.go
+++ b/internal/measure/store.go
@@ -16,7 +16,7 @@
 
 // store is a fake store box: a memory and a disk tier, each behind a link.
 type store struct {
-	*world
+	*simulation
 	name    string
 	address netip.AddrPort
 	// rows holds what is kept; tiers says on which tier.
@@ -24,8 +24,8 @@
 	tiers map[string]int
 	size  [2]int
 	rate  [2]float64
-	// told is what the store box says of its links.
-	told [2]float64
+	// reportedRate is what the store box says of its links.
+	reportedRate [2]float64
 	// memory orders the keys on the memory tier by use.
 	memory *simplelru.LRU[string, struct{}]
 	// busyUntil is when each link's queue is through, busy how long it was used.
@@ -34,11 +34,11 @@
 	dead      bool
 }
 
-func newStore(w *world, i int) *store {
+func newStore(w *simulation, i int) *store {
 	s := &store{
-		world: w, name: fmt.Sprintf("store-%d", i), address: addressOf(2, i),
+		simulation: w, name: fmt.Sprintf("store-%d", i), address: addressOf(2, i),
 		rows: make(map[string]kvcache.Manifest), tiers: make(map[string]int),
-		size: [2]int{storeMemory, storeDisk}, rate: [2]float64{memoryRate, diskRate}, told: [2]float64{memoryRate, diskRate},
+		size: [2]int{storeMemory, storeDisk}, rate: [2]float64{memoryRate, diskRate}, reportedRate: [2]float64{memoryRate, diskRate},
 	}
 	// The size is a positive constant, the only thing that could be refused.
 	s.memory, _ = simplelru.NewLRU(storeMemory, func(key string, _ struct{}) {
@@ -49,9 +49,9 @@
 	return s
 }
 
-// touch brings a piece to the memory tier; the least used one there goes to
+// promote brings a piece to the memory tier; the least used one there goes to
 // disk.
-func (s *store) touch(key string) {
+func (s *store) promote(key string) {
 	s.tiers[key] = kvcache.TierMemory
 	s.memory.Add(key, struct{}{})
 }
@@ -60,9 +60,9 @@
 func (s *store) find(keys []string) kvcache.Found {
 	var found kvcache.Found
 	for tier := range found.Links {
-		found.Links[tier].Rate = s.told[tier]
+		found.Links[tier].Rate = s.reportedRate[tier]
 		if wait := s.busyUntil[tier].Sub(s.now); wait > 0 {
-			found.Links[tier].Queue = int(wait.Seconds() * s.told[tier])
+			found.Links[tier].Queue = int(wait.Seconds() * s.reportedRate[tier])
 		}
 	}
 	for _, key := range keys {
@@ -89,16 +89,16 @@
 		if _, ok := s.rows[m.Key]; !ok {
 			return ready, 0 // Dropped meanwhile: all of it is computed.
 		}
-		if done := s.move(s.tiers[m.Key], m.Piece.Bytes); done.After(ready) {
+		if done := s.transfer(s.tiers[m.Key], m.Piece.Bytes); done.After(ready) {
 			ready = done
 		}
-		s.touch(m.Key)
+		s.promote(m.Key)
 	}
 	return ready, len(run)
 }
 
-// move queues bytes on a tier's link.
-func (s *store) move(tier, bytes int) time.Time {
+// transfer queues bytes on a tier's link.
+func (s *store) transfer(tier, bytes int) time.Time {
 	start := s.now
 	if s.busyUntil[tier].After(start) {
 		start = s.busyUntil[tier]
@@ -109,8 +109,8 @@
 	return s.busyUntil[tier]
 }
 
-// keep writes a prompt's pieces and then their manifests.
-func (s *store) keep(scope prefix.Key, keys []prefix.Key) []kvcache.Manifest {
+// write writes a prompt's pieces and then their manifests.
+func (s *store) write(scope prefix.Key, keys []prefix.Key) []kvcache.Manifest {
 	if s.dead {
 		return nil
 	}
@@ -122,8 +122,8 @@
 			if len(s.rows) >= s.size[0]+s.size[1] {
 				return run
 			}
-			s.move(kvcache.TierMemory, pieceKV)
-			s.touch(text)
+			s.transfer(kvcache.TierMemory, pieceKV)
+			s.promote(text)
 			m = kvcache.Seal(kvcache.Manifest{Key: text, Scope: scope.String(), Depth: depth, Piece: kvcache.Piece{Digest: text, Bytes: pieceKV, Tokens: pieceTokens}})
 		}
 		m.Used = s.now
@@ -133,8 +133,8 @@
 	return run
 }
 
-// makeRoom drops what is least worth keeping from stores that are nearly full.
-func (w *world) makeRoom() {
+// evict drops what is least worth keeping from stores that are nearly full.
+func (w *simulation) evict() {
 	const least = 0.1
 	for _, s := range w.stores {
 		size := s.size[0] + s.size[1]
@@ -143,7 +143,7 @@
 			continue
 		}
 		all := slices.SortedFunc(maps.Values(s.rows), func(a, b kvcache.Manifest) int { return cmp.Compare(a.Key, b.Key) })
-		for _, key := range w.Policy.drop(w.now, all, int(2*least*float64(size)-float64(room))*pieceKV) {
+		for _, key := range w.Policy.evict(w.now, all, int(2*least*float64(size)-float64(room))*pieceKV) {
 			delete(s.tiers, key)
 			delete(s.rows, key)
 			s.memory.Remove(key)
--- a/internal/measure/traffic.go
+++ b/internal/measure/traffic.go
@@ -26,7 +26,7 @@
 	prompt  prompt
 	answer  int
 	arrived time.Time
-	first   time.Time
+	firstTokenAt   time.Time
 	attempt int
 	exclude []string
 	avoid   string
@@ -53,22 +53,22 @@
 
 // traffic makes requests and sees them through.
 type traffic struct {
-	*world
+	*simulation
 	prompts []prompt
 	// weights are the cumulated odds of the prompts.
 	weights []float64
-	n       int
-	// extra is a further rate of the first account alone, in a flood.
-	extra float64
+	generated       int
+	// floodRate is a further rate of the first account alone, in a flood.
+	floodRate float64
 }
 
-func newTraffic(w *world) *traffic {
-	t := &traffic{world: w}
+func newTraffic(w *simulation) *traffic {
+	t := &traffic{simulation: w}
 	sizes := rand.New(rand.NewPCG(99, 0)) // The same prompts under each seed.
 	sum := 0.0
 	for i := range w.Deployment.Prompts {
 		d := w.Deployment
-		t.prompts = append(t.prompts, t.newPrompt(fmt.Sprint(i), i%d.Clients, d.LeastPieces+sizes.IntN(d.MostPieces-d.LeastPieces+1)))
+		t.prompts = append(t.prompts, t.newPrompt(fmt.Sprint(i), i%d.Accounts, d.MinPieces+sizes.IntN(d.MaxPieces-d.MinPieces+1)))
 		sum += 1 / math.Pow(float64(i+1), 0.6)
 		t.weights = append(t.weights, sum)
 	}
@@ -89,26 +89,26 @@
 
 // next makes one request and sets the time of the one after.
 func (t *traffic) next() {
-	t.n++
+	t.generated++
 	d := t.Deployment
-	r := &request{id: t.n, arrived: t.now, answer: 1 + int(t.random.ExpFloat64()*float64(d.Tokens))}
-	if t.random.Float64() < d.Once {
+	r := &request{id: t.generated, arrived: t.now, answer: 1 + int(t.random.ExpFloat64()*float64(d.Tokens))}
+	if t.random.Float64() < d.OneOffShare {
 		account := t.account()
 		r.account = accountName(account)
-		r.prompt = t.newPrompt(fmt.Sprint("once ", t.n), account, d.LeastPieces+t.random.IntN(d.MostPieces-d.LeastPieces+1))
+		r.prompt = t.newPrompt(fmt.Sprint("once ", t.generated), account, d.MinPieces+t.random.IntN(d.MaxPieces-d.MinPieces+1))
 	} else {
 		at, _ := slices.BinarySearch(t.weights, t.random.Float64()*t.weights[len(t.weights)-1])
 		at = min(at, len(t.prompts)-1)
-		r.account = accountName(at % d.Clients)
+		r.account = accountName(at % d.Accounts)
 		r.prompt = t.prompts[at]
 	}
-	if t.extra > 0 && t.random.Float64() < t.extra/(t.extra+d.Rate) {
+	if t.floodRate > 0 && t.random.Float64() < t.floodRate/(t.floodRate+d.Rate) {
 		r.account = accountName(0)
-		r.prompt = t.newPrompt(fmt.Sprint("flood ", t.n), 0, d.LeastPieces)
+		r.prompt = t.newPrompt(fmt.Sprint("flood ", t.generated), 0, d.MinPieces)
 	}
 	t.figures.requests++
-	t.try(r)
-	t.after(seconds(t.random.ExpFloat64()/(d.Rate+t.extra)), t.next)
+	t.place(r)
+	t.after(seconds(t.random.ExpFloat64()/(d.Rate+t.floodRate)), t.next)
 }
 
 // account draws one; the first two are large.
@@ -116,13 +116,13 @@
 	if t.random.Float64() < 0.5 {
 		return t.random.IntN(2)
 	}
-	return t.random.IntN(t.Deployment.Clients)
+	return t.random.IntN(t.Deployment.Accounts)
 }
 
-// try places one attempt.
-func (t *traffic) try(r *request) {
+// place places one attempt.
+func (t *traffic) place(r *request) {
 	r.attempt++
-	placed, err := t.board.Place(t.now, route.Ask{
+	placed, err := t.scheduler.Place(t.now, route.Ask{
 		Request: fmt.Sprint(r.id), Account: r.account, Model: poolName, Attempt: r.attempt, Home: r.prompt.home,
 		Prompt: padding[:r.tokens()*dispatch.BytesPerToken], Tokens: r.answer, Exclude: r.exclude, AvoidDomain: r.avoid,
 	})
@@ -149,7 +149,7 @@
 		return
 	}
 	if r.store.dead {
-		t.board.StoreAvoidUntil[r.placed.StoreName] = t.now.Add(dispatch.StoreBackoff)
+		t.scheduler.StoreAvoidUntil[r.placed.StoreName] = t.now.Add(dispatch.StoreBackoff)
 		return
 	}
 	keys := make([]string, len(r.placed.Keys))
@@ -159,8 +159,8 @@
 	found := r.store.find(keys)
 	found.Run = kvcache.Usable(found.Run, r.placed.Scope.String(), keys)
 	r.placed.KeptPieces = len(found.Run)
-	weights := t.board.Configuration.Pools[poolName].Policy
-	n := t.Policy.imports(t.now, r.placed.Estimate, weights, reuse.Choice{Tokens: r.tokens(), Found: found, Wait: r.placed.Wait})
+	weights := t.scheduler.Configuration.Pools[poolName].Policy
+	n := t.Policy.importPieces(t.now, r.placed.Estimate, weights, reuse.Choice{Tokens: r.tokens(), Found: found, Wait: r.placed.Wait})
 	r.placed.Said = reuse.Predicted(found, n)
 	if n > 0 {
 		r.placed.Import = &api.Import{Store: r.placed.Store, Run: found.Run[:n]}
@@ -177,19 +177,19 @@
 			return
 		}
 		if !e.submit(r) {
-			t.board.ApplySignals(t.now, r.placed, notice.Signals{Leaving: e.leaving})
+			t.scheduler.ApplySignals(t.now, r.placed, notice.Signals{Leaving: e.leaving})
 			t.retry(r, route.Ended{Placed: r.placed, Refused: true})
 			return
 		}
 	}
 }
 
-// broken is a run that its engine broke off.
-func (t *traffic) broken(r *request) { t.retry(r, route.Ended{Placed: r.placed, Failed: true}) }
+// runFailed is a run that its engine broke off.
+func (t *traffic) runFailed(r *request) { t.retry(r, route.Ended{Placed: r.placed, Failed: true}) }
 
 func (t *traffic) retry(r *request, e route.Ended) {
 	const attempts = 3
-	t.board.Ended(t.now, e)
+	t.scheduler.Ended(t.now, e)
 	if r.attempt >= attempts {
 		t.figures.refused++
 		return
@@ -197,18 +197,18 @@
 	t.figures.retried++
 	r.exclude = append(r.exclude, r.placed.Target)
 	r.avoid = r.placed.Domain
-	t.try(r)
+	t.place(r)
 }
 
-// done is a whole answer.
-func (t *traffic) done(r *request) {
-	ended := route.Ended{Placed: r.placed, FirstToken: r.first.Sub(r.arrived), Took: t.now.Sub(r.arrived), End: stream.Frame{Request: fmt.Sprint(r.id), Usage: r.usage}}
+// completed is a whole answer.
+func (t *traffic) completed(r *request) {
+	ended := route.Ended{Placed: r.placed, FirstToken: r.firstTokenAt.Sub(r.arrived), Took: t.now.Sub(r.arrived), End: stream.Frame{Request: fmt.Sprint(r.id), Usage: r.usage}}
 	t.figures.answered(r, t.now)
 	if r.placed.Scope != prefix.Scope(r.account, "v1") {
 		t.figures.Wrong++
 	}
-	if t.board.Ended(t.now, ended) && r.store != nil {
-		t.board.Exported(poolName, r.store.keep(r.placed.Scope, r.placed.Keys))
+	if t.scheduler.Ended(t.now, ended) && r.store != nil {
+		t.scheduler.Exported(poolName, r.store.write(r.placed.Scope, r.placed.Keys))
 	}
 }
 
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -30,15 +30,15 @@
 	Seed       uint64
 }
 
-// world is everything that happens in one run.
-type world struct {
+// simulation is everything that happens in one run.
+type simulation struct {
 	Scenario
 	random  *rand.Rand
 	now     time.Time
 	end     time.Time
 	events  queue
-	order   int
-	board   dispatch.Scheduler
+	sequence   int
+	scheduler   dispatch.Scheduler
 	engines []*engine
 	stores  []*store
 	traffic *traffic
@@ -48,7 +48,7 @@
 // event is something to do at a time; order keeps equal times in sequence.
 type event struct {
 	at    time.Time
-	order int
+	sequence int
 	do    func()
 }
 
@@ -59,7 +59,7 @@
 
 func (q queue) Less(i, j int) bool {
 	if q[i].at.Equal(q[j].at) {
-		return q[i].order < q[j].order
+		return q[i].sequence < q[j].sequence
 	}
 	return q[i].at.Before(q[j].at)
 }
@@ -76,13 +76,13 @@
 }
 
 // after has something done when some time has passed.
-func (w *world) after(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.events, event{w.now.Add(d), w.order, do})
+func (w *simulation) after(d time.Duration, do func()) {
+	w.sequence++
+	heap.Push(&w.events, event{w.now.Add(d), w.sequence, do})
 }
 
 // every has something done again and again.
-func (w *world) every(d time.Duration, do func()) {
+func (w *simulation) every(d time.Duration, do func()) {
 	w.after(d, func() {
 		do()
 		w.every(d, do)
@@ -95,21 +95,21 @@
 // Run plays a scenario and returns its figures. The same scenario gives the
 // same figures.
 func Run(s Scenario) Figures {
-	w := &world{Scenario: s, random: rand.New(rand.NewPCG(s.Seed, 0)), now: time.Unix(0, 0), figures: &Figures{}}
-	w.end = w.now.Add(s.Deployment.length())
-	w.startBoard()
+	w := &simulation{Scenario: s, random: rand.New(rand.NewPCG(s.Seed, 0)), now: time.Unix(0, 0), figures: &Figures{}}
+	w.end = w.now.Add(s.Deployment.duration())
+	w.startScheduler()
 	for i := range s.Deployment.Replicas {
 		w.engines = append(w.engines, newEngine(w, i))
 	}
 	for i := range s.Deployment.StoreBoxes {
 		w.stores = append(w.stores, newStore(w, i))
 	}
-	w.list()
-	w.every(time.Second, w.list)
-	w.every(reportEvery, w.report)
-	w.every(2*time.Second, w.makeRoom)
+	w.updateList()
+	w.every(time.Second, w.updateList)
+	w.every(reportInterval, w.reportLoads)
+	w.every(2*time.Second, w.evict)
 	w.traffic = newTraffic(w)
-	w.after(s.Deployment.length()/3, w.breaks)
+	w.after(s.Deployment.duration()/3, w.injectFault)
 	w.after(0, w.traffic.next)
 	for len(w.events) > 0 {
 		e := heap.Pop(&w.events).(event)
@@ -123,16 +123,16 @@
 	return *w.figures
 }
 
-func (w *world) startBoard() {
-	chooser := &placement.Chooser{Usable: (*target.Target).Usable, Wait: w.board.Wait}
-	w.board = dispatch.Scheduler{
-		Choose: w.Policy.chooser(chooser, w.random), Scope: prefix.Scope, Keep: w.Policy.keep(),
+func (w *simulation) startScheduler() {
+	chooser := &placement.Chooser{Usable: (*target.Target).Usable, Wait: w.scheduler.Wait}
+	w.scheduler = dispatch.Scheduler{
+		Choose: w.Policy.chooser(chooser, w.random), Scope: prefix.Scope, Keep: w.Policy.keepFunc(),
 		Boxes: func() int { return 1 }, Others: func(string) dispatch.Usage { return dispatch.Usage{} }, Limit: func(_ string, limit int) int { return limit },
 		Jitter: func(d time.Duration) time.Duration { return d }, Record: func(decision.Record) {},
 		OnFailing: func(string) {}, OnLeaving: func(_, _ string) {},
 	}
-	w.board.Start()
-	w.board.Configuration = &configuration.Configuration{
+	w.scheduler.Start()
+	w.scheduler.Configuration = &configuration.Configuration{
 		Revision: 1,
 		Accounts: w.Deployment.accounts(),
 		Pools: map[string]pool.Pool{poolName: {
@@ -143,41 +143,41 @@
 	}
 }
 
-// list is the platform's list as it lags: a target that is gone is still
+// updateList is the platform's list as it lags: a target that is gone is still
 // listed until then.
-func (w *world) list() {
+func (w *simulation) updateList() {
 	const lag = 5 * time.Second
 	for _, e := range w.engines {
-		x, known := w.board.Targets.Lookup(e.name)
+		x, known := w.scheduler.Targets.Lookup(e.name)
 		if !known {
 			x = &target.Target{
 				Name: e.name, Hash: placement.Hash(e.name), Pool: poolName, Domain: e.domain,
 				Version: "v1", Slots: slots, Address: e.address,
 			}
-			w.board.Targets.Put(e.name, x)
+			w.scheduler.Targets.Put(e.name, x)
 		}
-		x.Listed = e.deadAt.IsZero() || w.now.Sub(e.deadAt) < w.listLag(lag)
+		x.Listed = e.deadAt.IsZero() || w.now.Sub(e.deadAt) < w.listDelay(lag)
 	}
 	for _, s := range w.stores {
-		w.board.Stores.Put(s.name, boxes.Box{Name: s.name, Address: s.address})
+		w.scheduler.Stores.Put(s.name, boxes.Box{Name: s.name, Address: s.address})
 	}
-	w.board.GroupByPool()
+	w.scheduler.GroupByPool()
 }
 
-// report brings every engine's load report, late.
-func (w *world) report() {
+// reportLoads brings every engine's load report, late.
+func (w *simulation) reportLoads() {
 	for _, e := range w.engines {
 		running, waiting, queued, dead := e.running, len(e.waiting), e.queued, e.dead
 		w.after(reportLag, func() {
-			x, known := w.board.Targets.Lookup(e.name)
+			x, known := w.scheduler.Targets.Lookup(e.name)
 			if !known {
 				return
 			}
 			if dead {
-				w.board.Fail(w.now, x)
+				w.scheduler.Fail(w.now, x)
 				return
 			}
-			w.board.Report(w.now, x, running, waiting, queued, 0)
+			w.scheduler.Report(w.now, x, running, waiting, queued, 0)
 		})
 	}
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -25,8 +25,8 @@
 // bytesPerToken is the stand-in's tokenizer.
 const bytesPerToken = 4
 
-// linger is how long a finished or abandoned run can be resumed.
-const linger = 30 * time.Second
+// runRetention is how long a finished or abandoned run can be resumed.
+const runRetention = 30 * time.Second
 
 // Engine is the stand-in. Set the exported fields before Handler.
 type Engine struct {
@@ -64,7 +64,7 @@
 	epoch   uint64
 	reports []api.Load
 	events  []event
-	log     []Ran
+	startedRuns     []StartedRun
 	store   kvcache.Client
 }
 
@@ -76,8 +76,8 @@
 	At       time.Time `json:"-"`
 }
 
-// Ran tells of one run, for checks from outside.
-type Ran struct {
+// StartedRun tells of one run, for checks from outside.
+type StartedRun struct {
 	Request string `json:"request"`
 	Attempt int    `json:"attempt"`
 	Version string `json:"version"`
@@ -88,7 +88,7 @@
 func (e *Engine) Handler(ctx context.Context) http.Handler {
 	e.version = e.Version
 	e.runs = make(map[string]*run)
-	e.cache, _ = simplelru.NewLRU(max(e.CachePieces, 1), func(key string, _ struct{}) { e.note(false, key) })
+	e.cache, _ = simplelru.NewLRU(max(e.CachePieces, 1), func(key string, _ struct{}) { e.recordEvent(false, key) })
 	e.store = kvcache.Client{HTTP: &http.Client{Timeout: 10 * time.Second}}
 	go e.report(ctx)
 	mux := http.NewServeMux()
@@ -99,7 +99,7 @@
 	mux.HandleFunc("GET /v1/events", e.cacheEvents)
 	mux.HandleFunc("POST /v1/orders", e.order)
 	mux.HandleFunc("POST /v1/export", e.export)
-	mux.HandleFunc("GET /runs", e.ran)
+	mux.HandleFunc("GET /runs", e.listRuns)
 	return e.Fault.Wrap(mux)
 }
 
@@ -124,12 +124,12 @@
 			return
 		case now := <-ticker.C:
 			e.mu.Lock()
-			e.reports = append(e.reports, e.now(now))
+			e.reports = append(e.reports, e.currentLoad(now))
 			for len(e.reports) > 1 && now.Sub(e.reports[1].At) >= e.Lag {
 				e.reports = e.reports[1:]
 			}
 			for key, r := range e.runs {
-				if r.done && now.Sub(r.touched) > linger {
+				if r.done && now.Sub(r.usedAt) > runRetention {
 					delete(e.runs, key)
 				}
 			}
@@ -138,7 +138,7 @@
 	}
 }
 
-func (e *Engine) now(at time.Time) api.Load {
+func (e *Engine) currentLoad(at time.Time) api.Load {
 	return api.Load{
 		Name: e.Name, Version: e.version, Slots: e.Slots, Running: e.running, Waiting: len(e.queue), QueuedTokens: e.queued,
 		Leaving: e.Fault.State().Leaving, Epoch: e.epoch, Loading: e.loading, At: at,
@@ -149,10 +149,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.reports) == 0 {
-		fault.Answer(w, http.StatusOK, e.now(time.Now()))
+		fault.WriteJSON(w, http.StatusOK, e.currentLoad(time.Now()))
 		return
 	}
-	fault.Answer(w, http.StatusOK, e.reports[0])
+	fault.WriteJSON(w, http.StatusOK, e.reports[0])
 }
 
 func (e *Engine) cacheEvents(w http.ResponseWriter, _ *http.Request) {
@@ -166,11 +166,11 @@
 			answer.Events = append(answer.Events, ev)
 		}
 	}
-	fault.Answer(w, http.StatusOK, answer)
+	fault.WriteJSON(w, http.StatusOK, answer)
 }
 
-// note records a cache event; old ones are forgotten, which leaves a gap.
-func (e *Engine) note(added bool, key string) {
+// recordEvent records a cache event; old ones are forgotten, which leaves a gap.
+func (e *Engine) recordEvent(added bool, key string) {
 	const remembered = 1000
 	sequence := 1
 	if n := len(e.events); n > 0 {
@@ -182,10 +182,10 @@
 	}
 }
 
-func (e *Engine) ran(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) listRuns(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	fault.Answer(w, http.StatusOK, e.log)
+	fault.WriteJSON(w, http.StatusOK, e.startedRuns)
 }
 
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
@@ -243,18 +243,18 @@
 		Pieces []kvcache.Piece `json:"pieces"`
 	}
 	for _, key := range keys {
-		data := e.kv(key)
+		data := e.kvCache(key)
 		if err := e.store.PutPiece(r.Context(), order.Store, data); err != nil {
 			http.Error(w, err.Error(), http.StatusInsufficientStorage)
 			return
 		}
 		answer.Pieces = append(answer.Pieces, kvcache.Piece{Digest: kvcache.Digest(data), Bytes: len(data), Tokens: tokens})
 	}
-	fault.Answer(w, http.StatusOK, answer)
+	fault.WriteJSON(w, http.StatusOK, answer)
 }
 
-// kv returns a piece's KV cache, a function of account, version and tokens.
-func (e *Engine) kv(key prefix.Key) []byte {
+// kvCache returns a piece's KV cache, a function of account, version and tokens.
+func (e *Engine) kvCache(key prefix.Key) []byte {
 	h := blake3.New()
 	_, _ = h.Write(key[:])
 	data := make([]byte, e.PieceKV)
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -42,14 +42,14 @@
 		t.Fatal(err)
 	}
 	want := engine.Answer(prompt, 9)
-	if got := read(t, frames, 0); got != want {
+	if got := readStream(t, frames, 0); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 	frames, err = c.Resume(t.Context(), at, "r", 1, 5)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := read(t, frames, 5); got != want[5:] {
+	if got := readStream(t, frames, 5); got != want[5:] {
 		t.Errorf("resumed %q, want %q", got, want[5:])
 	}
 	if _, err := c.Generate(t.Context(), at, api.Run{Request: "r2", Attempt: 1, Version: "v2"}); err == nil {
@@ -57,8 +57,8 @@
 	}
 }
 
-// read takes a whole stream in through the checker.
-func read(t *testing.T, frames *api.Frames, offset int) string {
+// readStream takes a whole stream in through the checker.
+func readStream(t *testing.T, frames *api.Frames, offset int) string {
 	t.Helper()
 	checker := stream.Checker{Request: "r", Attempt: 1, Version: "v1", Scope: "s"}
 	checker.Begin(offset)
@@ -77,7 +77,7 @@
 	return b.String()
 }
 
-func TestOrdersAreFenced(t *testing.T) {
+func TestLowerEpochOrdersAreRefused(t *testing.T) {
 	c, at := start(t)
 	tests := []struct {
 		epoch uint64
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -29,11 +29,11 @@
 	// done says that no more text comes; failed that the answer is not whole.
 	done, failed, cancelled bool
 	changed                 chan struct{}
-	touched                 time.Time
+	usedAt                 time.Time
 }
 
-// wake tells all readers that the run changed.
-func (r *run) wake() {
+// notify tells all readers that the run changed.
+func (r *run) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -62,7 +62,7 @@
 		e.refuse(w, http.StatusTooManyRequests, "too many runs wait")
 		return
 	}
-	x := &run{ask: ask, changed: make(chan struct{}), touched: time.Now()}
+	x := &run{ask: ask, changed: make(chan struct{}), usedAt: time.Now()}
 	x.keys = prefix.Chain(scopeOf(ask.Scope), []byte(ask.Prompt), max(ask.PieceBytes, 1))
 	e.runs[runKey(ask.Request, ask.Attempt)] = x
 	e.queue = append(e.queue, x)
@@ -93,20 +93,20 @@
 		e.queue = e.queue[1:]
 		x.started = true
 		e.running++
-		e.log = append(e.log, Ran{x.ask.Request, x.ask.Attempt, x.ask.Version, x.ask.Scope})
-		go e.work(x)
+		e.startedRuns = append(e.startedRuns, StartedRun{x.ask.Request, x.ask.Attempt, x.ask.Version, x.ask.Scope})
+		go e.serve(x)
 	}
 }
 
-// work imports or computes the prompt's cache and then decodes.
-func (e *Engine) work(x *run) {
+// serve imports or computes the prompt's cache and then decodes.
+func (e *Engine) serve(x *run) {
 	defer e.admit()
 	defer func() {
 		e.mu.Lock()
 		e.running--
 		x.done = true
-		x.touched = time.Now()
-		x.wake()
+		x.usedAt = time.Now()
+		x.notify()
 		e.mu.Unlock()
 	}()
 	e.prefill(x)
@@ -124,7 +124,7 @@
 		}
 		x.text += text[at:end]
 		x.usage.Completion = min(tokens, x.usage.Completion+1)
-		x.wake()
+		x.notify()
 		e.mu.Unlock()
 		at = end
 	}
@@ -142,7 +142,7 @@
 	imported := 0
 	began := time.Now()
 	if x.ask.Import != nil && len(x.ask.Import.Run) > reused {
-		imported = e.importKept(x, reused)
+		imported = e.importPieces(x, reused)
 	}
 	importing := time.Since(began)
 	total := (len(x.ask.Prompt) + bytesPerToken - 1) / bytesPerToken
@@ -154,7 +154,7 @@
 	e.queued -= len(x.ask.Prompt) / bytesPerToken
 	for _, key := range x.keys {
 		if !e.cache.Contains(key.String()) {
-			e.note(true, key.String())
+			e.recordEvent(true, key.String())
 		}
 		e.cache.Add(key.String(), struct{}{})
 	}
@@ -163,9 +163,9 @@
 	x.usage.ImportMillis = float64(importing.Microseconds()) / 1000
 }
 
-// importKept fetches the pieces behind the reused ones. It uses all or none,
+// importPieces fetches the pieces behind the reused ones. It uses all or none,
 // each checked by digest and against the prompt itself.
-func (e *Engine) importKept(x *run, reused int) int {
+func (e *Engine) importPieces(x *run, reused int) int {
 	run := x.ask.Import.Run
 	if len(run) > len(x.keys) {
 		return 0
@@ -179,7 +179,7 @@
 			return 0
 		}
 		data, err := e.store.Piece(ctx, x.ask.Import.Store, m.Piece)
-		if err != nil || !bytes.Equal(data, e.kv(x.keys[reused+i])) {
+		if err != nil || !bytes.Equal(data, e.kvCache(x.keys[reused+i])) {
 			return 0
 		}
 	}
@@ -229,9 +229,9 @@
 		x.done, x.failed = true, true
 		e.queued -= len(x.ask.Prompt) / bytesPerToken
 		e.queue = slices.DeleteFunc(e.queue, func(q *run) bool { return q == x })
-		x.wake()
+		x.notify()
 	}
-	fault.Answer(w, http.StatusOK, struct {
+	fault.WriteJSON(w, http.StatusOK, struct {
 		Started bool `json:"started"`
 	}{started})
 }
@@ -245,13 +245,13 @@
 	first.Kind, first.Version, first.Scope = stream.KindStart, x.ask.Version, x.ask.Scope
 	_ = out.Encode(first)
 	_ = flush.Flush()
-	if fault.Hit(crossed) {
+	if fault.Occurs(crossed) {
 		_ = out.Encode(stream.Frame{Kind: stream.KindPiece, Request: "another", Attempt: 1, Text: "crossed"})
 	}
-	cut := fault.Hit(e.Fault.State().Cut)
+	cut := fault.Occurs(e.Fault.State().Cut)
 	for {
 		e.mu.Lock()
-		x.touched = time.Now()
+		x.usedAt = time.Now()
 		text, done, failed, usage, changed := x.text, x.done, x.failed, x.usage, x.changed
 		e.mu.Unlock()
 		begin := len(x.ask.Generated)
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -54,8 +54,8 @@
 	s.state = state
 }
 
-// Hit draws whether a fault with the given share strikes.
-func Hit(share float64) bool { return share > 0 && rand.Float64() < share }
+// Occurs draws whether a fault with the given share strikes.
+func Occurs(share float64) bool { return share > 0 && rand.Float64() < share }
 
 // Scale returns the factor by which links and prefill run.
 func (s *Switch) Scale() float64 {
@@ -90,8 +90,8 @@
 	return mux
 }
 
-// Answer writes a JSON answer.
-func Answer(w http.ResponseWriter, status int, body any) {
+// WriteJSON writes a JSON answer.
+func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -26,8 +26,8 @@
 	Fault *fault.Switch
 	// Lag is how late the list of boxes follows.
 	Lag time.Duration
-	// Silence is how long a box may be silent before the list drops it.
-	Silence time.Duration
+	// SilenceTimeout is how long a box may be silent before the list drops it.
+	SilenceTimeout time.Duration
 	// Writes and Reads bound what is served, a second.
 	Writes, Reads float64
 
@@ -43,9 +43,9 @@
 // listing is one box with the times the lag counts from.
 type listing struct {
 	box     boxes.Box
-	since   time.Time
-	seen    time.Time
-	leaving time.Time
+	listedAt   time.Time
+	seenAt    time.Time
+	leavingAt time.Time
 }
 
 // Handler returns the services.
@@ -79,16 +79,16 @@
 		return
 	}
 	conflict := p.apply(tx)
-	if fault.Hit(p.Fault.State().Lose) {
+	if fault.Occurs(p.Fault.State().Lose) {
 		panic(http.ErrAbortHandler)
 	}
 	if conflict != "" {
-		fault.Answer(w, http.StatusConflict, struct {
+		fault.WriteJSON(w, http.StatusConflict, struct {
 			Key string `json:"key"`
 		}{conflict})
 		return
 	}
-	fault.Answer(w, http.StatusOK, struct{}{})
+	fault.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
 // apply returns the key whose condition failed, if one did.
@@ -126,7 +126,7 @@
 		if row, ok := p.rows[key]; ok {
 			answer.Rows = append(answer.Rows, row)
 		}
-		fault.Answer(w, http.StatusOK, answer)
+		fault.WriteJSON(w, http.StatusOK, answer)
 		return
 	}
 	for key, row := range p.rows {
@@ -138,7 +138,7 @@
 	if limit, _ := strconv.Atoi(query.Get("limit")); limit > 0 && len(answer.Rows) > limit {
 		answer.Rows = answer.Rows[:limit]
 	}
-	fault.Answer(w, http.StatusOK, answer)
+	fault.WriteJSON(w, http.StatusOK, answer)
 }
 
 func (p *Platform) putObject(w http.ResponseWriter, r *http.Request) {
@@ -174,13 +174,13 @@
 	defer p.mu.Unlock()
 	l, known := p.listed[box.Name]
 	if !known || l.box.Address != box.Address {
-		l = listing{since: now}
+		l = listing{listedAt: now}
 	}
 	if box.Leaving && !l.box.Leaving {
-		l.leaving = now
+		l.leavingAt = now
 	}
 	l.box = box
-	l.seen = now
+	l.seenAt = now
 	p.listed[box.Name] = l
 }
 
@@ -192,15 +192,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, l := range p.listed {
-		if now.Sub(l.seen) > p.Silence+p.Lag {
+		if now.Sub(l.seenAt) > p.SilenceTimeout+p.Lag {
 			delete(p.listed, name)
 			continue
 		}
-		if now.Sub(l.since) < p.Lag {
+		if now.Sub(l.listedAt) < p.Lag {
 			continue
 		}
 		box := l.box
-		box.Leaving = box.Leaving && now.Sub(l.leaving) >= p.Lag
+		box.Leaving = box.Leaving && now.Sub(l.leavingAt) >= p.Lag
 		answer.Boxes = append(answer.Boxes, box)
 	}
 	sort.Slice(answer.Boxes, func(i, j int) bool { return answer.Boxes[i].Name < answer.Boxes[j].Name })
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -28,7 +28,7 @@
 	mux.HandleFunc("GET /runs", func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		fault.Answer(w, http.StatusOK, s.runs)
+		fault.WriteJSON(w, http.StatusOK, s.runs)
 	})
 	mux.HandleFunc("/orders", s.order)
 	mux.HandleFunc("/", s.echo)
@@ -45,7 +45,7 @@
 	s.runs[key]++
 	n := s.runs[key]
 	s.mu.Unlock()
-	if fault.Hit(s.Fault.State().Lose) {
+	if fault.Occurs(s.Fault.State().Lose) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Service-Name", s.Name)
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -15,11 +15,11 @@
 	"github.com/thymewind/thymewind/kvcache"
 )
 
-// pinned is how long a piece that was just read is kept from deletion.
-const pinned = 5 * time.Second
+// pinTime is how long a piece that was just read is kept from deletion.
+const pinTime = 5 * time.Second
 
-// orphaned is how long a piece without a manifest is kept.
-const orphaned = 30 * time.Second
+// orphanRetention is how long a piece without a manifest is kept.
+const orphanRetention = 30 * time.Second
 
 // Store is the stand-in. Set the exported fields before Handler.
 type Store struct {
@@ -52,7 +52,7 @@
 	mux.HandleFunc("PUT /v1/pieces/{digest}", s.putPiece)
 	mux.HandleFunc("GET /v1/pieces/{digest}", s.piece)
 	mux.HandleFunc("POST /v1/find", s.find)
-	mux.HandleFunc("GET /v1/room", s.room)
+	mux.HandleFunc("GET /v1/room", s.capacity)
 	mux.HandleFunc("GET /v1/manifests", s.list)
 	mux.HandleFunc("PUT /v1/manifests", s.putManifest)
 	mux.HandleFunc("DELETE /v1/manifests/{key}", s.drop)
@@ -142,7 +142,7 @@
 		}
 		answer.Run = append(answer.Run, m)
 	}
-	fault.Answer(w, http.StatusOK, answer)
+	fault.WriteJSON(w, http.StatusOK, answer)
 }
 
 // links tells how the tiers' links are used.
@@ -172,14 +172,14 @@
 	if limit, err := strconv.Atoi(r.URL.Query().Get("oldest")); err == nil && limit < len(answer.Manifests) {
 		answer.Manifests = answer.Manifests[:max(limit, 0)]
 	}
-	fault.Answer(w, http.StatusOK, answer)
+	fault.WriteJSON(w, http.StatusOK, answer)
 }
 
-func (s *Store) room(w http.ResponseWriter, _ *http.Request) {
+func (s *Store) capacity(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	size := s.MemoryBytes + s.DiskBytes
-	fault.Answer(w, http.StatusOK, struct {
+	fault.WriteJSON(w, http.StatusOK, struct {
 		Free int `json:"free"`
 		Size int `json:"size"`
 	}{size - s.memory - s.disk, size})
@@ -220,7 +220,7 @@
 	}
 	now := time.Now()
 	for digest, p := range s.pieces {
-		if listed[digest] || now.Sub(p.used) < pinned || now.Sub(p.used) < orphaned {
+		if listed[digest] || now.Sub(p.used) < pinTime || now.Sub(p.used) < orphanRetention {
 			continue
 		}
 		if p.onDisk {
--- a/listen.go
+++ b/listen.go
@@ -55,8 +55,8 @@
 			return nil, trace.Wrap(err)
 		}
 	}
-	if d.Listening != nil {
-		d.Listening(l.callers.address, l.operators.address, l.peers.address)
+	if d.OnListening != nil {
+		d.OnListening(l.callers.address, l.operators.address, l.peers.address)
 	}
 	return l, nil
 }
@@ -123,8 +123,8 @@
 	return &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}}, nil
 }
 
-// flushLast writes the charges that wait, for as long as a stop may take.
-func (d *Daemon) flushLast(ctx context.Context) {
+// flushRemaining writes the charges that wait, for as long as a stop may take.
+func (d *Daemon) flushRemaining(ctx context.Context) {
 	const (
 		patience = 10 * time.Second
 		pause    = 200 * time.Millisecond
@@ -148,8 +148,8 @@
 	// Shutdown waits for the last request, however long its answer takes.
 	err := d.shutdown(l.callers.server, ctx)
 	d.Log.Info("last answer sent")
-	d.releaseDuties(ctx)
-	d.flushLast(ctx)
+	d.releaseLeases(ctx)
+	d.flushRemaining(ctx)
 	_ = l.operators.server.Shutdown(ctx)
 	l.close()
 	d.peers.Close()
--- a/message.go
+++ b/message.go
@@ -14,14 +14,14 @@
 // message is something that happened. The loop takes one at a time.
 type message any
 
-// placeAsked asks for a place; the loop answers on reply, which has room.
-type placeAsked struct {
+// placementRequest asks for a place; the loop answers on reply, which has room.
+type placementRequest struct {
 	ask   route.Ask
-	reply chan<- placeAnswer
+	reply chan<- placementAnswer
 }
 
-// placeAnswer is a place or the refusal.
-type placeAnswer struct {
+// placementAnswer is a place or the refusal.
+type placementAnswer struct {
 	placed route.Placed
 	err    error
 }
@@ -29,10 +29,10 @@
 // attemptEnded tells how an attempt that was placed went.
 type attemptEnded struct{ route.Ended }
 
-// targetSaid tells what the head of an answer says of its target.
-type targetSaid struct {
+// signalsHeard tells what the head of an answer says of its target.
+type signalsHeard struct {
 	placed route.Placed
-	said   notice.Signals
+	signals   notice.Signals
 }
 
 // runResumed tells that a run's answer is read again from a target.
@@ -42,16 +42,16 @@
 type boxesRead struct {
 	list []boxes.Box
 	err  error
-	// asked is when the read began.
-	asked time.Time
+	// requestedAt is when the read began.
+	requestedAt time.Time
 	// unchanged says that the list is as it was last read.
 	unchanged bool
 	// from names the peer whose list it is; empty for the platform's.
 	from string
 }
 
-// peerHolds is what a peer holds, for a daemon that boots.
-type peerHolds struct {
+// peerSnapshotRead is what a peer holds, for a daemon that boots.
+type peerSnapshotRead struct {
 	boxes         boxesRead
 	configuration configurationRead
 }
@@ -61,22 +61,22 @@
 	target string
 	load   engine.Load
 	err    error
-	// asked is when it was asked for.
-	asked time.Time
+	// requestedAt is when it was asked for.
+	requestedAt time.Time
 }
 
 // configurationRead is a revision from the table service or from a peer.
 type configurationRead struct {
 	configuration *configuration.Configuration
 	err           error
-	// asked is when the read began.
-	asked time.Time
+	// requestedAt is when the read began.
+	requestedAt time.Time
 	// from names the peer; empty for the table service.
 	from string
 }
 
-// inspected runs a read of the tables inside the loop, for queries.
-type inspected struct {
-	look func(now time.Time, t *tables)
+// inspection runs a read of the tables inside the loop, for queries.
+type inspection struct {
+	read func(now time.Time, t *tables)
 	done chan<- struct{}
 }
--- a/metrics.go
+++ b/metrics.go
@@ -2,20 +2,20 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// counters are the daemon's metrics. docs/METRICS.md says what each means.
-type counters struct {
+// metricSet are the daemon's metrics. docs/METRICS.md says what each means.
+type metricSet struct {
 	revision, peers                     prometheus.Gauge
 	usable, inFlight                    *prometheus.GaugeVec
 	placed, refused, retries, tokens    *prometheus.CounterVec
 	platformErrors, peerBytes           *prometheus.CounterVec
 	loadErrors, chargesLost, retrySpent prometheus.Counter
 	firstToken                          *prometheus.HistogramVec
-	leases, kept                        *prometheus.CounterVec
+	leases, cacheEvents                        *prometheus.CounterVec
 }
 
-// newCounters registers the metrics.
-func newCounters(r *prometheus.Registry) counters {
-	c := counters{
+// newMetricSet registers the metrics.
+func newMetricSet(r *prometheus.Registry) metricSet {
+	c := metricSet{
 		revision: prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_configuration_revision", Help: "Configuration revision in force."}),
 		peers:    prometheus.NewGauge(prometheus.GaugeOpts{Name: "thymewind_peers", Help: "Other entry boxes listed."}),
 		usable:   gauges("thymewind_targets_usable", "Targets that take new work.", "pool"),
@@ -28,7 +28,7 @@
 		platformErrors: counts("thymewind_platform_errors_total", "Failed calls to the platform.", "call"),
 		peerBytes:      counts("thymewind_peer_bytes_total", "Bytes exchanged with peers.", "direction"),
 		leases:         counts("thymewind_leases_total", "Leases taken and lost.", "event"),
-		kept:           counts("thymewind_kept_total", "Kept cache: exported, found, missed, dropped.", "event"),
+		cacheEvents:           counts("thymewind_kept_total", "Kept cache: exported, found, missed, dropped.", "event"),
 
 		loadErrors:  prometheus.NewCounter(prometheus.CounterOpts{Name: "thymewind_load_errors_total", Help: "Load reports that could not be read."}),
 		chargesLost: prometheus.NewCounter(prometheus.CounterOpts{Name: "thymewind_charges_lost_total", Help: "Charges dropped because the buffer was full."}),
@@ -39,7 +39,7 @@
 		}, []string{"pool"}),
 	}
 	r.MustRegister(c.revision, c.peers, c.usable, c.inFlight, c.placed, c.refused, c.retries, c.tokens,
-		c.platformErrors, c.peerBytes, c.loadErrors, c.chargesLost, c.retrySpent, c.firstToken, c.leases, c.kept)
+		c.platformErrors, c.peerBytes, c.loadErrors, c.chargesLost, c.retrySpent, c.firstToken, c.leases, c.cacheEvents)
 	return c
 }
 
--- a/operate.go
+++ b/operator.go
@@ -20,8 +20,8 @@
 	"github.com/thymewind/thymewind/report"
 )
 
-// maxOperation bounds an operator's request body, in bytes.
-const maxOperation = 16 << 20
+// maxOperatorBody bounds an operator's request body, in bytes.
+const maxOperatorBody = 16 << 20
 
 // operator serves operators that show a good credential.
 func (d *Daemon) operator(serve func(ctx context.Context, name string, body []byte) report.Report) http.HandlerFunc {
@@ -32,7 +32,7 @@
 			http.Error(w, "the operator credential is missing or wrong", http.StatusUnauthorized)
 			return
 		}
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxOperation))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxOperatorBody))
 		if err != nil {
 			http.Error(w, "the body is too large or did not arrive whole", http.StatusBadRequest)
 			return
@@ -82,13 +82,13 @@
 	case s.Show != nil && !fansOut(s.Show.Thing):
 		return d.show(ctx, *s.Show)
 	case s.Show != nil, s.Why != nil:
-		return d.everywhere(ctx, in.Statement, s)
+		return d.fanOut(ctx, in.Statement, s)
 	case s.Who != nil:
 		return d.who(ctx, *s.Who)
 	case s.Leave != nil:
-		return d.leave(ctx, name, *s.Leave, true)
+		return d.setLeaving(ctx, name, *s.Leave, true)
 	case s.Return != nil:
-		return d.leave(ctx, name, *s.Return, false)
+		return d.setLeaving(ctx, name, *s.Return, false)
 	}
 	return d.edit(ctx, name, s)
 }
@@ -96,17 +96,17 @@
 // fansOut says whether each box holds rows of its own.
 func fansOut(thing string) bool { return thing == "decisions" || thing == "boxes" }
 
-// everywhere asks this box and all peers, and names those that don't answer.
-func (d *Daemon) everywhere(ctx context.Context, text string, s query.Statement) report.Report {
+// fanOut asks this box and all peers, and names those that don't answer.
+func (d *Daemon) fanOut(ctx context.Context, text string, s query.Statement) report.Report {
 	const patience = 2 * time.Second
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	all := d.local(ctx, s)
-	var peers []tellPeer
+	var peers []callPeer
 	d.inspect(ctx, func(_ time.Time, t *tables) {
 		for name, p := range t.peers.All() {
 			message := peer.Message{Kind: peer.KindQuery, From: d.Settings.Name, Statement: text}
-			peers = append(peers, tellPeer{name: name, address: p.address, message: message})
+			peers = append(peers, callPeer{name: name, address: p.address, message: message})
 		}
 	})
 	var mu sync.Mutex
@@ -164,7 +164,7 @@
 // inspect runs a read inside the loop.
 func (d *Daemon) inspect(ctx context.Context, look func(now time.Time, t *tables)) {
 	done := make(chan struct{})
-	if d.send(ctx, inspected{look, done}) != nil {
+	if d.send(ctx, inspection{look, done}) != nil {
 		return
 	}
 	select {
--- a/operate_test.go
+++ b/operator_test.go
@@ -17,8 +17,8 @@
 	"github.com/thymewind/thymewind/settings"
 )
 
-// says runs one statement at a daemon.
-func (f *fleet) says(daemon int, statement string) report.Report {
+// runStatement runs one statement at a daemon.
+func (f *fleet) runStatement(daemon int, statement string) report.Report {
 	body, err := json.Marshal(struct {
 		Statement string `json:"statement"`
 	}{statement})
@@ -33,7 +33,7 @@
 	_, _, r := f.chat(0, "menu key", "what is left tonight", 3)
 	request := r.header.Get("X-Request-Id")
 	for _, x := range listings {
-		if got := f.says(1, "show "+x.thing); got.Error != "" {
+		if got := f.runStatement(1, "show "+x.thing); got.Error != "" {
 			t.Errorf("show %s: %s", x.thing, got.Error)
 		}
 	}
@@ -70,7 +70,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.statement, func(t *testing.T) {
-			got := f.says(0, tt.statement)
+			got := f.runStatement(0, tt.statement)
 			if len(got.Rows) < tt.rows || (got.Revision > 0) != tt.accepted || (got.Error != "") != (tt.error != "") || !strings.Contains(got.Error, tt.error) {
 				t.Errorf("got %+v", got)
 			}
@@ -79,23 +79,23 @@
 	f.eventually("the other daemon sends engine-1 nothing new", func() bool {
 		return slices.Contains(f.daemons[1].d.currentOrEmpty().Pools["menu"].Leave, "engine-1")
 	})
-	before := len(f.ran("engine-1"))
+	before := len(f.runs("engine-1"))
 	for i := range 20 {
 		f.chat(1, "menu key", fmt.Sprint("somewhere else, request ", i), 1)
 	}
-	if after := len(f.ran("engine-1")); after != before {
+	if after := len(f.runs("engine-1")); after != before {
 		t.Errorf("engine-1 got %d new runs", after-before)
 	}
-	for _, row := range f.says(0, "show audit").Rows {
+	for _, row := range f.runStatement(0, "show audit").Rows {
 		if strings.Contains(fmt.Sprint(row), "sk-new") {
 			t.Error("an API key stands in the audit trail")
 		}
 	}
 }
 
-// TestRacingOperators has two operators change the same revision at two
+// TestConcurrentOperatorChanges has two operators change the same revision at two
 // daemons, while the platform loses answers.
-func TestRacingOperators(t *testing.T) {
+func TestConcurrentOperatorChanges(t *testing.T) {
 	f := newFleet(t, 2, nil)
 	f.faults["platform"].Set(fault.State{Lose: 0.3})
 	defer f.faults["platform"].Set(fault.State{})
@@ -104,7 +104,7 @@
 		answers := make(chan report.Report, 2)
 		for i := range 2 {
 			go func() {
-				answers <- f.says(i, fmt.Sprintf("change account menu-app set weight = %d if revision = %d", 10*round+i+1, revision))
+				answers <- f.runStatement(i, fmt.Sprintf("change account menu-app set weight = %d if revision = %d", 10*round+i+1, revision))
 			}()
 		}
 		one, two := <-answers, <-answers
--- a/quarantine_test.go
+++ b/quarantine_test.go
@@ -20,12 +20,12 @@
 	"github.com/thymewind/thymewind/stream"
 )
 
-// box is a daemon that knows eight engines and another box.
-func box(t *testing.T, name string, now time.Time) *Daemon {
+// newBox is a daemon that knows eight engines and another box.
+func newBox(t *testing.T, name string, now time.Time) *Daemon {
 	t.Helper()
 	d := newDaemon(t)
 	d.Settings.Name = name
-	c := inForce(1)
+	c := testConfiguration(1)
 	c.Accounts = map[string]account.Account{"cafe": {Name: "cafe", Weight: 1}}
 	d.update(now, configurationRead{configuration: c})
 	list := []boxes.Box{{Name: "other", Role: boxes.RoleEntry, Peer: netip.MustParseAddrPort("10.0.1.1:1")}}
@@ -41,15 +41,15 @@
 	return d
 }
 
-// asking is a request for something; equal prompts ask for the same.
-func asking(prompt string, attempt int) route.Ask {
+// modelRequest is a request for something; equal prompts ask for the same.
+func modelRequest(prompt string, attempt int) route.Ask {
 	return route.Ask{Request: "r", Account: "cafe", Model: "m", Prompt: prompt, Tokens: 10, Attempt: attempt}
 }
 
 // placeFor places a request and returns the refusal's code, or an empty text.
 func placeFor(d *Daemon, now time.Time, ask route.Ask) (route.Placed, string) {
-	reply := make(chan placeAnswer, 1)
-	d.update(now, placeAsked{ask, reply})
+	reply := make(chan placementAnswer, 1)
+	d.update(now, placementRequest{ask, reply})
 	answer := <-reply
 	var refused *refusal.Refusal
 	if errors.As(answer.err, &refused) {
@@ -58,13 +58,13 @@
 	return answer.placed, ""
 }
 
-// takesDown has a request come until it is refused, at most so often, and end the engine
+// crashEngines has a request come until it is refused, at most so often, and end the engine
 // that it is placed on each time. It returns how many ended.
-func takesDown(t *testing.T, d *Daemon, now time.Time, prompt string, most int) int {
+func crashEngines(t *testing.T, d *Daemon, now time.Time, prompt string, most int) int {
 	t.Helper()
 	dead := make(map[string]bool)
 	for len(dead) < most {
-		placed, code := placeFor(d, now, asking(prompt, 1))
+		placed, code := placeFor(d, now, modelRequest(prompt, 1))
 		if code == "quarantined" {
 			break
 		}
@@ -79,34 +79,34 @@
 	return len(dead)
 }
 
-// TestTakedowns has a request that no engine survives come again and again at one box, then
+// TestQuarantineSpreadsByGossip has a request that no engine survives come again and again at one box, then
 // at another that heard of it, and at a third that heard of it from that one only.
-func TestTakedowns(t *testing.T) {
+func TestQuarantineSpreadsByGossip(t *testing.T) {
 	now := time.Unix(1000, 0)
-	first, second, third := box(t, "b1", now), box(t, "b2", now), box(t, "b3", now)
-	if n := takesDown(t, first, now, "same", 8); n != quarantine.Threshold {
+	first, second, third := newBox(t, "b1", now), newBox(t, "b2", now), newBox(t, "b3", now)
+	if n := crashEngines(t, first, now, "same", 8); n != quarantine.Threshold {
 		t.Errorf("%d engines ended", n)
 	}
 	now = now.Add(10 * time.Second)
-	if _, code := placeFor(first, now, asking("another", 1)); code != "" {
+	if _, code := placeFor(first, now, modelRequest("another", 1)); code != "" {
 		t.Errorf("another request is refused with %q", code)
 	}
-	second.update(now, peerAnswered{message: first.state(now, &first.tables)})
-	third.update(now, peerAnswered{message: second.state(now, &second.tables)})
+	second.update(now, peerAnswered{message: first.gossipMessage(now, &first.tables)})
+	third.update(now, peerAnswered{message: second.gossipMessage(now, &second.tables)})
 	for _, d := range []*Daemon{second, third} {
-		if n := takesDown(t, d, now, "same", 1); n != 0 {
+		if n := crashEngines(t, d, now, "same", 1); n != 0 {
 			t.Errorf("%s does not refuse it", d.Settings.Name)
 		}
 	}
-	late := now.Add(2 * endedNews)
-	if m := third.state(late, &third.tables); len(m.CrashReports) != 0 {
+	late := now.Add(2 * announceFor)
+	if m := third.gossipMessage(late, &third.tables); len(m.CrashReports) != 0 {
 		t.Errorf("told on for ever: %v", m.CrashReports)
 	}
 }
 
-// TestTakedownsDoubted cuts a request off at three engines that live on: it is served, and
+// TestLiveEnginesDoNotQuarantine cuts a request off at three engines that live on: it is served, and
 // so is one that was answered in between.
-func TestTakedownsDoubted(t *testing.T) {
+func TestLiveEnginesDoNotQuarantine(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tests := []struct {
 		name string
@@ -114,20 +114,20 @@
 		after func(d *Daemon, placed route.Placed, at time.Time)
 	}{
 		{"the engine reports", func(d *Daemon, placed route.Placed, at time.Time) {
-			d.update(at, loadRead{target: placed.Target, load: engine.Load{Version: "v1", Slots: 8}, asked: at})
+			d.update(at, loadRead{target: placed.Target, load: engine.Load{Version: "v1", Slots: 8}, requestedAt: at})
 		}},
 		{"the engine ends, and another one answers", func(d *Daemon, placed route.Placed, at time.Time) {
 			d.update(at, loadRead{target: placed.Target, err: syscall.ECONNREFUSED})
-			other, _ := placeFor(d, at, asking("same", 1))
+			other, _ := placeFor(d, at, modelRequest("same", 1))
 			d.update(at, attemptEnded{route.Ended{Placed: other, End: stream.Frame{Request: "r"}}})
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := box(t, "b1", now)
+			d := newBox(t, "b1", now)
 			at := now
 			for range 2 * quarantine.Threshold {
-				placed, code := placeFor(d, at, asking("same", 1))
+				placed, code := placeFor(d, at, modelRequest("same", 1))
 				if code == "quarantined" {
 					t.Fatal("refused")
 				}
@@ -142,24 +142,24 @@
 	}
 }
 
-// TestTakedownsLifted has a box hear that a request was answered elsewhere.
-func TestTakedownsLifted(t *testing.T) {
+// TestQuarantineLiftedByPeer has a box hear that a request was answered elsewhere.
+func TestQuarantineLiftedByPeer(t *testing.T) {
 	now := time.Unix(1000, 0)
-	d := box(t, "b1", now)
-	takesDown(t, d, now, "same", 8)
+	d := newBox(t, "b1", now)
+	crashEngines(t, d, now, "same", 8)
 	now = now.Add(10 * time.Second)
-	d.update(now, peerAnswered{message: peer.Message{Lifted: []fingerprint.Sum{asking("same", 1).Fingerprint()}}})
-	if _, code := placeFor(d, now, asking("same", 1)); code != "" {
+	d.update(now, peerAnswered{message: peer.Message{Lifted: []fingerprint.Sum{modelRequest("same", 1).Fingerprint()}}})
+	if _, code := placeFor(d, now, modelRequest("same", 1)); code != "" {
 		t.Errorf("refused with %q", code)
 	}
-	if m := d.state(now, &d.tables); len(m.Lifted) != 1 {
+	if m := d.gossipMessage(now, &d.tables); len(m.Lifted) != 1 {
 		t.Error("not told on")
 	}
 }
 
-// TestTakedownsOfAccounts keeps accounts apart: what one asks for refuses no other.
-func TestTakedownsOfAccounts(t *testing.T) {
-	mine, theirs := asking("same", 1), asking("same", 1)
+// TestFingerprintsDifferByAccount keeps accounts apart: what one asks for refuses no other.
+func TestFingerprintsDifferByAccount(t *testing.T) {
+	mine, theirs := modelRequest("same", 1), modelRequest("same", 1)
 	theirs.Account = "bistro"
 	if mine.Fingerprint() == theirs.Fingerprint() || strings.Contains(mine.Fingerprint().String(), "cafe") {
 		t.Error("accounts meet")
--- a/request.go
+++ b/request.go
@@ -18,27 +18,27 @@
 	"github.com/thymewind/thymewind/stream"
 )
 
-// askPlace asks the loop for a place.
-func (d *Daemon) askPlace(ctx context.Context, ask route.Ask) (route.Placed, error) {
+// requestPlacement asks the loop for a place.
+func (d *Daemon) requestPlacement(ctx context.Context, ask route.Ask) (route.Placed, error) {
 	ask.Home = d.homeOf(ask)
-	reply := make(chan placeAnswer, 1)
-	if err := d.send(ctx, placeAsked{ask, reply}); err != nil {
-		return route.Placed{}, d.late()
+	reply := make(chan placementAnswer, 1)
+	if err := d.send(ctx, placementRequest{ask, reply}); err != nil {
+		return route.Placed{}, d.tooLate()
 	}
 	select {
 	case answer := <-reply:
 		if answer.err == nil && ask.Model != "" {
-			d.findKept(ctx, &answer.placed, ask.Prompt)
+			d.findCached(ctx, &answer.placed, ask.Prompt)
 		}
 		return answer.placed, answer.err
 	case <-ctx.Done():
 		// The loop may still count the attempt in; take it out again.
 		go func() {
 			if answer := <-reply; answer.err == nil {
-				d.tellEnded(route.Ended{Placed: answer.placed})
+				d.reportEnded(route.Ended{Placed: answer.placed})
 			}
 		}()
-		return route.Placed{}, d.late()
+		return route.Placed{}, d.tooLate()
 	}
 }
 
@@ -54,41 +54,41 @@
 	return prefix.Home(prefix.Scope(ask.Account, ""), []byte(ask.Prompt), max(p.PieceBytes, 1))
 }
 
-// late refuses a request whose time was up before it was placed.
-func (d *Daemon) late() error {
+// tooLate refuses a request whose time was up before it was placed.
+func (d *Daemon) tooLate() error {
 	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "too_late",
 		"the request's time was up before it was placed").After(d.jitter(time.Second))
 }
 
-// tellEnded tells the loop how an attempt ended.
-func (d *Daemon) tellEnded(e route.Ended) {
+// reportEnded tells the loop how an attempt ended.
+func (d *Daemon) reportEnded(e route.Ended) {
 	if e.End.Request != "" {
 		d.ledger.Add(e.Placed.Account, e.End.Usage)
 	}
 	_ = d.send(context.Background(), attemptEnded{e})
 }
 
-// tellSaid notes what an answer's head says of its target, and tells the loop of news.
-func (d *Daemon) tellSaid(placed route.Placed, said notice.Signals) {
+// reportSignals notes what an answer's head says of its target, and tells the loop of news.
+func (d *Daemon) reportSignals(placed route.Placed, said notice.Signals) {
 	limited := d.notices.ObserveLimit(d.now(), placed.At, notice.IncarnationAt(placed.Target, placed.Address), said)
 	if limited || said.Leaving || said.Backoff > 0 {
-		_ = d.send(context.Background(), targetSaid{placed, said})
+		_ = d.send(context.Background(), signalsHeard{placed, said})
 	}
 }
 
 // spendRetry asks the budget for one more attempt.
 func (d *Daemon) spendRetry(pool string) bool {
 	if !d.budget.Spend(pool) {
-		d.counts.retrySpent.Inc()
+		d.metrics.retrySpent.Inc()
 		return false
 	}
-	d.counts.retries.WithLabelValues(pool).Inc()
+	d.metrics.retries.WithLabelValues(pool).Inc()
 	return true
 }
 
 // recordRefused explains a request that was given up.
 func (d *Daemon) recordRefused(request, account string, r *refusal.Refusal) {
-	d.counts.refused.WithLabelValues(r.Code, r.Outcome).Inc()
+	d.metrics.refused.WithLabelValues(r.Code, r.Outcome).Inc()
 	d.records.Add(decision.Record{
 		At: d.now(), Kind: decision.Refused, Request: request, Account: account, Rule: r.Code,
 		Inputs: "come back after " + r.RetryAfter.String(), Result: r.Outcome + ": " + r.Reason,
@@ -103,7 +103,7 @@
 		At: d.now(), Kind: decision.Resumed, Request: token.Request, Account: token.Account,
 		Rule: "resume token", Result: token.Target.String(),
 	})
-	frames, err := d.resume(ctx, token.Target, token.Request, token.Attempt, offset)
+	frames, err := d.resumeRun(ctx, token.Target, token.Request, token.Attempt, offset)
 	if err != nil {
 		return stream.Frame{}, notResumable(err)
 	}
--- a/show.go
+++ b/show.go
@@ -32,7 +32,7 @@
 	{"models", []string{"model", "pool"}, (*Daemon).showModels},
 	{"accounts", []string{"account", "weight", "concurrency", "tokens_per_minute", "keys", "in_flight"}, (*Daemon).showAccounts},
 	{"stores", []string{"store", "domain", "address"}, (*Daemon).showStores},
-	{"kept", []string{"store", "key", "depth", "tokens", "bytes", "hits", "used"}, (*Daemon).showKept},
+	{"kept", []string{"store", "key", "depth", "tokens", "bytes", "hits", "used"}, (*Daemon).showManifests},
 	{"limits", []string{"account", "concurrency", "here", "in_flight", "tokens_per_minute"}, (*Daemon).showLimits},
 	{"leases", []string{"lease", "value"}, rowsUnder("lease/")},
 	{"claims", []string{"claim", "value"}, rowsUnder("claim/")},
--- a/showrows.go
+++ b/showrows.go
@@ -25,11 +25,11 @@
 	return nil
 }
 
-// shownKept bounds the manifests shown of each store box.
-const shownKept = 200
+// maxManifestsShown bounds the manifests shown of each store box.
+const maxManifestsShown = 200
 
-// showKept lists what store boxes keep, the least lately asked for first.
-func (d *Daemon) showKept(ctx context.Context, r *report.Report) error {
+// showManifests lists what store boxes keep, the least lately asked for first.
+func (d *Daemon) showManifests(ctx context.Context, r *report.Report) error {
 	var stores []boxes.Box
 	d.inspect(ctx, func(_ time.Time, t *tables) {
 		for _, b := range t.Stores.All() {
@@ -37,7 +37,7 @@
 		}
 	})
 	for _, b := range stores {
-		all, err := d.stores.Oldest(ctx, b.Address, shownKept)
+		all, err := d.stores.Oldest(ctx, b.Address, maxManifestsShown)
 		if err != nil {
 			r.Missing = append(r.Missing, b.Name)
 			continue
@@ -59,7 +59,7 @@
 			}
 			here := 0
 			if a.Concurrency > 0 {
-				here = t.limit(now, name, a.Concurrency)
+				here = t.limitShare(now, name, a.Concurrency)
 			}
 			r.Add(name, a.Concurrency, here, t.Gate.AccountInFlight(name), a.TokensPerMinute)
 		}
--- a/slopes_calls_test.go
+++ b/slopes_network_test.go
@@ -13,9 +13,9 @@
 	"github.com/thymewind/thymewind/boxes"
 )
 
-// called makes n calls for the list of boxes, unchanged, and returns the bytes
+// callCounted makes n calls for the list of boxes, unchanged, and returns the bytes
 // on the wire, both ways.
-func called(b *testing.B, n int) float64 {
+func callCounted(b *testing.B, n int) float64 {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("ETag", `"a95ca96b4b9ea84d"`)
 		w.WriteHeader(http.StatusNotModified)
@@ -25,7 +25,7 @@
 	dialer := net.Dialer{}
 	client := &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, at string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, network, at)
-		return &metered{conn, &moved}, err
+		return &meteredConn{conn, &moved}, err
 	}}}
 	list := boxes.List{Base: server.URL, HTTP: client}
 	for range n {
@@ -36,32 +36,32 @@
 	return float64(moved.Load())
 }
 
-// metered counts the bytes of a connection.
-type metered struct {
+// meteredConn counts the bytes of a connection.
+type meteredConn struct {
 	net.Conn
-	moved *atomic.Int64
+	bytes *atomic.Int64
 }
 
 // Read implements net.Conn.
-func (m *metered) Read(p []byte) (int, error) {
+func (m *meteredConn) Read(p []byte) (int, error) {
 	n, err := m.Conn.Read(p)
-	m.moved.Add(int64(n))
+	m.bytes.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (m *metered) Write(p []byte) (int, error) {
+func (m *meteredConn) Write(p []byte) (int, error) {
 	n, err := m.Conn.Write(p)
-	m.moved.Add(int64(n))
+	m.bytes.Add(int64(n))
 	return n, err
 }
 
-func callBytes(b *testing.B, n int) float64 { return called(b, n) }
+func callBytes(b *testing.B, n int) float64 { return callCounted(b, n) }
 
 // callCost is the processor time of n calls, of client and server together.
 func callCost(b *testing.B, n int) float64 {
 	before := processorTime(b)
-	called(b, n)
+	callCounted(b, n)
 	return float64((processorTime(b) - before).Microseconds())
 }
 
--- a/slopes_test.go
+++ b/slopes_test.go
@@ -40,7 +40,7 @@
 		{"placement and its end", "targets", "us", targets, placementCost},
 		{"all systems of one tick", "targets", "us", targets, tickCost},
 		{"message to a peer", "targets", "bytes", targets, messageBytes},
-		{"taking a peer's message in", "targets", "us", targets, heardCost},
+		{"taking a peer's message in", "targets", "us", targets, receiveCost},
 		{"list of boxes", "boxes", "bytes", targets, listBytes},
 		{"taking the list of boxes in", "boxes", "us", targets, listCost},
 		{"configuration in memory", "accounts", "bytes", accounts, configurationBytes},
@@ -75,8 +75,8 @@
 	fmt.Printf("%s | %.5g %s + %.5g %s for each of %s, r2 %.3f\n", line, at, s.unit, by, s.unit, s.of, square)
 }
 
-// sized returns a daemon that knows n targets and half as many peers.
-func sized(b *testing.B, n int) *Daemon {
+// daemonWithTargets returns a daemon that knows n targets and half as many peers.
+func daemonWithTargets(b *testing.B, n int) *Daemon {
 	d := &Daemon{
 		Settings: settings.Settings{Name: "entry-0", Limits: settings.Limits{Records: 4096}, Timing: settings.Timing{
 			Tick: 100 * time.Millisecond, Poll: 2 * time.Second, Load: time.Second, Gossip: time.Second, Lease: 6 * time.Second,
@@ -87,16 +87,16 @@
 		b.Fatal(err)
 	}
 	now := time.Now()
-	d.update(now, configurationRead{configuration: inForce(1)})
-	d.update(now, boxesRead{list: listOf(n)})
+	d.update(now, configurationRead{configuration: testConfiguration(1)})
+	d.update(now, boxesRead{list: boxList(n)})
 	for name, x := range d.tables.Targets.All() {
 		d.update(now, loadRead{target: name, load: engine.Load{Version: "v1", Slots: 16, Running: int(x.Hash % 12), QueuedTokens: int(x.Hash % 3000)}})
 	}
 	return d
 }
 
-// listOf is a list with n engines and half as many entry boxes.
-func listOf(n int) []boxes.Box {
+// boxList is a list with n engines and half as many entry boxes.
+func boxList(n int) []boxes.Box {
 	var list []boxes.Box
 	for i := range n {
 		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 7000)
@@ -108,8 +108,8 @@
 	return list
 }
 
-// micros times a function.
-func micros(rounds int, do func(i int)) float64 {
+// microsPerCall times a function.
+func microsPerCall(rounds int, do func(i int)) float64 {
 	began := time.Now()
 	for i := range rounds {
 		do(i)
@@ -118,8 +118,8 @@
 }
 
 func placementCost(b *testing.B, n int) float64 {
-	d := sized(b, n)
-	return micros(2000, func(i int) {
+	d := daemonWithTargets(b, n)
+	return microsPerCall(2000, func(i int) {
 		ask := route.Ask{Request: "r", Account: "a", Model: "m", Attempt: 1, Home: prefix.Scope("a", fmt.Sprint(i))}
 		placed, err := d.tables.Place(time.Now(), ask)
 		if err != nil {
@@ -130,9 +130,9 @@
 }
 
 func tickCost(b *testing.B, n int) float64 {
-	d := sized(b, n)
+	d := daemonWithTargets(b, n)
 	now := time.Now()
-	return micros(500, func(i int) {
+	return microsPerCall(500, func(i int) {
 		clear(d.tables.pending)
 		for _, system := range d.systems {
 			system(now.Add(time.Duration(i)*100*time.Millisecond), &d.tables)
@@ -141,11 +141,11 @@
 }
 
 func messageBytes(b *testing.B, n int) float64 {
-	d := sized(b, n)
+	d := daemonWithTargets(b, n)
 	sum := 0
 	const messages = 50
 	for range messages {
-		data, err := cbor.Marshal(d.state(time.Now(), &d.tables))
+		data, err := cbor.Marshal(d.gossipMessage(time.Now(), &d.tables))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -154,10 +154,10 @@
 	return float64(sum) / messages
 }
 
-func heardCost(b *testing.B, n int) float64 {
-	d, other := sized(b, n), sized(b, n)
-	return micros(500, func(int) {
-		m := other.state(time.Now(), &other.tables)
+func receiveCost(b *testing.B, n int) float64 {
+	d, other := daemonWithTargets(b, n), daemonWithTargets(b, n)
+	return microsPerCall(500, func(int) {
+		m := other.gossipMessage(time.Now(), &other.tables)
 		data, err := cbor.Marshal(m)
 		if err != nil {
 			b.Fatal(err)
@@ -166,12 +166,12 @@
 		if err := cbor.Unmarshal(data, &got); err != nil {
 			b.Fatal(err)
 		}
-		d.heard(time.Now(), &d.tables, got)
+		d.receiveGossip(time.Now(), &d.tables, got)
 	})
 }
 
 func listBytes(b *testing.B, n int) float64 {
-	data, err := json.Marshal(listOf(n))
+	data, err := json.Marshal(boxList(n))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -179,12 +179,12 @@
 }
 
 func listCost(b *testing.B, n int) float64 {
-	d := sized(b, n)
-	data, err := json.Marshal(listOf(n))
+	d := daemonWithTargets(b, n)
+	data, err := json.Marshal(boxList(n))
 	if err != nil {
 		b.Fatal(err)
 	}
-	return micros(100, func(int) {
+	return microsPerCall(100, func(int) {
 		var list []boxes.Box
 		if err := json.Unmarshal(data, &list); err != nil {
 			b.Fatal(err)
@@ -193,9 +193,9 @@
 	})
 }
 
-// configured returns a configuration with n accounts.
-func configured(b *testing.B, n int) *configuration.Configuration {
-	c := inForce(0)
+// configurationWithAccounts returns a configuration with n accounts.
+func configurationWithAccounts(b *testing.B, n int) *configuration.Configuration {
+	c := testConfiguration(0)
 	change := configuration.Change{Revision: 1}
 	for i := range n {
 		name := fmt.Sprintf("account-%d", i)
@@ -212,8 +212,8 @@
 	return next
 }
 
-// heap returns the bytes that what a function builds keeps alive.
-func heap(build func() any) float64 {
+// retainedBytes returns the bytes that what a function builds keeps alive.
+func retainedBytes(build func() any) float64 {
 	var before, after runtime.MemStats
 	build() // What is made once and for all does not count.
 	runtime.GC()
@@ -227,15 +227,15 @@
 }
 
 func configurationBytes(b *testing.B, n int) float64 {
-	return heap(func() any { return configured(b, n) })
+	return retainedBytes(func() any { return configurationWithAccounts(b, n) })
 }
 
 func changeCost(b *testing.B, n int) float64 {
-	c := configured(b, n)
+	c := configurationWithAccounts(b, n)
 	change := configuration.Change{Revision: 2, Entries: []configuration.Entry{
 		{Kind: configuration.KindAccount, Name: "new", After: json.RawMessage(`{"name":"new","weight":1}`)},
 	}}
-	return micros(10, func(int) {
+	return microsPerCall(10, func(int) {
 		if _, err := c.Apply(change); err != nil {
 			b.Fatal(err)
 		}
@@ -243,7 +243,7 @@
 }
 
 func snapshotBytes(b *testing.B, n int) float64 {
-	data, err := json.Marshal(configured(b, n))
+	data, err := json.Marshal(configurationWithAccounts(b, n))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -251,7 +251,7 @@
 }
 
 func recordBytes(_ *testing.B, n int) float64 {
-	return heap(func() any {
+	return retainedBytes(func() any {
 		r := &decision.Ring{Size: n}
 		for i := range n {
 			r.Add(decision.Record{
@@ -267,7 +267,7 @@
 func prefixCost(_ *testing.B, n int) float64 {
 	prompt := make([]byte, n<<10)
 	scope := prefix.Scope("a", "v")
-	return micros(200, func(int) { prefix.Chain(scope, prompt, 8192) })
+	return microsPerCall(200, func(int) { prefix.Chain(scope, prompt, 8192) })
 }
 
 // BenchmarkFirstByte compares the first byte through a daemon with that of the
--- a/systems.go
+++ b/systems.go
@@ -19,11 +19,11 @@
 	pendingFlush         = "the charges"
 	pendingApply         = "the batches"
 	pendingDuty          = "the duty "
-	pendingRoom          = "the room of "
+	pendingEviction          = "the room of "
 )
 
-// watchers is how many boxes read each target's load.
-const watchers = 2
+// watchersPerTarget is how many boxes read each target's load.
+const watchersPerTarget = 2
 
 // pollPlatform reads the list of boxes and the configuration's head.
 func (d *Daemon) pollPlatform(now time.Time, t *tables) []effect {
@@ -41,8 +41,8 @@
 	return effects
 }
 
-// newTargets is how many targets without any report are read at a time.
-const newTargets = 50
+// maxUnreportedReads is how many targets without any report are read at a time.
+const maxUnreportedReads = 50
 
 // pollLoads reads the load of the targets that this box watches, and of some
 // that nothing is known of yet.
@@ -57,7 +57,7 @@
 	}
 	news := 0
 	for name, x := range t.Targets.All() {
-		if x.ReportedAt.IsZero() && news < newTargets {
+		if x.ReportedAt.IsZero() && news < maxUnreportedReads {
 			read := t.readLoad(name)
 			news += len(read)
 			effects = append(effects, read...)
@@ -76,20 +76,20 @@
 	return []effect{readLoad{target: name, address: x.Address}}
 }
 
-// watch chooses the targets whose load this box reads: those that it is one of
+// chooseWatched chooses the targets whose load this box reads: those that it is one of
 // the watchers of, by rendezvous hash over the entry boxes. Call it when the
 // list changed.
-func (d *Daemon) watch(t *tables) {
+func (d *Daemon) chooseWatched(t *tables) {
 	t.watched = t.watched[:0]
 	for name, x := range t.Targets.All() {
-		if d.rankedBefore(t, x.Hash) < watchers {
+		if d.rank(t, x.Hash) < watchersPerTarget {
 			t.watched = append(t.watched, name)
 		}
 	}
 }
 
-// rankedBefore counts the entry boxes ranked before this one for a hash.
-func (d *Daemon) rankedBefore(t *tables, hash uint64) int {
+// rank counts the entry boxes ranked before this one for a hash.
+func (d *Daemon) rank(t *tables, hash uint64) int {
 	mine := placement.Weight(placement.Hash(d.Settings.Name), hash)
 	n := 0
 	for name, p := range t.peers.All() {
@@ -100,13 +100,13 @@
 	return n
 }
 
-// count writes the tables' sizes into the metrics.
-func (d *Daemon) count(now time.Time, t *tables) []effect {
+// updateMetrics writes the tables' sizes into the metrics.
+func (d *Daemon) updateMetrics(now time.Time, t *tables) []effect {
 	const every = time.Second
-	if now.Before(t.due.count) {
+	if now.Before(t.due.metrics) {
 		return nil
 	}
-	t.due.count = now.Add(every)
+	t.due.metrics = now.Add(every)
 	for name, targets := range t.Pools {
 		usable := 0
 		for _, x := range targets {
@@ -114,10 +114,10 @@
 				usable++
 			}
 		}
-		d.counts.usable.WithLabelValues(name).Set(float64(usable))
-		d.counts.inFlight.WithLabelValues(name).Set(float64(t.Gate.InFlight(name)))
+		d.metrics.usable.WithLabelValues(name).Set(float64(usable))
+		d.metrics.inFlight.WithLabelValues(name).Set(float64(t.Gate.InFlight(name)))
 	}
-	d.counts.peers.Set(float64(t.peers.Len()))
+	d.metrics.peers.Set(float64(t.peers.Len()))
 	return nil
 }
 
--- a/tables.go
+++ b/tables.go
@@ -15,27 +15,27 @@
 // tables are the entities that the loop owns. Only the loop touches them.
 type tables struct {
 	dispatch.Scheduler
-	// departed remembers targets that were leaving when the list dropped them,
+	// tombstones remembers targets that were leaving when the list dropped them,
 	// as a list that lags may name them again.
-	departed map[string]departure
+	tombstones map[string]tombstone
 	peers    entity.Table[string, peerBox]
 	due      due
 	// list is the platform's list as last read, at listed.
 	list   []boxes.Box
-	listed time.Time
+	listedAt time.Time
 	// byID finds targets by what peers call them.
 	byID map[uint64]*target.Target
 	// watched names the targets whose load this box reads.
 	watched []string
-	thaw    thaw
-	// takedowns is what is known of requests that take engines down.
-	takedowns takedowns
-	// turn is where the next message to peers begins in the targets.
-	turn int
+	refresh    refresh
+	// crashes is what is known of requests that take engines down.
+	crashes crashState
+	// nextLoad is where the next message to peers begins in the targets.
+	nextLoad int
 	// quotaBoxes are the boxes that share targets' rates; nil if they have to be listed anew.
 	quotaBoxes []string
-	// held are the duties by name, held or not.
-	held map[string]*duty
+	// dutiesByName are the duties by name, held or not.
+	dutiesByName map[string]*duty
 	// pending marks reads that were sent and not answered yet.
 	pending map[string]bool
 }
@@ -50,14 +50,14 @@
 	revision uint64
 	// demand is its use of limited accounts, use that of pools.
 	demand []peer.Demand
-	use    []peer.PoolUsage
-	heard  time.Time
+	usage    []peer.PoolUsage
+	heardAt  time.Time
 }
 
-// departure is a leaving target's address and when it was last said to leave.
-type departure struct {
+// tombstone is a leaving target's address and when it was last said to leave.
+type tombstone struct {
 	address netip.AddrPort
-	at      time.Time
+	leavingAt      time.Time
 }
 
 // due is when the systems next have something to read or send.
@@ -67,8 +67,8 @@
 	gossip        time.Time
 	loads         time.Time
 	flush, apply  time.Time
-	room          time.Time
-	count         time.Time
+	capacity          time.Time
+	metrics         time.Time
 }
 
 // boxCount is how many entry boxes share the work, this one included.
@@ -82,15 +82,15 @@
 	return n
 }
 
-// demandFresh is how long a peer's demand counts.
-const demandFresh = 5 * time.Second
+// peerUsageTTL is how long a peer's demand counts.
+const peerUsageTTL = 5 * time.Second
 
-// limit is this box's part of an account's limit, by the demand that the peers
+// limitShare is this box's part of an account's limit, by the demand that the peers
 // told of lately.
-func (t *tables) limit(now time.Time, account string, bound int) int {
+func (t *tables) limitShare(now time.Time, account string, bound int) int {
 	var theirs []int
 	for _, p := range t.peers.All() {
-		if p.leaving || now.Sub(p.heard) > demandFresh {
+		if p.leaving || now.Sub(p.heardAt) > peerUsageTTL {
 			continue
 		}
 		requests := 0
@@ -104,24 +104,24 @@
 	return limit.Share(bound, t.boxCount(), t.Demand(now, account), theirs)
 }
 
-// others is the use of a pool that the other boxes told of lately.
-func (t *tables) others(now time.Time, pool string) dispatch.Usage {
+// othersUsage is the use of a pool that the other boxes told of lately.
+func (t *tables) othersUsage(now time.Time, pool string) dispatch.Usage {
 	var sum dispatch.Usage
 	for _, p := range t.peers.All() {
 		switch {
 		case p.leaving:
-		case now.Sub(p.heard) > demandFresh:
+		case now.Sub(p.heardAt) > peerUsageTTL:
 			sum.Unreported++
 		default:
-			sum = p.addUse(sum, pool)
+			sum = p.addUsage(sum, pool)
 		}
 	}
 	return sum
 }
 
-// addUse adds what a box uses of a pool; one that tells nothing uses nothing.
-func (p peerBox) addUse(sum dispatch.Usage, pool string) dispatch.Usage {
-	for _, use := range p.use {
+// addUsage adds what a box uses of a pool; one that tells nothing uses nothing.
+func (p peerBox) addUsage(sum dispatch.Usage, pool string) dispatch.Usage {
+	for _, use := range p.usage {
 		if use.Pool == pool {
 			sum.Engines += float64(use.Engines) / peer.UsageScale
 			sum.Slots += float64(use.Slots) / peer.UsageScale
--- a/limited.go
+++ b/targetlimit.go
@@ -17,30 +17,30 @@
 // each other of that and divide the rate by quota over the boxes listed. Runs and requests to
 // services count, and answers that are read again; reports, orders and cancels do not.
 
-// grantFor is for how long a placed request may leave on the part that was taken for it.
-const grantFor = time.Second
+// grantLifetime is for how long a placed request may leave on the part that was taken for it.
+const grantLifetime = time.Second
 
 // allow returns why a request must not leave for its target any more, or nil.
 func (d *Daemon) allow(p route.Placed) error {
 	now := d.now()
-	if d.notices.Limit(notice.IncarnationAt(p.Target, p.Address)).Active && (!p.Granted || now.Sub(p.At) > grantFor) {
+	if d.notices.Limit(notice.IncarnationAt(p.Target, p.Address)).Active && (!p.Granted || now.Sub(p.At) > grantLifetime) {
 		d.Log.Info("request is kept from a target at the last moment", "request", p.Request, "target", p.Target, "placed_ago", now.Sub(p.At))
 		return notice.ErrLimited
 	}
 	return nil
 }
 
-// part is this box's of the rate that a target takes of all boxes, in requests a second.
-func (d *Daemon) part(x *target.Target) float64 {
+// rateShare is this box's of the rate that a target takes of all boxes, in requests a second.
+func (d *Daemon) rateShare(x *target.Target) float64 {
 	t := &d.tables
 	if t.quotaBoxes == nil {
-		t.quotaBoxes = t.sharing(d.Settings.Name)
+		t.quotaBoxes = t.sharingBoxes(d.Settings.Name)
 	}
 	return quota.Share(x.Rate, x.Hash, d.Settings.Name, t.quotaBoxes)
 }
 
-// sharing lists the boxes that share targets' rates: those listed that don't leave, and this one.
-func (t *tables) sharing(self string) []string {
+// sharingBoxes lists the boxes that share targets' rates: those listed that don't leave, and this one.
+func (t *tables) sharingBoxes(self string) []string {
 	names := []string{self}
 	for name, p := range t.peers.All() {
 		if !p.leaving && name != self {
@@ -50,8 +50,8 @@
 	return names
 }
 
-// limitTargets has targets be limited as far as is known.
-func (d *Daemon) limitTargets(t *tables) {
+// applyLimits has targets be limited as far as is known.
+func (d *Daemon) applyLimits(t *tables) {
 	t.quotaBoxes = nil
 	for name, x := range t.Targets.All() {
 		limit := d.notices.Limit(notice.IncarnationAt(name, x.Address))
@@ -62,8 +62,8 @@
 	}
 }
 
-// limitsTold lists the limits known, for a peer; which ones of many varies.
-func (d *Daemon) limitsTold(now time.Time) []peer.RateLimit {
+// rateLimits lists the limits known, for a peer; which ones of many varies.
+func (d *Daemon) rateLimits(now time.Time) []peer.RateLimit {
 	var list []peer.RateLimit
 	for _, x := range d.notices.Limits() {
 		if len(list) == maxLimits {
@@ -74,8 +74,8 @@
 	return list
 }
 
-// hearLimits takes over the limits that a peer knows.
-func (d *Daemon) hearLimits(now time.Time, t *tables, m peer.Message) {
+// receiveLimits takes over the limits that a peer knows.
+func (d *Daemon) receiveLimits(now time.Time, t *tables, m peer.Message) {
 	news := false
 	for _, l := range m.RateLimits {
 		x, err := l.Decode(now)
@@ -86,12 +86,12 @@
 		news = d.notices.SetLimit(now, x) || news
 	}
 	if news {
-		d.limitTargets(t)
+		d.applyLimits(t)
 	}
 }
 
-// resume reads a run's answer again from a target, and has the loop count that.
-func (d *Daemon) resume(ctx context.Context, at netip.AddrPort, request string, attempt, offset int) (*engine.Frames, error) {
+// resumeRun reads a run's answer again from a target, and has the loop count that.
+func (d *Daemon) resumeRun(ctx context.Context, at netip.AddrPort, request string, attempt, offset int) (*engine.Frames, error) {
 	if len(d.notices.Limits()) > 0 {
 		_ = d.send(ctx, runResumed{at})
 	}
--- a/limited_test.go
+++ b/targetlimit_test.go
@@ -23,15 +23,15 @@
 	mu sync.Mutex
 	// rate is named in each answer to a request, unless it is empty, since named.
 	rate  string
-	named time.Time
-	// came is when requests did, runs that are read again among them.
-	came []time.Time
+	rateSetAt time.Time
+	// arrivals is when requests did, runs that are read again among them.
+	arrivals []time.Time
 }
 
 func (l *limitedTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("X-Request-Id") != "" || strings.HasPrefix(r.URL.Path, "/v1/generate") || strings.HasPrefix(r.URL.Path, "/v1/resume") {
 		l.mu.Lock()
-		l.came = append(l.came, time.Now())
+		l.arrivals = append(l.arrivals, time.Now())
 		if l.rate != "" {
 			w.Header().Set(engine.HeaderLimit, l.rate)
 		}
@@ -40,24 +40,24 @@
 	l.handler.ServeHTTP(w, r)
 }
 
-// name has the target name a rate from now on; empty names none.
-func (l *limitedTarget) name(rate string) {
+// setRate has the target name a rate from now on; empty names none.
+func (l *limitedTarget) setRate(rate string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rate, l.named = rate, time.Now()
+	l.rate, l.rateSetAt = rate, time.Now()
 }
 
-// most is the most requests that came within 4 s, from 3 s after the rate was named.
-func (l *limitedTarget) most() int {
+// maxArrivals is the most requests that came within 4 s, from 3 s after the rate was named.
+func (l *limitedTarget) maxArrivals() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	most, first := 0, 0
-	for last, at := range l.came {
-		if at.Sub(l.named) < 3*time.Second {
+	for last, at := range l.arrivals {
+		if at.Sub(l.rateSetAt) < 3*time.Second {
 			first = last + 1
 			continue
 		}
-		for at.Sub(l.came[first]) > 4*time.Second {
+		for at.Sub(l.arrivals[first]) > 4*time.Second {
 			first++
 		}
 		most = max(most, last-first+1)
@@ -65,8 +65,8 @@
 	return most
 }
 
-// press has each daemon of a fleet asked again and again, and counts the answers.
-func (f *fleet) press(span time.Duration, ask func(daemon, n int) int) map[int]int {
+// sendLoad has each daemon of a fleet asked again and again, and counts the answers.
+func (f *fleet) sendLoad(span time.Duration, ask func(daemon, n int) int) map[int]int {
 	end := time.Now().Add(span)
 	statuses := make(map[int]int)
 	var mu sync.Mutex
@@ -86,9 +86,9 @@
 	return statuses
 }
 
-// TestTargetsLimitHolds guards against boxes that together send a target more than the rate it
+// TestTargetRateLimitHolds guards against boxes that together send a target more than the rate it
 // names for all of them: engines, services, and both kinds where no other target is left.
-func TestTargetsLimitHolds(t *testing.T) {
+func TestTargetRateLimitHolds(t *testing.T) {
 	const rate, allowed = "2.5", 20 // One and a half times what comes in 4 s, and five.
 	tests := []struct {
 		name    string
@@ -106,9 +106,9 @@
 			t.Parallel()
 			f := newFleet(t, 3, nil)
 			for _, name := range tt.limited {
-				f.limited[name].name(rate)
+				f.limited[name].setRate(rate)
 			}
-			statuses := f.press(9*time.Second, func(daemon, n int) int {
+			statuses := f.sendLoad(9*time.Second, func(daemon, n int) int {
 				if tt.service {
 					return f.do(http.MethodGet, daemon, "menu key", "/services/orders/orders", "", nil).status
 				}
@@ -116,7 +116,7 @@
 				return r.status
 			})
 			for _, name := range tt.limited {
-				if most := f.limited[name].most(); most > allowed {
+				if most := f.limited[name].maxArrivals(); most > allowed {
 					t.Errorf("%d requests reached %s in 4 s, %d are allowed", most, name, allowed)
 				}
 			}
@@ -132,8 +132,8 @@
 	}
 }
 
-// TestTargetsLimitIsKnown says what a box knows of a target's limit, by answers and peers.
-func TestTargetsLimitIsKnown(t *testing.T) {
+// TestTargetRateLimitSources says what a box knows of a target's limit, by answers and peers.
+func TestTargetRateLimitSources(t *testing.T) {
 	now := time.Unix(1000, 0)
 	at := address("engine-0")
 	placed := route.Placed{Target: "engine-0", Address: at, At: now}
@@ -144,29 +144,29 @@
 		rate    float64
 	}{
 		{"nothing", func(*Daemon) {}, false, 0},
-		{"an answer", func(d *Daemon) { d.tellSaid(placed, notice.Signals{Limited: true, Rate: 3}) }, true, 3},
+		{"an answer", func(d *Daemon) { d.reportSignals(placed, notice.Signals{Limited: true, Rate: 3}) }, true, 3},
 		{"a peer", func(d *Daemon) {
-			d.update(now, peerSaid{peer.Message{RateLimits: []peer.RateLimit{{Target: "engine-0@" + at.String(), Active: true, PerSecond: 2}}}, make(chan peer.Message, 1)})
+			d.update(now, peerRequest{peer.Message{RateLimits: []peer.RateLimit{{Target: "engine-0@" + at.String(), Active: true, PerSecond: 2}}}, make(chan peer.Message, 1)})
 		}, true, 2},
 		{"a peer, of a target at another address", func(d *Daemon) {
-			d.update(now, peerSaid{peer.Message{RateLimits: []peer.RateLimit{{Target: "engine-0@10.9.9.9:1", Active: true, PerSecond: 2}}}, make(chan peer.Message, 1)})
+			d.update(now, peerRequest{peer.Message{RateLimits: []peer.RateLimit{{Target: "engine-0@10.9.9.9:1", Active: true, PerSecond: 2}}}, make(chan peer.Message, 1)})
 		}, false, 0},
 		{"an end", func(d *Daemon) {
-			d.tellSaid(placed, notice.Signals{Limited: true, Rate: 3})
+			d.reportSignals(placed, notice.Signals{Limited: true, Rate: 3})
 			later := placed
 			later.At = d.now().Add(time.Second)
-			d.tellSaid(later, notice.Signals{Unlimited: true})
+			d.reportSignals(later, notice.Signals{Unlimited: true})
 		}, false, 0},
 		{"an answer to a request placed before", func(d *Daemon) {
-			d.tellSaid(placed, notice.Signals{Limited: true, Rate: 3})
-			d.tellSaid(placed, notice.Signals{Unlimited: true})
+			d.reportSignals(placed, notice.Signals{Limited: true, Rate: 3})
+			d.reportSignals(placed, notice.Signals{Unlimited: true})
 		}, true, 3},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon(t)
-			d.update(now, configurationRead{configuration: inForce(1)})
-			(&world{left: make(map[string]bool)}).happens(d, now, "engine-0", listedLive)
+			d.update(now, configurationRead{configuration: testConfiguration(1)})
+			(&targetEvents{leaving: make(map[string]bool)}).apply(d, now, "engine-0", listedLive)
 			tt.happen(d)
 			for len(d.messages) > 0 {
 				d.update(now, <-d.messages)
@@ -179,12 +179,12 @@
 	}
 }
 
-// TestResumedRunsCount guards against answers that are read again beside a target's limit.
-func TestResumedRunsCount(t *testing.T) {
+// TestResumedRunsCountAgainstLimit guards against answers that are read again beside a target's limit.
+func TestResumedRunsCountAgainstLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newDaemon(t)
-	d.update(now, configurationRead{configuration: inForce(1)})
-	(&world{left: make(map[string]bool)}).happens(d, now, "engine-0", listedLive)
+	d.update(now, configurationRead{configuration: testConfiguration(1)})
+	(&targetEvents{leaving: make(map[string]bool)}).apply(d, now, "engine-0", listedLive)
 	x, _ := d.tables.Targets.Lookup("engine-0")
 	d.tables.SetLimit(x, true, 1)
 	taken := func(at time.Time) bool {
@@ -202,15 +202,15 @@
 	}
 }
 
-// TestKeptBack guards against requests that leave though their target limited requests after
+// TestAllowChecksLimitBeforeSending guards against requests that leave though their target limited requests after
 // they were placed.
-func TestKeptBack(t *testing.T) {
+func TestAllowChecksLimitBeforeSending(t *testing.T) {
 	d := newDaemon(t)
 	p := route.Placed{Target: "engine-0", Address: netip.MustParseAddrPort("10.0.0.1:1"), At: d.now()}
 	if err := d.allow(p); err != nil {
 		t.Errorf("no limit is known: %v", err)
 	}
-	d.tellSaid(p, notice.Signals{Limited: true, Rate: 3})
+	d.reportSignals(p, notice.Signals{Limited: true, Rate: 3})
 	if d.allow(p) == nil {
 		t.Error("placed before the limit, and not kept back")
 	}
@@ -218,7 +218,7 @@
 	if err := d.allow(p); err != nil {
 		t.Errorf("placed within the limit: %v", err)
 	}
-	p.At = p.At.Add(-grantFor - time.Second)
+	p.At = p.At.Add(-grantLifetime - time.Second)
 	if d.allow(p) == nil {
 		t.Error("placed long ago, and not kept back")
 	}
--- a/update.go
+++ b/update.go
@@ -13,46 +13,46 @@
 func (d *Daemon) update(now time.Time, m message) []effect {
 	t := &d.tables
 	switch m := m.(type) {
-	case placeAsked:
-		return d.placeOrKeep(now, t, m)
-	case targetSaid:
-		d.targetSaid(now, t, m)
+	case placementRequest:
+		return d.placeOrHold(now, t, m)
+	case signalsHeard:
+		d.signalsHeard(now, t, m)
 	case runResumed:
 		d.runResumed(now, t, m)
 	case attemptEnded:
-		return d.ended(now, t, m)
+		return d.attemptEnded(now, t, m)
 	case boxesRead:
-		defer d.looked(now, t, m.asked, &t.thaw.boxes)
+		defer d.refreshed(now, t, m.requestedAt, &t.refresh.boxesDue)
 		return d.boxesRead(now, t, m)
 	case loadRead:
 		d.loadRead(now, t, m)
-	case peerHolds:
+	case peerSnapshotRead:
 		return append(d.boxesRead(now, t, m.boxes), d.configurationRead(now, t, m.configuration)...)
 	case configurationRead:
-		defer d.looked(now, t, m.asked, &t.thaw.configuration)
+		defer d.refreshed(now, t, m.requestedAt, &t.refresh.configurationDue)
 		return d.configurationRead(now, t, m)
-	case leaseStepped:
-		return d.leaseStepped(now, t, m)
+	case leaseRenewed:
+		return d.leaseRenewed(now, t, m)
 	case ordersRead:
 		return d.ordersRead(now, t, m)
-	case charged:
-		d.charged(t, m)
+	case chargesProcessed:
+		d.chargesProcessed(t, m)
 	case storeFailed:
 		t.StoreAvoidUntil[m.store] = now.Add(dispatch.StoreBackoff)
 	case cacheExported:
 		d.cacheExported(now, t, m)
-	case roomMade:
-		d.roomMade(now, t, m)
-	case peerSaid:
-		effects := d.heard(now, t, m.message)
-		m.reply <- d.state(now, t)
+	case cacheEvicted:
+		d.cacheEvicted(now, t, m)
+	case peerRequest:
+		effects := d.receiveGossip(now, t, m.message)
+		m.reply <- d.gossipMessage(now, t)
 		return effects
 	case peerAnswered:
 		if m.err == nil && m.message.Error == "" {
-			return d.heard(now, t, m.message)
+			return d.receiveGossip(now, t, m.message)
 		}
-	case inspected:
-		m.look(now, t)
+	case inspection:
+		m.read(now, t)
 		close(m.done)
 	}
 	return nil
@@ -63,17 +63,17 @@
 func (d *Daemon) boxesRead(now time.Time, t *tables, m boxesRead) []effect {
 	delete(t.pending, pendingBoxes)
 	if m.unchanged {
-		t.relist(now)
+		t.listUnchanged(now)
 		return nil
 	}
 	if m.err != nil {
-		d.counts.platformErrors.WithLabelValues("boxes").Inc()
-		return d.askKnownPeers(t)
+		d.metrics.platformErrors.WithLabelValues("boxes").Inc()
+		return d.fetchFromKnownPeers(t)
 	}
-	if m.from != "" && !t.listed.IsZero() {
+	if m.from != "" && !t.listedAt.IsZero() {
 		return nil // This box has read the platform's own list meanwhile.
 	}
-	t.listed = now
+	t.listedAt = now
 	t.list = m.list
 	listed := make(map[string]bool, len(m.list))
 	for _, b := range m.list {
@@ -81,19 +81,19 @@
 		switch b.Role {
 		case boxes.RoleEntry:
 			if b.Name != d.Settings.Name {
-				d.listPeer(t, b)
+				d.upsertPeer(t, b)
 			}
 		case boxes.RoleStore:
 			t.Stores.Put(b.Name, b)
 		case boxes.RoleEngine, boxes.RoleService:
-			d.listTarget(now, t, b)
+			d.upsertTarget(now, t, b)
 		}
 	}
-	d.unlist(now, t, listed)
+	d.removeUnlisted(now, t, listed)
 	t.ExpireLeaving(now)
 	t.GroupByPool()
-	d.watch(t)
-	d.limitTargets(t)
+	d.chooseWatched(t)
+	d.applyLimits(t)
 	t.byID = make(map[uint64]*target.Target, t.Targets.Len())
 	for _, x := range t.Targets.All() {
 		t.byID[x.ID] = x
@@ -101,9 +101,9 @@
 	return nil
 }
 
-// relist takes over that the list is as it was.
-func (t *tables) relist(now time.Time) {
-	t.listed = now
+// listUnchanged takes over that the list is as it was.
+func (t *tables) listUnchanged(now time.Time) {
+	t.listedAt = now
 	for _, b := range t.list {
 		if x, known := t.Targets.Lookup(b.Name); known && b.Leaving {
 			t.MarkLeaving(x, now, "list")
@@ -112,32 +112,32 @@
 	t.ExpireLeaving(now)
 }
 
-// askKnownPeers is how a daemon that boots while the platform is down comes to
+// fetchFromKnownPeers is how a daemon that boots while the platform is down comes to
 // a list of boxes and a configuration.
-func (d *Daemon) askKnownPeers(t *tables) []effect {
-	if !t.listed.IsZero() {
+func (d *Daemon) fetchFromKnownPeers(t *tables) []effect {
+	if !t.listedAt.IsZero() {
 		return nil
 	}
 	var effects []effect
 	for _, at := range d.Settings.KnownPeers {
-		effects = append(effects, askPeer{at})
+		effects = append(effects, fetchFromPeer{at})
 	}
 	return effects
 }
 
-func (d *Daemon) listPeer(t *tables, b boxes.Box) {
+func (d *Daemon) upsertPeer(t *tables, b boxes.Box) {
 	p, _ := t.peers.Lookup(b.Name)
 	p.address, p.domain, p.leaving = b.Peer, b.Domain, b.Leaving
 	t.peers.Put(b.Name, p)
 }
 
-func (d *Daemon) listTarget(now time.Time, t *tables, b boxes.Box) {
+func (d *Daemon) upsertTarget(now time.Time, t *tables, b boxes.Box) {
 	x, known := t.Targets.Lookup(b.Name)
 	if !known || x.Address != b.Address {
 		x = &target.Target{Name: b.Name, Address: b.Address, Hash: placement.Hash(b.Name), ID: target.ID(b.Name, b.Address)}
-		was, gone := t.departed[b.Name]
+		was, gone := t.tombstones[b.Name]
 		if gone && was.address == b.Address {
-			x.Leaving, x.LeavingAt = true, was.at
+			x.Leaving, x.LeavingAt = true, was.leavingAt
 		}
 		t.Targets.Put(b.Name, x)
 	}
@@ -147,12 +147,12 @@
 	}
 }
 
-// unlist marks what the list no longer names. Targets with requests under way
+// removeUnlisted marks what the list no longer names. Targets with requests under way
 // are kept until those end.
-func (d *Daemon) unlist(now time.Time, t *tables, listed map[string]bool) {
-	for name, was := range t.departed {
-		if now.Sub(was.at) >= dispatch.LeavingFor {
-			delete(t.departed, name)
+func (d *Daemon) removeUnlisted(now time.Time, t *tables, listed map[string]bool) {
+	for name, was := range t.tombstones {
+		if now.Sub(was.leavingAt) >= dispatch.LeavingFor {
+			delete(t.tombstones, name)
 		}
 	}
 	for _, name := range t.Targets.Keys() {
@@ -162,7 +162,7 @@
 		}
 		x.Listed = false
 		if x.Leaving {
-			t.departed[name] = departure{x.Address, x.LeavingAt}
+			t.tombstones[name] = tombstone{x.Address, x.LeavingAt}
 		}
 		if x.InFlight == 0 {
 			t.Targets.Delete(name)
@@ -187,9 +187,9 @@
 	if !known {
 		return
 	}
-	d.loadOfLife(now, t, m)
+	d.livenessFromReport(now, t, m)
 	if m.err != nil {
-		d.counts.loadErrors.Inc()
+		d.metrics.loadErrors.Inc()
 		t.Fail(now, x)
 		return
 	}
@@ -204,7 +204,7 @@
 func (d *Daemon) configurationRead(now time.Time, t *tables, m configurationRead) []effect {
 	delete(t.pending, pendingConfiguration)
 	if m.err != nil {
-		d.counts.platformErrors.WithLabelValues("configuration").Inc()
+		d.metrics.platformErrors.WithLabelValues("configuration").Inc()
 		return nil
 	}
 	if m.configuration == nil || !d.supersedes(m.configuration, t.Configuration) {
@@ -212,7 +212,7 @@
 	}
 	t.Configuration = m.configuration
 	d.current.Store(m.configuration)
-	d.counts.revision.Set(float64(m.configuration.Revision))
+	d.metrics.revision.Set(float64(m.configuration.Revision))
 	d.Log.Info("configuration in force", "revision", m.configuration.Revision, "from", m.from)
-	return d.tell(now, t, newsPartners)
+	return d.gossipTo(now, t, newRevisionFanOut)
 }
