--- a/update_test.go
+++ b/update_test.go
@@ -46,8 +46,8 @@
 	return d
 }
 
-// inForce is a configuration with one model pool.
-func inForce(revision uint64) *configuration.Configuration {
+// testConfiguration is a configuration with one model pool.
+func testConfiguration(revision uint64) *configuration.Configuration {
 	return &configuration.Configuration{
 		Revision: revision,
 		Pools:    map[string]pool.Pool{"menu": {Name: "menu", Kind: pool.KindModel, Weights: "v1", PieceBytes: 64, Concurrency: 100}},
@@ -64,38 +64,38 @@
 	reportsLeaving
 	peerSays
 	answersLeaving
-	asked
-	heardKinds
+	placementAsked
+	eventKinds
 )
 
-// noNewWork says that from the moment a target is said to be leaving, by
+// leavingGetsNoRequests says that from the moment a target is said to be leaving, by
 // anyone, no request is placed on it at that address.
-func noNewWork(t *testing.T, usable func(*target.Target, time.Time) bool) gopter.Prop {
+func leavingGetsNoRequests(t *testing.T, usable func(*target.Target, time.Time) bool) gopter.Prop {
 	return prop.ForAll(func(events []int) bool {
 		d := newDaemon(t)
 		d.chooser.Usable = usable
-		d.update(time.Unix(1000, 0), configurationRead{configuration: inForce(1)})
-		w := world{left: make(map[string]bool)}
+		d.update(time.Unix(1000, 0), configurationRead{configuration: testConfiguration(1)})
+		w := targetEvents{leaving: make(map[string]bool)}
 		for i, event := range events {
 			now := time.Unix(1000+int64(i), 0)
-			name := fmt.Sprintf("engine-%d", event/heardKinds%3)
-			if !w.happens(d, now, name, event%heardKinds) {
+			name := fmt.Sprintf("engine-%d", event/eventKinds%3)
+			if !w.apply(d, now, name, event%eventKinds) {
 				return false
 			}
 		}
 		return true
-	}, gen.SliceOfN(60, gen.IntRange(0, 3*heardKinds-1)))
+	}, gen.SliceOfN(60, gen.IntRange(0, 3*eventKinds-1)))
 }
 
-// world is what was said of the targets.
-type world struct{ left map[string]bool }
+// targetEvents is what was said of the targets.
+type targetEvents struct{ leaving map[string]bool }
 
 func address(name string) netip.AddrPort {
 	return netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(7000+int(name[len(name)-1])))
 }
 
-// happens feeds one event in and says whether the rule still holds.
-func (w *world) happens(d *Daemon, now time.Time, name string, event int) bool {
+// apply feeds one event in and says whether the rule still holds.
+func (w *targetEvents) apply(d *Daemon, now time.Time, name string, event int) bool {
 	switch event {
 	case listedLive, listedLeaving, notListed:
 		var list []boxes.Box
@@ -113,26 +113,26 @@
 		d.update(now, loadRead{target: name, load: engine.Load{Version: "v1", Slots: 8, Leaving: event == reportsLeaving}})
 	case peerSays:
 		said := peer.Message{Kind: peer.KindGossip, From: "entry-2", Leaving: []peer.Leaving{{Target: target.ID(name, address(name))}}}
-		d.update(now, peerSaid{said, make(chan peer.Message, 1)})
+		d.update(now, peerRequest{said, make(chan peer.Message, 1)})
 	case answersLeaving:
-		d.update(now, targetSaid{route.Placed{Pool: "menu", Target: name, Address: address(name)}, notice.Signals{Leaving: true}})
-	case asked:
-		reply := make(chan placeAnswer, 1)
-		d.update(now, placeAsked{route.Ask{Request: "r", Model: "m", Attempt: 1}, reply})
+		d.update(now, signalsHeard{route.Placed{Pool: "menu", Target: name, Address: address(name)}, notice.Signals{Leaving: true}})
+	case placementAsked:
+		reply := make(chan placementAnswer, 1)
+		d.update(now, placementRequest{route.Ask{Request: "r", Model: "m", Attempt: 1}, reply})
 		answer := <-reply
-		return answer.err != nil || !w.left[answer.placed.Target]
+		return answer.err != nil || !w.leaving[answer.placed.Target]
 	}
 	// A target that this daemon does not know yet can't be noted as leaving.
 	if x, known := d.tables.Targets.Lookup(name); known && x.Leaving {
-		w.left[name] = true
+		w.leaving[name] = true
 	}
 	return true
 }
 
-func TestNoNewWorkForLeaving(t *testing.T) { proof.Holds(t, noNewWork(t, (*target.Target).Usable)) }
+func TestLeavingTargetsGetNoRequests(t *testing.T) { proof.Holds(t, leavingGetsNoRequests(t, (*target.Target).Usable)) }
 
-func TestNoNewWorkForLeavingNeedsTheMark(t *testing.T) {
-	proof.Breaks(t, noNewWork(t, func(x *target.Target, _ time.Time) bool { return x.Listed }))
+func TestLeavingTargetsNeedTheMark(t *testing.T) {
+	proof.Breaks(t, leavingGetsNoRequests(t, func(x *target.Target, _ time.Time) bool { return x.Listed }))
 }
 
 // neverReverts says that whatever revisions arrive, the one in force only
@@ -143,7 +143,7 @@
 		d.supersedes = supersedes
 		highest := uint64(0)
 		for _, revision := range revisions {
-			d.update(time.Unix(1000, 0), configurationRead{configuration: inForce(uint64(revision)), from: "entry-2"})
+			d.update(time.Unix(1000, 0), configurationRead{configuration: testConfiguration(uint64(revision)), from: "entry-2"})
 			highest = max(highest, uint64(revision))
 			if d.tables.Configuration.Revision != highest || d.currentOrEmpty().Revision != highest {
 				return false
@@ -166,13 +166,13 @@
 func TestServiceLoad(t *testing.T) {
 	d := newDaemon(t)
 	now := time.Unix(1000, 0)
-	c := inForce(1)
+	c := testConfiguration(1)
 	c.Pools["orders"] = pool.Pool{Name: "orders", Kind: pool.KindService, Concurrency: 10}
 	d.update(now, configurationRead{configuration: c})
 	d.update(now, boxesRead{list: []boxes.Box{{Name: "service-1", Role: boxes.RoleService, Pool: "orders", Address: address("service-1")}}})
 	for range 5 {
-		reply := make(chan placeAnswer, 1)
-		d.update(now, placeAsked{route.Ask{Request: "r", Pool: "orders", Attempt: 1}, reply})
+		reply := make(chan placementAnswer, 1)
+		d.update(now, placementRequest{route.Ask{Request: "r", Pool: "orders", Attempt: 1}, reply})
 		d.update(now, attemptEnded{route.Ended{Placed: (<-reply).placed}})
 	}
 	x, _ := d.tables.Targets.Lookup("service-1")
@@ -181,9 +181,9 @@
 	}
 }
 
-// TestThawedDaemonLooksFirst has a daemon that was frozen get a request before
+// TestRefreshBeforePlacingAfterPause has a daemon that was frozen get a request before
 // anything else. The target it knows began to leave meanwhile.
-func TestThawedDaemonLooksFirst(t *testing.T) {
+func TestRefreshBeforePlacingAfterPause(t *testing.T) {
 	tests := []struct {
 		name string
 		read boxesRead
@@ -197,24 +197,24 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon(t)
 			now := time.Unix(1000, 0)
-			w := world{left: make(map[string]bool)}
-			d.update(now, configurationRead{configuration: inForce(1)})
-			w.happens(d, now, "engine-0", listedLive)
-			w.happens(d, now, "engine-0", reportsLive)
+			w := targetEvents{leaving: make(map[string]bool)}
+			d.update(now, configurationRead{configuration: testConfiguration(1)})
+			w.apply(d, now, "engine-0", listedLive)
+			w.apply(d, now, "engine-0", reportsLive)
 			d.tick(now)
 			now = now.Add(time.Minute)
-			reply := make(chan placeAnswer, 1)
-			d.update(now, placeAsked{route.Ask{Request: "r", Model: "m", Attempt: 1}, reply})
+			reply := make(chan placementAnswer, 1)
+			d.update(now, placementRequest{route.Ask{Request: "r", Model: "m", Attempt: 1}, reply})
 			if len(reply) > 0 {
 				t.Fatal("placed by what was known a minute ago")
 			}
-			d.update(now, boxesRead{asked: now.Add(-time.Second), err: errors.New("late")})
+			d.update(now, boxesRead{requestedAt: now.Add(-time.Second), err: errors.New("late")})
 			if len(reply) > 0 {
 				t.Fatal("placed by a look from before the thaw")
 			}
-			tt.read.asked = now
+			tt.read.requestedAt = now
 			d.update(now, tt.read)
-			d.update(now, configurationRead{asked: now, err: errors.New("down")})
+			d.update(now, configurationRead{requestedAt: now, err: errors.New("down")})
 			if len(reply) != 1 {
 				t.Fatal("not answered behind the looks")
 			}
@@ -225,55 +225,55 @@
 	}
 }
 
-// TestOrdersWaitForEarlierOnes has a daemon take over the orders of a pool.
+// TestOrdersWaitForEarlierHolders has a daemon take over the orders of a pool.
 // Targets that don't check the fence get none until an earlier holder's can't
 // arrive any more.
-func TestOrdersWaitForEarlierOnes(t *testing.T) {
+func TestOrdersWaitForEarlierHolders(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprint("checks the fence: ", checks), func(t *testing.T) {
 			d := newDaemon(t)
 			rows := &fake.Table{}
 			now := time.Now()
-			c := inForce(1)
+			c := testConfiguration(1)
 			p := c.Pools["menu"]
 			p.Weights, p.Previous, p.ChecksFence = "v2", "v1", checks
 			c.Pools["menu"] = p
 			d.update(now, configurationRead{configuration: c})
-			w := world{left: make(map[string]bool)}
-			w.happens(d, now, "engine-0", listedLive)
-			w.happens(d, now, "engine-0", reportsLive)
+			w := targetEvents{leaving: make(map[string]bool)}
+			w.apply(d, now, "engine-0", listedLive)
+			w.apply(d, now, "engine-0", reportsLive)
 			x := d.duty(&d.tables, dutyOrders+"menu")
 			x.lease.Commit, x.lease.Read = rows.Commit, rows.Read
 			if err := x.lease.AcquireOrRenew(t.Context()); err != nil {
 				t.Fatal(err)
 			}
-			d.update(now, leaseStepped{duty: dutyOrders + "menu"})
-			if got := d.rollWeights(now, &d.tables); len(got) != 0 {
+			d.update(now, leaseRenewed{duty: dutyOrders + "menu"})
+			if got := d.advanceRollouts(now, &d.tables); len(got) != 0 {
 				t.Fatal("orders before the earlier ones were read")
 			}
 			d.update(now, ordersRead{duty: dutyOrders + "menu"})
-			if got := d.rollWeights(now, &d.tables); (len(got) > 0) != checks {
+			if got := d.advanceRollouts(now, &d.tables); (len(got) > 0) != checks {
 				t.Errorf("%d orders at once, checks the fence: %v", len(got), checks)
 			}
 			later := now.Add(d.Settings.Timing.Lease)
-			if got := d.rollWeights(later, &d.tables); !checks && len(got) == 0 {
+			if got := d.advanceRollouts(later, &d.tables); !checks && len(got) == 0 {
 				t.Error("no orders after the wait")
 			}
 		})
 	}
 }
 
-// TestLeavingEnds has a target come back at its address. It is used again once
+// TestLeavingExpires has a target come back at its address. It is used again once
 // nothing has said for long that it is leaving, though peers go on telling.
-func TestLeavingEnds(t *testing.T) {
+func TestLeavingExpires(t *testing.T) {
 	d, other := newDaemon(t), newDaemon(t)
 	start := time.Unix(1000, 0)
-	w := world{left: make(map[string]bool)}
+	w := targetEvents{leaving: make(map[string]bool)}
 	for _, x := range []*Daemon{d, other} {
-		x.update(start, configurationRead{configuration: inForce(1)})
-		w.happens(x, start, "engine-0", listedLive)
+		x.update(start, configurationRead{configuration: testConfiguration(1)})
+		w.apply(x, start, "engine-0", listedLive)
 	}
-	w.happens(d, start, "engine-0", answersLeaving)
+	w.apply(d, start, "engine-0", answersLeaving)
 	usable := func(x *Daemon, now time.Time) bool {
 		y, _ := x.tables.Targets.Lookup("engine-0")
 		return y.Usable(now)
@@ -281,11 +281,11 @@
 	for second := range 400 {
 		now := start.Add(time.Duration(second) * time.Second)
 		for _, x := range []*Daemon{d, other} {
-			w.happens(x, now, "engine-0", listedLive)
-			w.happens(x, now, "engine-0", reportsLive)
+			w.apply(x, now, "engine-0", listedLive)
+			w.apply(x, now, "engine-0", reportsLive)
 		}
-		other.update(now, peerSaid{d.state(now, &d.tables), make(chan peer.Message, 1)})
-		d.update(now, peerSaid{other.state(now, &other.tables), make(chan peer.Message, 1)})
+		other.update(now, peerRequest{d.gossipMessage(now, &d.tables), make(chan peer.Message, 1)})
+		d.update(now, peerRequest{other.gossipMessage(now, &other.tables), make(chan peer.Message, 1)})
 		if second < 100 && (usable(d, now) || usable(other, now)) {
 			t.Fatalf("used again after %d s", second)
 		}
@@ -295,23 +295,23 @@
 	}
 }
 
-// TestTokensFollowDemand has an account with a throttle send all its requests
+// TestTokenQuotaFollowsDemand has an account with a throttle send all its requests
 // to one of two boxes. It gets most of its tokens there.
-func TestTokensFollowDemand(t *testing.T) {
+func TestTokenQuotaFollowsDemand(t *testing.T) {
 	d := newDaemon(t)
 	now := time.Now()
-	c := inForce(1)
+	c := testConfiguration(1)
 	c.Accounts = map[string]account.Account{"a": {Name: "a", Weight: 1, TokensPerMinute: 1000}}
 	d.update(now, configurationRead{configuration: c})
-	w := world{left: make(map[string]bool)}
-	w.happens(d, now, "engine-0", listedLive)
+	w := targetEvents{leaving: make(map[string]bool)}
+	w.apply(d, now, "engine-0", listedLive)
 	d.update(now, boxesRead{list: append(slices.Clone(d.tables.list), boxes.Box{Name: "entry-2", Role: boxes.RoleEntry})})
-	w.happens(d, now, "engine-0", reportsLive)
-	d.update(now, peerSaid{peer.Message{Kind: peer.KindGossip, From: "entry-2"}, make(chan peer.Message, 1)})
+	w.apply(d, now, "engine-0", reportsLive)
+	d.update(now, peerRequest{peer.Message{Kind: peer.KindGossip, From: "entry-2"}, make(chan peer.Message, 1)})
 	admitted := 0
 	for range 10 {
-		reply := make(chan placeAnswer, 1)
-		d.update(now, placeAsked{route.Ask{Request: "r", Account: "a", Model: "m", Attempt: 1, Tokens: 100}, reply})
+		reply := make(chan placementAnswer, 1)
+		d.update(now, placementRequest{route.Ask{Request: "r", Account: "a", Model: "m", Attempt: 1, Tokens: 100}, reply})
 		if answer := <-reply; answer.err == nil {
 			admitted++
 			d.update(now, attemptEnded{route.Ended{Placed: answer.placed}})
@@ -322,27 +322,27 @@
 	}
 }
 
-// TestUnknownTargetsAreRead has a box that watches none of the targets read each
+// TestUnreportedTargetsAreRead has a box that watches none of the targets read each
 // of them once, and again when one refuses, as what it heard may be old.
-func TestUnknownTargetsAreRead(t *testing.T) {
+func TestUnreportedTargetsAreRead(t *testing.T) {
 	d := newDaemon(t)
 	now := time.Unix(1000, 0)
-	d.update(now, configurationRead{configuration: inForce(1)})
-	w := world{left: make(map[string]bool)}
-	w.happens(d, now, "engine-0", listedLive)
+	d.update(now, configurationRead{configuration: testConfiguration(1)})
+	w := targetEvents{leaving: make(map[string]bool)}
+	w.apply(d, now, "engine-0", listedLive)
 	d.tables.watched = nil
 	if got := len(d.pollLoads(now, &d.tables)); got != 3 {
 		t.Fatalf("%d targets are read, want 3", got)
 	}
 	for i := range 3 {
-		w.happens(d, now, fmt.Sprintf("engine-%d", i), reportsLive)
+		w.apply(d, now, fmt.Sprintf("engine-%d", i), reportsLive)
 	}
 	now = now.Add(time.Minute)
 	if got := d.pollLoads(now, &d.tables); len(got) != 0 {
 		t.Errorf("%v are read again, want none", got)
 	}
-	reply := make(chan placeAnswer, 1)
-	d.update(now, placeAsked{route.Ask{Request: "r", Model: "m", Attempt: 1}, reply})
+	reply := make(chan placementAnswer, 1)
+	d.update(now, placementRequest{route.Ask{Request: "r", Model: "m", Attempt: 1}, reply})
 	placed := (<-reply).placed
 	got := d.update(now, attemptEnded{route.Ended{Placed: placed, Refused: true}})
 	if len(got) != 1 || got[0] != (readLoad{target: placed.Target, address: placed.Address}) {
@@ -350,40 +350,40 @@
 	}
 }
 
-// TestWaitTravels has a box tell a peer, some seconds after it read a target's
+// TestGossipedLoadAges has a box tell a peer, some seconds after it read a target's
 // report, how long that is busy yet.
-func TestWaitTravels(t *testing.T) {
+func TestGossipedLoadAges(t *testing.T) {
 	d, other := newDaemon(t), newDaemon(t)
 	start := time.Now()
-	w := world{left: make(map[string]bool)}
+	w := targetEvents{leaving: make(map[string]bool)}
 	for _, x := range []*Daemon{d, other} {
-		x.update(start, configurationRead{configuration: inForce(1)})
-		w.happens(x, start, "engine-0", listedLive)
+		x.update(start, configurationRead{configuration: testConfiguration(1)})
+		w.apply(x, start, "engine-0", listedLive)
 	}
 	x, _ := d.tables.Targets.Lookup("engine-0")
 	x.Slots, x.Version = 8, "v1"
 	x.Report(start, 0, 0, 10*time.Second)
 	later := start.Add(4 * time.Second)
-	other.update(later, peerSaid{d.state(later, &d.tables), make(chan peer.Message, 1)})
+	other.update(later, peerRequest{d.gossipMessage(later, &d.tables), make(chan peer.Message, 1)})
 	y, _ := other.tables.Targets.Lookup("engine-0")
 	if got := y.Wait(later, 0); got < 5900*time.Millisecond || got > 6100*time.Millisecond {
 		t.Errorf("the peer thinks that the target is busy for %v, want 6s", got)
 	}
 }
 
-// TestWantsNoRequests has engines ask for a time without requests: they get none meanwhile,
+// TestTargetBackoff has engines ask for a time without requests: they get none meanwhile,
 // though their reports say that they are free, and some when it is over.
-func TestWantsNoRequests(t *testing.T) {
+func TestTargetBackoff(t *testing.T) {
 	d := newDaemon(t)
 	now := time.Unix(1000, 0)
-	d.update(now, configurationRead{configuration: inForce(1)})
-	(&world{left: make(map[string]bool)}).happens(d, now, "engine-0", listedLive)
+	d.update(now, configurationRead{configuration: testConfiguration(1)})
+	(&targetEvents{leaving: make(map[string]bool)}).apply(d, now, "engine-0", listedLive)
 	for i := range 3 {
 		d.update(now, loadRead{target: fmt.Sprintf("engine-%d", i), load: engine.Load{Version: "v1", Slots: 8}})
 	}
 	place := func(now time.Time) error {
-		reply := make(chan placeAnswer, 1)
-		d.update(now, placeAsked{route.Ask{Request: "r", Model: "m", Attempt: 1}, reply})
+		reply := make(chan placementAnswer, 1)
+		d.update(now, placementRequest{route.Ask{Request: "r", Model: "m", Attempt: 1}, reply})
 		return (<-reply).err
 	}
 	if err := place(now); err != nil {
@@ -391,7 +391,7 @@
 	}
 	for i := range 3 {
 		name := fmt.Sprintf("engine-%d", i)
-		d.update(now, targetSaid{route.Placed{Target: name, Address: address(name)}, notice.Signals{Backoff: 3 * time.Second}})
+		d.update(now, signalsHeard{route.Placed{Target: name, Address: address(name)}, notice.Signals{Backoff: 3 * time.Second}})
 		d.update(now, loadRead{target: name, load: engine.Load{Version: "v1", Slots: 8}})
 	}
 	for _, tt := range []struct {
