--- a/attempt.go
+++ b/attempt.go
@@ -7,8 +7,9 @@
 	"github.com/thymewind/thymewind/decision"
 )
 
-// attemptEnded takes an attempt's end in, explains it, and has its prompt's cache
-// kept if that is worth it.
+// attemptEnded records an attempt's outcome and applies it to the tables. It has the
+// prompt's cache exported if that is worthwhile, and the load of a target that
+// refused read again.
 func (d *Daemon) attemptEnded(now time.Time, t *tables, m attemptEnded) []effect {
 	d.recordAttempt(now, m)
 	d.recordLiveness(now, t, m.Ended)
@@ -16,12 +17,12 @@
 		return []effect{exportCache{m.Placed}}
 	}
 	if m.Refused {
-		return t.readLoad(m.Placed.Target) // What this box knows of it is old.
+		return t.readLoad(m.Placed.Target) // This box's knowledge of it is stale.
 	}
 	return nil
 }
 
-// signalsHeard takes in what a target says of itself, and explains it.
+// signalsHeard applies a target's signals and logs a new backoff.
 func (d *Daemon) signalsHeard(now time.Time, t *tables, m signalsHeard) {
 	if x, known := t.Targets.Lookup(m.placed.Target); known && m.signals.Backoff > 0 && !now.Before(x.BackoffUntil) {
 		d.Log.Info("target wants no requests", "target", x.Name, "for", m.signals.Backoff, "request", m.placed.Request)
--- a/build.go
+++ b/build.go
@@ -35,30 +35,30 @@
 	"github.com/thymewind/thymewind/target"
 )
 
-// The daemon's fixed bounds.
+// Fixed limits of the daemon.
 const (
-	maxAttempts       = 3
-	maxResumes        = 2
-	dialTimeout   = time.Second
-	tableTimeout  = 2 * time.Second
-	stallTimeout          = 2 * time.Second
-	cancelTimeout = 500 * time.Millisecond
-	claimRetention    = 30 * time.Second
-	resumeRetention      = 30 * time.Second
-	retryShare     = 0.1
-	retryBurst     = 20
-	messageQueueSize        = 1024
-	maxBufferedAccounts   = 50000
+	maxAttempts         = 3
+	maxResumes          = 2
+	dialTimeout         = time.Second
+	tableTimeout        = 2 * time.Second
+	stallTimeout        = 2 * time.Second
+	cancelTimeout       = 500 * time.Millisecond
+	claimRetention      = 30 * time.Second
+	resumeRetention     = 30 * time.Second
+	retryShare          = 0.1
+	retryBurst          = 20
+	messageQueueSize    = 1024
+	maxBufferedAccounts = 50000
 )
 
-// components are the packages that the daemon is put together from.
+// components are what the daemon is assembled from.
 type components struct {
 	now     func() time.Time
 	random  func() uint64
 	systems []system
-	// supersedes says whether a revision may replace the one in force.
+	// supersedes reports whether a revision may replace the one in force.
 	supersedes func(next, current *configuration.Configuration) bool
-	// shutdown closes a listener and waits for its last request.
+	// shutdown closes a server's listener and waits until its last request is done.
 	shutdown func(s *http.Server, ctx context.Context) error
 	chooser  placement.Chooser
 	boxes    boxes.List
@@ -78,7 +78,7 @@
 	front    caller.Front
 }
 
-// build puts the parts together.
+// build assembles the daemon.
 func (d *Daemon) build() error {
 	d.now = boottime.Now
 	d.random = rand.Uint64
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// buildScheduler prepares the decisions.
+// buildScheduler sets up the scheduler that places requests.
 func (d *Daemon) buildScheduler() {
 	d.chooser = placement.Chooser{Usable: (*target.Target).Usable, Wait: d.tables.Wait}
 	b := &d.tables.Scheduler
@@ -118,7 +118,7 @@
 	b.Start()
 }
 
-// chooseAndCount counts choices by their rule.
+// chooseAndCount chooses a target and counts the choice by its rule.
 func (d *Daemon) chooseAndCount(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error) {
 	choice, err := d.chooser.Choose(now, ask, targets)
 	if err == nil {
@@ -140,7 +140,8 @@
 	}
 }
 
-// buildLedger starts a ledger of this run's own.
+// buildLedger creates the ledger. Its incarnation is unique to this run of the
+// process.
 func (d *Daemon) buildLedger() {
 	d.ledger = charge.Ledger{
 		Incarnation: d.Settings.Name + "-" + newID(), Commit: d.table.Commit, Read: d.table.Read, ListAll: d.table.ListAll,
@@ -171,22 +172,22 @@
 	for _, key := range d.Settings.TokenKeys {
 		d.signer.Keys = append(d.signer.Keys, []byte(key))
 	}
-	comeBack := func() time.Duration { return d.jitter(time.Second) }
+	retryAfter := func() time.Duration { return d.jitter(time.Second) }
 	d.relay = relay.Relay{
 		Place: d.requestPlacement, Generate: d.engines.Generate, Resume: d.resumeRun, Cancel: d.engines.Cancel,
 		Accept: (*stream.Checker).Accept,
 		Stall:  stallTimeout,
 		Ended:  d.reportEnded, Said: d.reportSignals, Allow: d.allow, Retry: d.spendRetry, Now: d.now, Attempts: maxAttempts, Resumes: maxResumes,
-		CancelPatience: cancelTimeout, ComeBack: comeBack,
+		CancelPatience: cancelTimeout, ComeBack: retryAfter,
 	}
 	sender := forward.Sender{Dial: dialer.DialContext}
 	d.permits = idempotency.Guard{
 		Lookup: d.claims.Lookup, Take: d.claims.Take, Release: d.claims.Release, Finish: d.claims.Finish,
-		Record: d.records.Add, Timeout: tableTimeout, RetryAfter: comeBack,
+		Record: d.records.Add, Timeout: tableTimeout, RetryAfter: retryAfter,
 	}
 	d.forward = forward.Forwarder{
 		Place: d.requestPlacement, Ended: d.reportEnded, Said: d.reportSignals, Allow: d.allow, Permits: &d.permits, Send: sender.Send, Retry: d.spendRetry,
-		Attempts: maxAttempts, ComeBack: comeBack,
+		Attempts: maxAttempts, ComeBack: retryAfter,
 	}
 	d.front = caller.Front{
 		Configuration: d.current.Load, Permits: &d.permits, Run: d.relay.Run, Forward: d.forward.Serve, Resume: d.resumeStream,
@@ -195,10 +196,10 @@
 	}
 }
 
-// newID returns an ID that no other process returns.
+// newID returns a globally unique ID.
 func newID() string { return ulid.Make().String() }
 
-// jitter spreads a duration between half and one and a half of it.
+// jitter returns a random duration between 0.5 and 1.5 times the mean.
 func (d *Daemon) jitter(mean time.Duration) time.Duration {
 	if mean <= 0 {
 		return 0
@@ -206,7 +207,7 @@
 	return mean/2 + time.Duration(d.random()%uint64(mean))
 }
 
-// wait pauses unless ctx ends first.
+// wait sleeps for a while, or until ctx ends, and then returns ctx's error.
 func wait(ctx context.Context, pause time.Duration) error {
 	select {
 	case <-time.After(pause):
--- a/cache.go
+++ b/cache.go
@@ -19,55 +19,55 @@
 	"github.com/thymewind/thymewind/route"
 )
 
-// The bounds of finding and keeping cache.
+// Limits on looking up, exporting and evicting cache on store boxes.
 const (
-	findTimeout   = 100 * time.Millisecond
-	exportTimeout = 10 * time.Second
-	capacityCheckInterval      = 2 * time.Second
-	minFreeShare      = 0.1
-	// maxEvictionCandidates is how many manifests are looked at to make room.
+	findTimeout           = 100 * time.Millisecond
+	exportTimeout         = 10 * time.Second
+	capacityCheckInterval = 2 * time.Second
+	minFreeShare          = 0.1
+	// maxEvictionCandidates is how many manifests an eviction chooses from.
 	maxEvictionCandidates = 500
 )
 
-// storeFailed tells that a store box did not answer.
+// storeFailed reports that a store box did not answer.
 type storeFailed struct{ store string }
 
-// exportCache has an engine write a prompt's cache to a store box.
+// exportCache has an engine export a prompt's cache to a store box.
 type exportCache struct{ placed route.Placed }
 
-// cacheExported is how that went.
+// cacheExported is the result of exportCache.
 type cacheExported struct {
 	placed route.Placed
 	run    []kvcache.Manifest
 	err    error
 }
 
-// evictCache drops cache from a store box that fills up.
+// evictCache evicts cache from a store box that is nearly full.
 type evictCache struct {
 	store   string
 	address netip.AddrPort
 }
 
-// cacheEvicted tells that the store box has been looked at.
+// cacheEvicted is the result of evictCache.
 type cacheEvicted struct {
 	store   string
 	dropped int
 	err     error
 }
 
-// findCached looks for kept cache of a prompt that was placed and decides whether
-// to import it. It runs on the request's own goroutine.
+// findCached looks up a placed prompt's cache in the store box and decides whether
+// to import it. It runs on the request's goroutine.
 func (d *Daemon) findCached(ctx context.Context, placed *route.Placed, prompt string) {
 	placed.Keys = prefix.Chain(placed.Scope, []byte(prompt), max(placed.PieceBytes, 1))
 	if !placed.Store.IsValid() || len(placed.Keys) == 0 {
 		return
 	}
-	asking, cancel := context.WithTimeout(ctx, findTimeout)
+	findCtx, cancel := context.WithTimeout(ctx, findTimeout)
 	defer cancel()
 	keys := keyStrings(placed.Keys)
-	found, err := d.stores.Find(asking, placed.Store, keys)
+	found, err := d.stores.Find(findCtx, placed.Store, keys)
 	if ctx.Err() != nil {
-		return // The caller has left; that says nothing of the store box.
+		return // The caller has left, so the error does not show that the store box failed.
 	}
 	if err != nil {
 		_ = d.send(ctx, storeFailed{placed.StoreName})
@@ -95,8 +95,8 @@
 	return all
 }
 
-// decideImport imports as much of the kept cache found as is predicted to cost
-// less than computing it.
+// decideImport has the engine import as much of the cache found as is predicted to
+// cost less than computing it.
 func (d *Daemon) decideImport(placed *route.Placed, prompt string, found kvcache.Found) {
 	p := d.currentOrEmpty().Pools[placed.Pool]
 	n := placed.Estimate.Best(d.now(), p.Policy, reuse.Choice{Tokens: len(prompt) / dispatch.BytesPerToken, Found: found, Wait: placed.Wait})
@@ -115,13 +115,14 @@
 	d.records.Add(record)
 }
 
-// export has the pieces written and, when all are, their manifests.
+// export has the engine write the pieces and then, once all are written, puts their
+// manifests.
 func (d *Daemon) export(ctx context.Context, placed route.Placed) message {
 	ctx, cancel := context.WithTimeout(ctx, exportTimeout)
 	defer cancel()
 	pieces, err := d.engines.Export(ctx, placed.Address, placed.Request, placed.Scope.String(), placed.Store)
 	if err == nil && len(pieces) != len(placed.Keys) {
-		err = trace.CompareFailed("%d pieces were written, want %d", len(pieces), len(placed.Keys))
+		err = trace.CompareFailed("%d pieces were exported, want %d", len(pieces), len(placed.Keys))
 	}
 	var run []kvcache.Manifest
 	for i, piece := range pieces {
@@ -150,8 +151,9 @@
 	d.records.Add(r)
 }
 
-// checkCapacity has one box look after each store box's room. Two boxes doing so
-// at once, while the list lags, do no harm.
+// checkCapacity checks the free space of the store boxes for which this box ranks
+// first. While the list of boxes lags, two boxes may check the same store box, which
+// does no harm.
 func (d *Daemon) checkCapacity(now time.Time, t *tables) []effect {
 	if now.Before(t.due.capacity) {
 		return nil
@@ -167,18 +169,18 @@
 	return effects
 }
 
-// evictCache drops the manifests least worth keeping if the store box is nearly
-// full; twice the least room is made, so that it is not done all the time.
+// evictCache drops the manifests least worth keeping if less than minFreeShare of
+// the store box is free. It aims for twice that share, so that evictions are rare.
 func (d *Daemon) evictCache(ctx context.Context, e evictCache) message {
-	room, size, err := d.stores.Capacity(ctx, e.address)
-	if err != nil || float64(room) >= minFreeShare*float64(size) {
+	free, size, err := d.stores.Capacity(ctx, e.address)
+	if err != nil || float64(free) >= minFreeShare*float64(size) {
 		return cacheEvicted{store: e.store, err: trace.Wrap(err)}
 	}
 	manifests, err := d.stores.Oldest(ctx, e.address, maxEvictionCandidates)
 	if err != nil {
 		return cacheEvicted{store: e.store, err: trace.Wrap(err)}
 	}
-	keys := retention.Evict(d.now(), manifests, int(2*minFreeShare*float64(size))-room)
+	keys := retention.Evict(d.now(), manifests, int(2*minFreeShare*float64(size))-free)
 	for _, key := range keys {
 		if err := d.stores.Drop(ctx, e.address, key); err != nil {
 			return cacheEvicted{store: e.store, err: trace.Wrap(err)}
@@ -186,7 +188,7 @@
 	}
 	d.records.Add(decision.Record{
 		At: d.now(), Kind: decision.Dropped, Rule: "least tokens saved a byte, by use and age", Result: e.store,
-		Inputs: fmt.Sprintf("%d of %d bytes free, %d of %d manifests dropped", room, size, len(keys), len(manifests)),
+		Inputs: fmt.Sprintf("%d of %d bytes free, %d of %d manifests dropped", free, size, len(keys), len(manifests)),
 	})
 	return cacheEvicted{store: e.store, dropped: len(keys)}
 }
--- a/cache_test.go
+++ b/cache_test.go
@@ -10,14 +10,13 @@
 	"github.com/thymewind/thymewind/route"
 )
 
-// TestCallerLeavingDoesNotBackOffStore shows that a caller that leaves while the
-// store box is asked does not put the store box out of use, while a store box
-// that does not answer is.
+// TestCallerLeavingDoesNotBackOffStore checks that a store box gets a backoff if it does
+// not answer, but not if the caller left in the meantime.
 func TestCallerLeavingDoesNotBackOffStore(t *testing.T) {
 	tests := []struct {
-		name   string
-		left   bool
-		blamed int
+		name     string
+		left     bool
+		failures int
 	}{
 		{"the caller left", true, 0},
 		{"nobody answers", false, 1},
@@ -35,8 +34,8 @@
 				Store: netip.MustParseAddrPort("127.0.0.1:1"), // Nothing listens there.
 			}
 			d.findCached(ctx, &placed, "a prompt of some pieces")
-			if got := len(d.messages); got != tt.blamed {
-				t.Errorf("%d store boxes were blamed, want %d", got, tt.blamed)
+			if got := len(d.messages); got != tt.failures {
+				t.Errorf("%d store failures were reported, want %d", got, tt.failures)
 			}
 		})
 	}
--- a/charges.go
+++ b/charges.go
@@ -7,26 +7,28 @@
 	"github.com/gravitational/trace"
 )
 
-// The pace of charging. Every box writes now and then; the more boxes there
-// are, the less often, so that all together stay within the table service.
+// The interval between a box's writes of charges. It grows with the number of
+// boxes, so that all of them together stay within the table service's write rate.
 const (
-	minFlushInterval = time.Second
-	flushIntervalPerBox   = 60 * time.Millisecond
+	minFlushInterval    = time.Second
+	flushIntervalPerBox = 60 * time.Millisecond
 )
 
 // flushCharges writes this box's charges.
 type flushCharges struct{}
 
-// applyCharges adds all boxes' batches to the accounts, for the duty's holder.
+// applyCharges adds the batches of all boxes to the accounts. Only the holder of
+// dutyCharges does that.
 type applyCharges struct{}
 
-// chargesProcessed tells that either is done.
+// chargesProcessed is the result of flushCharges or applyCharges.
 type chargesProcessed struct {
 	pending string
 	err     error
 }
 
-// processCharges writes charges and, if this box has the duty, applies them.
+// processCharges writes this box's charges when they are due and, if this box
+// holds dutyCharges, applies the batches of all boxes.
 func (d *Daemon) processCharges(now time.Time, t *tables) []effect {
 	var effects []effect
 	if !now.Before(t.due.flush) && !t.pending[pendingFlush] && d.ledger.Waiting() > 0 {
@@ -58,7 +60,7 @@
 	return chargesProcessed{pendingApply, trace.Wrap(err)}
 }
 
-// flushInterval is how often each box writes its charges.
+// flushInterval returns the mean interval between a box's writes of charges.
 func flushInterval(t *tables) time.Duration {
 	return max(minFlushInterval, time.Duration(t.boxCount())*flushIntervalPerBox)
 }
--- a/client_test.go
+++ b/client_test.go
@@ -12,8 +12,8 @@
 	standin "github.com/thymewind/thymewind/internal/standin/engine"
 )
 
-// TestOfficialClient has the API's own client library talk to a daemon, with
-// only its base URL and key changed.
+// TestOfficialClient has the API's official client library talk to a daemon, with only
+// the base URL and the key changed.
 func TestOfficialClient(t *testing.T) {
 	f := newFleet(t, 1, nil)
 	base := f.daemons[0].callers + "/v1/"
--- a/cmd/thymeload/chat.go
+++ b/cmd/thymeload/chat.go
@@ -18,8 +18,8 @@
 
 // answer is what a caller has of one streamed answer.
 type answer struct {
-	text  string
-	token string
+	text     string
+	token    string
 	complete bool
 }
 
--- a/cmd/thymeload/figures.go
+++ b/cmd/thymeload/figures.go
@@ -16,8 +16,8 @@
 	// daemons and to the engine directly.
 	first, directFirst *hdrhistogram.Histogram
 	requests, complete int
-	retried         map[int]int
-	wrongAnswers          int
+	retried            map[int]int
+	wrongAnswers       int
 	// orders holds what the caller of each key was told last.
 	orders    map[string]string
 	unchecked int
--- a/daemon.go
+++ b/daemon.go
@@ -1,7 +1,8 @@
-// Package thymewind serves language-model prompts that return after long gaps:
-// it places each request on a target, relays the whole answer, and can say why.
+// Package thymewind is the daemon of an entry box, which serves language-model
+// requests whose prompts come back after long gaps. It places each request on a
+// target, relays the whole answer and records the reason of each decision.
 //
-// A daemon runs on every entry box; none is special:
+// A daemon runs on every entry box; all are equal:
 //
 //	d := thymewind.Daemon{Settings: s, Log: logger, Registry: prometheus.NewRegistry()}
 //	err := d.Run(ctx) // returns after a planned stop
@@ -27,28 +28,29 @@
 type Daemon struct {
 	Settings settings.Settings
 	Log      *log.Logger
-	// Registry takes the daemon's metrics.
+	// Registry receives the daemon's metrics.
 	Registry *prometheus.Registry
-	// Listening, if it is set, hears of the addresses once all are open. With
-	// port 0 in the settings it is the way to learn them.
+	// OnListening, if set, is called with the addresses once all listeners are
+	// open. With port 0 in the settings this is how to learn the ports.
 	OnListening func(callers, operators, peers netip.AddrPort)
 
 	components
 	tables  tables
 	records decision.Ring
-	metrics  metricSet
-	// messages is unbuffered enough that the loop is never far behind.
+	metrics metricSet
+	// messages carries events to the loop. Its buffer is messageQueueSize; a
+	// sender blocks while it is full.
 	messages chan message
-	// current is the revision in force, for readers outside the loop.
+	// current is the configuration in force, for readers outside the loop.
 	current atomic.Pointer[configuration.Configuration]
 	// stopping is set once a planned stop has begun.
 	stopping atomic.Bool
-	// effects counts effects that still run.
+	// effects counts the effects that are still running.
 	effects sync.WaitGroup
 }
 
-// Run serves until ctx ends and then stops in order: no request that was
-// accepted is cut.
+// Run serves until ctx ends and then drains: every accepted request gets its
+// whole answer before Run returns.
 func (d *Daemon) Run(ctx context.Context) error {
 	if err := d.build(); err != nil {
 		return trace.Wrap(err)
@@ -70,9 +72,9 @@
 	return trace.Wrap(err)
 }
 
-// loop is the whole daemon: a message changes the tables in update, systems
-// run over them each tick, and both return effects, which alone touch the
-// network.
+// loop is the daemon's event loop. Messages change the tables in update, and
+// systems run over the tables on each tick. Both return effects; only effects
+// do I/O.
 func (d *Daemon) loop(ctx context.Context) {
 	tick := time.NewTicker(d.Settings.Timing.Tick)
 	defer tick.Stop()
@@ -88,7 +90,7 @@
 	}
 }
 
-// tick runs the systems over the tables.
+// tick runs all systems over the tables.
 func (d *Daemon) tick(now time.Time) []effect {
 	var effects []effect
 	d.tables.noteTick(now)
@@ -98,7 +100,7 @@
 	return effects
 }
 
-// send hands a message to the loop, unless ctx ends first.
+// send passes a message to the loop, unless ctx ends first.
 func (d *Daemon) send(ctx context.Context, m message) error {
 	select {
 	case d.messages <- m:
--- a/daemon_test.go
+++ b/daemon_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestCutStreams has engines cut and cross most of their streams; callers
-// still get whole answers or typed errors.
+// TestCutStreams has engines cut most of their streams, or send frames of another
+// request in them. Callers still get whole answers or typed errors.
 func TestCutStreams(t *testing.T) {
 	f := newFleet(t, 1, nil)
 	for _, name := range []string{"engine-1", "engine-2", "engine-3"} {
@@ -46,7 +46,7 @@
 		case r.err != nil:
 			t.Errorf("request %d: %v", i, r.err)
 		case r.status == http.StatusOK && text != expected(prompt, 30):
-			t.Errorf("request %d: a success with %q", i, text)
+			t.Errorf("request %d: status 200 with a wrong answer %q", i, text)
 		case r.status == http.StatusOK:
 			whole++
 		case r.header.Get("Thymewind-Outcome") == "":
@@ -58,9 +58,9 @@
 	}
 }
 
-// crossAccountLeaks has two accounts send the same prompts and the same keys. It
-// returns what crossed between them.
-func crossAccountLeaks(t *testing.T, f *fleet) (crossed []string) {
+// crossAccountLeaks has two accounts send the same prompts and the same idempotency
+// keys. It returns the cache and the answers that leaked from one to the other.
+func crossAccountLeaks(t *testing.T, f *fleet) (leaks []string) {
 	for i := range 4 {
 		prompt := fmt.Sprintf("round %d: %s", i, strings.Repeat("the same catalogue for all; ", 20))
 		if _, _, r := f.chat(0, "menu key", prompt, 3); r.status != http.StatusOK {
@@ -68,21 +68,21 @@
 		}
 		_, cached, _ := f.chat(0, "rider key", prompt, 3)
 		if cached > 0 {
-			crossed = append(crossed, "cache of "+prompt[:8])
+			leaks = append(leaks, "cache of "+prompt[:8])
 		}
 		header := http.Header{"Idempotency-Key": {fmt.Sprint("order-", i)}, "Thymewind-Not-Repeatable": {"true"}}
 		one := f.post(0, "menu key", "/services/orders/orders", "for the menu", header)
 		two := f.post(0, "rider key", "/services/orders/orders", "for the rider", header)
 		if !strings.Contains(one.body, "for the menu") || !strings.Contains(two.body, "for the rider") {
-			crossed = append(crossed, fmt.Sprintf("answers %q, %q", one.body, two.body))
+			leaks = append(leaks, fmt.Sprintf("answers %q, %q", one.body, two.body))
 		}
 	}
-	return crossed
+	return leaks
 }
 
 func TestAccountsAreIsolated(t *testing.T) {
-	if crossed := crossAccountLeaks(t, newFleet(t, 1, nil)); len(crossed) > 0 {
-		t.Errorf("crossed: %v", crossed)
+	if leaks := crossAccountLeaks(t, newFleet(t, 1, nil)); len(leaks) > 0 {
+		t.Errorf("leaked between accounts: %v", leaks)
 	}
 }
 
@@ -90,12 +90,12 @@
 	removed := func(d *Daemon) {
 		d.tables.Scope = func(_, version string) prefix.Key { return prefix.Scope("", version) }
 	}
-	if crossed := crossAccountLeaks(t, newFleet(t, 1, removed)); len(crossed) == 0 {
-		t.Error("the control was removed and nothing crossed: it proves nothing")
+	if leaks := crossAccountLeaks(t, newFleet(t, 1, removed)); len(leaks) == 0 {
+		t.Error("nothing leaked with the account removed from the scope, so TestAccountsAreIsolated proves nothing")
 	}
 }
 
-// stream begins a long streamed answer and returns when some of it came.
+// stream begins a streamed answer and returns after its first line.
 func (f *fleet) stream(daemon int, prompt string, tokens int) (*http.Response, *bufio.Reader, string) {
 	body := fmt.Sprintf(`{"model":"menu-assistant","prompt":%q,"stream":true,"max_tokens":%d}`, prompt, tokens)
 	request, err := http.NewRequest(http.MethodPost, f.daemons[daemon].callers+"/v1/completions", strings.NewReader(body))
@@ -115,31 +115,31 @@
 	return response, reader, line
 }
 
-// readToEnd reads a stream to its end and says whether it ended as a whole one does.
+// readToEnd reads a stream to its end and reports whether it was complete.
 func readToEnd(reader *bufio.Reader) bool {
-	whole := false
+	complete := false
 	for {
 		line, err := reader.ReadString('\n')
-		whole = whole || strings.HasPrefix(line, "data: [DONE]")
+		complete = complete || strings.HasPrefix(line, "data: [DONE]")
 		if err != nil {
-			return whole
+			return complete
 		}
 	}
 }
 
-// stopMidAnswer has a daemon stop while an answer is under way and says whether
-// the answer came whole and the daemon ended well.
+// stopMidAnswer stops a daemon in the middle of an answer and reports whether the
+// answer was complete and the daemon stopped without an error.
 func stopMidAnswer(t *testing.T, change func(*Daemon)) bool {
 	f := newFleet(t, 1, change)
 	response, reader, _ := f.stream(0, "a long story", 200)
 	defer func() { _ = response.Body.Close() }()
 	f.daemons[0].stop()
-	whole := readToEnd(reader)
+	complete := readToEnd(reader)
 	err := <-f.daemons[0].done
 	if waiting := f.daemons[0].d.ledger.Waiting(); waiting > 0 {
 		t.Errorf("the charges of %d accounts were not written", waiting)
 	}
-	return whole && err == nil
+	return complete && err == nil
 }
 
 func TestPlannedStopDrains(t *testing.T) {
@@ -153,16 +153,16 @@
 		d.shutdown = func(s *http.Server, _ context.Context) error { return s.Close() }
 	}
 	if stopMidAnswer(t, removed) {
-		t.Error("the control was removed and nothing was cut: it proves nothing")
+		t.Error("nothing was cut without the wait for the last request, so TestPlannedStopDrains proves nothing")
 	}
 }
 
-// TestResumeOnAnotherBox takes a stream up at a second daemon.
+// TestResumeOnAnotherBox resumes a stream at a second daemon.
 func TestResumeOnAnotherBox(t *testing.T) {
 	f := newFleet(t, 2, nil)
 	response, _, first := f.stream(0, "a long story", 100)
 	token := response.Header.Get("Thymewind-Resume")
-	_ = response.Body.Close() // As if the box died.
+	_ = response.Body.Close() // As if the box had failed.
 	offset := strings.TrimSpace(strings.TrimPrefix(first, "id: "))
 	header := http.Header{"Thymewind-Resume": {token}, "Last-Event-Id": {offset}}
 	r := f.post(1, "menu key", "/v1/resume", "", header)
@@ -189,8 +189,8 @@
 	return b.String()
 }
 
-// TestRollout rolls the pool over while requests come in. Every answer is
-// whole, no request is refused, and each run's cache scope fits its version.
+// TestRollout rolls a pool out to new weights under load. Every answer is whole, no
+// request is refused, and each run's cache scope matches its weight version.
 func TestRollout(t *testing.T) {
 	f := newFleet(t, 2, nil)
 	ctx := context.Background()
@@ -215,7 +215,7 @@
 		return done
 	})
 	if !readToEnd(reader) {
-		t.Error("the run under way at the swap was cut")
+		t.Error("the run in flight during the rollout was cut")
 	}
 	for _, engine := range []string{"engine-1", "engine-2", "engine-3"} {
 		for _, run := range f.runs(engine) {
@@ -258,8 +258,8 @@
 	}
 }
 
-// TestBootDuringPlatformOutage has a daemon boot while the platform is down. It takes
-// what a peer holds, and serves.
+// TestBootDuringPlatformOutage starts a daemon while the platform is down. It serves
+// with a peer's configuration and list of boxes.
 func TestBootDuringPlatformOutage(t *testing.T) {
 	f := newFleet(t, 1, nil)
 	f.faults["platform"].Set(fault.State{Down: true})
@@ -278,8 +278,8 @@
 	}
 }
 
-// TestResumeOfCancelledRun has a run cancelled before its caller takes it up
-// again. The caller is told that it is gone, so that it asks anew.
+// TestResumeOfCancelledRun cancels a run before its caller resumes it. The caller is
+// told that the run is gone and has to be requested anew.
 func TestResumeOfCancelledRun(t *testing.T) {
 	f := newFleet(t, 1, nil)
 	response, _, _ := f.stream(0, "a long story", 100)
@@ -301,8 +301,8 @@
 	}
 }
 
-// TestServiceRequestsPassUnchanged checks that method, path, query and body pass
-// through as they are.
+// TestServiceRequestsPassUnchanged checks that method, path, query and body reach a
+// service unchanged.
 func TestServiceRequestsPassUnchanged(t *testing.T) {
 	f := newFleet(t, 1, nil)
 	tests := []struct {
@@ -325,9 +325,9 @@
 	}
 }
 
-// TestNotRepeatableModelRequests has callers ask for one licence answer over and over,
-// with the same key, at two daemons at once. It runs once, and all get its
-// answer or are told that it may be running.
+// TestNotRepeatableModelRequests sends one request that is marked not repeatable many
+// times, with one key, to two daemons at once. It runs once; all callers get its answer
+// or are told that it may be running.
 func TestNotRepeatableModelRequests(t *testing.T) {
 	f := newFleet(t, 2, nil)
 	body := `{"model":"menu-assistant","prompt":"may I use track 7 in a film","max_tokens":20}`
@@ -347,11 +347,11 @@
 	}
 	last := f.post(0, "menu key", "/v1/completions", body, header)
 	if last.status != http.StatusOK || !strings.Contains(last.body, want) || last.header.Get("Idempotency-Replayed") != "true" {
-		t.Errorf("asked again: %+v", last)
+		t.Errorf("repeated after it completed: %+v", last)
 	}
 	streamed := f.post(1, "menu key", "/v1/completions", strings.Replace(body, "{", `{"stream":true,`, 1), header)
 	if streamed.status != http.StatusUnprocessableEntity {
-		t.Errorf("another request with the key: status %d", streamed.status)
+		t.Errorf("another request with the same key: status %d", streamed.status)
 	}
 	runs := 0
 	for _, engine := range []string{"engine-1", "engine-2", "engine-3"} {
--- a/duty.go
+++ b/duty.go
@@ -19,49 +19,50 @@
 	"github.com/thymewind/thymewind/weights"
 )
 
-// The duties that one daemon at a time holds.
+// The duties: work that one daemon at a time does, under a lease.
 const (
 	dutyCharges = "charges"
-	// dutyOrders comes before a pool's name.
+	// dutyOrders is followed by a pool's name.
 	dutyOrders = "orders/"
 )
 
-// dutyCandidates is how many boxes try for each duty; the list of boxes names
-// others when they are gone.
+// dutyCandidates is how many boxes compete for each duty's lease. When some of
+// them leave the list of boxes, others take their places.
 const dutyCandidates = 3
 
 // weightsLoadTimeout is how long a target may take to load weights.
 const weightsLoadTimeout = 30 * time.Second
 
-// duty is one lease with what its holder needs to remember.
+// duty is one lease with the state that its holder needs.
 type duty struct {
 	lease *lease.Lease
-	// epoch is the last one that was held; a higher one means a new start.
+	// epoch is the last epoch held. A higher one means that the lease was acquired
+	// anew, so the orders have to be read again.
 	epoch uint64
 	// heldSince is when this epoch was first seen to be held.
 	heldSince time.Time
-	// ordersKnown says that the orders of earlier holders were read.
-	ordersKnown   bool
-	rollout weights.Rollout
-	nextRenewal    time.Time
+	// ordersKnown is set once the orders of earlier holders were read.
+	ordersKnown bool
+	rollout     weights.Rollout
+	nextRenewal time.Time
 }
 
-// renewLease renews or takes a lease.
+// renewLease renews or acquires a lease.
 type renewLease struct {
 	duty  string
 	lease *lease.Lease
 }
 
-// leaseRenewed is how that went.
+// leaseRenewed is the result of renewLease.
 type leaseRenewed struct {
 	duty string
 	err  error
 }
 
-// readOrders reads the orders that were given for a pool.
+// readOrders reads the orders recorded for a pool.
 type readOrders struct{ duty, pool string }
 
-// ordersRead is what was found.
+// ordersRead is the result of readOrders.
 type ordersRead struct {
 	duty   string
 	orders []orderRow
@@ -77,7 +78,7 @@
 	At      time.Time `json:"at"`
 }
 
-// sendOrder has a target load weights, under a lease.
+// sendOrder orders a target to load weights, under a lease.
 type sendOrder struct {
 	lease   *lease.Lease
 	pool    string
@@ -86,7 +87,8 @@
 	version string
 }
 
-// renewLeases keeps the leases of the duties that this box is a candidate for.
+// renewLeases renews or acquires the leases of the duties that this box is a
+// candidate for.
 func (d *Daemon) renewLeases(now time.Time, t *tables) []effect {
 	if d.stopping.Load() {
 		return nil
@@ -104,7 +106,7 @@
 	return effects
 }
 
-// dutyNames names the duties of this configuration.
+// dutyNames lists the duties of the configuration in force.
 func (t *tables) dutyNames() []string {
 	if t.Configuration.Revision == 0 {
 		return nil
@@ -118,7 +120,7 @@
 	return names
 }
 
-// duty returns a duty's state, new if need be.
+// duty returns a duty's state and creates it if it is missing.
 func (d *Daemon) duty(t *tables, name string) *duty {
 	x, known := t.dutiesByName[name]
 	if !known {
@@ -135,12 +137,12 @@
 	return x
 }
 
-// candidate says whether this box is one of those that try for a duty.
+// candidate reports whether this box is one of those that compete for a duty.
 func (d *Daemon) candidate(t *tables, name string) bool {
 	return d.rank(t, placement.Hash(name)) < dutyCandidates
 }
 
-// leaseRenewed notes whether the lease is held and under which epoch.
+// leaseRenewed records whether the lease is held and under which epoch.
 func (d *Daemon) leaseRenewed(now time.Time, t *tables, m leaseRenewed) []effect {
 	delete(t.pending, pendingDuty+m.duty)
 	x := d.duty(t, m.duty)
@@ -164,18 +166,18 @@
 func (d *Daemon) ordersRead(now time.Time, t *tables, m ordersRead) []effect {
 	x := d.duty(t, m.duty)
 	if m.err != nil {
-		x.epoch = 0 // Read again when the lease is next stepped.
+		x.epoch = 0 // The orders are read again when the lease is next renewed.
 		return nil
 	}
 	for _, o := range m.orders {
-		// The order may have been sent just now, as far as this box can know.
+		// This box can't tell when the order was sent; it may have been just now.
 		x.rollout.Note(o.Target, o.Version, now)
 	}
 	x.ordersKnown = true
 	return nil
 }
 
-// advanceRollouts orders targets to load the weights that are configured.
+// advanceRollouts orders targets to load the configured weights.
 func (d *Daemon) advanceRollouts(now time.Time, t *tables) []effect {
 	var effects []effect
 	for name, p := range t.Configuration.Pools {
@@ -195,18 +197,19 @@
 	return effects
 }
 
-// fenced says whether no earlier holder's order can still arrive. Targets that
-// check the epoch refuse it themselves; for others a new holder waits as long
-// as an earlier order could have been under way.
+// fenced reports whether orders of earlier holders can do no harm any more.
+// Targets that check the epoch refuse them. For other targets a new holder waits
+// for one lease length, the longest that an earlier order can be in flight.
 func (d *Daemon) fenced(now time.Time, p pool.Pool, x *duty) bool {
 	return p.ChecksFence || now.Sub(x.heldSince) >= d.Settings.Timing.Lease
 }
 
-// order writes the order's row and then sends the order, all within the lease.
+// order writes the order's row and then sends the order, both while the lease is
+// held.
 func (d *Daemon) order(ctx context.Context, e sendOrder) error {
 	epoch, until, ok := e.lease.Held()
 	if !ok {
-		return trace.CompareFailed("the lease has run out")
+		return trace.CompareFailed("the lease %s has run out", e.lease.Name)
 	}
 	ctx, cancel := context.WithTimeout(ctx, until.Sub(d.now()))
 	defer cancel()
@@ -220,7 +223,7 @@
 		return trace.Wrap(err)
 	}
 	if held, _, ok := e.lease.Held(); !ok || held != epoch {
-		return trace.CompareFailed("the lease has run out")
+		return trace.CompareFailed("the lease %s has run out", e.lease.Name)
 	}
 	err = d.engines.Send(ctx, e.address, engine.Order{ID: o.ID, Epoch: epoch, Version: e.version, Deadline: time.Now().Add(until.Sub(d.now()))})
 	r := decision.Record{
@@ -234,7 +237,7 @@
 	return trace.Wrap(err)
 }
 
-// orderPrefix comes before the pool and target of an order's row.
+// orderPrefix is the prefix of order rows; the pool and the target follow.
 const orderPrefix = "order/"
 
 func (d *Daemon) readOrders(ctx context.Context, e readOrders) message {
@@ -249,7 +252,7 @@
 	return m
 }
 
-// releaseLeases gives all leases back, for a planned stop.
+// releaseLeases releases all leases, for a planned stop.
 func (d *Daemon) releaseLeases(ctx context.Context) {
 	var leases []*lease.Lease
 	d.inspect(ctx, func(_ time.Time, t *tables) {
@@ -259,7 +262,7 @@
 	})
 	for _, l := range leases {
 		if err := l.Release(ctx); err != nil {
-			d.Log.Warn("a lease was not given back; it runs out by itself", "duty", l.Name, "err", err)
+			d.Log.Warn("lease could not be released; it expires on its own", "duty", l.Name, "err", err)
 		}
 	}
 }
--- a/edit.go
+++ b/edit.go
@@ -19,10 +19,11 @@
 	"github.com/thymewind/thymewind/report"
 )
 
-// keyField adds an API key to an account; only its hash is kept.
+// keyField is the pseudo-field that adds an API key to an account; only the key's
+// hash is stored.
 const keyField = "add_key"
 
-// changes serves a change that a client made up by itself.
+// changes serves a change whose entries the client has built itself.
 func (d *Daemon) changes(ctx context.Context, name string, body []byte) report.Report {
 	var in struct {
 		Entries    []configuration.Entry `json:"entries"`
@@ -34,21 +35,23 @@
 	return d.submit(ctx, name, in.Entries, in.IfRevision)
 }
 
-// maxEditAttempts is how often an edit is made anew when another change came first.
+// maxEditAttempts bounds how often an edit is rebuilt because another change was
+// committed first.
 const maxEditAttempts = 5
 
-// edit serves the statements that change the configuration. The change is made
-// of the latest revision, and anew if another one came first, unless the
-// operator said which revision it is for.
+// edit serves the statements that change the configuration. The change is built
+// on the latest revision. If another change is committed first, it is rebuilt on
+// that one, unless the operator named the revision.
 func (d *Daemon) edit(ctx context.Context, name string, s query.Statement) report.Report {
 	return d.editEntity(ctx, name, revisionOf(s), func(c *configuration.Configuration) (configuration.Entry, error) {
 		return entryOf(c, s)
 	})
 }
 
-// editEntity makes a change of one entity of the latest revision.
-func (d *Daemon) editEntity(ctx context.Context, name string, only uint64, build func(*configuration.Configuration) (configuration.Entry, error)) report.Report {
-	for try := 1; ; try++ {
+// editEntity changes one entity of the latest revision. With ifRevision above 0
+// it changes that revision only, in one attempt.
+func (d *Daemon) editEntity(ctx context.Context, name string, ifRevision uint64, build func(*configuration.Configuration) (configuration.Entry, error)) report.Report {
+	for attempt := 1; ; attempt++ {
 		current, err := d.latest(ctx)
 		if err != nil {
 			return report.Refused(err)
@@ -58,17 +61,17 @@
 			return report.Refused(err)
 		}
 		revision := current.Revision
-		if only > 0 {
-			revision = only
+		if ifRevision > 0 {
+			revision = ifRevision
 		}
 		answer, err := d.submitWithError(ctx, name, []configuration.Entry{entry}, &revision)
-		if !trace.IsCompareFailed(err) || only > 0 || try == maxEditAttempts {
+		if !trace.IsCompareFailed(err) || ifRevision > 0 || attempt == maxEditAttempts {
 			return answer
 		}
 	}
 }
 
-// latest returns the revision in force by the table service.
+// latest returns the newest revision, as read from the table service.
 func (d *Daemon) latest(ctx context.Context) (*configuration.Configuration, error) {
 	current := d.currentOrEmpty()
 	next, err := d.readNewer(ctx, current)
@@ -78,7 +81,7 @@
 	return next, nil
 }
 
-// revisionOf is the revision that an operator's change is for; 0 for any.
+// revisionOf returns the revision that a statement names with "if revision", or 0.
 func revisionOf(s query.Statement) uint64 {
 	switch {
 	case s.Create != nil:
@@ -93,7 +96,7 @@
 	return 0
 }
 
-// entryOf returns the entity that a statement makes of a revision.
+// entryOf returns the entity as a statement changes it in a revision.
 func entryOf(c *configuration.Configuration, s query.Statement) (configuration.Entry, error) {
 	switch {
 	case s.Create != nil:
@@ -124,13 +127,13 @@
 	return &configuration.Configuration{}
 }
 
-// submit makes a change, tells the outcome and records it, refused or not.
+// submit commits a change, records the outcome and reports it.
 func (d *Daemon) submit(ctx context.Context, name string, entries []configuration.Entry, expect *uint64) report.Report {
 	answer, _ := d.submitWithError(ctx, name, entries, expect)
 	return answer
 }
 
-// submitWithError is submit with the reason of a refusal as an error too.
+// submitWithError is submit that also returns the reason of a refusal as an error.
 func (d *Daemon) submitWithError(ctx context.Context, name string, entries []configuration.Entry, expect *uint64) (report.Report, error) {
 	change := configuration.Change{ID: newID(), Actor: name, At: d.now().UTC(), Entries: entries}
 	next, err := d.submitOnce(ctx, change, expect)
@@ -139,7 +142,8 @@
 		record.Rule, record.Result = "refused", trace.Unwrap(err).Error()
 		d.records.Add(record)
 		if !errors.Is(err, configuration.ErrUnknown) {
-			// The audit trail of refusals is kept if the table service can.
+			// Best effort: the audit trail misses this refusal if the table service
+			// can't store it.
 			_ = d.rows.Refuse(ctx, change, record.Result)
 		}
 		answer := report.Refused(err)
@@ -163,8 +167,8 @@
 	return d.rows.Submit(ctx, current, change)
 }
 
-// applyEdit returns the entity with the assignments made. An entity to change
-// must exist, one to create must not.
+// applyEdit returns the entity with the assignments applied. An entity to change
+// must exist, and one to create must not.
 func applyEdit(c *configuration.Configuration, e query.Edit, exists bool) (configuration.Entry, error) {
 	entry := configuration.Entry{Kind: e.Kind, Name: e.Name}
 	var err error
@@ -180,8 +184,8 @@
 	return entry, trace.Wrap(err)
 }
 
-// previousWeights lets targets that are not rolled over yet go on serving the
-// version that a changed pool had before.
+// previousWeights returns the assignment that keeps a pool's old weight version
+// as the previous one, so that targets not yet updated go on serving it.
 func previousWeights(c *configuration.Configuration, e query.Edit) []query.Assignment {
 	before := c.Pools[e.Name].Weights
 	for _, a := range e.Set {
@@ -210,7 +214,8 @@
 	return json.Marshal(v)
 }
 
-// setField gives one field, named as in JSON, a value; a dot leads into a struct.
+// setField sets a field by its JSON name; a dot separates the names of nested
+// fields.
 func setField(entity any, field, value string) error {
 	if a, ok := entity.(*account.Account); ok && field == keyField {
 		var key string
@@ -233,9 +238,9 @@
 	return nil
 }
 
-// setLeaving stops new work to a target, or lets it have some again, by a change of
-// its pool.
-func (d *Daemon) setLeaving(ctx context.Context, name, target string, leaves bool) report.Report {
+// setLeaving adds a target to its pool's list of leaving targets, which get no
+// new requests, or removes it from there.
+func (d *Daemon) setLeaving(ctx context.Context, name, target string, leaving bool) report.Report {
 	pool := ""
 	d.inspect(ctx, func(_ time.Time, t *tables) {
 		if x, known := t.Targets.Lookup(target); known {
@@ -243,21 +248,22 @@
 		}
 	})
 	return d.editEntity(ctx, name, 0, func(c *configuration.Configuration) (configuration.Entry, error) {
-		return withLeaving(c, pool, target, leaves)
+		return withLeaving(c, pool, target, leaving)
 	})
 }
 
-// withLeaving returns a pool with a target in or out of its list of those that leave.
-func withLeaving(c *configuration.Configuration, name, target string, leaves bool) (configuration.Entry, error) {
+// withLeaving returns a pool whose list of leaving targets has a target added or
+// removed.
+func withLeaving(c *configuration.Configuration, name, target string, leaving bool) (configuration.Entry, error) {
 	p, known := c.Pools[name]
 	if !known {
 		return configuration.Entry{}, trace.NotFound("there is no target %q", target)
 	}
-	if slices.Contains(p.Leave, target) == leaves {
+	if slices.Contains(p.Leave, target) == leaving {
 		return configuration.Entry{}, trace.AlreadyExists("target %q is so already", target)
 	}
 	p.Leave = slices.DeleteFunc(slices.Clone(p.Leave), func(other string) bool { return other == target })
-	if leaves {
+	if leaving {
 		p.Leave = append(p.Leave, target)
 	}
 	after, err := json.Marshal(p)
--- a/edit_test.go
+++ b/edit_test.go
@@ -12,8 +12,8 @@
 	"github.com/thymewind/thymewind/report"
 )
 
-// TestEditKeepsConcurrentChanges has an operator change a field at a box that
-// has not heard of the latest revision yet, which changed another field.
+// TestEditKeepsConcurrentChanges has an operator change a field at a box that does not
+// know the latest revision yet, which changed another field. Both changes must persist.
 func TestEditKeepsConcurrentChanges(t *testing.T) {
 	rows := &fake.Table{}
 	store := configuration.Rows{Commit: rows.Commit, Read: rows.Read, List: rows.List, ListAll: rows.ListAll, Wait: wait}
@@ -49,7 +49,8 @@
 	}
 }
 
-// TestUnchangedListRenewsLeaving has the platform answer that its list is unchanged.
+// TestUnchangedListRenewsLeaving checks that an unchanged list counts as one that was
+// read again: a target that it marks as leaving stays so, and any other recovers.
 func TestUnchangedListRenewsLeaving(t *testing.T) {
 	tests := []struct {
 		name    string
--- a/effect.go
+++ b/effect.go
@@ -13,39 +13,39 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// effect is something to do outside the tables. Its result, if any, comes back
-// as a message.
+// effect is I/O that the loop asks for. Its result, if any, comes back as a
+// message.
 type effect any
 
-// readBoxes reads the platform's list.
+// readBoxes reads the platform's list of boxes.
 type readBoxes struct{ at time.Time }
 
-// readConfiguration reads what is newer than the revision at hand.
+// readConfiguration reads the configuration if it is newer than have.
 type readConfiguration struct {
 	at   time.Time
 	have *configuration.Configuration
-	// peer is asked if the table service does not answer; it may be unset.
+	// peer is the fallback if the table service does not answer; it may be unset.
 	peer netip.AddrPort
 	name string
 }
 
-// fetchFromPeer asks a peer for all that a daemon needs to boot.
+// fetchFromPeer asks a peer for what a daemon needs to start.
 type fetchFromPeer struct{ address netip.AddrPort }
 
-// readLoad reads one target's report.
+// readLoad reads one target's load report.
 type readLoad struct {
 	target  string
 	address netip.AddrPort
 }
 
-// callPeer sends a peer a message and takes its answer in.
+// callPeer sends a message to a peer and waits for the answer.
 type callPeer struct {
 	name    string
 	address netip.AddrPort
 	message peer.Message
 }
 
-// run performs effects, each on a goroutine of its own.
+// run performs each effect on its own goroutine and sends the results to the loop.
 func (d *Daemon) run(ctx context.Context, effects []effect) {
 	for _, e := range effects {
 		d.effects.Go(func() {
@@ -56,10 +56,10 @@
 	}
 }
 
-// perform is the one place where effects touch the network.
+// perform carries out an effect and returns its result, or nil.
 func (d *Daemon) perform(ctx context.Context, e effect) message {
-	const patience = 2 * time.Second
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	const timeout = 2 * time.Second
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	switch e := e.(type) {
 	case readBoxes:
@@ -70,15 +70,15 @@
 	case readConfiguration:
 		return d.readConfiguration(ctx, e)
 	case readLoad:
-		asked := d.now()
+		requestedAt := d.now()
 		load, err := d.engines.Load(ctx, e.address)
-		return loadRead{e.target, load, err, asked}
+		return loadRead{e.target, load, err, requestedAt}
 	case renewLease:
 		return leaseRenewed{e.duty, e.lease.AcquireOrRenew(ctx)}
 	case readOrders:
 		return d.readOrders(ctx, e)
 	case sendOrder:
-		_ = d.order(ctx, e) // The record and the target's report tell.
+		_ = d.order(ctx, e) // The decision record and the target's report show the outcome.
 	case flushCharges:
 		return chargesProcessed{pendingFlush, d.ledger.Flush(ctx)}
 	case applyCharges:
@@ -94,46 +94,46 @@
 	return nil
 }
 
-// readConfiguration asks the table service and, if that does not answer, the
+// readConfiguration reads from the table service and, if that fails, from the
 // peer.
 func (d *Daemon) readConfiguration(ctx context.Context, e readConfiguration) message {
 	next, err := d.readNewer(ctx, e.have)
 	if err == nil || !e.peer.IsValid() {
 		return configurationRead{requestedAt: e.at, configuration: next, err: trace.Wrap(err)}
 	}
-	held, err := d.fetchSnapshot(ctx, e.peer)
-	return configurationRead{requestedAt: e.at, configuration: held.Configuration, err: trace.Wrap(err), from: e.name}
+	snapshot, err := d.fetchSnapshot(ctx, e.peer)
+	return configurationRead{requestedAt: e.at, configuration: snapshot.Configuration, err: trace.Wrap(err), from: e.name}
 }
 
-// peerSnapshot is what a daemon tells a peer that has to catch up without the
-// platform.
+// peerSnapshot is what a daemon sends a peer that catches up without the platform.
 type peerSnapshot struct {
 	Configuration *configuration.Configuration `json:"configuration"`
 	Boxes         []boxes.Box                  `json:"boxes"`
 }
 
-// fetchSnapshot asks a peer what it holds.
+// fetchSnapshot asks a peer for its snapshot.
 func (d *Daemon) fetchSnapshot(ctx context.Context, at netip.AddrPort) (peerSnapshot, error) {
-	var held peerSnapshot
+	var snapshot peerSnapshot
 	answer, err := d.peers.Call(ctx, at, peer.Message{Kind: peer.KindConfiguration, From: d.Settings.Name})
 	if err != nil {
-		return held, trace.Wrap(err)
+		return snapshot, trace.Wrap(err)
 	}
-	return held, trace.Wrap(json.Unmarshal(answer.Body, &held))
+	return snapshot, trace.Wrap(json.Unmarshal(answer.Body, &snapshot))
 }
 
 func (d *Daemon) fetchFromPeer(ctx context.Context, at netip.AddrPort) message {
-	held, err := d.fetchSnapshot(ctx, at)
-	if err != nil || len(held.Boxes) == 0 {
+	snapshot, err := d.fetchSnapshot(ctx, at)
+	if err != nil || len(snapshot.Boxes) == 0 {
 		return nil
 	}
 	return peerSnapshotRead{
-		boxesRead{list: held.Boxes, from: at.String()},
-		configurationRead{configuration: held.Configuration, from: at.String()},
+		boxesRead{list: snapshot.Boxes, from: at.String()},
+		configurationRead{configuration: snapshot.Configuration, from: at.String()},
 	}
 }
 
-// readNewer returns the revision in force if it is higher than the one at hand.
+// readNewer returns the table service's revision if it is higher than have, or
+// nil.
 func (d *Daemon) readNewer(ctx context.Context, have *configuration.Configuration) (*configuration.Configuration, error) {
 	if have.Revision == 0 {
 		return d.rows.Load(ctx)
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -29,20 +29,20 @@
 	"github.com/thymewind/thymewind/settings"
 )
 
-// fleet is a small fleet in this process, over loopback.
+// fleet is a small fleet of stand-ins and daemons in this process, over loopback.
 type fleet struct {
 	t        testing.TB
 	platform *httptest.Server
 	faults   map[string]*fault.Switch
 	addrs    map[string]netip.AddrPort
 	daemons  []*runningDaemon
-	// limited are targets that may name a rate, by name.
+	// limited are the targets by name; each may announce a rate limit.
 	limited map[string]*limitedTarget
 	mu      sync.Mutex
 	boxes   []boxes.Box
 }
 
-// runningDaemon is one daemon that runs.
+// runningDaemon is a daemon of the fleet.
 type runningDaemon struct {
 	d       *Daemon
 	callers string
@@ -113,7 +113,7 @@
 	f.boxes = append(f.boxes, b)
 }
 
-// announce keeps the boxes on the platform's list.
+// announce keeps the boxes on the platform's list until ctx ends.
 func (f *fleet) announce(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.mu.Lock()
@@ -187,7 +187,7 @@
 	}
 }
 
-// eventually waits for a condition, long enough for any machine.
+// eventually waits for a condition for at least 30 s, so that slow machines pass too.
 func (f *fleet) eventually(what string, holds func() bool) {
 	f.t.Helper()
 	for range 3000 {
@@ -196,7 +196,7 @@
 		}
 		_ = wait(context.Background(), 10*time.Millisecond)
 	}
-	f.t.Fatalf("never came true: %s", what)
+	f.t.Fatalf("condition did not hold in time: %s", what)
 }
 
 // reply is one answer to a caller.
@@ -230,7 +230,7 @@
 	return reply{response.StatusCode, response.Header, string(data), err}
 }
 
-// chat asks for a whole answer.
+// chat requests an answer that is not streamed.
 func (f *fleet) chat(daemon int, key, content string, tokens int) (text string, cached int, r reply) {
 	body, err := json.Marshal(struct {
 		Model     string `json:"model"`
@@ -262,7 +262,7 @@
 	return text, cached, r
 }
 
-// expected is what every engine answers to a chat of one message.
+// expected returns every engine's answer to a chat of one message.
 func expected(content string, tokens int) string {
 	return standin.Answer("<|user|>"+content+"\n", tokens)
 }
@@ -281,7 +281,7 @@
 	return all
 }
 
-// firstByte asks for a streamed answer and returns the time to its first text.
+// firstByte requests a streamed answer and returns the time to its first text.
 func (f *fleet) firstByte(url, key string) time.Duration {
 	body := `{"model":"menu-assistant","prompt":"what is left tonight","stream":true,"max_tokens":1,"request":"direct-` + newID() + `","attempt":1,"version":"v1","scope":"direct","piece_bytes":64}`
 	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
@@ -309,7 +309,7 @@
 	}
 }
 
-// percentile returns one in milliseconds.
+// percentile returns a percentile in milliseconds; part is 0 to 1.
 func percentile(all []time.Duration, part float64) float64 {
 	sorted := slices.Sorted(slices.Values(all))
 	return float64(sorted[int(part*float64(len(sorted)-1))]) / float64(time.Millisecond)
--- a/gossip.go
+++ b/gossip.go
@@ -11,42 +11,44 @@
 	"github.com/thymewind/thymewind/target"
 )
 
-// The bounds of what one message holds, so that its bytes are bounded too.
+// Limits on the contents of a gossip message, which bound its size too.
 const (
-	// gossipFanOut are told now and then, newsPartners when a revision is new.
-	gossipFanOut     = 1
+	// gossipFanOut is how many peers a periodic message goes to, newRevisionFanOut
+	// how many are told of a new revision at once.
+	gossipFanOut      = 1
 	newRevisionFanOut = 3
-	// maxBusyLoads bounds the reports of busy targets, maxTurn those of any, which
-	// take turns.
-	maxBusyLoads    = 8
-	maxOtherLoads    = 8
-	maxLeaving = 32
-	maxDemand  = 12
-	maxUsage     = 16
-	maxLimits  = 16
-	// maxLoadAge is when a report is too old to be told on.
+	// maxBusyLoads bounds the load reports of busy targets, maxOtherLoads those of
+	// further targets, busy or not, which take turns from message to message.
+	maxBusyLoads  = 8
+	maxOtherLoads = 8
+	maxLeaving    = 32
+	maxDemand     = 12
+	maxUsage      = 16
+	maxLimits     = 16
+	// maxLoadAge is the age from which a load report is not passed on.
 	maxLoadAge = 10 * time.Second
-	// maxLeavingAge is how long ago a target was said to be leaving for it to be
-	// told on. The time travels with the news, so that it comes to an end.
+	// maxLeavingAge is how long a target's leaving is passed on. The age is part of
+	// the message, so that boxes don't keep the news alive among themselves.
 	maxLeavingAge = 30 * time.Second
-	// busyThreshold is the wait from which a target's report is worth telling first.
+	// busyThreshold is the queueing time from which a target counts as busy. Reports
+	// of busy targets need not wait for their turn.
 	busyThreshold = 100 * time.Millisecond
 )
 
-// peerAnswered is a peer's answer, or why it gave none.
+// peerAnswered is a peer's answer, or the error of the call.
 type peerAnswered struct {
 	name    string
 	message peer.Message
 	err     error
 }
 
-// peerRequest is a message that a peer sent; the loop answers on reply.
+// peerRequest is a message from a peer; the loop answers on reply.
 type peerRequest struct {
 	message peer.Message
 	reply   chan<- peer.Message
 }
 
-// gossip exchanges soft state with a few random peers.
+// gossip exchanges soft state with random peers when that is due.
 func (d *Daemon) gossip(now time.Time, t *tables) []effect {
 	if now.Before(t.due.gossip) {
 		return nil
@@ -56,7 +58,7 @@
 	return d.gossipTo(now, t, gossipFanOut)
 }
 
-// gossipTo sends this box's state to some random peers.
+// gossipTo sends this box's state to up to so many random peers.
 func (d *Daemon) gossipTo(now time.Time, t *tables, peers int) []effect {
 	var effects []effect
 	for _, name := range d.randomPeers(t, peers) {
@@ -66,17 +68,17 @@
 	return effects
 }
 
-// gossipMessage is what this box tells its peers: reports of busy targets and, in turn,
-// of some others, the targets that are leaving, and its use of limited
-// accounts.
+// gossipMessage returns what this box tells its peers: the load reports of busy
+// targets and, in turn, of some others, the leaving targets, its demand of accounts
+// with limits, its usage of pools, crash reports and targets' rate limits.
 func (d *Daemon) gossipMessage(now time.Time, t *tables) peer.Message {
 	m := peer.Message{Kind: peer.KindGossip, From: d.Settings.Name, Revision: t.Configuration.Revision}
 	names := t.Targets.Keys()
-	busy, turns := 0, 0
+	busy, others := 0, 0
 	for i := range names {
 		x, _ := t.Targets.Lookup(names[(i+t.nextLoad)%len(names)])
-		if said := now.Sub(x.LeavingAt); x.Leaving && said < maxLeavingAge && len(m.Leaving) < maxLeaving {
-			m.Leaving = append(m.Leaving, peer.Leaving{Target: x.ID, Age: int(said.Milliseconds())})
+		if leavingAge := now.Sub(x.LeavingAt); x.Leaving && leavingAge < maxLeavingAge && len(m.Leaving) < maxLeaving {
+			m.Leaving = append(m.Leaving, peer.Leaving{Target: x.ID, Age: int(leavingAge.Milliseconds())})
 		}
 		age := now.Sub(x.ReportedAt)
 		if x.ReportedAt.IsZero() || age > maxLoadAge {
@@ -85,8 +87,8 @@
 		switch {
 		case x.Wait(now, busyThreshold) >= busyThreshold && busy < maxBusyLoads:
 			busy++
-		case turns < maxOtherLoads:
-			turns++
+		case others < maxOtherLoads:
+			others++
 		default:
 			continue
 		}
@@ -100,7 +102,7 @@
 	return m
 }
 
-// demand is this box's use of accounts that have limits.
+// demand returns this box's demand of accounts that have limits.
 func (t *tables) demand(now time.Time) []peer.Demand {
 	var all []peer.Demand
 	for _, account := range t.Active() {
@@ -112,7 +114,7 @@
 	return all
 }
 
-// usage is what this box's requests keep busy of each pool of models.
+// usage returns what this box's requests occupy in each model pool.
 func (t *tables) usage(now time.Time) []peer.PoolUsage {
 	var all []peer.PoolUsage
 	for name, p := range t.Configuration.Pools {
@@ -134,7 +136,8 @@
 	}
 }
 
-// receiveGossip takes a peer's state in. A higher revision is fetched, not believed.
+// receiveGossip applies a peer's state. On a higher revision it reads the
+// configuration again.
 func (d *Daemon) receiveGossip(now time.Time, t *tables, m peer.Message) []effect {
 	if p, known := t.peers.Lookup(m.From); known {
 		p.heardAt = now
@@ -158,7 +161,7 @@
 	return nil
 }
 
-// receiveLoad takes a report over that a peer told, if it is newer.
+// receiveLoad applies a load report from a peer if it is newer than the one known.
 func (t *tables) receiveLoad(now time.Time, l peer.Load) {
 	x, known := t.byID[l.Target]
 	at := now.Add(-time.Duration(l.Age) * time.Millisecond)
@@ -168,12 +171,13 @@
 	x.Slots, x.Version, x.Loading = l.Slots, l.Version, l.Loading
 	busy := time.Duration(l.Queued) * time.Millisecond
 	if busy > 0 {
-		busy += now.Sub(at) // It was told as of now, the report is older.
+		busy += now.Sub(at) // The queue is given as of now, but the report is older.
 	}
 	x.Report(at, l.Running, l.Waiting, busy)
 }
 
-// catchUp reads the table service and, if that fails, asks the peer.
+// catchUp reads the configuration from the table service and, if that fails, from
+// the peer.
 func (d *Daemon) catchUp(now time.Time, t *tables, from string) []effect {
 	if t.pending[pendingConfiguration] {
 		return nil
@@ -183,7 +187,7 @@
 	return []effect{readConfiguration{at: now, have: t.Configuration, peer: p.address, name: from}}
 }
 
-// answerPeer serves one message of a peer.
+// answerPeer serves one message from a peer.
 func (d *Daemon) answerPeer(ctx context.Context, m peer.Message) peer.Message {
 	answer := peer.Message{Kind: m.Kind, From: d.Settings.Name}
 	switch m.Kind {
@@ -208,11 +212,11 @@
 	return answer
 }
 
-// snapshotJSON is what this daemon holds of the platform's, in JSON.
+// snapshotJSON returns this daemon's configuration and list of boxes, in JSON.
 func (d *Daemon) snapshotJSON(ctx context.Context) []byte {
-	held := peerSnapshot{Configuration: d.current.Load()}
-	d.inspect(ctx, func(_ time.Time, t *tables) { held.Boxes = slices.Clone(t.list) })
-	body, err := json.Marshal(held)
+	snapshot := peerSnapshot{Configuration: d.current.Load()}
+	d.inspect(ctx, func(_ time.Time, t *tables) { snapshot.Boxes = slices.Clone(t.list) })
+	body, err := json.Marshal(snapshot)
 	if err != nil {
 		return nil
 	}
--- a/internal/loopback/proxy.go
+++ b/internal/loopback/proxy.go
@@ -43,7 +43,7 @@
 	upstream atomic.Pointer[string]
 	mode     atomic.Int32
 	delay    atomic.Int64
-	accepted     atomic.Int64
+	accepted atomic.Int64
 
 	mu    sync.Mutex
 	links map[*link]bool
--- a/internal/measure/deployment.go
+++ b/internal/measure/deployment.go
@@ -20,12 +20,12 @@
 	// enginePieces bounds an engine's prefix cache.
 	enginePieces = 60
 	// memoryRate and diskRate are a store box's links, in bytes a second.
-	memoryRate  = 4e9
-	diskRate    = 1e9
-	storeMemory = 200
-	storeDisk   = 900
+	memoryRate     = 4e9
+	diskRate       = 1e9
+	storeMemory    = 200
+	storeDisk      = 900
 	reportInterval = 500 * time.Millisecond
-	reportLag   = 500 * time.Millisecond
+	reportLag      = 500 * time.Millisecond
 )
 
 // Deployment is one of the users' deployments as the fakes play it.
--- a/internal/measure/fault.go
+++ b/internal/measure/fault.go
@@ -4,15 +4,15 @@
 
 // The faults that a scenario may have from its third on.
 const (
-	FaultNone       = "none"
-	FaultStoreDead  = "store-dead"
-	FaultStoreFull  = "store-full"
-	FaultLink       = "link-at-a-tenth"
-	FaultDomain     = "domain-gone"
-	FaultSlow       = "engine-slow"
-	FaultTableDown  = "table-down"
-	FaultListLags   = "list-lags"
-	FaultFlood      = "account-floods"
+	FaultNone        = "none"
+	FaultStoreDead   = "store-dead"
+	FaultStoreFull   = "store-full"
+	FaultLink        = "link-at-a-tenth"
+	FaultDomain      = "domain-gone"
+	FaultSlow        = "engine-slow"
+	FaultTableDown   = "table-down"
+	FaultListLags    = "list-lags"
+	FaultFlood       = "account-floods"
 	laggingListDelay = time.Minute
 )
 
--- a/internal/measure/traffic.go
+++ b/internal/measure/traffic.go
@@ -21,18 +21,18 @@
 
 // request is one model request.
 type request struct {
-	id      int
-	account string
-	prompt  prompt
-	answer  int
-	arrived time.Time
-	firstTokenAt   time.Time
-	attempt int
-	exclude []string
-	avoid   string
-	placed  route.Placed
-	store   *store
-	usage   stream.Usage
+	id           int
+	account      string
+	prompt       prompt
+	answer       int
+	arrived      time.Time
+	firstTokenAt time.Time
+	attempt      int
+	exclude      []string
+	avoid        string
+	placed       route.Placed
+	store        *store
+	usage        stream.Usage
 	// queued are its tokens that its engine still has to compute.
 	queued int
 }
@@ -56,8 +56,8 @@
 	*simulation
 	prompts []prompt
 	// weights are the cumulated odds of the prompts.
-	weights []float64
-	generated       int
+	weights   []float64
+	generated int
 	// floodRate is a further rate of the first account alone, in a flood.
 	floodRate float64
 }
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -33,23 +33,23 @@
 // simulation is everything that happens in one run.
 type simulation struct {
 	Scenario
-	random  *rand.Rand
-	now     time.Time
-	end     time.Time
-	events  queue
-	sequence   int
-	scheduler   dispatch.Scheduler
-	engines []*engine
-	stores  []*store
-	traffic *traffic
-	figures *Figures
+	random    *rand.Rand
+	now       time.Time
+	end       time.Time
+	events    queue
+	sequence  int
+	scheduler dispatch.Scheduler
+	engines   []*engine
+	stores    []*store
+	traffic   *traffic
+	figures   *Figures
 }
 
 // event is something to do at a time; order keeps equal times in sequence.
 type event struct {
-	at    time.Time
+	at       time.Time
 	sequence int
-	do    func()
+	do       func()
 }
 
 // queue is a heap of events.
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -57,15 +57,15 @@
 	runs    map[string]*run
 	running int
 	// queued are the prompt tokens of runs whose prefill has not ended.
-	queued  int
-	queue   []*run
-	version string
-	loading bool
-	epoch   uint64
-	reports []api.Load
-	events  []event
-	startedRuns     []StartedRun
-	store   kvcache.Client
+	queued      int
+	queue       []*run
+	version     string
+	loading     bool
+	epoch       uint64
+	reports     []api.Load
+	events      []event
+	startedRuns []StartedRun
+	store       kvcache.Client
 }
 
 // event is one change of the prefix cache.
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -29,7 +29,7 @@
 	// done says that no more text comes; failed that the answer is not whole.
 	done, failed, cancelled bool
 	changed                 chan struct{}
-	usedAt                 time.Time
+	usedAt                  time.Time
 }
 
 // notify tells all readers that the run changed.
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -42,8 +42,8 @@
 
 // listing is one box with the times the lag counts from.
 type listing struct {
-	box     boxes.Box
-	listedAt   time.Time
+	box       boxes.Box
+	listedAt  time.Time
 	seenAt    time.Time
 	leavingAt time.Time
 }
--- a/listen.go
+++ b/listen.go
@@ -17,7 +17,7 @@
 	"github.com/thymewind/thymewind/settings"
 )
 
-// listeners are the daemon's servers.
+// listeners are the daemon's three servers.
 type listeners struct {
 	callers, operators, peers listener
 }
@@ -28,7 +28,7 @@
 	address netip.AddrPort
 }
 
-// listen opens the three listeners, or none.
+// listen opens the three listeners, or none if one fails.
 func (d *Daemon) listen() (*listeners, error) {
 	operators := http.NewServeMux()
 	operators.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -70,38 +70,38 @@
 	}
 }
 
-// serve opens one listener and serves it in the background.
+// serve opens one listener and serves on it in the background.
 func (d *Daemon) serve(at netip.AddrPort, pair settings.Pair, handler http.Handler) (listener, error) {
-	const headerPatience = 10 * time.Second
-	open, err := net.Listen("tcp", at.String())
+	const headerTimeout = 10 * time.Second
+	socket, err := net.Listen("tcp", at.String())
 	if err != nil {
 		return listener{}, trace.Wrap(err)
 	}
-	bound, err := netip.ParseAddrPort(open.Addr().String())
+	bound, err := netip.ParseAddrPort(socket.Addr().String())
 	if err != nil {
 		return listener{}, trace.Wrap(err)
 	}
 	if pair.Certificate != "" {
 		certificate, err := tls.LoadX509KeyPair(pair.Certificate, pair.Key)
 		if err != nil {
-			_ = open.Close()
+			_ = socket.Close()
 			return listener{}, trace.Wrap(err, "key pair of %v", at)
 		}
-		open = tls.NewListener(open, &tls.Config{Certificates: []tls.Certificate{certificate}, MinVersion: tls.VersionTLS12})
+		socket = tls.NewListener(socket, &tls.Config{Certificates: []tls.Certificate{certificate}, MinVersion: tls.VersionTLS12})
 	}
 	server := &http.Server{
-		Handler: handler, MaxHeaderBytes: d.Settings.Limits.HeaderBytes, ReadHeaderTimeout: headerPatience,
+		Handler: handler, MaxHeaderBytes: d.Settings.Limits.HeaderBytes, ReadHeaderTimeout: headerTimeout,
 		ErrorLog: d.Log.StandardLog(),
 	}
 	go func() {
-		if err := server.Serve(open); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(socket); !errors.Is(err, http.ErrServerClosed) {
 			d.Log.Error("listener failed", "address", at, "err", err)
 		}
 	}()
 	return listener{server, bound}, nil
 }
 
-// readyz says whether the balancer should send callers here.
+// readyz tells the load balancer whether to send callers here.
 func (d *Daemon) readyz(w http.ResponseWriter, _ *http.Request) {
 	if d.stopping.Load() || d.current.Load() == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -110,7 +110,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// peerTLS returns how peers are dialled when their listener has a key pair.
+// peerTLS returns the HTTP client for peers whose listeners use TLS.
 func peerTLS(s settings.TLS) (*http.Client, error) {
 	authority, err := os.ReadFile(s.PeerAuthority)
 	if err != nil {
@@ -123,29 +123,30 @@
 	return &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}}, nil
 }
 
-// flushRemaining writes the charges that wait, for as long as a stop may take.
+// flushRemaining writes the waiting charges, with retries until its timeout.
 func (d *Daemon) flushRemaining(ctx context.Context) {
 	const (
-		patience = 10 * time.Second
-		pause    = 200 * time.Millisecond
+		timeout = 10 * time.Second
+		pause   = 200 * time.Millisecond
 	)
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for d.ledger.Waiting() > 0 {
 		if d.ledger.Flush(ctx) != nil && wait(ctx, pause) != nil {
-			d.Log.Error("charges were lost", "accounts", d.ledger.Waiting())
+			d.Log.Error("charges could not be written and are lost", "accounts", d.ledger.Waiting())
 			return
 		}
 	}
 }
 
-// drain is the planned stop: not ready first, then no new callers, then the
-// last answer, then what is still to be written.
+// drain stops in order: it reports not ready, waits for the notice time, closes the
+// callers' listener, waits for the last answer, and then releases the leases and
+// writes the remaining charges.
 func (d *Daemon) drain(ctx context.Context, l *listeners) error {
 	d.stopping.Store(true)
 	d.Log.Info("stopping", "notice", d.Settings.Timing.Notice)
 	_ = wait(ctx, d.Settings.Timing.Notice)
-	// Shutdown waits for the last request, however long its answer takes.
+	// Shutdown waits for the last request without a timeout, as an answer may take long.
 	err := d.shutdown(l.callers.server, ctx)
 	d.Log.Info("last answer sent")
 	d.releaseLeases(ctx)
--- a/message.go
+++ b/message.go
@@ -11,57 +11,58 @@
 	"github.com/thymewind/thymewind/route"
 )
 
-// message is something that happened. The loop takes one at a time.
+// message is an event for the loop, which handles one at a time.
 type message any
 
-// placementRequest asks for a place; the loop answers on reply, which has room.
+// placementRequest asks for a target. The loop answers on reply, whose buffer must
+// have room.
 type placementRequest struct {
 	ask   route.Ask
 	reply chan<- placementAnswer
 }
 
-// placementAnswer is a place or the refusal.
+// placementAnswer is a placement or the refusal.
 type placementAnswer struct {
 	placed route.Placed
 	err    error
 }
 
-// attemptEnded tells how an attempt that was placed went.
+// attemptEnded is the outcome of a placed attempt.
 type attemptEnded struct{ route.Ended }
 
-// signalsHeard tells what the head of an answer says of its target.
+// signalsHeard carries the signals that a target sent in the head of an answer.
 type signalsHeard struct {
-	placed route.Placed
-	signals   notice.Signals
+	placed  route.Placed
+	signals notice.Signals
 }
 
-// runResumed tells that a run's answer is read again from a target.
+// runResumed reports that a run's answer is being resumed from a target.
 type runResumed struct{ at netip.AddrPort }
 
-// boxesRead is the platform's list, or why it can't be read.
+// boxesRead is the list of boxes, or the error of reading it.
 type boxesRead struct {
 	list []boxes.Box
 	err  error
 	// requestedAt is when the read began.
 	requestedAt time.Time
-	// unchanged says that the list is as it was last read.
+	// unchanged is set if the list has not changed since it was last read.
 	unchanged bool
-	// from names the peer whose list it is; empty for the platform's.
+	// from is the peer that sent the list; empty for the platform.
 	from string
 }
 
-// peerSnapshotRead is what a peer holds, for a daemon that boots.
+// peerSnapshotRead is a peer's snapshot, for a daemon that starts.
 type peerSnapshotRead struct {
 	boxes         boxesRead
 	configuration configurationRead
 }
 
-// loadRead is one target's own report, or why it gave none.
+// loadRead is a target's load report, or the error of reading it.
 type loadRead struct {
 	target string
 	load   engine.Load
 	err    error
-	// requestedAt is when it was asked for.
+	// requestedAt is when the report was requested.
 	requestedAt time.Time
 }
 
@@ -71,11 +72,11 @@
 	err           error
 	// requestedAt is when the read began.
 	requestedAt time.Time
-	// from names the peer; empty for the table service.
+	// from is the peer or operator that it came from; empty for the table service.
 	from string
 }
 
-// inspection runs a read of the tables inside the loop, for queries.
+// inspection reads the tables inside the loop, for queries.
 type inspection struct {
 	read func(now time.Time, t *tables)
 	done chan<- struct{}
--- a/metrics.go
+++ b/metrics.go
@@ -10,7 +10,7 @@
 	platformErrors, peerBytes           *prometheus.CounterVec
 	loadErrors, chargesLost, retrySpent prometheus.Counter
 	firstToken                          *prometheus.HistogramVec
-	leases, cacheEvents                        *prometheus.CounterVec
+	leases, cacheEvents                 *prometheus.CounterVec
 }
 
 // newMetricSet registers the metrics.
@@ -28,7 +28,7 @@
 		platformErrors: counts("thymewind_platform_errors_total", "Failed calls to the platform.", "call"),
 		peerBytes:      counts("thymewind_peer_bytes_total", "Bytes exchanged with peers.", "direction"),
 		leases:         counts("thymewind_leases_total", "Leases taken and lost.", "event"),
-		cacheEvents:           counts("thymewind_kept_total", "Kept cache: exported, found, missed, dropped.", "event"),
+		cacheEvents:    counts("thymewind_kept_total", "Kept cache: exported, found, missed, dropped.", "event"),
 
 		loadErrors:  prometheus.NewCounter(prometheus.CounterOpts{Name: "thymewind_load_errors_total", Help: "Load reports that could not be read."}),
 		chargesLost: prometheus.NewCounter(prometheus.CounterOpts{Name: "thymewind_charges_lost_total", Help: "Charges dropped because the buffer was full."}),
--- a/operator.go
+++ b/operator.go
@@ -23,9 +23,9 @@
 // maxOperatorBody bounds an operator's request body, in bytes.
 const maxOperatorBody = 16 << 20
 
-// operator serves operators that show a good credential.
+// operator returns a handler that serves operators with a valid credential.
 func (d *Daemon) operator(serve func(ctx context.Context, name string, body []byte) report.Report) http.HandlerFunc {
-	const patience = 10 * time.Second
+	const timeout = 10 * time.Second
 	return func(w http.ResponseWriter, r *http.Request) {
 		name, ok := d.operatorName(r.Header.Get("Authorization"))
 		if !ok {
@@ -37,7 +37,7 @@
 			http.Error(w, "the body is too large or did not arrive whole", http.StatusBadRequest)
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), patience)
+		ctx, cancel := context.WithTimeout(r.Context(), timeout)
 		defer cancel()
 		answer := serve(ctx, name, body)
 		w.Header().Set("Content-Type", "application/json")
@@ -48,7 +48,8 @@
 	}
 }
 
-// operatorName compares with every credential, in constant time.
+// operatorName returns the name of the operator whose credential the header holds. It
+// compares with every credential in constant time, so that timing reveals nothing.
 func (d *Daemon) operatorName(header string) (name string, ok bool) {
 	credential, bearer := strings.CutPrefix(header, "Bearer ")
 	if !bearer {
@@ -64,7 +65,7 @@
 	return name, ok
 }
 
-// statement serves one line of the operators' language.
+// statement serves one statement of the operator language.
 func (d *Daemon) statement(ctx context.Context, name string, body []byte) report.Report {
 	var in struct {
 		Statement string `json:"statement"`
@@ -93,13 +94,14 @@
 	return d.edit(ctx, name, s)
 }
 
-// fansOut says whether each box holds rows of its own.
+// fansOut reports whether a kind of thing has rows at each box.
 func fansOut(thing string) bool { return thing == "decisions" || thing == "boxes" }
 
-// fanOut asks this box and all peers, and names those that don't answer.
+// fanOut serves a statement at this box and all peers. The report names the boxes that
+// did not answer.
 func (d *Daemon) fanOut(ctx context.Context, text string, s query.Statement) report.Report {
-	const patience = 2 * time.Second
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	const timeout = 2 * time.Second
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	all := d.local(ctx, s)
 	var peers []callPeer
@@ -134,7 +136,7 @@
 	return all
 }
 
-// answerQuery serves a peer's part of a statement.
+// answerQuery serves a statement that a peer fans out.
 func (d *Daemon) answerQuery(ctx context.Context, text string) []byte {
 	answer := report.Report{}
 	s, err := query.Parse(text)
@@ -150,7 +152,7 @@
 	return body
 }
 
-// local answers from this box's own state.
+// local serves a statement from this box's state only.
 func (d *Daemon) local(ctx context.Context, s query.Statement) report.Report {
 	if s.Why != nil {
 		return d.why(*s.Why)
@@ -161,10 +163,11 @@
 	return d.show(ctx, *s.Show)
 }
 
-// inspect runs a read inside the loop.
-func (d *Daemon) inspect(ctx context.Context, look func(now time.Time, t *tables)) {
+// inspect calls read inside the loop and waits for it. It returns without a result if
+// ctx ends first.
+func (d *Daemon) inspect(ctx context.Context, read func(now time.Time, t *tables)) {
 	done := make(chan struct{})
-	if d.send(ctx, inspection{look, done}) != nil {
+	if d.send(ctx, inspection{read, done}) != nil {
 		return
 	}
 	select {
--- a/operator_test.go
+++ b/operator_test.go
@@ -39,10 +39,10 @@
 	}
 	tests := []struct {
 		statement string
-		// rows is the least number wanted, error a part of the refusal.
+		// rows is the least number of rows wanted, error a part of the refusal.
 		rows  int
 		error string
-		// accepted says that a revision is made.
+		// accepted is set if the statement makes a revision.
 		accepted bool
 	}{
 		{statement: `why request ` + request, rows: 2},
@@ -88,13 +88,13 @@
 	}
 	for _, row := range f.runStatement(0, "show audit").Rows {
 		if strings.Contains(fmt.Sprint(row), "sk-new") {
-			t.Error("an API key stands in the audit trail")
+			t.Error("the audit trail contains an API key")
 		}
 	}
 }
 
 // TestConcurrentOperatorChanges has two operators change the same revision at two
-// daemons, while the platform loses answers.
+// daemons while the platform loses answers. At most one change is accepted.
 func TestConcurrentOperatorChanges(t *testing.T) {
 	f := newFleet(t, 2, nil)
 	f.faults["platform"].Set(fault.State{Lose: 0.3})
--- a/quarantine.go
+++ b/quarantine.go
@@ -16,50 +16,51 @@
 	"github.com/thymewind/thymewind/route"
 )
 
-// A model request may take down each engine that begins to run it, and come again at any
-// box. What it did counts for all requests of its account for the same, over all boxes as
-// far as gossip has got: it is news for endedNews at each box that hears of it, so that it
-// goes round, and then comes to an end.
+// A model request may crash every engine that runs it, and be repeated at any box. Crashes are
+// counted by the request's fingerprint, which covers its account and contents, and spread by
+// gossip. Each box announces a crash for announceFor after it learnt of it, so that the report
+// reaches all boxes and then dies out.
 
 const (
-	// announceFor is how long a box tells on that an engine ended under requests, or that
-	// a request was answered after all.
+	// announceFor is how long a box gossips that an engine ended under requests, or that a
+	// quarantined request was answered after all.
 	announceFor = 30 * time.Second
-	// maxCrashReports bounds the ends told in one message, maxSums the requests of each, and
-	// maxLifted the answered ones: some 5 KB in all, right after crashes only.
-	maxCrashReports  = 8
-	maxFingerprints   = 32
-	maxLifted = 16
+	// maxCrashReports bounds the crash reports in one message, maxFingerprints the requests of
+	// each, and maxLifted the answered ones: about 5 KB in all, and only right after crashes.
+	maxCrashReports = 8
+	maxFingerprints = 32
+	maxLifted       = 16
 )
 
-// crashState is what this box knows of requests that take engines down.
+// crashState is what this box knows of requests that crash engines.
 type crashState struct {
-	tracker crash.Tracker
-	quarantine  quarantine.List
-	// incarnations counts the lives of each engine that this box saw end.
+	tracker    crash.Tracker
+	quarantine quarantine.List
+	// incarnations counts the incarnations of each engine that this box saw end.
 	incarnations map[string]int
-	// reports are the ends that are told on, lifted the requests that were answered,
-	// with since when this box knows.
-	reports  map[string]crashReport
-	lifted map[fingerprint.Sum]time.Time
+	// reports are the known crashes by incarnation, lifted the requests that were answered
+	// after all, each with the time when this box learnt of it.
+	reports map[string]crashReport
+	lifted  map[fingerprint.Sum]time.Time
 }
 
-// crashReport is one engine's end.
+// crashReport is the end of one engine's incarnation under requests.
 type crashReport struct {
 	fingerprints []fingerprint.Sum
-	at   time.Time
+	at           time.Time
 }
 
 func newCrashState() crashState {
 	return crashState{incarnations: make(map[string]int), reports: make(map[string]crashReport), lifted: make(map[fingerprint.Sum]time.Time)}
 }
 
-// incarnation names the life of an engine that this box knows: an engine does not tell.
+// incarnation returns the key of an engine's current incarnation as this box counts them.
+// Engines do not report one.
 func (k *crashState) incarnation(box, engine string) string {
 	return box + "/" + engine + "/" + strconv.Itoa(k.incarnations[engine])
 }
 
-// place places a request, unless engines ended under its like.
+// place places a request, unless its fingerprint is quarantined.
 func (d *Daemon) place(now time.Time, t *tables, ask route.Ask) (route.Placed, error) {
 	k := &t.crashes
 	if ask.Model != "" && k.quarantine.Len()+k.tracker.Len() > 0 {
@@ -73,73 +74,75 @@
 	return placed, err
 }
 
-// quarantineRetryAfter is when a caller should return who asks for what takes engines down.
-// Nothing is won by asking sooner.
+// quarantineRetryAfter is the Retry-After of quarantined requests, which an earlier retry
+// would not help.
 const quarantineRetryAfter = time.Minute
 
-// recordLiveness takes from an attempt's end whether its engine lives.
+// recordLiveness learns from an attempt's end whether its engine crashed under it, or whether it
+// was answered after all.
 func (d *Daemon) recordLiveness(now time.Time, t *tables, e route.Ended) {
 	if e.Placed.Ask.Model == "" {
 		return
 	}
 	k := &t.crashes
-	life := k.incarnation(d.Settings.Name, e.Placed.Target)
+	incarnation := k.incarnation(d.Settings.Name, e.Placed.Target)
 	sum := e.Placed.Ask.Fingerprint
 	switch {
 	case e.Dead:
 		d.incarnationEnded(now, t, e.Placed.Target)
-	case e.Cut && k.tracker.CutOff(now, life, sum()):
-		d.blameRequests(now, t, life, []fingerprint.Sum{sum()}, d.Settings.Name)
+	case e.Cut && k.tracker.CutOff(now, incarnation, sum()):
+		d.blameRequests(now, t, incarnation, []fingerprint.Sum{sum()}, d.Settings.Name)
 	case e.End.Request != "" && k.quarantine.Len() > 0 && k.quarantine.Answered(now, sum()):
 		k.lifted[sum()] = now
 	}
 }
 
-// livenessFromReport takes from an engine's report, or from its failing to give any, whether it
-// lives. One that reports again after its end has begun another life.
+// livenessFromReport learns from an engine's load report, or from a refused connection, whether
+// it is alive. An engine that reports again after its end has begun another incarnation.
 func (d *Daemon) livenessFromReport(now time.Time, t *tables, m loadRead) {
 	k := &t.crashes
-	life := k.incarnation(d.Settings.Name, m.target)
+	incarnation := k.incarnation(d.Settings.Name, m.target)
 	switch {
 	case errors.Is(m.err, syscall.ECONNREFUSED):
 		d.incarnationEnded(now, t, m.target)
-	case m.err == nil && k.tracker.HasEnded(life):
+	case m.err == nil && k.tracker.HasEnded(incarnation):
 		k.incarnations[m.target]++
 	case m.err == nil:
-		k.tracker.Alive(life, m.requestedAt)
+		k.tracker.Alive(incarnation, m.requestedAt)
 	}
 }
 
-// incarnationEnded holds an engine's end against the requests that it cut off.
+// incarnationEnded blames an engine's end on the requests that it cut off, if any.
 func (d *Daemon) incarnationEnded(now time.Time, t *tables, engine string) {
-	life := t.crashes.incarnation(d.Settings.Name, engine)
-	if sums := t.crashes.tracker.Ended(now, life); len(sums) > 0 {
-		d.blameRequests(now, t, life, sums, d.Settings.Name)
+	incarnation := t.crashes.incarnation(d.Settings.Name, engine)
+	if sums := t.crashes.tracker.Ended(now, incarnation); len(sums) > 0 {
+		d.blameRequests(now, t, incarnation, sums, d.Settings.Name)
 	}
 }
 
-// blameRequests counts requests that ran on an engine when it ended.
-func (d *Daemon) blameRequests(now time.Time, t *tables, life string, sums []fingerprint.Sum, from string) {
+// blameRequests counts an engine's end against the requests that ran on it, and keeps the crash
+// report for gossip.
+func (d *Daemon) blameRequests(now time.Time, t *tables, incarnation string, sums []fingerprint.Sum, from string) {
 	k := &t.crashes
 	for _, sum := range sums {
-		if k.quarantine.Ended(now, sum, life) {
-			d.Log.Warn("request is refused from now on", "fingerprint", sum, "engines_ended", quarantine.Threshold, "last", life, "told_by", from)
+		if k.quarantine.Ended(now, sum, incarnation) {
+			d.Log.Warn("request is refused from now on", "fingerprint", sum, "engines_ended", quarantine.Threshold, "last", incarnation, "told_by", from)
 		}
 	}
-	news := k.reports[life]
-	if news.at.IsZero() {
-		d.Log.Warn("engine ended under requests", "life", life, "requests", len(sums), "told_by", from)
-		news.at = now
+	report := k.reports[incarnation]
+	if report.at.IsZero() {
+		d.Log.Warn("engine ended under requests", "life", incarnation, "requests", len(sums), "told_by", from)
+		report.at = now
 	}
-	news.fingerprints = append(news.fingerprints, sums...)
-	k.reports[life] = news
+	report.fingerprints = append(report.fingerprints, sums...)
+	k.reports[incarnation] = report
 }
 
-// addReports adds what is news to a message.
+// addReports adds recent crash reports and lifted requests to a gossip message.
 func (k *crashState) addReports(now time.Time, m *peer.Message) {
-	for life, news := range k.reports {
-		if now.Sub(news.at) < announceFor && len(m.CrashReports) < maxCrashReports {
-			m.CrashReports = append(m.CrashReports, peer.CrashReport{Incarnation: life, Fingerprints: news.fingerprints[:min(len(news.fingerprints), maxFingerprints)]})
+	for incarnation, report := range k.reports {
+		if now.Sub(report.at) < announceFor && len(m.CrashReports) < maxCrashReports {
+			m.CrashReports = append(m.CrashReports, peer.CrashReport{Incarnation: incarnation, Fingerprints: report.fingerprints[:min(len(report.fingerprints), maxFingerprints)]})
 		}
 	}
 	for sum, at := range k.lifted {
@@ -149,12 +152,12 @@
 	}
 }
 
-// receiveCrashReports takes a peer's news over.
+// receiveCrashReports applies the crash reports and lifted requests of a peer.
 func (d *Daemon) receiveCrashReports(now time.Time, t *tables, m peer.Message) {
 	k := &t.crashes
-	for _, told := range m.CrashReports {
-		if _, known := k.reports[told.Incarnation]; !known {
-			d.blameRequests(now, t, told.Incarnation, told.Fingerprints[:min(len(told.Fingerprints), maxFingerprints)], m.From)
+	for _, report := range m.CrashReports {
+		if _, known := k.reports[report.Incarnation]; !known {
+			d.blameRequests(now, t, report.Incarnation, report.Fingerprints[:min(len(report.Fingerprints), maxFingerprints)], m.From)
 		}
 	}
 	for _, sum := range m.Lifted {
@@ -165,14 +168,14 @@
 	}
 }
 
-// expireCrashes forgets what is over. News is remembered for longer than it is told on,
-// so that it does not go round for ever.
+// expireCrashes drops expired state. Reports are kept for longer than they are gossiped, as a
+// box that forgot one would announce it anew and keep it alive.
 func (d *Daemon) expireCrashes(now time.Time, t *tables) []effect {
-	const remember = 4 * announceFor
+	const retention = 4 * announceFor
 	k := &t.crashes
 	k.tracker.Expire(now)
 	k.quarantine.Expire(now)
-	maps.DeleteFunc(k.reports, func(_ string, news crashReport) bool { return now.Sub(news.at) > remember })
-	maps.DeleteFunc(k.lifted, func(_ fingerprint.Sum, at time.Time) bool { return now.Sub(at) > remember })
+	maps.DeleteFunc(k.reports, func(_ string, r crashReport) bool { return now.Sub(r.at) > retention })
+	maps.DeleteFunc(k.lifted, func(_ fingerprint.Sum, at time.Time) bool { return now.Sub(at) > retention })
 	return nil
 }
--- a/quarantine_test.go
+++ b/quarantine_test.go
@@ -20,7 +20,7 @@
 	"github.com/thymewind/thymewind/stream"
 )
 
-// newBox is a daemon that knows eight engines and another box.
+// newBox returns a daemon that knows eight engines and another box.
 func newBox(t *testing.T, name string, now time.Time) *Daemon {
 	t.Helper()
 	d := newDaemon(t)
@@ -41,12 +41,12 @@
 	return d
 }
 
-// modelRequest is a request for something; equal prompts ask for the same.
+// modelRequest returns a model request. Equal prompts have equal fingerprints.
 func modelRequest(prompt string, attempt int) route.Ask {
 	return route.Ask{Request: "r", Account: "cafe", Model: "m", Prompt: prompt, Tokens: 10, Attempt: attempt}
 }
 
-// placeFor places a request and returns the refusal's code, or an empty text.
+// placeFor places a request and returns the placement and the refusal's code, if any.
 func placeFor(d *Daemon, now time.Time, ask route.Ask) (route.Placed, string) {
 	reply := make(chan placementAnswer, 1)
 	d.update(now, placementRequest{ask, reply})
@@ -58,8 +58,8 @@
 	return answer.placed, ""
 }
 
-// crashEngines has a request come until it is refused, at most so often, and end the engine
-// that it is placed on each time. It returns how many ended.
+// crashEngines repeats a request, which ends each engine that it is placed on, until it is
+// quarantined or the given number of engines has ended. It returns how many ended.
 func crashEngines(t *testing.T, d *Daemon, now time.Time, prompt string, most int) int {
 	t.Helper()
 	dead := make(map[string]bool)
@@ -79,8 +79,8 @@
 	return len(dead)
 }
 
-// TestQuarantineSpreadsByGossip has a request that no engine survives come again and again at one box, then
-// at another that heard of it, and at a third that heard of it from that one only.
+// TestQuarantineSpreadsByGossip repeats a request that crashes every engine at one box, then at
+// a second that got the first one's gossip, and at a third that got only the second one's.
 func TestQuarantineSpreadsByGossip(t *testing.T) {
 	now := time.Unix(1000, 0)
 	first, second, third := newBox(t, "b1", now), newBox(t, "b2", now), newBox(t, "b3", now)
@@ -100,17 +100,17 @@
 	}
 	late := now.Add(2 * announceFor)
 	if m := third.gossipMessage(late, &third.tables); len(m.CrashReports) != 0 {
-		t.Errorf("told on for ever: %v", m.CrashReports)
+		t.Errorf("crash reports are still gossiped: %v", m.CrashReports)
 	}
 }
 
-// TestLiveEnginesDoNotQuarantine cuts a request off at three engines that live on: it is served, and
-// so is one that was answered in between.
-func TestLiveEnginesDoNotQuarantine(t *testing.T) {
+// TestQuarantineNeedsUnansweredCrashes cuts a request off again and again, but its engines stay
+// alive, or another engine answers it in between. It must not be quarantined.
+func TestQuarantineNeedsUnansweredCrashes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tests := []struct {
 		name string
-		// after is what is heard of an engine once it cut the request off.
+		// after is what happens after an engine cut the request off.
 		after func(d *Daemon, placed route.Placed, at time.Time)
 	}{
 		{"the engine reports", func(d *Daemon, placed route.Placed, at time.Time) {
@@ -142,7 +142,8 @@
 	}
 }
 
-// TestQuarantineLiftedByPeer has a box hear that a request was answered elsewhere.
+// TestQuarantineLiftedByPeer has a box learn from a peer that a request was answered, which lifts
+// its quarantine.
 func TestQuarantineLiftedByPeer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newBox(t, "b1", now)
@@ -153,15 +154,16 @@
 		t.Errorf("refused with %q", code)
 	}
 	if m := d.gossipMessage(now, &d.tables); len(m.Lifted) != 1 {
-		t.Error("not told on")
+		t.Error("the lifted request is not gossiped")
 	}
 }
 
-// TestFingerprintsDifferByAccount keeps accounts apart: what one asks for refuses no other.
+// TestFingerprintsDifferByAccount guards against one account's requests quarantining another's,
+// and against account names in fingerprints.
 func TestFingerprintsDifferByAccount(t *testing.T) {
 	mine, theirs := modelRequest("same", 1), modelRequest("same", 1)
 	theirs.Account = "bistro"
 	if mine.Fingerprint() == theirs.Fingerprint() || strings.Contains(mine.Fingerprint().String(), "cafe") {
-		t.Error("accounts meet")
+		t.Error("fingerprints of two accounts are equal, or one contains the account's name")
 	}
 }
--- a/refresh.go
+++ b/refresh.go
@@ -2,50 +2,49 @@
 
 import "time"
 
-// pauseThreshold is the time without a tick from which a daemon takes itself to have
-// been frozen, such as by a pause of its box. What it knows is old then.
+// pauseThreshold is the time without a tick from which a daemon assumes that it did
+// not run, for example because its box was paused. What it knows may be stale then.
 const pauseThreshold = 2 * time.Second
 
-// refresh keeps requests back while a daemon that was frozen looks at the list of
-// boxes and the configuration again. Neither look is waited for longer than
-// its own bound, and a look that fails ends the wait too: then what is known
-// is all there is.
+// refresh holds requests back after a pause, until the list of boxes and the
+// configuration were read again. Each read has its own timeout. A failed read ends
+// the wait too; requests are then placed by what is known.
 type refresh struct {
-	// lastTick is when the systems last ran.
+	// lastTick is when the systems last ran, or when a pause was last detected.
 	lastTick time.Time
-	// dueSince is when the looks became due; what was asked before tells nothing
-	// new.
+	// dueSince is when the reads became due. Reads requested before that don't
+	// count.
 	dueSince time.Time
-	// boxesDue and configuration are set while these are still to be read.
+	// boxesDue and configurationDue are set until these were read again.
 	boxesDue, configurationDue bool
-	// held are the requests that wait.
+	// held are the requests waiting for the reads.
 	held []placementRequest
 }
 
-// noteTick notes that the systems run. After a long gap the looks are due.
+// noteTick records that the systems run, and detects a pause before.
 func (t *tables) noteTick(now time.Time) {
 	t.detectPause(now)
 	t.refresh.lastTick = now
 }
 
-// detectPause begins the looks if the daemon was frozen.
+// detectPause makes both reads due if the last tick was too long ago.
 func (t *tables) detectPause(now time.Time) {
-	frozen := !t.refresh.lastTick.IsZero() && now.Sub(t.refresh.lastTick) > pauseThreshold
-	if !frozen {
+	paused := !t.refresh.lastTick.IsZero() && now.Sub(t.refresh.lastTick) > pauseThreshold
+	if !paused {
 		return
 	}
 	t.refresh.lastTick, t.refresh.dueSince = now, now
 	t.refresh.boxesDue, t.refresh.configurationDue = true, true
 	t.due.boxes, t.due.configuration = now, now
-	// Looks that were under way when it froze don't count.
+	// Reads that were in flight before the pause don't count.
 	delete(t.pending, pendingBoxes)
 	delete(t.pending, pendingConfiguration)
 }
 
-// refreshing says whether the looks are still under way.
+// refreshing reports whether one of the reads is still due.
 func (t *tables) refreshing() bool { return t.refresh.boxesDue || t.refresh.configurationDue }
 
-// placeOrHold places a request, or keeps it until the looks are through.
+// placeOrHold places a request, or holds it until the reads are done.
 func (d *Daemon) placeOrHold(now time.Time, t *tables, m placementRequest) []effect {
 	t.detectPause(now)
 	if !t.refreshing() {
@@ -57,13 +56,13 @@
 	return d.pollPlatform(now, t)
 }
 
-// refreshed ends one of the looks, if it was asked for since the daemon thawed,
-// and with the last places what was kept.
-func (d *Daemon) refreshed(now time.Time, t *tables, asked time.Time, look *bool) {
-	if asked.Before(t.refresh.dueSince) {
+// refreshed marks one of the reads as done, if it was requested after the pause.
+// Once both are done, it places the held requests.
+func (d *Daemon) refreshed(now time.Time, t *tables, requestedAt time.Time, due *bool) {
+	if requestedAt.Before(t.refresh.dueSince) {
 		return
 	}
-	*look = false
+	*due = false
 	if t.refreshing() {
 		return
 	}
--- a/request.go
+++ b/request.go
@@ -18,7 +18,7 @@
 	"github.com/thymewind/thymewind/stream"
 )
 
-// requestPlacement asks the loop for a place.
+// requestPlacement asks the loop to place an attempt.
 func (d *Daemon) requestPlacement(ctx context.Context, ask route.Ask) (route.Placed, error) {
 	ask.Home = d.homeOf(ask)
 	reply := make(chan placementAnswer, 1)
@@ -32,7 +32,7 @@
 		}
 		return answer.placed, answer.err
 	case <-ctx.Done():
-		// The loop may still count the attempt in; take it out again.
+		// The loop may still place the attempt and count it; report its end.
 		go func() {
 			if answer := <-reply; answer.err == nil {
 				d.reportEnded(route.Ended{Placed: answer.placed})
@@ -42,9 +42,10 @@
 	}
 }
 
-// homeOf names what ranks the targets: the account and the prompt's first
-// piece, whatever the weight version, so that a rollout moves no prompts. A
-// plain service's requests have no home.
+// homeOf returns the key that ranks the targets by rendezvous hash: account and first
+// piece of the prompt. It does not depend on the weight version, so that a rollout
+// does not move prompts to other homes. Requests to plain services have no home; they
+// get a key of their own.
 func (d *Daemon) homeOf(ask route.Ask) prefix.Key {
 	if ask.Model == "" {
 		return prefix.Scope(ask.Request, ask.Pool)
@@ -54,13 +55,13 @@
 	return prefix.Home(prefix.Scope(ask.Account, ""), []byte(ask.Prompt), max(p.PieceBytes, 1))
 }
 
-// tooLate refuses a request whose time was up before it was placed.
+// tooLate returns the refusal of a request whose time was up before it was placed.
 func (d *Daemon) tooLate() error {
 	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "too_late",
 		"the request's time was up before it was placed").After(d.jitter(time.Second))
 }
 
-// reportEnded tells the loop how an attempt ended.
+// reportEnded charges a completed attempt and reports the end of any attempt to the loop.
 func (d *Daemon) reportEnded(e route.Ended) {
 	if e.End.Request != "" {
 		d.ledger.Add(e.Placed.Account, e.End.Usage)
@@ -68,7 +69,7 @@
 	_ = d.send(context.Background(), attemptEnded{e})
 }
 
-// reportSignals notes what an answer's head says of its target, and tells the loop of news.
+// reportSignals records a target's signals and passes them to the loop if they change anything.
 func (d *Daemon) reportSignals(placed route.Placed, said notice.Signals) {
 	limited := d.notices.ObserveLimit(d.now(), placed.At, notice.IncarnationAt(placed.Target, placed.Address), said)
 	if limited || said.Leaving || said.Backoff > 0 {
@@ -76,7 +77,7 @@
 	}
 }
 
-// spendRetry asks the budget for one more attempt.
+// spendRetry takes one attempt from the pool's retry budget.
 func (d *Daemon) spendRetry(pool string) bool {
 	if !d.budget.Spend(pool) {
 		d.metrics.retrySpent.Inc()
@@ -86,7 +87,7 @@
 	return true
 }
 
-// recordRefused explains a request that was given up.
+// recordRefused records why a request was refused or given up.
 func (d *Daemon) recordRefused(request, account string, r *refusal.Refusal) {
 	d.metrics.refused.WithLabelValues(r.Code, r.Outcome).Inc()
 	d.records.Add(decision.Record{
@@ -95,9 +96,8 @@
 	})
 }
 
-// resumeStream relays a run again from an offset. It is not charged here: the
-// box that placed the run does that if it lives, and a charge may be lost but
-// never doubled.
+// resumeStream relays a run again from an offset. It does not charge the run: the box
+// that placed it does, if it is alive. A charge may be lost but must not be doubled.
 func (d *Daemon) resumeStream(ctx context.Context, token resume.Token, offset int, write func(string, int) error) (stream.Frame, error) {
 	d.records.Add(decision.Record{
 		At: d.now(), Kind: decision.Resumed, Request: token.Request, Account: token.Account,
@@ -132,7 +132,8 @@
 	return checker.End(), nil
 }
 
-// notResumable tells a caller that its run is gone, so that it asks anew.
+// notResumable returns the refusal that tells a caller that its run is gone and has to
+// be requested anew.
 func notResumable(err error) error {
 	return refusal.New(refusal.Unknown, http.StatusGone, "not_resumable", "the target has the run no more: %v", trace.Unwrap(err))
 }
--- a/show.go
+++ b/show.go
@@ -16,14 +16,14 @@
 	"github.com/thymewind/thymewind/report"
 )
 
-// listing shows one kind of thing: it fills a report with its rows.
+// listing fills a report with the rows of one kind of thing.
 type listing struct {
 	thing   string
 	columns []string
 	fill    func(d *Daemon, ctx context.Context, r *report.Report) error
 }
 
-// listings are all that can be shown.
+// listings are the kinds of things that can be shown.
 var listings = []listing{
 	{"boxes", []string{"box", "domain", "revision", "stopping", "requests", "peers"}, (*Daemon).showBoxes},
 	{"domains", []string{"domain", "targets", "usable", "load"}, (*Daemon).showDomains},
@@ -42,7 +42,7 @@
 	{"decisions", []string{"at", "box", "kind", "request", "account", "pool", "rule", "inputs", "candidates", "result"}, (*Daemon).showDecisions},
 }
 
-// show answers a show statement.
+// show serves a show statement.
 func (d *Daemon) show(ctx context.Context, s query.Show) report.Report {
 	at := slices.IndexFunc(listings, func(x listing) bool { return x.thing == s.Thing })
 	if at < 0 {
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// why explains one request from this box's records.
+// why returns this box's decision records of one request.
 func (d *Daemon) why(request string) report.Report {
 	r := report.Report{Columns: []string{"at", "box", "kind", "request", "account", "pool", "rule", "inputs", "candidates", "result"}}
 	for _, record := range d.records.Of(request) {
@@ -199,7 +199,7 @@
 		record.Rule, record.Inputs, strings.Join(candidates, ", "), record.Result)
 }
 
-// who tells the holder of a lease.
+// who shows the row of a lease, which names its holder.
 func (d *Daemon) who(ctx context.Context, lease string) report.Report {
 	row, err := d.table.Read(ctx, "lease/"+lease)
 	if err != nil {
--- a/showrows.go
+++ b/showrows.go
@@ -25,10 +25,10 @@
 	return nil
 }
 
-// maxManifestsShown bounds the manifests shown of each store box.
+// maxManifestsShown bounds the manifests shown for each store box.
 const maxManifestsShown = 200
 
-// showManifests lists what store boxes keep, the least lately asked for first.
+// showManifests lists the manifests of the store boxes, least recently used first.
 func (d *Daemon) showManifests(ctx context.Context, r *report.Report) error {
 	var stores []boxes.Box
 	d.inspect(ctx, func(_ time.Time, t *tables) {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// showLimits lists accounts with limits and this box's part of them.
+// showLimits lists the accounts with limits and this box's shares of these.
 func (d *Daemon) showLimits(ctx context.Context, r *report.Report) error {
 	d.inspect(ctx, func(now time.Time, t *tables) {
 		for _, name := range slices.Sorted(maps.Keys(t.Configuration.Accounts)) {
--- a/slopes_network_test.go
+++ b/slopes_network_test.go
@@ -13,8 +13,8 @@
 	"github.com/thymewind/thymewind/boxes"
 )
 
-// callCounted makes n calls for the list of boxes, unchanged, and returns the bytes
-// on the wire, both ways.
+// callCounted reads an unchanged list of boxes n times and returns the bytes on the wire,
+// both ways.
 func callCounted(b *testing.B, n int) float64 {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("ETag", `"a95ca96b4b9ea84d"`)
--- a/slopes_test.go
+++ b/slopes_test.go
@@ -24,15 +24,15 @@
 	"github.com/thymewind/thymewind/settings"
 )
 
-// slope is a quantity measured at several sizes.
+// slope is a cost that is measured at several sizes.
 type slope struct {
 	name, of, unit string
 	sizes          []int
 	measure        func(b *testing.B, n int) float64
 }
 
-// BenchmarkSlopes measures how the daemon's costs grow and prints each fit;
-// docs/CAPACITY.md is worked out from them. Run it with make slopes.
+// BenchmarkSlopes measures how the daemon's costs grow and prints a linear fit of each.
+// docs/CAPACITY.md is based on them. Run it with make slopes.
 func BenchmarkSlopes(b *testing.B) {
 	targets := []int{150, 300, 600}
 	accounts := []int{5000, 15000, 45000}
@@ -95,7 +95,7 @@
 	return d
 }
 
-// boxList is a list with n engines and half as many entry boxes.
+// boxList returns a list of n engines and half as many entry boxes.
 func boxList(n int) []boxes.Box {
 	var list []boxes.Box
 	for i := range n {
@@ -108,7 +108,7 @@
 	return list
 }
 
-// microsPerCall times a function.
+// microsPerCall returns the mean time of a call, in microseconds.
 func microsPerCall(rounds int, do func(i int)) float64 {
 	began := time.Now()
 	for i := range rounds {
@@ -212,10 +212,10 @@
 	return next
 }
 
-// retainedBytes returns the bytes that what a function builds keeps alive.
+// retainedBytes returns the heap bytes that the result of a function keeps alive.
 func retainedBytes(build func() any) float64 {
 	var before, after runtime.MemStats
-	build() // What is made once and for all does not count.
+	build() // The first call also makes one-time allocations, which must not count.
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -270,8 +270,8 @@
 	return microsPerCall(200, func(int) { prefix.Chain(scope, prompt, 8192) })
 }
 
-// BenchmarkFirstByte compares the first byte through a daemon with that of the
-// engine itself, in one run.
+// BenchmarkFirstByte compares the time to first text through a daemon with that of a
+// direct request to an engine, in the same run.
 func BenchmarkFirstByte(b *testing.B) {
 	f := newFleet(b, 1, nil)
 	var through, direct []time.Duration
--- a/systems.go
+++ b/systems.go
@@ -11,21 +11,21 @@
 // system runs over the tables each tick and returns effects.
 type system func(now time.Time, t *tables) []effect
 
-// The keys of reads under way in tables.pending; targets use their names,
-// which can't hold a space.
+// Keys of tables.pending. Load reads use the target's name as the key; names can't
+// contain a space, so they never equal one of these.
 const (
 	pendingBoxes         = "the boxes"
 	pendingConfiguration = "the configuration"
 	pendingFlush         = "the charges"
 	pendingApply         = "the batches"
 	pendingDuty          = "the duty "
-	pendingEviction          = "the room of "
+	pendingEviction      = "the room of "
 )
 
 // watchersPerTarget is how many boxes read each target's load.
 const watchersPerTarget = 2
 
-// pollPlatform reads the list of boxes and the configuration's head.
+// pollPlatform reads the list of boxes and the configuration when they are due.
 func (d *Daemon) pollPlatform(now time.Time, t *tables) []effect {
 	var effects []effect
 	if !now.Before(t.due.boxes) && !t.pending[pendingBoxes] {
@@ -41,11 +41,11 @@
 	return effects
 }
 
-// maxUnreportedReads is how many targets without any report are read at a time.
+// maxUnreportedReads is how many targets without a load report are read at a time.
 const maxUnreportedReads = 50
 
-// pollLoads reads the load of the targets that this box watches, and of some
-// that nothing is known of yet.
+// pollLoads reads the load of the targets that this box watches, and of some that have
+// no report yet.
 func (d *Daemon) pollLoads(now time.Time, t *tables) []effect {
 	if now.Before(t.due.loads) {
 		return nil
@@ -55,18 +55,18 @@
 	for _, name := range t.watched {
 		effects = append(effects, t.readLoad(name)...)
 	}
-	news := 0
+	unreported := 0
 	for name, x := range t.Targets.All() {
-		if x.ReportedAt.IsZero() && news < maxUnreportedReads {
+		if x.ReportedAt.IsZero() && unreported < maxUnreportedReads {
 			read := t.readLoad(name)
-			news += len(read)
+			unreported += len(read)
 			effects = append(effects, read...)
 		}
 	}
 	return effects
 }
 
-// readLoad reads one model engine's load, unless a read is under way.
+// readLoad reads one model engine's load, unless a read is in flight.
 func (t *tables) readLoad(name string) []effect {
 	x, known := t.Targets.Lookup(name)
 	if !known || t.pending[name] || t.Configuration.Pools[x.Pool].Kind != pool.KindModel {
@@ -76,9 +76,9 @@
 	return []effect{readLoad{target: name, address: x.Address}}
 }
 
-// chooseWatched chooses the targets whose load this box reads: those that it is one of
-// the watchers of, by rendezvous hash over the entry boxes. Call it when the
-// list changed.
+// chooseWatched chooses the targets whose load this box reads: those for which it is
+// among the first watchersPerTarget entry boxes by rendezvous hash. Call it when the
+// list of boxes has changed.
 func (d *Daemon) chooseWatched(t *tables) {
 	t.watched = t.watched[:0]
 	for name, x := range t.Targets.All() {
@@ -88,25 +88,26 @@
 	}
 }
 
-// rank counts the entry boxes ranked before this one for a hash.
+// rank returns this box's rank by rendezvous hash among the entry boxes that are not
+// leaving; 0 is the first.
 func (d *Daemon) rank(t *tables, hash uint64) int {
-	mine := placement.Weight(placement.Hash(d.Settings.Name), hash)
+	own := placement.Weight(placement.Hash(d.Settings.Name), hash)
 	n := 0
 	for name, p := range t.peers.All() {
-		if !p.leaving && placement.Weight(placement.Hash(name), hash) > mine {
+		if !p.leaving && placement.Weight(placement.Hash(name), hash) > own {
 			n++
 		}
 	}
 	return n
 }
 
-// updateMetrics writes the tables' sizes into the metrics.
+// updateMetrics sets the gauges from the tables.
 func (d *Daemon) updateMetrics(now time.Time, t *tables) []effect {
-	const every = time.Second
+	const interval = time.Second
 	if now.Before(t.due.metrics) {
 		return nil
 	}
-	t.due.metrics = now.Add(every)
+	t.due.metrics = now.Add(interval)
 	for name, targets := range t.Pools {
 		usable := 0
 		for _, x := range targets {
--- a/tables.go
+++ b/tables.go
@@ -12,31 +12,32 @@
 	"github.com/thymewind/thymewind/target"
 )
 
-// tables are the entities that the loop owns. Only the loop touches them.
+// tables are the state of the loop. Only the loop accesses them.
 type tables struct {
 	dispatch.Scheduler
-	// tombstones remembers targets that were leaving when the list dropped them,
-	// as a list that lags may name them again.
+	// tombstones holds the targets that were leaving when the list dropped them, as a
+	// lagging list may name them again.
 	tombstones map[string]tombstone
-	peers    entity.Table[string, peerBox]
-	due      due
-	// list is the platform's list as last read, at listed.
-	list   []boxes.Box
+	peers      entity.Table[string, peerBox]
+	due        due
+	// list is the list of boxes as last read, at listedAt.
+	list     []boxes.Box
 	listedAt time.Time
-	// byID finds targets by what peers call them.
+	// byID finds targets by the IDs used in gossip.
 	byID map[uint64]*target.Target
-	// watched names the targets whose load this box reads.
+	// watched are the names of the targets whose load this box reads.
 	watched []string
-	refresh    refresh
-	// crashes is what is known of requests that take engines down.
+	refresh refresh
+	// crashes is what is known of requests that crash engines.
 	crashes crashState
-	// nextLoad is where the next message to peers begins in the targets.
+	// nextLoad is the index of the target at which the next gossip message begins.
 	nextLoad int
-	// quotaBoxes are the boxes that share targets' rates; nil if they have to be listed anew.
+	// quotaBoxes are the boxes that share targets' rate limits; nil if the list has to
+	// be built again.
 	quotaBoxes []string
-	// dutiesByName are the duties by name, held or not.
+	// dutiesByName are the duties by name, whether this box holds them or not.
 	dutiesByName map[string]*duty
-	// pending marks reads that were sent and not answered yet.
+	// pending marks effects in flight that must not run twice at once.
 	pending map[string]bool
 }
 
@@ -44,34 +45,34 @@
 type peerBox struct {
 	address netip.AddrPort
 	domain  string
-	// leaving is set by the list.
+	// leaving is set from the list of boxes.
 	leaving bool
-	// revision is the configuration revision last heard of.
+	// revision is its configuration revision, as it last reported.
 	revision uint64
-	// demand is its use of limited accounts, use that of pools.
-	demand []peer.Demand
-	usage    []peer.PoolUsage
-	heardAt  time.Time
+	// demand is its demand of accounts with limits, usage its usage of pools.
+	demand  []peer.Demand
+	usage   []peer.PoolUsage
+	heardAt time.Time
 }
 
-// tombstone is a leaving target's address and when it was last said to leave.
+// tombstone is a leaving target's address and when its leaving was last reported.
 type tombstone struct {
-	address netip.AddrPort
-	leavingAt      time.Time
+	address   netip.AddrPort
+	leavingAt time.Time
 }
 
-// due is when the systems next have something to read or send.
+// due holds the times at which systems next have work to do.
 type due struct {
 	boxes         time.Time
 	configuration time.Time
 	gossip        time.Time
 	loads         time.Time
 	flush, apply  time.Time
-	capacity          time.Time
-	metrics         time.Time
+	capacity      time.Time
+	metrics       time.Time
 }
 
-// boxCount is how many entry boxes share the work, this one included.
+// boxCount returns how many entry boxes share the work, including this one.
 func (t *tables) boxCount() int {
 	n := 1
 	for _, p := range t.peers.All() {
@@ -82,11 +83,11 @@
 	return n
 }
 
-// peerUsageTTL is how long a peer's demand counts.
+// peerUsageTTL is how long a peer's reported demand and usage count.
 const peerUsageTTL = 5 * time.Second
 
-// limitShare is this box's part of an account's limit, by the demand that the peers
-// told of lately.
+// limitShare returns this box's share of an account's limit, by its own demand and
+// the recent demand of its peers.
 func (t *tables) limitShare(now time.Time, account string, bound int) int {
 	var theirs []int
 	for _, p := range t.peers.All() {
@@ -104,7 +105,7 @@
 	return limit.Share(bound, t.boxCount(), t.Demand(now, account), theirs)
 }
 
-// othersUsage is the use of a pool that the other boxes told of lately.
+// othersUsage returns the usage of a pool that the other boxes reported recently.
 func (t *tables) othersUsage(now time.Time, pool string) dispatch.Usage {
 	var sum dispatch.Usage
 	for _, p := range t.peers.All() {
@@ -119,7 +120,7 @@
 	return sum
 }
 
-// addUsage adds what a box uses of a pool; one that tells nothing uses nothing.
+// addUsage adds a box's usage of a pool. A box that reports none uses none.
 func (p peerBox) addUsage(sum dispatch.Usage, pool string) dispatch.Usage {
 	for _, use := range p.usage {
 		if use.Pool == pool {
--- a/targetlimit.go
+++ b/targetlimit.go
@@ -13,14 +13,16 @@
 	"github.com/thymewind/thymewind/target"
 )
 
-// A target in need names how many requests a second it takes of all boxes together. Boxes tell
-// each other of that and divide the rate by quota over the boxes listed. Runs and requests to
-// services count, and answers that are read again; reports, orders and cancels do not.
+// An overloaded target may announce a rate limit: the requests a second that it takes from all
+// boxes together. Boxes gossip the limit and divide the rate among the listed boxes by quota.
+// Runs, requests to services and resumed answers count against it; load reports, orders and
+// cancels do not.
 
-// grantLifetime is for how long a placed request may leave on the part that was taken for it.
+// grantLifetime is how long after its placement a request may be sent on the quota that it took.
 const grantLifetime = time.Second
 
-// allow returns why a request must not leave for its target any more, or nil.
+// allow returns an error if a placed request must not be sent to its target any more: the target
+// has a rate limit, and the request took no quota or took it too long ago.
 func (d *Daemon) allow(p route.Placed) error {
 	now := d.now()
 	if d.notices.Limit(notice.IncarnationAt(p.Target, p.Address)).Active && (!p.Granted || now.Sub(p.At) > grantLifetime) {
@@ -30,7 +32,7 @@
 	return nil
 }
 
-// rateShare is this box's of the rate that a target takes of all boxes, in requests a second.
+// rateShare returns this box's share of a target's rate limit, in requests a second.
 func (d *Daemon) rateShare(x *target.Target) float64 {
 	t := &d.tables
 	if t.quotaBoxes == nil {
@@ -39,7 +41,8 @@
 	return quota.Share(x.Rate, x.Hash, d.Settings.Name, t.quotaBoxes)
 }
 
-// sharingBoxes lists the boxes that share targets' rates: those listed that don't leave, and this one.
+// sharingBoxes lists the boxes that share targets' rate limits: this box and all listed ones that
+// are not leaving.
 func (t *tables) sharingBoxes(self string) []string {
 	names := []string{self}
 	for name, p := range t.peers.All() {
@@ -50,7 +53,7 @@
 	return names
 }
 
-// applyLimits has targets be limited as far as is known.
+// applyLimits sets the known rate limits on the targets.
 func (d *Daemon) applyLimits(t *tables) {
 	t.quotaBoxes = nil
 	for name, x := range t.Targets.All() {
@@ -62,7 +65,8 @@
 	}
 }
 
-// rateLimits lists the limits known, for a peer; which ones of many varies.
+// rateLimits returns up to maxLimits known rate limits for a gossip message. If there are more,
+// the selection varies.
 func (d *Daemon) rateLimits(now time.Time) []peer.RateLimit {
 	var list []peer.RateLimit
 	for _, x := range d.notices.Limits() {
@@ -74,23 +78,24 @@
 	return list
 }
 
-// receiveLimits takes over the limits that a peer knows.
+// receiveLimits applies the rate limits that a peer knows.
 func (d *Daemon) receiveLimits(now time.Time, t *tables, m peer.Message) {
-	news := false
+	changed := false
 	for _, l := range m.RateLimits {
 		x, err := l.Decode(now)
 		if err != nil {
-			d.Log.Warn("a peer's word of a limit can't be used", "from", m.From, "err", err)
+			d.Log.Warn("peer sent an invalid rate limit; ignored", "from", m.From, "err", err)
 			continue
 		}
-		news = d.notices.SetLimit(now, x) || news
+		changed = d.notices.SetLimit(now, x) || changed
 	}
-	if news {
+	if changed {
 		d.applyLimits(t)
 	}
 }
 
-// resumeRun reads a run's answer again from a target, and has the loop count that.
+// resumeRun resumes a run's answer from an offset and has the loop count it against the target's
+// rate limit, if any limits are known.
 func (d *Daemon) resumeRun(ctx context.Context, at netip.AddrPort, request string, attempt, offset int) (*engine.Frames, error) {
 	if len(d.notices.Limits()) > 0 {
 		_ = d.send(ctx, runResumed{at})
@@ -98,7 +103,7 @@
 	return d.engines.Resume(ctx, at, request, attempt, offset)
 }
 
-// runResumed counts that a run's answer is read again.
+// runResumed counts a resumed run against its target's rate limit.
 func (d *Daemon) runResumed(now time.Time, t *tables, m runResumed) {
 	for _, x := range t.Targets.All() {
 		if x.Address == m.at {
@@ -107,7 +112,7 @@
 	}
 }
 
-// expireLimits forgets what makes no odds any more.
+// expireLimits drops expired rate limits.
 func (d *Daemon) expireLimits(now time.Time, _ *tables) []effect {
 	d.notices.Expire(now)
 	return nil
--- a/targetlimit_test.go
+++ b/targetlimit_test.go
@@ -16,15 +16,15 @@
 	"github.com/thymewind/thymewind/route"
 )
 
-// limitedTarget stands before a target and may have it name a rate.
+// limitedTarget wraps a target's handler and may announce a rate limit.
 type limitedTarget struct {
 	handler http.Handler
 
 	mu sync.Mutex
-	// rate is named in each answer to a request, unless it is empty, since named.
-	rate  string
+	// rate is announced in each answer to a request since rateSetAt, unless it is empty.
+	rate      string
 	rateSetAt time.Time
-	// arrivals is when requests did, runs that are read again among them.
+	// arrivals are the times of requests, including resumed runs.
 	arrivals []time.Time
 }
 
@@ -40,14 +40,14 @@
 	l.handler.ServeHTTP(w, r)
 }
 
-// setRate has the target name a rate from now on; empty names none.
+// setRate has the target announce a rate limit from now on; an empty rate stops that.
 func (l *limitedTarget) setRate(rate string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rate, l.rateSetAt = rate, time.Now()
 }
 
-// maxArrivals is the most requests that came within 4 s, from 3 s after the rate was named.
+// maxArrivals returns the most requests within any 4 s, from 3 s after the rate was set.
 func (l *limitedTarget) maxArrivals() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,7 +65,8 @@
 	return most
 }
 
-// sendLoad has each daemon of a fleet asked again and again, and counts the answers.
+// sendLoad sends requests to each daemon of a fleet, one after the other, and counts the answers
+// by status.
 func (f *fleet) sendLoad(span time.Duration, ask func(daemon, n int) int) map[int]int {
 	end := time.Now().Add(span)
 	statuses := make(map[int]int)
@@ -86,15 +87,15 @@
 	return statuses
 }
 
-// TestTargetRateLimitHolds guards against boxes that together send a target more than the rate it
-// names for all of them: engines, services, and both kinds where no other target is left.
+// TestTargetRateLimitHolds guards against boxes that together exceed the rate limit that a target
+// announces for all of them: for one engine of several, all engines, and a service's only target.
 func TestTargetRateLimitHolds(t *testing.T) {
-	const rate, allowed = "2.5", 20 // One and a half times what comes in 4 s, and five.
+	const rate, allowed = "2.5", 20 // One and a half times the requests of 4 s, plus five.
 	tests := []struct {
 		name    string
 		limited []string
 		service bool
-		// refused says that callers may be, as only limited targets are left.
+		// refused allows refusals, as there are limited targets only.
 		refused bool
 	}{
 		{"one engine of three", []string{"engine-1"}, false, false},
@@ -122,17 +123,18 @@
 			}
 			t.Logf("answered %v", statuses)
 			if refused := statuses[http.StatusServiceUnavailable]; refused > 0 && !tt.refused {
-				t.Errorf("%d callers were refused beside targets without a limit", refused)
+				t.Errorf("%d requests were refused though other targets have no limit", refused)
 			}
 			served := statuses[http.StatusOK] + statuses[http.StatusCreated]
 			if least := 9 * len(tt.limited); served < least {
-				t.Errorf("%d callers were served, want %d", served, least)
+				t.Errorf("%d requests were served, want at least %d", served, least)
 			}
 		})
 	}
 }
 
-// TestTargetRateLimitSources says what a box knows of a target's limit, by answers and peers.
+// TestTargetRateLimitSources checks what a box learns of a target's rate limit from answers and
+// from peers.
 func TestTargetRateLimitSources(t *testing.T) {
 	now := time.Unix(1000, 0)
 	at := address("engine-0")
@@ -179,7 +181,7 @@
 	}
 }
 
-// TestResumedRunsCountAgainstLimit guards against answers that are read again beside a target's limit.
+// TestResumedRunsCountAgainstLimit guards against resumed answers that bypass a target's rate limit.
 func TestResumedRunsCountAgainstLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newDaemon(t)
@@ -187,23 +189,23 @@
 	(&targetEvents{leaving: make(map[string]bool)}).apply(d, now, "engine-0", listedLive)
 	x, _ := d.tables.Targets.Lookup("engine-0")
 	d.tables.SetLimit(x, true, 1)
-	taken := func(at time.Time) bool {
+	placed := func(at time.Time) bool {
 		_, err := d.tables.Place(at, route.Ask{Request: "r", Model: "m", Attempt: 1, Exclude: []string{"engine-1", "engine-2"}})
 		return err == nil
 	}
 	d.update(now, loadRead{target: "engine-0", load: engine.Load{Version: "v1", Slots: 8}})
-	taken(now) // The first request fills the bucket.
+	placed(now) // The first request uses up the burst.
 	d.update(now, runResumed{x.Address})
-	if taken(now.Add(1500 * time.Millisecond)) {
-		t.Error("a request is placed though an answer was read again a moment ago")
+	if placed(now.Add(1500 * time.Millisecond)) {
+		t.Error("a request is placed 1.5 s after a run was resumed, at a limit of one a second")
 	}
-	if !taken(now.Add(2500 * time.Millisecond)) {
+	if !placed(now.Add(2500 * time.Millisecond)) {
 		t.Error("no request is placed 2.5 s after that")
 	}
 }
 
-// TestAllowChecksLimitBeforeSending guards against requests that leave though their target limited requests after
-// they were placed.
+// TestAllowChecksLimitBeforeSending guards against requests that are sent although their target
+// announced a rate limit after they were placed.
 func TestAllowChecksLimitBeforeSending(t *testing.T) {
 	d := newDaemon(t)
 	p := route.Placed{Target: "engine-0", Address: netip.MustParseAddrPort("10.0.0.1:1"), At: d.now()}
@@ -212,7 +214,7 @@
 	}
 	d.reportSignals(p, notice.Signals{Limited: true, Rate: 3})
 	if d.allow(p) == nil {
-		t.Error("placed before the limit, and not kept back")
+		t.Error("placed before the limit, and still allowed")
 	}
 	p.Granted = true
 	if err := d.allow(p); err != nil {
@@ -220,6 +222,6 @@
 	}
 	p.At = p.At.Add(-grantLifetime - time.Second)
 	if d.allow(p) == nil {
-		t.Error("placed long ago, and not kept back")
+		t.Error("placed longer than grantLifetime ago, and still allowed")
 	}
 }
--- a/tls_test.go
+++ b/tls_test.go
@@ -18,7 +18,7 @@
 	"github.com/thymewind/thymewind/settings"
 )
 
-// keyPair writes a certificate for loopback that signs itself, and its key.
+// keyPair writes a self-signed certificate for loopback and its key.
 func keyPair(t *testing.T) settings.Pair {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -50,8 +50,8 @@
 	return p
 }
 
-// TestPeersOverTLS has a daemon call itself as a peer, over TLS, and one that
-// trusts another authority fail to.
+// TestPeersOverTLS has a daemon call itself as a peer over TLS. The call fails if it
+// trusts another authority only.
 func TestPeersOverTLS(t *testing.T) {
 	own, other := keyPair(t), keyPair(t)
 	tests := []struct {
--- a/update.go
+++ b/update.go
@@ -9,7 +9,7 @@
 	"github.com/thymewind/thymewind/target"
 )
 
-// update changes the tables for one message and returns what to do about it.
+// update applies one message to the tables and returns the effects to run.
 func (d *Daemon) update(now time.Time, m message) []effect {
 	t := &d.tables
 	switch m := m.(type) {
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// boxesRead takes the platform's list over. A target that is not listed gets
-// no new work; one that moved to another address starts afresh.
+// boxesRead applies a list of boxes. Targets that are not listed get no new requests.
+// A target at another address is a new one, without the old one's state.
 func (d *Daemon) boxesRead(now time.Time, t *tables, m boxesRead) []effect {
 	delete(t.pending, pendingBoxes)
 	if m.unchanged {
@@ -71,7 +71,7 @@
 		return d.fetchFromKnownPeers(t)
 	}
 	if m.from != "" && !t.listedAt.IsZero() {
-		return nil // This box has read the platform's own list meanwhile.
+		return nil // The platform's own list takes precedence.
 	}
 	t.listedAt = now
 	t.list = m.list
@@ -101,7 +101,8 @@
 	return nil
 }
 
-// listUnchanged takes over that the list is as it was.
+// listUnchanged applies the last list again: targets that it marks as leaving are
+// still leaving.
 func (t *tables) listUnchanged(now time.Time) {
 	t.listedAt = now
 	for _, b := range t.list {
@@ -112,8 +113,8 @@
 	t.ExpireLeaving(now)
 }
 
-// fetchFromKnownPeers is how a daemon that boots while the platform is down comes to
-// a list of boxes and a configuration.
+// fetchFromKnownPeers gets a list of boxes and a configuration for a daemon that starts
+// while the platform is down.
 func (d *Daemon) fetchFromKnownPeers(t *tables) []effect {
 	if !t.listedAt.IsZero() {
 		return nil
@@ -147,8 +148,8 @@
 	}
 }
 
-// removeUnlisted marks what the list no longer names. Targets with requests under way
-// are kept until those end.
+// removeUnlisted removes what the list does not name. A target with requests in flight
+// is only marked, and removed by a later list.
 func (d *Daemon) removeUnlisted(now time.Time, t *tables, listed map[string]bool) {
 	for name, was := range t.tombstones {
 		if now.Sub(was.leavingAt) >= dispatch.LeavingFor {
@@ -180,7 +181,7 @@
 	}
 }
 
-// loadRead takes a target's own report over.
+// loadRead applies a target's load report, or the failure to read it.
 func (d *Daemon) loadRead(now time.Time, t *tables, m loadRead) {
 	delete(t.pending, m.target)
 	x, known := t.Targets.Lookup(m.target)
@@ -200,7 +201,7 @@
 	}
 }
 
-// configurationRead puts a revision in force. A lower one is never taken.
+// configurationRead puts a configuration in force if it supersedes the current one.
 func (d *Daemon) configurationRead(now time.Time, t *tables, m configurationRead) []effect {
 	delete(t.pending, pendingConfiguration)
 	if m.err != nil {
--- a/update_test.go
+++ b/update_test.go
@@ -46,7 +46,7 @@
 	return d
 }
 
-// testConfiguration is a configuration with one model pool.
+// testConfiguration returns a configuration with one model pool.
 func testConfiguration(revision uint64) *configuration.Configuration {
 	return &configuration.Configuration{
 		Revision: revision,
@@ -55,7 +55,7 @@
 	}
 }
 
-// What a daemon hears of a target.
+// Events that a daemon learns of a target by.
 const (
 	listedLive = iota
 	listedLeaving
@@ -68,8 +68,8 @@
 	eventKinds
 )
 
-// leavingGetsNoRequests says that from the moment a target is said to be leaving, by
-// anyone, no request is placed on it at that address.
+// leavingGetsNoRequests is the property that no request is placed on a target at an
+// address once any source has reported it as leaving.
 func leavingGetsNoRequests(t *testing.T, usable func(*target.Target, time.Time) bool) gopter.Prop {
 	return prop.ForAll(func(events []int) bool {
 		d := newDaemon(t)
@@ -87,14 +87,14 @@
 	}, gen.SliceOfN(60, gen.IntRange(0, 3*eventKinds-1)))
 }
 
-// targetEvents is what was said of the targets.
+// targetEvents records which targets were reported as leaving.
 type targetEvents struct{ leaving map[string]bool }
 
 func address(name string) netip.AddrPort {
 	return netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(7000+int(name[len(name)-1])))
 }
 
-// apply feeds one event in and says whether the rule still holds.
+// apply applies one event to the daemon and reports whether the property still holds.
 func (w *targetEvents) apply(d *Daemon, now time.Time, name string, event int) bool {
 	switch event {
 	case listedLive, listedLeaving, notListed:
@@ -122,21 +122,23 @@
 		answer := <-reply
 		return answer.err != nil || !w.leaving[answer.placed.Target]
 	}
-	// A target that this daemon does not know yet can't be noted as leaving.
+	// A target that the daemon does not know yet can't be marked as leaving.
 	if x, known := d.tables.Targets.Lookup(name); known && x.Leaving {
 		w.leaving[name] = true
 	}
 	return true
 }
 
-func TestLeavingTargetsGetNoRequests(t *testing.T) { proof.Holds(t, leavingGetsNoRequests(t, (*target.Target).Usable)) }
+func TestLeavingTargetsGetNoRequests(t *testing.T) {
+	proof.Holds(t, leavingGetsNoRequests(t, (*target.Target).Usable))
+}
 
 func TestLeavingTargetsNeedTheMark(t *testing.T) {
 	proof.Breaks(t, leavingGetsNoRequests(t, func(x *target.Target, _ time.Time) bool { return x.Listed }))
 }
 
-// neverReverts says that whatever revisions arrive, the one in force only
-// grows, and is the highest that arrived.
+// neverReverts is the property that the revision in force is always the highest that
+// arrived, whatever the order.
 func neverReverts(t *testing.T, supersedes func(next, current *configuration.Configuration) bool) gopter.Prop {
 	return prop.ForAll(func(revisions []int) bool {
 		d := newDaemon(t)
@@ -161,8 +163,8 @@
 	proof.Breaks(t, neverReverts(t, func(_, _ *configuration.Configuration) bool { return true }))
 }
 
-// TestServiceLoad shows that a plain service, which reports no load, counts
-// only the requests that are under way.
+// TestServiceLoad checks that the load of a plain service, which reports none, is the
+// number of its requests in flight.
 func TestServiceLoad(t *testing.T) {
 	d := newDaemon(t)
 	now := time.Unix(1000, 0)
@@ -177,17 +179,17 @@
 	}
 	x, _ := d.tables.Targets.Lookup("service-1")
 	if x.Load() != 0 || x.InFlight != 0 {
-		t.Errorf("load %d, in flight %d behind the last answer, want 0 and 0", x.Load(), x.InFlight)
+		t.Errorf("load %d, in flight %d after the last answer, want 0 and 0", x.Load(), x.InFlight)
 	}
 }
 
-// TestRefreshBeforePlacingAfterPause has a daemon that was frozen get a request before
-// anything else. The target it knows began to leave meanwhile.
+// TestRefreshBeforePlacingAfterPause has a daemon that was paused get a request before
+// any news. A target that it knows began to leave during the pause.
 func TestRefreshBeforePlacingAfterPause(t *testing.T) {
 	tests := []struct {
 		name string
 		read boxesRead
-		// placed says that the request gets a place.
+		// placed is set if the request is placed.
 		placed bool
 	}{
 		{"the list names the target as leaving", boxesRead{list: []boxes.Box{{Name: "engine-0", Role: boxes.RoleEngine, Pool: "menu", Address: address("engine-0"), Leaving: true}}}, false},
@@ -206,17 +208,17 @@
 			reply := make(chan placementAnswer, 1)
 			d.update(now, placementRequest{route.Ask{Request: "r", Model: "m", Attempt: 1}, reply})
 			if len(reply) > 0 {
-				t.Fatal("placed by what was known a minute ago")
+				t.Fatal("placed by state from before the pause")
 			}
 			d.update(now, boxesRead{requestedAt: now.Add(-time.Second), err: errors.New("late")})
 			if len(reply) > 0 {
-				t.Fatal("placed by a look from before the thaw")
+				t.Fatal("placed after a read requested before the pause ended")
 			}
 			tt.read.requestedAt = now
 			d.update(now, tt.read)
 			d.update(now, configurationRead{requestedAt: now, err: errors.New("down")})
 			if len(reply) != 1 {
-				t.Fatal("not answered behind the looks")
+				t.Fatal("not answered after both reads")
 			}
 			if answer := <-reply; (answer.err == nil) != tt.placed {
 				t.Errorf("answer %+v, want placed %v", answer, tt.placed)
@@ -225,8 +227,8 @@
 	}
 }
 
-// TestOrdersWaitForEarlierHolders has a daemon take over the orders of a pool.
-// Targets that don't check the fence get none until an earlier holder's can't
+// TestOrdersWaitForEarlierHolders has a daemon take over the orders of a pool. Targets
+// that don't check the fencing epoch get none until orders of an earlier holder can't
 // arrive any more.
 func TestOrdersWaitForEarlierHolders(t *testing.T) {
 	for _, checks := range []bool{true, false} {
@@ -249,7 +251,7 @@
 			}
 			d.update(now, leaseRenewed{duty: dutyOrders + "menu"})
 			if got := d.advanceRollouts(now, &d.tables); len(got) != 0 {
-				t.Fatal("orders before the earlier ones were read")
+				t.Fatal("orders were sent before the earlier ones were read")
 			}
 			d.update(now, ordersRead{duty: dutyOrders + "menu"})
 			if got := d.advanceRollouts(now, &d.tables); (len(got) > 0) != checks {
@@ -263,8 +265,8 @@
 	}
 }
 
-// TestLeavingExpires has a target come back at its address. It is used again once
-// nothing has said for long that it is leaving, though peers go on telling.
+// TestLeavingExpires has a target return at the same address. It is used again after no
+// source has reported it as leaving for a while, although peers still gossip that.
 func TestLeavingExpires(t *testing.T) {
 	d, other := newDaemon(t), newDaemon(t)
 	start := time.Unix(1000, 0)
@@ -295,8 +297,8 @@
 	}
 }
 
-// TestTokenQuotaFollowsDemand has an account with a throttle send all its requests
-// to one of two boxes. It gets most of its tokens there.
+// TestTokenQuotaFollowsDemand has an account with a token rate limit send all its
+// requests to one of two boxes, which gets most of the quota.
 func TestTokenQuotaFollowsDemand(t *testing.T) {
 	d := newDaemon(t)
 	now := time.Now()
@@ -318,12 +320,12 @@
 		}
 	}
 	if admitted < 7 || admitted > 9 {
-		t.Errorf("%d of 10 requests were admitted, want the box's three quarters of them", admitted)
+		t.Errorf("%d of 10 requests were admitted, want about three quarters", admitted)
 	}
 }
 
-// TestUnreportedTargetsAreRead has a box that watches none of the targets read each
-// of them once, and again when one refuses, as what it heard may be old.
+// TestUnreportedTargetsAreRead has a box that watches no targets read each of them
+// once, and again when one refuses, as its report may be stale.
 func TestUnreportedTargetsAreRead(t *testing.T) {
 	d := newDaemon(t)
 	now := time.Unix(1000, 0)
@@ -350,8 +352,8 @@
 	}
 }
 
-// TestGossipedLoadAges has a box tell a peer, some seconds after it read a target's
-// report, how long that is busy yet.
+// TestGossipedLoadAges has a box gossip a target's load report four seconds after it
+// read it. The peer must subtract that time from the queue.
 func TestGossipedLoadAges(t *testing.T) {
 	d, other := newDaemon(t), newDaemon(t)
 	start := time.Now()
@@ -367,12 +369,12 @@
 	other.update(later, peerRequest{d.gossipMessage(later, &d.tables), make(chan peer.Message, 1)})
 	y, _ := other.tables.Targets.Lookup("engine-0")
 	if got := y.Wait(later, 0); got < 5900*time.Millisecond || got > 6100*time.Millisecond {
-		t.Errorf("the peer thinks that the target is busy for %v, want 6s", got)
+		t.Errorf("the peer expects a wait of %v, want 6s", got)
 	}
 }
 
-// TestTargetBackoff has engines ask for a time without requests: they get none meanwhile,
-// though their reports say that they are free, and some when it is over.
+// TestTargetBackoff has all engines ask for a backoff. They get no requests until it is
+// over, although their load reports show free slots.
 func TestTargetBackoff(t *testing.T) {
 	d := newDaemon(t)
 	now := time.Unix(1000, 0)
