--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs one of the small stand-ins for the outside systems:
+// Command standin runs a stand-in for one of the external systems:
 //
 //	standin -role engine -name engine-1 -listen 127.0.0.1:7101 -platform http://127.0.0.1:7000
 package main
@@ -30,7 +30,7 @@
 
 const rolePlatform = "platform"
 
-// options are the command line.
+// options are the command-line flags.
 type options struct {
 	box      boxes.Box
 	platform string
@@ -132,7 +132,7 @@
 // announceInterval is how often boxes are announced.
 const announceInterval = 300 * time.Millisecond
 
-// announce tells the platform again and again that this box lives.
+// announce keeps this box on the platform's list until ctx ends.
 func announce(ctx context.Context, o options, sw *fault.Switch) {
 	for ctx.Err() == nil {
 		box := o.box
@@ -142,8 +142,8 @@
 	}
 }
 
-// probe lists an entry box for as long as its peer listener takes connections,
-// as a platform's health checks do.
+// probe keeps an entry box on the list while its peer listener accepts connections, as
+// a platform's health checks do.
 func probe(ctx context.Context, o options, entry string) {
 	name, rest, _ := strings.Cut(entry, "=")
 	at, domain, _ := strings.Cut(rest, "/")
--- a/cmd/thymectl/apply.go
+++ b/cmd/thymectl/apply.go
@@ -14,21 +14,20 @@
 	"github.com/thymewind/thymewind/pool"
 )
 
-// file is a configuration file: entities to create or replace.
+// file is a configuration file: the entities to create or replace.
 type file struct {
 	Accounts []fileAccount `yaml:"accounts"`
 	Pools    []pool.Pool   `yaml:"pools"`
 	Models   []model.Model `yaml:"models"`
 }
 
-// fileAccount is an account whose keys stand in the file; only their hashes
-// are sent.
+// fileAccount is an account with its API keys. Only hashes of the keys are sent.
 type fileAccount struct {
 	Account account.Account `yaml:"account"`
 	Keys    []string        `yaml:"keys"`
 }
 
-// apply sends everything in a configuration file as one change.
+// apply sends all entities of a configuration file as one change.
 func (c client) apply(ctx context.Context, name string) error {
 	data, err := os.ReadFile(name)
 	if err != nil {
--- a/cmd/thymectl/main.go
+++ b/cmd/thymectl/main.go
@@ -3,7 +3,7 @@
 //	thymectl 'show targets where pool = "menu"'
 //	thymectl -json 'why request 01J...'
 //	thymectl apply configuration.yaml
-//	thymectl                # reads statements, a line each
+//	thymectl                # reads statements, one a line
 package main
 
 import (
@@ -29,7 +29,7 @@
 // credentialVariable names the environment variable with the credential.
 const credentialVariable = "THYMEWIND_CREDENTIAL"
 
-// errRefused says that the daemon refused; the reason was printed.
+// errRefused is returned if the daemon refused; the reason has been printed.
 var errRefused = errors.New("refused")
 
 // client talks to one daemon's operator listener.
@@ -106,7 +106,7 @@
 	}{text})
 }
 
-// post sends a request and prints the report that comes back.
+// post sends a request and prints the daemon's report.
 func (c client) post(ctx context.Context, path string, body any) error {
 	r, err := c.send(ctx, path, body)
 	if err != nil {
@@ -123,7 +123,7 @@
 	return trace.Wrap(err)
 }
 
-// send sends a request and returns the report that comes back.
+// send sends a request and returns the daemon's report.
 func (c client) send(ctx context.Context, path string, body any) (report.Report, error) {
 	var r report.Report
 	request, err := sling.New().Base(c.base).Post(path).Set("Authorization", "Bearer "+c.credential).BodyJSON(body).Request()
--- a/cmd/thymectl/wait.go
+++ b/cmd/thymectl/wait.go
@@ -11,24 +11,24 @@
 	"github.com/thymewind/thymewind/report"
 )
 
-// wait returns when the daemon answers and each of the pools named has a
-// usable target there.
+// wait returns once the daemon answers and each of the named pools has a usable target
+// there.
 func (c client) wait(ctx context.Context, pools []string) error {
 	const pause = 100 * time.Millisecond
 	for {
-		missing := c.notReady(ctx, pools)
-		if missing == "" {
+		reason := c.notReady(ctx, pools)
+		if reason == "" {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return trace.LimitExceeded("%s: %s", c.base, missing)
+			return trace.LimitExceeded("%s: %s", c.base, reason)
 		case <-time.After(pause):
 		}
 	}
 }
 
-// notReady says what is not there yet.
+// notReady returns why the wait is not over yet, or an empty text.
 func (c client) notReady(ctx context.Context, pools []string) string {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/livez", nil)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return ""
 }
 
-// usable says whether a pool has usable targets in a report of pools.
+// usable reports whether a pool has usable targets, by a report of pools.
 func usable(r report.Report, name string) bool {
 	for _, row := range r.Rows {
 		if row[0] == name && row[len(row)-1] != "0" {
--- a/cmd/thymefront/main.go
+++ b/cmd/thymefront/main.go
@@ -30,30 +30,31 @@
 	"github.com/thymewind/thymewind/platform/store"
 )
 
-// Bounds of connections.
+// Limits of connections, the log and memory.
 const (
-	// dialTimeout is how long a new connection may take: a way there and back is
-	// 2 ms, and a lost opening packet is sent again only after a second.
+	// dialTimeout bounds a dial. A round trip takes 2 ms, and a lost SYN is
+	// retransmitted only after a second.
 	dialTimeout = 400 * time.Millisecond
-	// idleTimeout is how long an unused connection to a target is kept.
+	// idleTimeout is how long an idle connection to a target is kept.
 	idleTimeout = 20 * time.Second
-	// silentAfter is how long a kept connection to a target says nothing before a
-	// call that is given up shows that it is silent. A held call to a source is
-	// given up after 0.8 s; requests usually have their answer's head sooner.
+	// silentAfter is how long a call on a reused connection to a target must have waited
+	// without an answer for the connection to count as silent when the call is given up.
+	// A long poll of a source is given up after 0.8 s; requests usually get the head of
+	// their answer sooner.
 	silentAfter = 700 * time.Millisecond
-	// storeTimeout bounds a call to the table service, which usually answers
-	// in 4 ms and in a slow hour in a quarter of a second. It is also waited until
-	// the first answers came.
+	// storeTimeout bounds a call to the table service, which usually answers in 4 ms,
+	// and in 250 ms when it is slow. It is also the adaptive timeout's value until the
+	// first answers have arrived.
 	storeTimeout = 1500 * time.Millisecond
-	// minStoreTimeout is the least wait before a connection to it counts as silent:
-	// twice a slow hour's answers. With the hold of a read, a proof of the
-	// configuration is then 3.5 s old at most, and keys are trusted for 4.3 s;
-	// with storePatience alone it was 4.5 s.
+	// minStoreTimeout is the least wait before a connection to the table service counts
+	// as silent: twice a slow answer. With the hold of a long poll, a proof of the
+	// configuration is then at most 3.5 s old, which is within the 4.3 s for which keys
+	// are trusted. With storeTimeout alone it would be up to 4.5 s old.
 	minStoreTimeout = 500 * time.Millisecond
-	// logQueueLines is how many log lines wait to be written; more are dropped.
+	// logQueueLines bounds the log lines waiting to be written; further ones are
+	// dropped.
 	logQueueLines = 2048
-	// memoryShare is the part of the box's memory at which the runtime works
-	// harder to free some.
+	// memoryShare is the Go runtime's memory limit, as a share of the box's memory.
 	memoryShare = 0.6
 )
 
@@ -70,7 +71,7 @@
 	}
 }
 
-// serve runs the daemon and logs the error that ended it.
+// serve runs the daemon, or only checks the settings, and logs the error that ended it.
 func serve(out io.Writer, file string, check bool) error {
 	logger := log.NewWithOptions(out, log.Options{ReportTimestamp: true, Formatter: log.LogfmtFormatter})
 	s, err := readSettings(file)
@@ -105,7 +106,7 @@
 	return settings.Parse(file, data)
 }
 
-// logFindings prints every finding.
+// logFindings logs every finding in the settings.
 func logFindings(logger *log.Logger, err error) {
 	all := finding.Each(err)
 	for _, found := range all {
--- a/cmd/thymefront/watch.go
+++ b/cmd/thymefront/watch.go
@@ -13,19 +13,19 @@
 	"github.com/thymewind/thymewind/entry/settings"
 )
 
-// settingsPollInterval is how often the settings file is compared with what was read last,
-// as it may change without a signal.
+// settingsPollInterval is how often the settings file is compared with its last contents, as it
+// may change without a signal.
 const settingsPollInterval = 2 * time.Second
 
-// watch reads the settings file again on SIGHUP and when it has changed. A file
-// with errors is reported and changes nothing.
+// watch reads the settings file again on SIGHUP and when it has changed, and sends the
+// settings. A file with errors is logged, and the previous settings stay.
 func watch(ctx context.Context, file string, logger *log.Logger) <-chan settings.Settings {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	changed := make(chan settings.Settings)
 	last, err := os.ReadFile(file)
 	if err != nil {
-		logger.Warn("can't read the settings again", "err", err)
+		logger.Warn("settings file could not be read for comparison; the next one read counts as changed", "err", err)
 	}
 	go func() {
 		ticks := time.NewTicker(settingsPollInterval)
@@ -46,7 +46,7 @@
 			last = data
 			s, err := settings.Parse(file, data)
 			if err != nil {
-				logger.Error("changed settings are not good; the last ones stay", "err", err)
+				logger.Error("changed settings are invalid; keeping the previous ones", "err", err)
 				continue
 			}
 			select {
--- a/cmd/thymefront/watch_test.go
+++ b/cmd/thymefront/watch_test.go
@@ -18,9 +18,9 @@
 store: {address: "127.0.0.1:7000"}
 `
 
-// TestSettingsReload shows that SIGHUP does not end the process but has the settings
-// read again, that a file that changed without a signal is read too, and that
-// one with errors is not. (Own days 1 and 7 of lbh-dispatch.)
+// TestSettingsReload checks that SIGHUP reloads the settings and does not end the process,
+// that a file that changed without a signal is reloaded too, and that a file with errors
+// changes nothing.
 func TestSettingsReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.yaml")
 	write := func(more string) {
--- a/cmd/thymeload/chat.go
+++ b/cmd/thymeload/chat.go
@@ -13,25 +13,25 @@
 	standin "github.com/thymewind/thymewind/internal/standin/engine"
 )
 
-// maxAttempts bounds how often a caller comes back with one request.
+// maxAttempts bounds a caller's attempts at one request.
 const maxAttempts = 40
 
-// answer is what a caller has of one streamed answer.
+// answer is what a caller has received of one streamed answer.
 type answer struct {
 	text     string
 	token    string
 	complete bool
 }
 
-// chat asks for one answer and checks it. A stream that is cut is taken up
-// again at another daemon; a request that got nothing is asked again.
+// chat requests one answer and checks it. A stream that is cut is resumed at any of the
+// daemons; a request that got nothing is sent again.
 func (w *worker) chat() {
 	prompt := w.prompt()
 	want := standin.Answer(prompt, w.tokens)
 	var a answer
-	for try := 0; try < maxAttempts && !a.complete; try++ {
+	for attempt := 0; attempt < maxAttempts && !a.complete; attempt++ {
 		first, status := w.ask(prompt, &a)
-		if first > 0 && try == 0 {
+		if first > 0 && attempt == 0 {
 			w.figures.recordFirstToken(first)
 		}
 		if !strings.HasPrefix(want, a.text) || (a.complete && a.text != want) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// prompt is one that this worker returns to, with a question of its own.
+// prompt returns one of this worker's recurring prompts with a random question.
 func (w *worker) prompt() string {
 	n := w.random.IntN(w.prompts)
 	menu := fmt.Sprintf("worker %d, menu %d: ", w.id, n)
@@ -83,7 +83,7 @@
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		if response.StatusCode == http.StatusGone || response.StatusCode == http.StatusForbidden {
-			*a = answer{} // The run is gone with its engine: ask anew.
+			*a = answer{} // The run is gone with its engine; start anew.
 		}
 		return 0, response.StatusCode
 	}
@@ -93,7 +93,7 @@
 	return a.read(bufio.NewReader(response.Body), began), response.StatusCode
 }
 
-// read takes a stream's events in.
+// read appends a stream's events to the answer and returns the time to its first text.
 func (a *answer) read(lines *bufio.Reader, began time.Time) (first time.Duration) {
 	for {
 		line, err := lines.ReadString('\n')
@@ -108,7 +108,7 @@
 			continue
 		}
 		if strings.Contains(data, `"code":"not_resumable"`) {
-			*a = answer{} // The run is gone with its engine: ask anew.
+			*a = answer{} // The run is gone with its engine; start anew.
 			return first
 		}
 		if data == "[DONE]" {
@@ -130,7 +130,7 @@
 	}
 }
 
-// chatDirect asks an engine itself, without a daemon between.
+// chatDirect sends a prompt to an engine directly, without a daemon in between.
 func (w *worker) chatDirect(prompt string) {
 	began := time.Now()
 	request, err := sling.New().Base("http://" + w.engine).Post("/v1/generate").BodyJSON(struct {
--- a/cmd/thymeload/figures.go
+++ b/cmd/thymeload/figures.go
@@ -9,21 +9,21 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// figures are what a run counted. Its methods may be called at once.
+// figures are the counts of a run. The record methods are safe for concurrent use.
 type figures struct {
 	mu sync.Mutex
-	// first and straight hold times to first token, in microseconds, through
-	// daemons and to the engine directly.
+	// first and directFirst hold the times to first token in microseconds, through
+	// daemons and directly from the engine.
 	first, directFirst *hdrhistogram.Histogram
 	requests, complete int
 	retried            map[int]int
 	wrongAnswers       int
-	// orders holds what the caller of each key was told last.
+	// orders holds the last outcome that the caller of each key was told.
 	orders    map[string]string
 	unchecked int
 }
 
-// line is what is printed.
+// line is the line of JSON that is printed.
 type line struct {
 	Label     string         `json:"label,omitempty"`
 	Requests  int            `json:"requests"`
--- a/cmd/thymeload/main.go
+++ b/cmd/thymeload/main.go
@@ -1,6 +1,6 @@
-// Command thymeload sends both deployments' kinds of traffic to entry daemons,
-// checks every answer against what the engine stand-ins must say, and prints
-// one line of JSON with the figures:
+// Command thymeload sends traffic like that of both deployments to entry daemons,
+// checks every answer against the engine stand-ins' expected one, and prints the
+// figures as one line of JSON:
 //
 //	thymeload -callers 127.0.0.1:8080,127.0.0.1:8081 -duration 10s -services 127.0.0.1:7301
 package main
@@ -24,7 +24,7 @@
 type load struct {
 	callers  []string
 	services []string
-	// engine, if it is set, is asked directly for comparison.
+	// engine, if set, also gets each prompt directly, for comparison.
 	engine   string
 	keys     []string
 	model    string
@@ -32,9 +32,9 @@
 	workers  int
 	pause    time.Duration
 	tokens   int
-	// prompts is how many prompts each worker returns to.
+	// prompts is the number of recurring prompts of each worker.
 	prompts int
-	// promptBytes is the size of a prompt's returning part.
+	// promptBytes is the size of a prompt's recurring part.
 	promptBytes int
 	seed        uint64
 	label       string
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// run sends traffic until the time is up and then checks the orders.
+// run sends traffic for the duration and then checks the orders.
 func (l *load) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), l.duration)
 	defer cancel()
@@ -104,7 +104,7 @@
 	l.checkOrders()
 }
 
-// worker is one caller that returns to its prompts.
+// worker is one caller with its recurring prompts.
 type worker struct {
 	*load
 	id     int
@@ -127,5 +127,5 @@
 	}
 }
 
-// daemon picks an entry daemon, as the platform's balancer would.
+// daemon picks a random entry daemon, as the platform's load balancer would.
 func (w *worker) daemon() string { return "http://" + w.callers[w.random.IntN(len(w.callers))] }
--- a/cmd/thymeload/order.go
+++ b/cmd/thymeload/order.go
@@ -11,14 +11,14 @@
 	"github.com/dghubble/sling"
 )
 
-// order places one order that must run once, and comes back with the same key
-// until it has a final answer.
+// order sends one order that must run once, and repeats it with the same key until it
+// gets a final answer.
 func (w *worker) order() {
 	w.orders++
 	key := fmt.Sprintf("%s-%d-%d-%d", w.label, w.seed, w.id, w.orders)
 	outcome := ""
 	for range maxAttempts {
-		status, told, body := w.sendOrder(key)
+		status, reported, body := w.sendOrder(key)
 		if status == http.StatusCreated {
 			if !strings.Contains(body, key) {
 				w.figures.reportWrong(fmt.Sprintf("order %s answered with %q", key, body))
@@ -26,10 +26,10 @@
 			outcome = "answered"
 			break
 		}
-		outcome = told
+		outcome = reported
 		w.figures.recordRetry(status)
-		if told == "unknown" && status == http.StatusConflict {
-			break // It may have run; asking more often does not tell.
+		if reported == "unknown" && status == http.StatusConflict {
+			break // It may have run; further attempts would not tell.
 		}
 		time.Sleep(time.Duration(100+w.random.IntN(400)) * time.Millisecond)
 	}
@@ -55,7 +55,7 @@
 	return response.StatusCode, response.Header.Get("Thymewind-Outcome"), string(data)
 }
 
-// checkOrders compares what callers were told with what the services ran.
+// checkOrders compares the outcomes that callers were told with what the services ran.
 func (l *load) checkOrders() {
 	ran := make(map[string]int)
 	for _, at := range l.services {
--- a/cmd/thymemeasure/main.go
+++ b/cmd/thymemeasure/main.go
@@ -1,5 +1,5 @@
-// Command thymemeasure drives the daemon's decision code against fakes in
-// virtual time and prints one line of JSON for each run:
+// Command thymemeasure simulates the daemon's decision code in virtual time and prints
+// one line of JSON for each run:
 //
 //	thymemeasure -deployment sonora -policy ours,round-robin -fault none -seeds 3
 package main
@@ -68,13 +68,13 @@
 	}
 }
 
-// choice is a flag that names some of what there is.
+// choice is a flag that selects some of the known names.
 type choice struct {
 	flag, named string
 	known       []string
 }
 
-// choices lists what the flags named.
+// choices returns the selections of the flags with the known names.
 func choices(deployments, policies, faults string) []choice {
 	var known []string
 	for _, p := range measure.Policies() {
@@ -87,7 +87,7 @@
 	}
 }
 
-// check refuses words that mean nothing here, with the list of what there is.
+// check refuses arguments and unknown names; the error lists the known ones.
 func check(words []string, all []choice) error {
 	if len(words) > 0 {
 		return fmt.Errorf("%q is no flag; there are -deployment, -policy, -fault, -seeds, -workers and -table", words[0])
@@ -106,7 +106,7 @@
 	return list == "" || strings.Contains(","+list+",", ","+name+",")
 }
 
-// run plays all scenarios and returns their lines in order.
+// run simulates all scenarios and returns their lines in order.
 func run(scenarios []measure.Scenario, workers int) []line {
 	lines := make([]line, len(scenarios))
 	next := make(chan int)
--- a/cmd/thymemeasure/main_test.go
+++ b/cmd/thymemeasure/main_test.go
@@ -5,18 +5,19 @@
 	"testing"
 )
 
-// TestCheckRefusesUnknownNames refuses words that mean nothing.
+// TestCheckRefusesUnknownNames checks that arguments and unknown names are refused, with the
+// known names.
 func TestCheckRefusesUnknownNames(t *testing.T) {
 	tests := []struct {
 		name                        string
 		words                       []string
 		deployments, policy, faults string
-		// says is a part of the error, empty for none.
-		says string
+		// want is a part of the error, empty for none.
+		want string
 	}{
-		{"nothing", nil, "", "", "", ""},
-		{"what there is", nil, "sonora,lutong-bahay", "ours", "none,list-lags", ""},
-		{"a word", []string{"fleet"}, "", "", "", "no flag"},
+		{"no names", nil, "", "", "", ""},
+		{"known names", nil, "sonora,lutong-bahay", "ours", "none,list-lags", ""},
+		{"an argument", []string{"fleet"}, "", "", "", "no flag"},
 		{"an unknown deployment", nil, "sonora,x", "", "", "lutong-bahay"},
 		{"an unknown policy", nil, "", "best", "", "round-robin"},
 		{"an unknown fault", nil, "", "", "all", "store-dead"},
@@ -24,7 +25,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			err := check(tt.words, choices(tt.deployments, tt.policy, tt.faults))
-			if (err != nil) != (tt.says != "") || err != nil && !strings.Contains(err.Error(), tt.says) {
+			if (err != nil) != (tt.want != "") || err != nil && !strings.Contains(err.Error(), tt.want) {
 				t.Errorf("got %v", err)
 			}
 		})
--- a/cmd/thymemeasure/table.go
+++ b/cmd/thymemeasure/table.go
@@ -7,7 +7,7 @@
 	"github.com/thymewind/thymewind/internal/measure"
 )
 
-// row is the mean of the runs of one deployment, fault and policy.
+// row sums the runs of one deployment, fault and policy.
 type row struct {
 	deployment, fault string
 	policy            measure.Policy
@@ -15,7 +15,7 @@
 	sum               measure.Figures
 }
 
-// table prints the lines' means over their seeds in Markdown.
+// table prints the means over the seeds as a Markdown table.
 func table(w io.Writer, lines []line) error {
 	var rows []row
 	for _, l := range lines {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// add takes one run's figures in.
+// add adds one run's figures.
 func (r *row) add(f measure.Figures) {
 	r.runs++
 	r.sum.P50 += f.P50
--- a/examples/demo/main.go
+++ b/examples/demo/main.go
@@ -1,6 +1,5 @@
-// Command demo asks the example fleet three things and checks the answers: a
-// streamed model request, the same prompt again, and an order that must run
-// once. It fails if any answer is not whole.
+// Command demo sends the example fleet a streamed model request, the same prompt again,
+// and an order that must run once. It fails if an answer is incomplete or wrong.
 package main
 
 import (
@@ -38,7 +37,7 @@
 	}
 }
 
-// chat streams one answer and returns its text, if it came whole.
+// chat streams one answer and returns its text, if it is complete.
 func chat(base, menu string) (string, error) {
 	body := struct {
 		Model    string    `json:"model"`
@@ -58,7 +57,7 @@
 	return text(data), nil
 }
 
-// text collects the content of the stream's events.
+// text joins the content of a stream's events.
 func text(events string) string {
 	var b strings.Builder
 	for _, part := range strings.Split(events, `"content":"`)[1:] {
@@ -68,7 +67,7 @@
 	return b.String()
 }
 
-// order places an order twice with one key; it runs once.
+// order sends an order twice with one key and checks that it ran once.
 func order(base string) error {
 	call := func() (*http.Response, string, error) {
 		return do(sling.New().Base(base).Post("/services/orders/orders").
@@ -90,16 +89,16 @@
 	return nil
 }
 
-// do sends a request. A refusal that says when to return is heeded, as by any
-// caller: on a busy machine an engine may look silent for a moment.
+// do sends a request and, as callers should, retries a refusal with a Retry-After. On a
+// busy machine an engine may seem silent for a moment.
 func do(call *sling.Sling) (*http.Response, string, error) {
 	request, err := call.Set("Authorization", "Bearer "+os.Getenv("OPENAI_API_KEY")).Request()
 	if err != nil {
 		return nil, "", trace.Wrap(err)
 	}
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		response, data, err := once(request)
-		if err == nil || response == nil || response.StatusCode != http.StatusServiceUnavailable || try == maxAttempts {
+		if err == nil || response == nil || response.StatusCode != http.StatusServiceUnavailable || attempt == maxAttempts {
 			return response, data, err
 		}
 		after, failed := time.ParseDuration(response.Header.Get("Retry-After") + "s")
@@ -113,7 +112,7 @@
 	}
 }
 
-// maxAttempts is how often a request is sent at most.
+// maxAttempts bounds how often a request is sent.
 const maxAttempts = 5
 
 func once(request *http.Request) (*http.Response, string, error) {
--- a/examples/order/main.go
+++ b/examples/order/main.go
@@ -1,5 +1,5 @@
-// Command order places one order that must run once. Run it twice with the
-// same key: the second time the first answer is given again.
+// Command order sends one order that must run once. Run it twice with the same key: the
+// second run gets the first one's answer again.
 //
 //	. examples/local/client.env && go run ./examples/order key-1 "2 x adobo"
 package main
--- a/internal/fake/script.go
+++ b/internal/fake/script.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// Script draws faults from a list, over and over, so that a generated list
-// decides the whole run.
+// Script draws faults from a list, which it repeats, so that a generated list determines
+// a whole run.
 type Script struct {
-	// Kinds is the list; an empty one draws None.
+	// Kinds is the list of faults. If it is empty, None is drawn.
 	Kinds []int
 
 	mu   sync.Mutex
--- a/internal/fake/table.go
+++ b/internal/fake/table.go
@@ -1,4 +1,4 @@
-// Package fake holds small fakes for tests.
+// Package fake provides fakes for tests.
 //
 //	t := fake.Table{Fault: func() fake.Kind { return fake.Lost }}
 //	book := claim.Book{Commit: t.Commit, Read: t.Read}
@@ -27,11 +27,11 @@
 	Down
 	// Lost applies the transaction and loses the answer.
 	Lost
-	// Dropped loses the transaction.
+	// Dropped loses the transaction, which is never applied.
 	Dropped
 	// Late loses the answer and applies the transaction some calls later.
 	Late
-	// Kinds counts the kinds.
+	// Kinds is the number of kinds.
 	Kinds
 )
 
@@ -48,16 +48,16 @@
 	late     []lateTransaction
 }
 
-// lateTransaction is a transaction under way that is applied after some more calls.
+// lateTransaction is a transaction that is applied after some more calls.
 type lateTransaction struct {
 	tx    table.Transaction
 	calls int
 }
 
-// lateCalls is how many calls a late transaction is under way for.
+// lateCalls is the number of calls after which a late transaction is applied.
 const lateCalls = 3
 
-// Commit applies a transaction as the fault drawn lets it.
+// Commit applies a transaction, subject to the fault drawn.
 func (t *Table) Commit(_ context.Context, tx table.Transaction) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,7 +77,7 @@
 	return t.apply(tx)
 }
 
-// applyLate applies the late transactions whose time has come.
+// applyLate applies the late transactions that are due.
 func (t *Table) applyLate() {
 	var waiting []lateTransaction
 	for _, l := range t.late {
@@ -106,21 +106,21 @@
 	return row, nil
 }
 
-// Copy is what a Table held at a moment.
+// Copy is a snapshot of a Table.
 type Copy struct {
 	rows     map[string]table.Row
 	revision uint64
 }
 
-// Copy takes a copy.
+// Copy takes a snapshot.
 func (t *Table) Copy() Copy {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return Copy{maps.Clone(t.rows), t.revision}
 }
 
-// Restore has the table come back from a copy, which gives its revisions out again.
-// Transactions under way are still applied, if their conditions hold then.
+// Restore restores the table from a snapshot, after which it assigns the same revisions
+// again. Late transactions are still applied, if their conditions hold then.
 func (t *Table) Restore(c Copy) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -151,7 +151,8 @@
 	return t.List(ctx, prefix, "", int(^uint(0)>>1))
 }
 
-// Unconditional commits without the conditions: the control removed.
+// Unconditional commits without the transaction's conditions, for tests that show what
+// the conditions prevent.
 func (t *Table) Unconditional(ctx context.Context, tx table.Transaction) error {
 	tx.Expect = nil
 	return t.Commit(ctx, tx)
--- a/internal/loopback/proxy.go
+++ b/internal/loopback/proxy.go
@@ -1,6 +1,5 @@
-// Package loopback is a link on the loopback device whose faults tests choose:
-// it delays, resets or swallows bytes, or silences just some open connections
-// while new ones work.
+// Package loopback provides a TCP proxy on the loopback device with faults for tests. It
+// delays, resets or discards bytes, or silences some open connections while new ones work.
 //
 //	p := loopback.New(t, server)
 //	client.Dial(p.At)
@@ -19,26 +18,28 @@
 	"time"
 )
 
-// The ways a proxy treats bytes.
+// Modes of a proxy.
 const (
+	// Passes forwards all bytes.
 	Passes = iota
-	// Delays holds each chunk for some time.
+	// Delays delays each chunk.
 	Delays
-	// Resets ends connections and takes no new ones.
+	// Resets resets open connections and new ones.
 	Resets
-	// Silences swallows what goes either way, OneWay what comes back.
+	// Silences discards the bytes of both directions.
 	Silences
+	// OneWay discards the bytes from upstream.
 	OneWay
-	// Modes is how many there are.
+	// Modes is the number of modes.
 	Modes
 )
 
-// defaultDelay is what Delays holds a chunk for until SetDelay says otherwise.
+// defaultDelay is the delay of a chunk in mode Delays unless SetDelay changes it.
 const defaultDelay = 60 * time.Millisecond
 
-// Proxy is a loopback link whose faults are chosen from outside.
+// Proxy forwards connections to an upstream address, with the faults of its mode.
 type Proxy struct {
-	// At is where it listens.
+	// At is the address that it listens on.
 	At       netip.AddrPort
 	upstream atomic.Pointer[string]
 	mode     atomic.Int32
@@ -52,16 +53,16 @@
 // link is one connection through the proxy.
 type link struct {
 	down, up net.Conn
-	// silenced says that it carries nothing any more.
+	// silenced is set once the connection carries no more bytes.
 	silenced atomic.Bool
-	// gap says that bytes were swallowed: those behind them never arrive, as no
-	// network leaves a gap.
+	// gap is set once bytes were discarded. No later bytes may pass then, as TCP never
+	// delivers a stream with a gap.
 	gap atomic.Bool
-	// sent is what the connecting side sent last.
+	// sent is the last chunk that the connecting side sent.
 	sent atomic.Pointer[string]
 }
 
-// New starts a proxy before an address, until the test ends.
+// New starts a proxy for an upstream address. It runs until the test ends.
 func New(t testing.TB, upstream netip.AddrPort) *Proxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,7 +86,7 @@
 	return p
 }
 
-// Set changes the mode. Resetting also ends what is open.
+// Set changes the mode. Resets also resets the open connections.
 func (p *Proxy) Set(mode int) {
 	p.mode.Store(int32(mode))
 	if mode == Resets {
@@ -93,18 +94,18 @@
 	}
 }
 
-// Lead ends what is open and leads new connections to another address.
+// Lead resets the open connections and forwards new ones to another address.
 func (p *Proxy) Lead(upstream netip.AddrPort) {
 	to := upstream.String()
 	p.upstream.Store(&to)
 	p.resetAll()
 }
 
-// SetDelay changes what Delays holds a chunk for.
+// SetDelay changes the delay of a chunk in mode Delays.
 func (p *Proxy) SetDelay(length time.Duration) { p.delay.Store(int64(length)) }
 
-// Hush silences the open connections that match, by what the connecting side
-// sent last on them, for good and without a reset. New ones work. It returns how
+// Hush silences the matching open connections for good and without a reset. It matches
+// the last chunk that the connecting side sent. New connections work. It returns how
 // many it silenced.
 func (p *Proxy) Hush(match func(sent string) bool) int {
 	p.mu.Lock()
@@ -123,7 +124,7 @@
 	return n
 }
 
-// Came is how many connections came so far.
+// Came returns how many connections were accepted so far.
 func (p *Proxy) Came() int { return int(p.accepted.Load()) }
 
 func (p *Proxy) resetAll() {
@@ -137,7 +138,7 @@
 
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // The close then resets.
+		_ = tcp.SetLinger(0) // Close then sends a reset.
 	}
 	_ = conn.Close()
 }
@@ -171,7 +172,7 @@
 	both.Wait()
 }
 
-// copy moves bytes one way; back says that they come from upstream.
+// copy forwards the bytes of one direction; back is set for those from upstream.
 func (p *Proxy) copy(l *link, to, from net.Conn, back bool) {
 	buffer := make([]byte, 16<<10)
 	for {
@@ -184,11 +185,11 @@
 			sent := string(buffer[:n])
 			l.sent.Store(&sent)
 		}
-		swallowed := l.silenced.Load() || mode == Silences || (mode == OneWay && back)
-		if n > 0 && swallowed {
+		discard := l.silenced.Load() || mode == Silences || (mode == OneWay && back)
+		if n > 0 && discard {
 			l.gap.Store(true)
 		}
-		if n > 0 && !swallowed {
+		if n > 0 && !discard {
 			if l.gap.Load() {
 				reset(to)
 				reset(from)
@@ -207,14 +208,15 @@
 	}
 }
 
-// end passes the end of a connection on. On a silenced one neither side hears of
-// the other's end; its own is over once both have ended.
+// end forwards the end of one direction. On a silenced connection neither side learns
+// that the other has closed; each side's part is closed when that side closes.
 func (p *Proxy) end(l *link, to, from net.Conn, err error) {
 	if l.silenced.Load() {
 		_ = from.Close()
 		return
 	}
-	// A clean end must not stand for a lost one: bytes may have been swallowed.
+	// A clean close must not hide lost bytes, so it is forwarded only if none can have
+	// been discarded.
 	if errors.Is(err, io.EOF) && p.mode.Load() == Passes && !l.gap.Load() {
 		_ = to.Close()
 	} else {
--- a/internal/measure/deployment.go
+++ b/internal/measure/deployment.go
@@ -8,18 +8,19 @@
 	"github.com/thymewind/thymewind/pool"
 )
 
-// The fakes' sizes, the same for both deployments.
+// Sizes and rates of the simulated engines and store boxes, the same for both
+// deployments.
 const (
 	pieceTokens = 2000
 	// pieceKV is the KV cache of one piece, in bytes.
 	pieceKV = 64 << 20
 	slots   = 16
-	// prefillRate is the prompt tokens that an engine computes a second.
+	// prefillRate is an engine's prefill, in prompt tokens a second.
 	prefillRate = 20000
 	tokenTime   = 27 * time.Millisecond
 	// enginePieces bounds an engine's prefix cache.
 	enginePieces = 60
-	// memoryRate and diskRate are a store box's links, in bytes a second.
+	// memoryRate and diskRate are the rates of a store box's links, in bytes a second.
 	memoryRate     = 4e9
 	diskRate       = 1e9
 	storeMemory    = 200
@@ -28,35 +29,35 @@
 	reportLag      = 500 * time.Millisecond
 )
 
-// Deployment is one of the users' deployments as the fakes play it.
+// Deployment is one of the users' deployments as it is simulated.
 type Deployment struct {
 	Name string
-	// Weights are the pool's policy.
+	// Weights is the pool's policy.
 	Weights    pool.Policy
 	Replicas   int
 	Domains    int
 	StoreBoxes int
-	// Rate is the model requests a second.
+	// Rate is the number of model requests a second.
 	Rate float64
-	// Prompts is how many prompts return, LeastPieces to MostPieces their size.
+	// Prompts is the number of recurring prompts, MinPieces to MaxPieces their size.
 	Prompts, MinPieces, MaxPieces int
-	// Tokens is the mean answer.
+	// Tokens is the mean length of an answer.
 	Tokens int
-	// OneOffShare is the share of prompts that are seen once only.
+	// OneOffShare is the share of requests whose prompt does not recur.
 	OneOffShare float64
-	// Accounts is the number of client accounts; the first two are large.
+	// Accounts is the number of client accounts. The first two are large.
 	Accounts int
 }
 
 // The deployments.
 var (
-	// LutongBahay has short prompts and weighs the time to first token most.
+	// LutongBahay has short prompts and gives the time to first token the most weight.
 	LutongBahay = Deployment{
 		Name: "lutong-bahay", Weights: pool.Policy{FirstToken: 4, Recompute: 1, Link: 1},
 		Replicas: 9, Domains: 3, StoreBoxes: 2, Rate: 24, Prompts: 500, MinPieces: 1, MaxPieces: 4,
 		Tokens: 60, OneOffShare: 0.2, Accounts: 10,
 	}
-	// Sonora has long prompts and weighs recomputing and links more.
+	// Sonora has long prompts and gives recomputation and links more weight.
 	Sonora = Deployment{
 		Name: "sonora", Weights: pool.Policy{FirstToken: 1, Recompute: 3, Link: 2},
 		Replicas: 9, Domains: 3, StoreBoxes: 2, Rate: 6, Prompts: 180, MinPieces: 4, MaxPieces: 14,
@@ -64,7 +65,7 @@
 	}
 )
 
-// duration is how much time is played.
+// duration is the simulated time.
 func (d Deployment) duration() time.Duration { return 20 * time.Minute }
 
 func (d Deployment) accounts() map[string]account.Account {
--- a/internal/measure/engine.go
+++ b/internal/measure/engine.go
@@ -12,31 +12,31 @@
 	"github.com/thymewind/thymewind/stream"
 )
 
-// engine is a fake model engine: slots, one prefill at a time, a prefix cache.
+// engine simulates a model engine with slots, one prefill at a time and a prefix cache.
 type engine struct {
 	*simulation
 	name    string
 	address netip.AddrPort
 	domain  string
 	running int
-	// queued are the prompt tokens of runs whose prefill has not ended.
+	// queued is the number of prompt tokens of runs whose prefill has not ended.
 	queued  int
 	waiting []*request
 	cache   *simplelru.LRU[prefix.Key, struct{}]
-	// prefills wait to be computed, one at a time.
+	// prefills are the runs waiting for their prefill, which run one at a time.
 	prefills  []*request
 	computing bool
 	// speed scales prefill and decode; 1 is normal.
 	speed  float64
 	dead   bool
 	deadAt time.Time
-	// leaving refuses new work.
+	// leaving refuses new runs.
 	leaving bool
 	active  map[*request]bool
 }
 
 func newEngine(w *simulation, i int) *engine {
-	// The size is a positive constant, the only thing that could be refused.
+	// Only a size that is not positive is an error.
 	cache, _ := simplelru.NewLRU[prefix.Key, struct{}](enginePieces, nil)
 	return &engine{
 		simulation: w, name: fmt.Sprintf("engine-%d", i), address: addressOf(1, i),
@@ -44,7 +44,7 @@
 	}
 }
 
-// submit takes a run in or refuses it.
+// submit queues a run, or refuses it if the engine is leaving or its queue is full.
 func (e *engine) submit(r *request) bool {
 	if e.leaving || len(e.waiting) >= 8*slots {
 		return false
@@ -67,7 +67,7 @@
 	}
 }
 
-// begin imports or computes the prompt's cache and then decodes.
+// begin starts a run: it looks up the prefix cache and fetches what is to be imported.
 func (e *engine) begin(r *request) {
 	reused := 0
 	for reused < len(r.placed.Keys) && e.cache.Contains(r.placed.Keys[reused]) {
@@ -85,11 +85,11 @@
 		Prompt: r.tokens(), Reused: reused * pieceTokens, Imported: imported * pieceTokens, Completion: r.answer,
 		ImportMillis: millis(ready.Sub(e.now)),
 	}
-	// Other prompts are computed while this one's cache is on its way.
+	// Prefills of other runs continue while this one's cache is fetched.
 	e.after(ready.Sub(e.now), func() { e.compute(r, tokens) })
 }
 
-// compute queues the rest of a prompt, by priority, behind the one under way.
+// compute queues the prefill of a run's remaining tokens, by priority.
 func (e *engine) compute(r *request, tokens int) {
 	if !e.active[r] {
 		return
@@ -101,7 +101,7 @@
 	e.prefill()
 }
 
-// prefill computes the first prompt that waits, if none is under way.
+// prefill starts the first waiting prefill, unless one is running.
 func (e *engine) prefill() {
 	if e.computing || len(e.prefills) == 0 {
 		return
@@ -116,7 +116,7 @@
 	})
 }
 
-// prefillDone is when the first token of a run is out.
+// prefillDone caches a run's prompt, records its first token and starts decoding.
 func (e *engine) prefillDone(r *request) {
 	if !e.active[r] {
 		return
@@ -138,13 +138,13 @@
 	})
 }
 
-// fail ends the engine; what it ran is broken off.
+// fail stops the engine for good; its runs fail.
 func (e *engine) fail() {
 	e.dead, e.deadAt = true, e.now
 	e.running, e.waiting, e.prefills, e.queued = 0, nil, nil, 0
-	broken := e.active
+	failed := e.active
 	e.active = make(map[*request]bool)
-	for _, r := range sorted(broken) {
+	for _, r := range sorted(failed) {
 		e.traffic.runFailed(r)
 	}
 }
--- a/internal/measure/fault.go
+++ b/internal/measure/fault.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The faults that a scenario may have from its third on.
+// The faults of scenarios. A fault occurs after a third of the simulated time.
 const (
 	FaultNone        = "none"
 	FaultStoreDead   = "store-dead"
@@ -16,12 +16,12 @@
 	laggingListDelay = time.Minute
 )
 
-// Faults lists all of them.
+// Faults returns all faults.
 func Faults() []string {
 	return []string{FaultNone, FaultStoreDead, FaultStoreFull, FaultLink, FaultDomain, FaultSlow, FaultTableDown, FaultListLags, FaultFlood}
 }
 
-// injectFault brings the scenario's fault about.
+// injectFault makes the scenario's fault occur.
 func (w *simulation) injectFault() {
 	switch w.Fault {
 	case FaultStoreDead:
@@ -46,10 +46,10 @@
 	case FaultFlood:
 		w.traffic.floodRate = 3 * w.Deployment.Rate
 	}
-	// FaultTableDown needs nothing: no decision here reads the table service.
+	// FaultTableDown changes nothing, as no simulated decision reads the table service.
 }
 
-// listDelay is how late the list drops an engine that is gone.
+// listDelay returns how long the list still names an engine that has failed.
 func (w *simulation) listDelay(usual time.Duration) time.Duration {
 	if w.Fault == FaultListLags {
 		return laggingListDelay
--- a/internal/measure/figures.go
+++ b/internal/measure/figures.go
@@ -6,7 +6,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Figures are what a run counted. The unexported counts become the rest.
+// Figures are the results of a run. The exported ones are computed from the unexported
+// counts at the end.
 type Figures struct {
 	Requests        int     `json:"requests"`
 	P50             float64 `json:"ttft_p50_ms"`
@@ -24,8 +25,8 @@
 	prompt, computed           int
 }
 
-// answered counts a whole answer. The first fifth of the time warms caches up
-// and isn't counted.
+// answered counts a whole answer. The first fifth of the time is the caches' warm-up and
+// is not counted.
 func (f *Figures) answered(r *request, now time.Time) {
 	const longest = 600_000_000
 	if f.first == nil {
@@ -44,7 +45,7 @@
 	f.computed += r.usage.Prompt - r.usage.Reused - r.usage.Imported
 }
 
-// finish turns the counts into figures.
+// finish computes the figures from the counts.
 func (w *simulation) finish() {
 	f := w.figures
 	f.Requests, f.Refused, f.Retried = f.requests, f.refused, f.retried
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -6,8 +6,8 @@
 	"github.com/thymewind/thymewind/internal/measure"
 )
 
-// TestRunsAreDeterministic plays scenarios twice: nothing crosses, everything
-// is accounted for, and the figures are the same.
+// TestRunsAreDeterministic simulates scenarios twice: the figures are the same, and no
+// run uses another account's cache scope.
 func TestRunsAreDeterministic(t *testing.T) {
 	for _, fault := range []string{measure.FaultNone, measure.FaultDomain, measure.FaultStoreDead} {
 		t.Run(fault, func(t *testing.T) {
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -16,8 +16,9 @@
 	"github.com/thymewind/thymewind/target"
 )
 
-// Policy names how a run decides. All but Ours are baselines, each of which
-// replaces one decision and leaves the others ours.
+// Policy names how a run decides. Ours is the daemon's own decision code. The others are
+// baselines that replace either its placement or its handling of cache on store boxes;
+// PlainRoundRobin replaces both.
 type Policy string
 
 // The policies.
@@ -28,18 +29,18 @@
 	Affinity    Policy = "pure-affinity"
 	KeepAll     Policy = "keep-all-lru"
 	NeverImport Policy = "never-import"
-	// PlainRoundRobin has neither placement nor kept cache.
+	// PlainRoundRobin places by round robin and neither exports nor imports cache.
 	PlainRoundRobin Policy = "plain-round-robin"
 )
 
-// Policies lists all of them.
+// Policies returns all policies.
 func Policies() []Policy {
 	return []Policy{Ours, RoundRobin, LeastLoad, Affinity, KeepAll, NeverImport, PlainRoundRobin}
 }
 
 type chooseFunc func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error)
 
-// chooser returns the policy's way to choose a target.
+// chooser returns the policy's function that chooses a target.
 func (p Policy) chooser(ours *placement.Chooser, random *rand.Rand) chooseFunc {
 	next := 0
 	switch p {
@@ -63,7 +64,7 @@
 	return ours.Choose
 }
 
-// chooseUsable makes a chooser of a function over the usable targets.
+// chooseUsable returns a chooser that picks one of the usable targets with a function.
 func chooseUsable(of func(usable []int, home uint64, all []*target.Target) int) chooseFunc {
 	return func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error) {
 		var choice placement.Choice
@@ -83,7 +84,7 @@
 	}
 }
 
-// keepFunc returns the policy's way to decide what is kept.
+// keepFunc returns the policy's function that decides what is exported.
 func (p Policy) keepFunc() func(*retention.Policy, retention.Candidate) bool {
 	switch p {
 	case KeepAll:
@@ -94,7 +95,7 @@
 	return (*retention.Policy).Keep
 }
 
-// importPieces returns how many of the pieces found are imported.
+// importPieces returns how many of the found pieces are imported.
 func (p Policy) importPieces(now time.Time, e reuse.Estimate, weights pool.Policy, c reuse.Choice) int {
 	switch p {
 	case KeepAll:
@@ -105,7 +106,7 @@
 	return e.Best(now, weights, c)
 }
 
-// evict returns what a full store box loses.
+// evict returns the keys that a full store box evicts.
 func (p Policy) evict(now time.Time, all []kvcache.Manifest, need int) []string {
 	if p != KeepAll {
 		return retention.Evict(now, all, need)
--- a/internal/measure/store.go
+++ b/internal/measure/store.go
@@ -14,21 +14,21 @@
 	"github.com/thymewind/thymewind/prefix"
 )
 
-// store is a fake store box: a memory and a disk tier, each behind a link.
+// store simulates a store box with a memory and a disk tier, each behind a link.
 type store struct {
 	*simulation
 	name    string
 	address netip.AddrPort
-	// rows holds what is kept; tiers says on which tier.
+	// rows are the manifests by key, tiers the tier of each one's piece.
 	rows  map[string]kvcache.Manifest
 	tiers map[string]int
 	size  [2]int
 	rate  [2]float64
-	// reportedRate is what the store box says of its links.
+	// reportedRate are the link rates that the store box reports, whatever the faults.
 	reportedRate [2]float64
-	// memory orders the keys on the memory tier by use.
+	// memory holds the keys on the memory tier in LRU order.
 	memory *simplelru.LRU[string, struct{}]
-	// busyUntil is when each link's queue is through, busy how long it was used.
+	// busyUntil is when each link's queue is empty, busy how long the link was in use.
 	busyUntil [2]time.Time
 	busy      [2]time.Duration
 	dead      bool
@@ -40,7 +40,7 @@
 		rows: make(map[string]kvcache.Manifest), tiers: make(map[string]int),
 		size: [2]int{storeMemory, storeDisk}, rate: [2]float64{memoryRate, diskRate}, reportedRate: [2]float64{memoryRate, diskRate},
 	}
-	// The size is a positive constant, the only thing that could be refused.
+	// Only a size that is not positive is an error.
 	s.memory, _ = simplelru.NewLRU(storeMemory, func(key string, _ struct{}) {
 		if _, known := s.tiers[key]; known {
 			s.tiers[key] = kvcache.TierDisk
@@ -49,14 +49,14 @@
 	return s
 }
 
-// promote brings a piece to the memory tier; the least used one there goes to
-// disk.
+// promote moves a piece to the memory tier. The least recently used one there moves to
+// disk if the tier is full.
 func (s *store) promote(key string) {
 	s.tiers[key] = kvcache.TierMemory
 	s.memory.Add(key, struct{}{})
 }
 
-// find returns the run of manifests for the keys.
+// find returns the manifests of the leading keys that are stored.
 func (s *store) find(keys []string) kvcache.Found {
 	var found kvcache.Found
 	for tier := range found.Links {
@@ -79,7 +79,7 @@
 	return found
 }
 
-// fetch moves pieces over the links and returns when the last is there.
+// fetch transfers pieces over the links and returns when the last one arrives.
 func (s *store) fetch(run []kvcache.Manifest) (ready time.Time, pieces int) {
 	ready = s.now
 	if s.dead {
@@ -87,7 +87,7 @@
 	}
 	for _, m := range run {
 		if _, ok := s.rows[m.Key]; !ok {
-			return ready, 0 // Dropped meanwhile: all of it is computed.
+			return ready, 0 // Evicted in the meantime; all pieces are recomputed.
 		}
 		if done := s.transfer(s.tiers[m.Key], m.Piece.Bytes); done.After(ready) {
 			ready = done
@@ -97,7 +97,7 @@
 	return ready, len(run)
 }
 
-// transfer queues bytes on a tier's link.
+// transfer queues bytes on a tier's link and returns when they have passed.
 func (s *store) transfer(tier, bytes int) time.Time {
 	start := s.now
 	if s.busyUntil[tier].After(start) {
@@ -109,7 +109,7 @@
 	return s.busyUntil[tier]
 }
 
-// write writes a prompt's pieces and then their manifests.
+// write stores a prompt's pieces with their manifests, until the store box is full.
 func (s *store) write(scope prefix.Key, keys []prefix.Key) []kvcache.Manifest {
 	if s.dead {
 		return nil
--- a/internal/measure/traffic.go
+++ b/internal/measure/traffic.go
@@ -33,14 +33,14 @@
 	placed       route.Placed
 	store        *store
 	usage        stream.Usage
-	// queued are its tokens that its engine still has to compute.
+	// queued is the number of its tokens that its engine has to compute.
 	queued int
 }
 
-// padding stands for any prompt's bytes; only its length matters.
+// padding stands in for the text of any prompt; only its length matters.
 var padding = strings.Repeat(" ", 64*pieceTokens*dispatch.BytesPerToken)
 
-// prompt is a text that is there once or returns.
+// prompt is a prompt's recurring part, or that of a one-off request.
 type prompt struct {
 	name   string
 	pieces int
@@ -48,23 +48,23 @@
 	keys   []prefix.Key
 }
 
-// tokens counts the prompt's tokens: its pieces and a question of its own.
+// tokens returns the request's prompt tokens: the prompt's pieces and a question.
 func (r *request) tokens() int { return r.prompt.pieces*pieceTokens + pieceTokens/4 }
 
-// traffic makes requests and sees them through.
+// traffic generates requests and drives them to their ends.
 type traffic struct {
 	*simulation
 	prompts []prompt
-	// weights are the cumulated odds of the prompts.
+	// weights are the cumulative weights of the prompts.
 	weights   []float64
 	generated int
-	// floodRate is a further rate of the first account alone, in a flood.
+	// floodRate is the first account's additional rate during FaultFlood.
 	floodRate float64
 }
 
 func newTraffic(w *simulation) *traffic {
 	t := &traffic{simulation: w}
-	sizes := rand.New(rand.NewPCG(99, 0)) // The same prompts under each seed.
+	sizes := rand.New(rand.NewPCG(99, 0)) // A fixed seed, so that the prompts are the same in all runs.
 	sum := 0.0
 	for i := range w.Deployment.Prompts {
 		d := w.Deployment
@@ -87,7 +87,7 @@
 	return p
 }
 
-// next makes one request and sets the time of the one after.
+// next generates a request and schedules the next one.
 func (t *traffic) next() {
 	t.generated++
 	d := t.Deployment
@@ -111,7 +111,8 @@
 	t.after(seconds(t.random.ExpFloat64()/(d.Rate+t.floodRate)), t.next)
 }
 
-// account draws one; the first two are large.
+// account draws an account. Half of the draws are among the first two only, which makes
+// these large.
 func (t *traffic) account() int {
 	if t.random.Float64() < 0.5 {
 		return t.random.IntN(2)
@@ -137,7 +138,7 @@
 	t.after(hop, func() { t.send(r) })
 }
 
-// find looks for kept cache and decides whether to import it, as the daemon
+// find looks up cache in the store box and decides whether to import it, as the daemon
 // does.
 func (t *traffic) find(r *request) {
 	for _, s := range t.stores {
@@ -184,7 +185,7 @@
 	}
 }
 
-// runFailed is a run that its engine broke off.
+// runFailed handles a run whose engine failed.
 func (t *traffic) runFailed(r *request) { t.retry(r, route.Ended{Placed: r.placed, Failed: true}) }
 
 func (t *traffic) retry(r *request, e route.Ended) {
@@ -200,7 +201,7 @@
 	t.place(r)
 }
 
-// completed is a whole answer.
+// completed handles a whole answer.
 func (t *traffic) completed(r *request) {
 	ended := route.Ended{Placed: r.placed, FirstToken: r.firstTokenAt.Sub(r.arrived), Took: t.now.Sub(r.arrived), End: stream.Frame{Request: fmt.Sprint(r.id), Usage: r.usage}}
 	t.figures.answered(r, t.now)
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -1,6 +1,5 @@
-// Package measure drives the daemon's decision code against small fakes of
-// engines, store boxes and links in virtual time, and counts what operators
-// measure.
+// Package measure runs the daemon's decision code in virtual time, against simulated
+// engines, store boxes and links, and computes the figures that operators measure.
 //
 //	figures := measure.Run(measure.Scenario{Deployment: measure.LutongBahay, Policy: measure.Ours, Seed: 1})
 package measure
@@ -30,7 +29,7 @@
 	Seed       uint64
 }
 
-// simulation is everything that happens in one run.
+// simulation is the state of one run.
 type simulation struct {
 	Scenario
 	random    *rand.Rand
@@ -45,7 +44,7 @@
 	figures   *Figures
 }
 
-// event is something to do at a time; order keeps equal times in sequence.
+// event is a scheduled action; sequence orders events at the same time.
 type event struct {
 	at       time.Time
 	sequence int
@@ -75,13 +74,13 @@
 	return last
 }
 
-// after has something done when some time has passed.
+// after schedules an action.
 func (w *simulation) after(d time.Duration, do func()) {
 	w.sequence++
 	heap.Push(&w.events, event{w.now.Add(d), w.sequence, do})
 }
 
-// every has something done again and again.
+// every repeats an action at an interval, first after one interval.
 func (w *simulation) every(d time.Duration, do func()) {
 	w.after(d, func() {
 		do()
@@ -89,11 +88,11 @@
 	})
 }
 
-// poolName is the one pool of the fakes.
+// poolName is the only pool.
 const poolName = "menu"
 
-// Run plays a scenario and returns its figures. The same scenario gives the
-// same figures.
+// Run simulates a scenario and returns its figures. It is deterministic: the same
+// scenario gives the same figures.
 func Run(s Scenario) Figures {
 	w := &simulation{Scenario: s, random: rand.New(rand.NewPCG(s.Seed, 0)), now: time.Unix(0, 0), figures: &Figures{}}
 	w.end = w.now.Add(s.Deployment.duration())
@@ -143,8 +142,8 @@
 	}
 }
 
-// updateList is the platform's list as it lags: a target that is gone is still
-// listed until then.
+// updateList applies the platform's list, which lags: an engine that has failed is
+// listed for listDelay longer.
 func (w *simulation) updateList() {
 	const lag = 5 * time.Second
 	for _, e := range w.engines {
@@ -164,7 +163,7 @@
 	w.scheduler.GroupByPool()
 }
 
-// reportLoads brings every engine's load report, late.
+// reportLoads delivers every engine's load report after reportLag.
 func (w *simulation) reportLoads() {
 	for _, e := range w.engines {
 		running, waiting, queued, dead := e.running, len(e.waiting), e.queued, e.dead
--- a/internal/proof/proof.go
+++ b/internal/proof/proof.go
@@ -1,5 +1,5 @@
-// Package proof runs property tests with fixed seeds, and their sister tests,
-// in which the control is removed and the checker must find the violation.
+// Package proof runs property tests with a fixed seed. Each has a counterpart in which
+// the safeguard under test is removed and the property must be violated.
 //
 //	proof.Holds(t, property(control))
 //	proof.Breaks(t, property(removed))
@@ -11,7 +11,7 @@
 	"github.com/leanovate/gopter"
 )
 
-// The fixed seed and the samples that each property is tried with.
+// The fixed seed and the number of samples of each property.
 const (
 	seed    = 20261202
 	samples = 200
@@ -32,9 +32,9 @@
 	t.Helper()
 	result := property.Check(parameters())
 	if result.Passed() {
-		t.Fatal("the control was removed and no sample violated the property: it proves nothing")
+		t.Fatal("no sample violated the property without the safeguard, so the property proves nothing")
 	}
-	t.Logf("violated, as it must be, after %d samples: %v", result.Succeeded, result.Labels)
+	t.Logf("violated as expected after %d samples: %v", result.Succeeded, result.Labels)
 }
 
 func parameters() *gopter.TestParameters {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine stands in for a model engine: finite slots, a prefix cache in
-// limited memory, streams that can be resumed and cancelled, KV import and
-// export, a lagged load report and fenced orders. Its answers are a function of
-// the prompt, so that a caller can check them.
+// Package engine is a stand-in for a model engine. It has a number of slots, a bounded
+// prefix cache, streams that can be resumed and cancelled, KV import and export, a
+// lagging load report and fenced orders. Its answers are a function of the prompt, so
+// that callers can check them.
 package engine
 
 import (
@@ -22,10 +22,10 @@
 	"github.com/thymewind/thymewind/prefix"
 )
 
-// bytesPerToken is the stand-in's tokenizer.
+// bytesPerToken replaces a tokenizer.
 const bytesPerToken = 4
 
-// runRetention is how long a finished or abandoned run can be resumed.
+// runRetention is how long a finished run can be resumed after its last use.
 const runRetention = 30 * time.Second
 
 // Engine is the stand-in. Set the exported fields before Handler.
@@ -34,29 +34,29 @@
 	Fault *fault.Switch
 	// Version is the weight version loaded at the start.
 	Version string
-	// Slots is how many runs are served at once.
+	// Slots bounds the runs served at once.
 	Slots int
 	// CachePieces bounds the prefix cache.
 	CachePieces int
 	// PieceKV is the size of one piece's KV cache, in bytes.
 	PieceKV int
-	// Prefill is the prompt tokens computed a second, Decode the time between
+	// Prefill is the prefill rate in prompt tokens a second, Decode the time between
 	// two tokens.
 	Prefill float64
 	Decode  time.Duration
 	// LoadWeights is how long new weights take to load.
 	LoadWeights time.Duration
-	// Lag is how late the load report follows.
+	// Lag is the delay of load reports and cache events.
 	Lag time.Duration
 	// ChecksFence refuses orders of a lower epoch.
 	ChecksFence bool
 
 	mu sync.Mutex
-	// cache maps prefix keys to the scope they were computed in.
+	// cache is the prefix cache, by prefix key.
 	cache   *simplelru.LRU[string, struct{}]
 	runs    map[string]*run
 	running int
-	// queued are the prompt tokens of runs whose prefill has not ended.
+	// queued is the number of prompt tokens of runs whose prefill has not ended.
 	queued      int
 	queue       []*run
 	version     string
@@ -76,7 +76,7 @@
 	At       time.Time `json:"-"`
 }
 
-// StartedRun tells of one run, for checks from outside.
+// StartedRun describes a run that was started, for checks by tests.
 type StartedRun struct {
 	Request string `json:"request"`
 	Attempt int    `json:"attempt"`
@@ -84,7 +84,8 @@
 	Scope   string `json:"scope"`
 }
 
-// Handler returns the service and starts its reports.
+// Handler returns the engine's HTTP handler and starts its load reports, which end with
+// ctx.
 func (e *Engine) Handler(ctx context.Context) http.Handler {
 	e.version = e.Version
 	e.runs = make(map[string]*run)
@@ -103,7 +104,7 @@
 	return e.Fault.Wrap(mux)
 }
 
-// Answer returns the text that a prompt is answered with.
+// Answer returns the answer to a prompt.
 func Answer(prompt string, tokens int) string {
 	sum := blake3.Sum256([]byte(prompt))
 	var b strings.Builder
@@ -113,10 +114,11 @@
 	return b.String()
 }
 
-// report keeps old load reports, so that the latest can be served late.
+// report records load reports, so that they can be served with a lag, and drops expired
+// runs.
 func (e *Engine) report(ctx context.Context) {
-	const every = 50 * time.Millisecond
-	ticker := time.NewTicker(every)
+	const interval = 50 * time.Millisecond
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -169,16 +171,17 @@
 	fault.WriteJSON(w, http.StatusOK, answer)
 }
 
-// recordEvent records a cache event; old ones are forgotten, which leaves a gap.
+// recordEvent records a cache event. Old events are dropped, which readers see as a gap in
+// the sequence.
 func (e *Engine) recordEvent(added bool, key string) {
-	const remembered = 1000
+	const maxEvents = 1000
 	sequence := 1
 	if n := len(e.events); n > 0 {
 		sequence = e.events[n-1].Sequence + 1
 	}
 	e.events = append(e.events, event{Sequence: sequence, Added: added, Key: key, At: time.Now()})
-	if len(e.events) > remembered {
-		e.events = e.events[len(e.events)-remembered:]
+	if len(e.events) > maxEvents {
+		e.events = e.events[len(e.events)-maxEvents:]
 	}
 }
 
@@ -253,7 +256,7 @@
 	fault.WriteJSON(w, http.StatusOK, answer)
 }
 
-// kvCache returns a piece's KV cache, a function of account, version and tokens.
+// kvCache returns a piece's KV cache, which is a function of account, version and tokens.
 func (e *Engine) kvCache(key prefix.Key) []byte {
 	h := blake3.New()
 	_, _ = h.Write(key[:])
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -23,8 +23,8 @@
 	return api.Client{HTTP: http.DefaultClient}, netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// TestCancelOfAnUnknownRun shows that an engine that knows nothing of a run,
-// such as one that was restarted, does not confirm that it never started.
+// TestCancelOfAnUnknownRun checks that an engine that does not know a run, for example
+// after a restart, does not claim that it never started.
 func TestCancelOfAnUnknownRun(t *testing.T) {
 	c, at := start(t)
 	started, err := c.Cancel(t.Context(), at, "r", 1)
@@ -57,7 +57,7 @@
 	}
 }
 
-// readStream takes a whole stream in through the checker.
+// readStream reads a whole stream through the checker and returns its text.
 func readStream(t *testing.T, frames *api.Frames, offset int) string {
 	t.Helper()
 	checker := stream.Checker{Request: "r", Attempt: 1, Version: "v1", Scope: "s"}
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -19,20 +19,20 @@
 
 type address = netip.AddrPort
 
-// run is one answer in the making. Its fields are guarded by Engine.mu.
+// run is one generation. Its fields are guarded by Engine.mu.
 type run struct {
 	ask     api.Run
 	keys    []prefix.Key
 	usage   stream.Usage
 	text    string
 	started bool
-	// done says that no more text comes; failed that the answer is not whole.
+	// done is set once no more text comes, failed if the answer is incomplete.
 	done, failed, cancelled bool
 	changed                 chan struct{}
 	usedAt                  time.Time
 }
 
-// notify tells all readers that the run changed.
+// notify wakes all readers of the run.
 func (r *run) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
@@ -73,7 +73,7 @@
 	e.stream(w, r, x, len(ask.Generated), state.Crossed)
 }
 
-// scopeOf turns the scope's text back into a chain seed of its own.
+// scopeOf derives a seed for the chain of prefix keys from a scope's text.
 func scopeOf(scope string) prefix.Key { return prefix.Scope("engine", scope) }
 
 func (e *Engine) refuse(w http.ResponseWriter, status int, why string) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// serve imports or computes the prompt's cache and then decodes.
+// serve runs a run: it imports or computes the prompt's cache and then decodes.
 func (e *Engine) serve(x *run) {
 	defer e.admit()
 	defer func() {
@@ -163,16 +163,16 @@
 	x.usage.ImportMillis = float64(importing.Microseconds()) / 1000
 }
 
-// importPieces fetches the pieces behind the reused ones. It uses all or none,
-// each checked by digest and against the prompt itself.
+// importPieces fetches the pieces after the reused ones. It checks each piece's digest and
+// contents against the prompt, and uses all of them or none.
 func (e *Engine) importPieces(x *run, reused int) int {
 	run := x.ask.Import.Run
 	if len(run) > len(x.keys) {
 		return 0
 	}
-	const patience = 5 * time.Second
-	// The run goes on if its reader leaves.
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	const timeout = 5 * time.Second
+	// The run continues even if its reader leaves.
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	for i, m := range run[reused:] {
 		if kvcache.Check(m, x.ask.Scope, m.Key, reused+i) != nil {
@@ -219,7 +219,7 @@
 	defer e.mu.Unlock()
 	x, ok := e.runs[runKey(ask.Request, ask.Attempt)]
 	if !ok {
-		// It may still be on its way, or have run before a restart.
+		// The run may still arrive, or may have run before a restart.
 		http.NotFound(w, r)
 		return
 	}
@@ -236,7 +236,7 @@
 	}{started})
 }
 
-// stream relays a run from an offset until it is done or the reader leaves.
+// stream sends a run from an offset until the run is done or the reader leaves.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, x *run, offset int, crossed float64) {
 	out := json.NewEncoder(w)
 	flush := http.NewResponseController(w)
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform stands in for the platform: its table service, its object
-// store and its lagging list of boxes.
+// Package platform is a stand-in for the platform, with a table service, an object store
+// and a lagging list of boxes.
 package platform
 
 import (
@@ -22,13 +22,14 @@
 
 // Platform is the stand-in. Set the exported fields before Handler.
 type Platform struct {
-	// Fault is shared by the three services.
+	// Fault applies to all three services.
 	Fault *fault.Switch
-	// Lag is how late the list of boxes follows.
+	// Lag is the delay of the list of boxes.
 	Lag time.Duration
-	// SilenceTimeout is how long a box may be silent before the list drops it.
+	// SilenceTimeout is how long a box may be silent before it is due to be dropped from
+	// the list, which happens Lag later.
 	SilenceTimeout time.Duration
-	// Writes and Reads bound what is served, a second.
+	// Writes and Reads are the rate limits, in requests a second.
 	Writes, Reads float64
 
 	mu       sync.Mutex
@@ -40,7 +41,7 @@
 	reads    *rate.Limiter
 }
 
-// listing is one box with the times the lag counts from.
+// listing is one box with the times that the lag is counted from.
 type listing struct {
 	box       boxes.Box
 	listedAt  time.Time
@@ -48,7 +49,7 @@
 	leavingAt time.Time
 }
 
-// Handler returns the services.
+// Handler returns the HTTP handler of the services.
 func (p *Platform) Handler() http.Handler {
 	p.rows = make(map[string]table.Row)
 	p.objects = make(map[string][]byte)
@@ -63,7 +64,7 @@
 	mux.HandleFunc("GET /v1/boxes", p.boxes)
 	root := http.NewServeMux()
 	root.Handle("/", p.Fault.Wrap(mux))
-	// Boxes announce themselves by another way, which no fault strikes.
+	// Announcements bypass the faults.
 	root.HandleFunc("PUT /announce", p.announce)
 	return root
 }
@@ -91,7 +92,7 @@
 	fault.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
-// apply returns the key whose condition failed, if one did.
+// apply applies a transaction, or returns the first key whose condition does not hold.
 func (p *Platform) apply(tx table.Transaction) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,4 +1,4 @@
-// Package service stands in for a plain service, such as one that takes orders.
+// Package service is a stand-in for a plain service, such as one that takes orders.
 package service
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/thymewind/thymewind/internal/standin/fault"
 )
 
-// Service is the stand-in: it echoes what it was sent and counts each order.
+// Service is the stand-in. It echoes requests and counts orders.
 type Service struct {
 	Name  string
 	Fault *fault.Switch
@@ -20,8 +20,8 @@
 	runs map[string]int
 }
 
-// Handler returns the service. POST /orders takes an order; GET /runs tells
-// how often each idempotency key ran.
+// Handler returns the HTTP handler. POST /orders takes an order; GET /runs returns how
+// often each idempotency key ran.
 func (s *Service) Handler() http.Handler {
 	s.runs = make(map[string]int)
 	mux := http.NewServeMux()
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -1,5 +1,5 @@
-// Package store stands in for a store box, with a memory and a disk tier
-// behind one link each.
+// Package store is a stand-in for a store box with a memory and a disk tier, each behind
+// its own link.
 package store
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/thymewind/thymewind/kvcache"
 )
 
-// pinTime is how long a piece that was just read is kept from deletion.
+// pinTime is how long a piece is not deleted after it was read.
 const pinTime = 5 * time.Second
 
-// orphanRetention is how long a piece without a manifest is kept.
+// orphanRetention is how long a piece without a manifest is kept after its last use.
 const orphanRetention = 30 * time.Second
 
 // Store is the stand-in. Set the exported fields before Handler.
@@ -37,14 +37,14 @@
 	busy      [2]time.Time
 }
 
-// piece is one stored block; whole is set once all its bytes came.
+// piece is a stored piece of cache.
 type piece struct {
 	data   []byte
 	onDisk bool
 	used   time.Time
 }
 
-// Handler returns the service.
+// Handler returns the HTTP handler.
 func (s *Store) Handler() http.Handler {
 	s.pieces = make(map[string]*piece)
 	s.manifests = make(map[string]kvcache.Manifest)
@@ -103,7 +103,7 @@
 	_, _ = w.Write(p.data)
 }
 
-// reserve queues the piece on its tier's link and returns how long it takes.
+// reserve queues a piece on its tier's link and returns the time until it has passed.
 func (s *Store) reserve(p *piece) time.Duration {
 	tier, bytesPerSecond := 0, s.MemoryRate
 	if p.onDisk {
@@ -145,7 +145,7 @@
 	fault.WriteJSON(w, http.StatusOK, answer)
 }
 
-// links tells how the tiers' links are used.
+// links returns the rate and the queue of each tier's link.
 func (s *Store) links() [kvcache.Tiers]kvcache.Link {
 	links := [kvcache.Tiers]kvcache.Link{{Rate: s.MemoryRate}, {Rate: s.DiskRate}}
 	for tier := range links {
@@ -156,7 +156,7 @@
 	return links
 }
 
-// manifests is how manifests travel.
+// manifests is the JSON body of a list of manifests.
 type manifests struct {
 	Manifests []kvcache.Manifest `json:"manifests"`
 }
@@ -212,7 +212,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// sweep deletes pieces that no manifest lists and no import uses.
+// sweep deletes pieces without a manifest that were not used recently.
 func (s *Store) sweep() {
 	listed := make(map[string]bool)
 	for _, m := range s.manifests {
