--- a/cmd/thymemeasure/main_test.go
+++ b/cmd/thymemeasure/main_test.go
@@ -15,7 +15,7 @@
 		// want is a part of the error, empty for none.
 		want string
 	}{
-		{"no names", nil, "", "", "", ""},
+		{"nothing", nil, "", "", "", ""},
 		{"known names", nil, "sonora,lutong-bahay", "ours", "none,list-lags", ""},
 		{"an argument", []string{"fleet"}, "", "", "", "no flag"},
 		{"an unknown deployment", nil, "sonora,x", "", "", "lutong-bahay"},
--- a/duty.go
+++ b/duty.go
@@ -209,7 +209,7 @@
 func (d *Daemon) order(ctx context.Context, e sendOrder) error {
 	epoch, until, ok := e.lease.Held()
 	if !ok {
-		return trace.CompareFailed("the lease %s has run out", e.lease.Name)
+		return trace.CompareFailed("the lease has run out")
 	}
 	ctx, cancel := context.WithTimeout(ctx, until.Sub(d.now()))
 	defer cancel()
@@ -223,7 +223,7 @@
 		return trace.Wrap(err)
 	}
 	if held, _, ok := e.lease.Held(); !ok || held != epoch {
-		return trace.CompareFailed("the lease %s has run out", e.lease.Name)
+		return trace.CompareFailed("the lease has run out")
 	}
 	err = d.engines.Send(ctx, e.address, engine.Order{ID: o.ID, Epoch: epoch, Version: e.version, Deadline: time.Now().Add(until.Sub(d.now()))})
 	r := decision.Record{
