--- a/cmd/thymefront/main.go
+++ b/cmd/thymefront/main.go
@@ -54,7 +54,8 @@
 	// logQueueLines bounds the log lines waiting to be written; further ones are
 	// dropped.
 	logQueueLines = 2048
-	// memoryShare is the Go runtime's memory limit, as a share of the box's memory.
+	// memoryShare is the Go runtime's memory limit as a share of the box's memory. Near
+	// it the runtime collects garbage more often.
 	memoryShare = 0.6
 )
 
--- a/cmd/thymefront/watch.go
+++ b/cmd/thymefront/watch.go
@@ -25,7 +25,7 @@
 	changed := make(chan settings.Settings)
 	last, err := os.ReadFile(file)
 	if err != nil {
-		logger.Warn("settings file could not be read for comparison; the next one read counts as changed", "err", err)
+		logger.Warn("settings file could not be read; the next successful read counts as a change", "err", err)
 	}
 	go func() {
 		ticks := time.NewTicker(settingsPollInterval)
--- a/gossip.go
+++ b/gossip.go
@@ -28,7 +28,7 @@
 	// maxLoadAge is the age from which a load report is not passed on.
 	maxLoadAge = 10 * time.Second
 	// maxLeavingAge is how long a target's leaving is passed on. The age is part of
-	// the message, so that boxes don't keep the news alive among themselves.
+	// the message, so that boxes don't renew it among themselves for ever.
 	maxLeavingAge = 30 * time.Second
 	// busyThreshold is the queueing time from which a target counts as busy. Reports
 	// of busy targets need not wait for their turn.
--- a/internal/fake/table.go
+++ b/internal/fake/table.go
@@ -1,6 +1,6 @@
 // Package fake provides fakes for tests.
 //
-//	t := fake.Table{Fault: func() fake.Kind { return fake.Lost }}
+//	t := fake.Table{Fault: func() fake.Kind { return fake.AnswerLost }}
 //	book := claim.Book{Commit: t.Commit, Read: t.Read}
 package fake
 
--- a/internal/loopback/proxy.go
+++ b/internal/loopback/proxy.go
@@ -2,9 +2,9 @@
 // delays, resets or discards bytes, or silences some open connections while new ones work.
 //
 //	p := loopback.New(t, server)
-//	client.Dial(p.At)
-//	p.Set(loopback.Silences)
-//	p.Hush(func(sent string) bool { return strings.Contains(sent, "/held") })
+//	client.Dial(p.Address)
+//	p.Set(loopback.Discards)
+//	p.Silence(func(sent string) bool { return strings.Contains(sent, "/held") })
 package loopback
 
 import (
--- a/internal/proof/proof.go
+++ b/internal/proof/proof.go
@@ -1,8 +1,8 @@
 // Package proof runs property tests with a fixed seed. Each has a counterpart in which
 // the safeguard under test is removed and the property must be violated.
 //
-//	proof.Holds(t, property(control))
-//	proof.Breaks(t, property(removed))
+//	proptest.Holds(t, property(control))
+//	proptest.Violated(t, property(removed))
 package proof
 
 import (
