--- a/keep_test.go
+++ b/cache_test.go
@@ -10,14 +10,13 @@
 	"github.com/thymewind/thymewind/route"
 )
 
-// TestStoreIsNotBlamedForTheCaller shows that a caller that leaves while the
-// store box is asked does not put the store box out of use, while a store box
-// that does not answer is.
-func TestStoreIsNotBlamedForTheCaller(t *testing.T) {
+// TestCallerLeavingDoesNotBackOffStore checks that a store box gets a backoff if it does
+// not answer, but not if the caller left in the meantime.
+func TestCallerLeavingDoesNotBackOffStore(t *testing.T) {
 	tests := []struct {
-		name   string
-		left   bool
-		blamed int
+		name     string
+		left     bool
+		failures int
 	}{
 		{"the caller left", true, 0},
 		{"nobody answers", false, 1},
@@ -34,9 +33,9 @@
 				Scope: prefix.Scope("a", "v"), PieceBytes: 8, StoreName: "store-1",
 				Store: netip.MustParseAddrPort("127.0.0.1:1"), // Nothing listens there.
 			}
-			d.findKept(ctx, &placed, "a prompt of some pieces")
-			if got := len(d.messages); got != tt.blamed {
-				t.Errorf("%d store boxes were blamed, want %d", got, tt.blamed)
+			d.findCached(ctx, &placed, "a prompt of some pieces")
+			if got := len(d.messages); got != tt.failures {
+				t.Errorf("%d store failures were reported, want %d", got, tt.failures)
 			}
 		})
 	}
--- a/cmd/thymefront/main.go
+++ b/cmd/thymefront/main.go
@@ -30,30 +30,32 @@
 	"github.com/thymewind/thymewind/platform/store"
 )
 
-// Bounds of connections.
+// Limits of connections, the log and memory.
 const (
-	// dialFor is how long a new connection may take: a way there and back is
-	// 2 ms, and a lost opening packet is sent again only after a second.
-	dialFor = 400 * time.Millisecond
-	// idleFor is how long an unused connection to a target is kept.
-	idleFor = 20 * time.Second
-	// silentAfter is how long a kept connection to a target says nothing before a
-	// call that is given up shows that it is silent. A held call to a source is
-	// given up after 0.8 s; requests usually have their answer's head sooner.
+	// dialTimeout bounds a dial. A round trip takes 2 ms, and a lost SYN is
+	// retransmitted only after a second.
+	dialTimeout = 400 * time.Millisecond
+	// idleTimeout is how long an idle connection to a target is kept.
+	idleTimeout = 20 * time.Second
+	// silentAfter is how long a call on a reused connection to a target must have waited
+	// without an answer for the connection to count as silent when the call is given up.
+	// A long poll of a source is given up after 0.8 s; requests usually get the head of
+	// their answer sooner.
 	silentAfter = 700 * time.Millisecond
-	// storePatience bounds a call to the table service, which usually answers
-	// in 4 ms and in a slow hour in a quarter of a second. It is also waited until
-	// the first answers came.
-	storePatience = 1500 * time.Millisecond
-	// storeLeast is the least wait before a connection to it counts as silent:
-	// twice a slow hour's answers. With the hold of a read, a proof of the
-	// configuration is then 3.5 s old at most, and keys are trusted for 4.3 s;
-	// with storePatience alone it was 4.5 s.
-	storeLeast = 500 * time.Millisecond
-	// logLines is how many log lines wait to be written; more are dropped.
-	logLines = 2048
-	// memoryShare is the part of the box's memory at which the runtime works
-	// harder to free some.
+	// storeTimeout bounds a call to the table service, which usually answers in 4 ms,
+	// and in 250 ms when it is slow. It is also the adaptive timeout's value until the
+	// first answers have arrived.
+	storeTimeout = 1500 * time.Millisecond
+	// minStoreTimeout is the least wait before a connection to the table service counts
+	// as silent: twice a slow answer. With the hold of a long poll, a proof of the
+	// configuration is then at most 3.5 s old, which is within the 4.3 s for which keys
+	// are trusted. With storeTimeout alone it would be up to 4.5 s old.
+	minStoreTimeout = 500 * time.Millisecond
+	// logQueueLines bounds the log lines waiting to be written; further ones are
+	// dropped.
+	logQueueLines = 2048
+	// memoryShare is the Go runtime's memory limit as a share of the box's memory. Near
+	// it the runtime collects garbage more often.
 	memoryShare = 0.6
 )
 
@@ -61,7 +63,7 @@
 	file := flag.String("settings", "", "settings file, YAML")
 	check := flag.Bool("check", false, "check the settings and exit")
 	flag.Parse()
-	queue := &logqueue.Queue{To: os.Stdout, Lines: logLines}
+	queue := &logqueue.Queue{To: os.Stdout, Lines: logQueueLines}
 	go queue.Run()
 	defer queue.Close()
 	if err := serve(queue, *file, *check); err != nil {
@@ -70,12 +72,12 @@
 	}
 }
 
-// serve runs the daemon and logs the error that ended it.
+// serve runs the daemon, or only checks the settings, and logs the error that ended it.
 func serve(out io.Writer, file string, check bool) error {
 	logger := log.NewWithOptions(out, log.Options{ReportTimestamp: true, Formatter: log.LogfmtFormatter})
-	s, err := read(file)
+	s, err := readSettings(file)
 	if err != nil {
-		report(logger, err)
+		logFindings(logger, err)
 		return err
 	}
 	if check {
@@ -97,7 +99,7 @@
 	return err
 }
 
-func read(file string) (settings.Settings, error) {
+func readSettings(file string) (settings.Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return settings.Settings{}, trace.ConvertSystemError(err)
@@ -105,8 +107,8 @@
 	return settings.Parse(file, data)
 }
 
-// report prints every finding.
-func report(logger *log.Logger, err error) {
+// logFindings logs every finding in the settings.
+func logFindings(logger *log.Logger, err error) {
 	all := finding.Each(err)
 	for _, found := range all {
 		logger.Error("setting", "finding", trace.UserMessage(found))
@@ -116,11 +118,11 @@
 
 func run(ctx context.Context, s settings.Settings, logger *log.Logger, reload <-chan settings.Settings) error {
 	dialer := net.Dialer{}
-	connections := &exchange.Client{Dial: dialer.DialContext, DialTimeout: dialFor, IdleTimeout: idleFor, SilentAfter: silentAfter}
+	connections := &exchange.Client{Dial: dialer.DialContext, DialTimeout: dialTimeout, IdleTimeout: idleTimeout, SilentAfter: silentAfter}
 	rows := &store.Store{
-		Base: "http://" + s.Store.Address.String(), MinTimeout: storeLeast, Timeout: storePatience,
+		Base: "http://" + s.Store.Address.String(), MinTimeout: minStoreTimeout, Timeout: storeTimeout,
 		HTTP: &http.Client{Transport: &http.Transport{
-			DialContext: (&net.Dialer{Timeout: dialFor}).DialContext, MaxIdleConnsPerHost: 4, DisableCompression: true,
+			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, MaxIdleConnsPerHost: 4, DisableCompression: true,
 		}},
 	}
 	registry := prometheus.NewRegistry()
--- a/duty.go
+++ b/duty.go
@@ -19,49 +19,50 @@
 	"github.com/thymewind/thymewind/weights"
 )
 
-// The duties that one daemon at a time holds.
+// The duties: work that one daemon at a time does, under a lease.
 const (
 	dutyCharges = "charges"
-	// dutyOrders comes before a pool's name.
+	// dutyOrders is followed by a pool's name.
 	dutyOrders = "orders/"
 )
 
-// dutyCandidates is how many boxes try for each duty; the list of boxes names
-// others when they are gone.
+// dutyCandidates is how many boxes compete for each duty's lease. When some of
+// them leave the list of boxes, others take their places.
 const dutyCandidates = 3
 
-// loadPatience is how long a target may take to load weights.
-const loadPatience = 30 * time.Second
+// weightsLoadTimeout is how long a target may take to load weights.
+const weightsLoadTimeout = 30 * time.Second
 
-// duty is one lease with what its holder needs to remember.
+// duty is one lease with the state that its holder needs.
 type duty struct {
 	lease *lease.Lease
-	// epoch is the last one that was held; a higher one means a new start.
+	// epoch is the last epoch held. A higher one means that the lease was acquired
+	// anew, so the orders have to be read again.
 	epoch uint64
-	// since is when this epoch was first seen to be held.
-	since time.Time
-	// ready says that the orders of earlier holders were read.
-	ready   bool
-	rollout weights.Rollout
-	next    time.Time
+	// heldSince is when this epoch was first seen to be held.
+	heldSince time.Time
+	// ordersKnown is set once the orders of earlier holders were read.
+	ordersKnown bool
+	rollout     weights.Rollout
+	nextRenewal time.Time
 }
 
-// stepLease renews or takes a lease.
-type stepLease struct {
+// renewLease renews or acquires a lease.
+type renewLease struct {
 	duty  string
 	lease *lease.Lease
 }
 
-// leaseStepped is how that went.
-type leaseStepped struct {
+// leaseRenewed is the result of renewLease.
+type leaseRenewed struct {
 	duty string
 	err  error
 }
 
-// readOrders reads the orders that were given for a pool.
+// readOrders reads the orders recorded for a pool.
 type readOrders struct{ duty, pool string }
 
-// ordersRead is what was found.
+// ordersRead is the result of readOrders.
 type ordersRead struct {
 	duty   string
 	orders []orderRow
@@ -77,7 +78,7 @@
 	At      time.Time `json:"at"`
 }
 
-// sendOrder has a target load weights, under a lease.
+// sendOrder orders a target to load weights, under a lease.
 type sendOrder struct {
 	lease   *lease.Lease
 	pool    string
@@ -86,26 +87,27 @@
 	version string
 }
 
-// holdDuties keeps the leases of the duties that this box is a candidate for.
-func (d *Daemon) holdDuties(now time.Time, t *tables) []effect {
+// renewLeases renews or acquires the leases of the duties that this box is a
+// candidate for.
+func (d *Daemon) renewLeases(now time.Time, t *tables) []effect {
 	if d.stopping.Load() {
 		return nil
 	}
 	var effects []effect
-	for _, name := range t.duties() {
+	for _, name := range t.dutyNames() {
 		x := d.duty(t, name)
-		if now.Before(x.next) || t.pending[pendingDuty+name] || !d.candidate(t, name) || !x.lease.Due() {
+		if now.Before(x.nextRenewal) || t.pending[pendingDuty+name] || !d.candidate(t, name) || !x.lease.Due() {
 			continue
 		}
-		x.next = now.Add(d.jitter(d.Settings.Timing.Lease / 4))
+		x.nextRenewal = now.Add(d.jitter(d.Settings.Timing.Lease / 4))
 		t.pending[pendingDuty+name] = true
-		effects = append(effects, stepLease{name, x.lease})
+		effects = append(effects, renewLease{name, x.lease})
 	}
 	return effects
 }
 
-// duties names the duties of this configuration.
-func (t *tables) duties() []string {
+// dutyNames lists the duties of the configuration in force.
+func (t *tables) dutyNames() []string {
 	if t.Configuration.Revision == 0 {
 		return nil
 	}
@@ -118,9 +120,9 @@
 	return names
 }
 
-// duty returns a duty's state, new if need be.
+// duty returns a duty's state and creates it if it is missing.
 func (d *Daemon) duty(t *tables, name string) *duty {
-	x, known := t.held[name]
+	x, known := t.dutiesByName[name]
 	if !known {
 		length := d.Settings.Timing.Lease
 		x = &duty{
@@ -128,32 +130,32 @@
 				Name: name, Holder: d.Settings.Name, TTL: length, Margin: length / 6,
 				Commit: d.table.Commit, Read: d.table.Read, Nonce: newID, Now: d.now,
 			},
-			rollout: weights.Rollout{Timeout: loadPatience},
+			rollout: weights.Rollout{Timeout: weightsLoadTimeout},
 		}
-		t.held[name] = x
+		t.dutiesByName[name] = x
 	}
 	return x
 }
 
-// candidate says whether this box is one of those that try for a duty.
+// candidate reports whether this box is one of those that compete for a duty.
 func (d *Daemon) candidate(t *tables, name string) bool {
-	return d.rankedBefore(t, placement.Hash(name)) < dutyCandidates
+	return d.rank(t, placement.Hash(name)) < dutyCandidates
 }
 
-// leaseStepped notes whether the lease is held and under which epoch.
-func (d *Daemon) leaseStepped(now time.Time, t *tables, m leaseStepped) []effect {
+// leaseRenewed records whether the lease is held and under which epoch.
+func (d *Daemon) leaseRenewed(now time.Time, t *tables, m leaseRenewed) []effect {
 	delete(t.pending, pendingDuty+m.duty)
 	x := d.duty(t, m.duty)
 	if m.err != nil {
-		d.counts.platformErrors.WithLabelValues("lease").Inc()
+		d.metrics.platformErrors.WithLabelValues("lease").Inc()
 		return nil
 	}
 	epoch, _, ok := x.lease.Held()
 	if !ok || epoch == x.epoch {
 		return nil
 	}
-	x.epoch, x.since, x.ready = epoch, now, false
-	d.counts.leases.WithLabelValues("taken").Inc()
+	x.epoch, x.heldSince, x.ordersKnown = epoch, now, false
+	d.metrics.leases.WithLabelValues("taken").Inc()
 	d.Log.Info("lease taken", "duty", m.duty, "epoch", epoch)
 	if name, ok := strings.CutPrefix(m.duty, dutyOrders); ok {
 		return []effect{readOrders{m.duty, name}}
@@ -164,23 +166,23 @@
 func (d *Daemon) ordersRead(now time.Time, t *tables, m ordersRead) []effect {
 	x := d.duty(t, m.duty)
 	if m.err != nil {
-		x.epoch = 0 // Read again when the lease is next stepped.
+		x.epoch = 0 // The orders are read again when the lease is next renewed.
 		return nil
 	}
 	for _, o := range m.orders {
-		// The order may have been sent just now, as far as this box can know.
+		// This box can't tell when the order was sent; it may have been just now.
 		x.rollout.Note(o.Target, o.Version, now)
 	}
-	x.ready = true
+	x.ordersKnown = true
 	return nil
 }
 
-// rollWeights orders targets to load the weights that are configured.
-func (d *Daemon) rollWeights(now time.Time, t *tables) []effect {
+// advanceRollouts orders targets to load the configured weights.
+func (d *Daemon) advanceRollouts(now time.Time, t *tables) []effect {
 	var effects []effect
 	for name, p := range t.Configuration.Pools {
-		x, known := t.held[dutyOrders+name]
-		if !known || !x.ready {
+		x, known := t.dutiesByName[dutyOrders+name]
+		if !known || !x.ordersKnown {
 			continue
 		}
 		if _, _, ok := x.lease.Held(); !ok || !d.fenced(now, p, x) {
@@ -195,14 +197,15 @@
 	return effects
 }
 
-// fenced says whether no earlier holder's order can still arrive. Targets that
-// check the epoch refuse it themselves; for others a new holder waits as long
-// as an earlier order could have been under way.
+// fenced reports whether orders of earlier holders can do no harm any more.
+// Targets that check the epoch refuse them. For other targets a new holder waits
+// for one lease length, the longest that an earlier order can be in flight.
 func (d *Daemon) fenced(now time.Time, p pool.Pool, x *duty) bool {
-	return p.ChecksFence || now.Sub(x.since) >= d.Settings.Timing.Lease
+	return p.ChecksFence || now.Sub(x.heldSince) >= d.Settings.Timing.Lease
 }
 
-// order writes the order's row and then sends the order, all within the lease.
+// order writes the order's row and then sends the order, both while the lease is
+// held.
 func (d *Daemon) order(ctx context.Context, e sendOrder) error {
 	epoch, until, ok := e.lease.Held()
 	if !ok {
@@ -234,7 +237,7 @@
 	return trace.Wrap(err)
 }
 
-// orderPrefix comes before the pool and target of an order's row.
+// orderPrefix is the prefix of order rows; the pool and the target follow.
 const orderPrefix = "order/"
 
 func (d *Daemon) readOrders(ctx context.Context, e readOrders) message {
@@ -249,17 +252,17 @@
 	return m
 }
 
-// releaseDuties gives all leases back, for a planned stop.
-func (d *Daemon) releaseDuties(ctx context.Context) {
+// releaseLeases releases all leases, for a planned stop.
+func (d *Daemon) releaseLeases(ctx context.Context) {
 	var leases []*lease.Lease
 	d.inspect(ctx, func(_ time.Time, t *tables) {
-		for _, x := range t.held {
+		for _, x := range t.dutiesByName {
 			leases = append(leases, x.lease)
 		}
 	})
 	for _, l := range leases {
 		if err := l.Release(ctx); err != nil {
-			d.Log.Warn("a lease was not given back; it runs out by itself", "duty", l.Name, "err", err)
+			d.Log.Warn("lease could not be released; it expires on its own", "duty", l.Name, "err", err)
 		}
 	}
 }
--- a/internal/measure/engine.go
+++ b/internal/measure/engine.go
@@ -12,39 +12,39 @@
 	"github.com/thymewind/thymewind/stream"
 )
 
-// engine is a fake model engine: slots, one prefill at a time, a prefix cache.
+// engine simulates a model engine with slots, one prefill at a time and a prefix cache.
 type engine struct {
-	*world
+	*simulation
 	name    string
 	address netip.AddrPort
 	domain  string
 	running int
-	// queued are the prompt tokens of runs whose prefill has not ended.
+	// queued is the number of prompt tokens of runs whose prefill has not ended.
 	queued  int
 	waiting []*request
 	cache   *simplelru.LRU[prefix.Key, struct{}]
-	// prefills wait to be computed, one at a time.
+	// prefills are the runs waiting for their prefill, which run one at a time.
 	prefills  []*request
 	computing bool
 	// speed scales prefill and decode; 1 is normal.
 	speed  float64
 	dead   bool
 	deadAt time.Time
-	// leaving refuses new work.
+	// leaving refuses new runs.
 	leaving bool
 	active  map[*request]bool
 }
 
-func newEngine(w *world, i int) *engine {
-	// The size is a positive constant, the only thing that could be refused.
+func newEngine(w *simulation, i int) *engine {
+	// Only a size that is not positive is an error.
 	cache, _ := simplelru.NewLRU[prefix.Key, struct{}](enginePieces, nil)
 	return &engine{
-		world: w, name: fmt.Sprintf("engine-%d", i), address: addressOf(1, i),
+		simulation: w, name: fmt.Sprintf("engine-%d", i), address: addressOf(1, i),
 		domain: fmt.Sprintf("zone-%d", i%w.Deployment.Domains), cache: cache, speed: 1, active: make(map[*request]bool),
 	}
 }
 
-// submit takes a run in or refuses it.
+// submit queues a run, or refuses it if the engine is leaving or its queue is full.
 func (e *engine) submit(r *request) bool {
 	if e.leaving || len(e.waiting) >= 8*slots {
 		return false
@@ -67,7 +67,7 @@
 	}
 }
 
-// begin imports or computes the prompt's cache and then decodes.
+// begin starts a run: it looks up the prefix cache and fetches what is to be imported.
 func (e *engine) begin(r *request) {
 	reused := 0
 	for reused < len(r.placed.Keys) && e.cache.Contains(r.placed.Keys[reused]) {
@@ -85,11 +85,11 @@
 		Prompt: r.tokens(), Reused: reused * pieceTokens, Imported: imported * pieceTokens, Completion: r.answer,
 		ImportMillis: millis(ready.Sub(e.now)),
 	}
-	// Other prompts are computed while this one's cache is on its way.
+	// Prefills of other runs continue while this one's cache is fetched.
 	e.after(ready.Sub(e.now), func() { e.compute(r, tokens) })
 }
 
-// compute queues the rest of a prompt, by priority, behind the one under way.
+// compute queues the prefill of a run's remaining tokens, by priority.
 func (e *engine) compute(r *request, tokens int) {
 	if !e.active[r] {
 		return
@@ -101,7 +101,7 @@
 	e.prefill()
 }
 
-// prefill computes the first prompt that waits, if none is under way.
+// prefill starts the first waiting prefill, unless one is running.
 func (e *engine) prefill() {
 	if e.computing || len(e.prefills) == 0 {
 		return
@@ -111,20 +111,20 @@
 	e.computing = true
 	e.after(seconds(r.usage.PrefillMillis/1000), func() {
 		e.computing = false
-		e.first(r)
+		e.prefillDone(r)
 		e.prefill()
 	})
 }
 
-// first is when the first token of a run is out.
-func (e *engine) first(r *request) {
+// prefillDone caches a run's prompt, records its first token and starts decoding.
+func (e *engine) prefillDone(r *request) {
 	if !e.active[r] {
 		return
 	}
 	for _, key := range r.placed.Keys {
 		e.cache.Add(key, struct{}{})
 	}
-	r.first = e.now
+	r.firstTokenAt = e.now
 	e.queued -= r.queued
 	decode := time.Duration(float64(r.answer) * float64(tokenTime) / e.speed)
 	e.after(decode, func() {
@@ -134,18 +134,18 @@
 		delete(e.active, r)
 		e.running--
 		e.admit()
-		e.traffic.done(r)
+		e.traffic.completed(r)
 	})
 }
 
-// die ends the engine; what it ran is broken off.
-func (e *engine) die() {
+// fail stops the engine for good; its runs fail.
+func (e *engine) fail() {
 	e.dead, e.deadAt = true, e.now
 	e.running, e.waiting, e.prefills, e.queued = 0, nil, nil, 0
-	broken := e.active
+	failed := e.active
 	e.active = make(map[*request]bool)
-	for _, r := range sorted(broken) {
-		e.traffic.broken(r)
+	for _, r := range sorted(failed) {
+		e.traffic.runFailed(r)
 	}
 }
 
--- a/internal/measure/fault.go
+++ b/internal/measure/fault.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// The faults that a scenario may have from its third on.
+// The faults of scenarios. A fault occurs after a third of the simulated time.
 const (
-	FaultNone       = "none"
-	FaultStoreDead  = "store-dead"
-	FaultStoreFull  = "store-full"
-	FaultLink       = "link-at-a-tenth"
-	FaultDomain     = "domain-gone"
-	FaultSlow       = "engine-slow"
-	FaultTableDown  = "table-down"
-	FaultListLags   = "list-lags"
-	FaultFlood      = "account-floods"
-	laggingListTime = time.Minute
+	FaultNone        = "none"
+	FaultStoreDead   = "store-dead"
+	FaultStoreFull   = "store-full"
+	FaultLink        = "link-at-a-tenth"
+	FaultDomain      = "domain-gone"
+	FaultSlow        = "engine-slow"
+	FaultTableDown   = "table-down"
+	FaultListLags    = "list-lags"
+	FaultFlood       = "account-floods"
+	laggingListDelay = time.Minute
 )
 
-// Faults lists all of them.
+// Faults returns all faults.
 func Faults() []string {
 	return []string{FaultNone, FaultStoreDead, FaultStoreFull, FaultLink, FaultDomain, FaultSlow, FaultTableDown, FaultListLags, FaultFlood}
 }
 
-// breaks brings the scenario's fault about.
-func (w *world) breaks() {
+// injectFault makes the scenario's fault occur.
+func (w *simulation) injectFault() {
 	switch w.Fault {
 	case FaultStoreDead:
 		w.stores[0].dead = true
@@ -35,24 +35,24 @@
 	case FaultDomain:
 		for _, e := range w.engines {
 			if e.domain == w.engines[0].domain {
-				e.die()
+				e.fail()
 			}
 		}
 	case FaultSlow:
 		w.engines[0].speed = 0.2
 	case FaultListLags:
 		w.engines[0].leaving = true
-		w.after(laggingListTime, w.engines[0].die)
+		w.after(laggingListDelay, w.engines[0].fail)
 	case FaultFlood:
-		w.traffic.extra = 3 * w.Deployment.Rate
+		w.traffic.floodRate = 3 * w.Deployment.Rate
 	}
-	// FaultTableDown needs nothing: no decision here reads the table service.
+	// FaultTableDown changes nothing, as no simulated decision reads the table service.
 }
 
-// listLag is how late the list drops an engine that is gone.
-func (w *world) listLag(usual time.Duration) time.Duration {
+// listDelay returns how long the list still names an engine that has failed.
+func (w *simulation) listDelay(usual time.Duration) time.Duration {
 	if w.Fault == FaultListLags {
-		return laggingListTime
+		return laggingListDelay
 	}
 	return usual
 }
--- a/internal/measure/figures.go
+++ b/internal/measure/figures.go
@@ -6,7 +6,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Figures are what a run counted. The unexported counts become the rest.
+// Figures are the results of a run. The exported ones are computed from the unexported
+// counts at the end.
 type Figures struct {
 	Requests        int     `json:"requests"`
 	P50             float64 `json:"ttft_p50_ms"`
@@ -24,18 +25,18 @@
 	prompt, computed           int
 }
 
-// answered counts a whole answer. The first fifth of the time warms caches up
-// and isn't counted.
+// answered counts a whole answer. The first fifth of the time is the caches' warm-up and
+// is not counted.
 func (f *Figures) answered(r *request, now time.Time) {
 	const longest = 600_000_000
 	if f.first == nil {
 		f.first = hdrhistogram.New(1, longest, 3)
 		f.small = hdrhistogram.New(1, longest, 3)
 	}
-	if now.Sub(time.Unix(0, 0)) < LutongBahay.length()/5 {
+	if now.Sub(time.Unix(0, 0)) < LutongBahay.duration()/5 {
 		return
 	}
-	took := min(r.first.Sub(r.arrived).Microseconds(), longest)
+	took := min(r.firstTokenAt.Sub(r.arrived).Microseconds(), longest)
 	_ = f.first.RecordValue(took)
 	if r.account != accountName(0) {
 		_ = f.small.RecordValue(took)
@@ -44,8 +45,8 @@
 	f.computed += r.usage.Prompt - r.usage.Reused - r.usage.Imported
 }
 
-// finish turns the counts into figures.
-func (w *world) finish() {
+// finish computes the figures from the counts.
+func (w *simulation) finish() {
 	f := w.figures
 	f.Requests, f.Refused, f.Retried = f.requests, f.refused, f.retried
 	if f.first != nil {
@@ -56,7 +57,7 @@
 	if f.prompt > 0 {
 		f.RecomputedShare = float64(f.computed) / float64(f.prompt)
 	}
-	all := w.Deployment.length().Seconds() * float64(len(w.stores))
+	all := w.Deployment.duration().Seconds() * float64(len(w.stores))
 	for _, s := range w.stores {
 		f.MemoryBusy += s.busy[0].Seconds() / all
 		f.DiskBusy += s.busy[1].Seconds() / all
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -16,8 +16,9 @@
 	"github.com/thymewind/thymewind/target"
 )
 
-// Policy names how a run decides. All but Ours are baselines, each of which
-// replaces one decision and leaves the others ours.
+// Policy names how a run decides. Ours is the daemon's own decision code. The others are
+// baselines that replace either its placement or its handling of cache on store boxes;
+// PlainRoundRobin replaces both.
 type Policy string
 
 // The policies.
@@ -28,33 +29,33 @@
 	Affinity    Policy = "pure-affinity"
 	KeepAll     Policy = "keep-all-lru"
 	NeverImport Policy = "never-import"
-	// PlainRoundRobin has neither placement nor kept cache.
+	// PlainRoundRobin places by round robin and neither exports nor imports cache.
 	PlainRoundRobin Policy = "plain-round-robin"
 )
 
-// Policies lists all of them.
+// Policies returns all policies.
 func Policies() []Policy {
 	return []Policy{Ours, RoundRobin, LeastLoad, Affinity, KeepAll, NeverImport, PlainRoundRobin}
 }
 
-type choose func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error)
+type chooseFunc func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error)
 
-// chooser returns the policy's way to choose a target.
-func (p Policy) chooser(ours *placement.Chooser, random *rand.Rand) choose {
+// chooser returns the policy's function that chooses a target.
+func (p Policy) chooser(ours *placement.Chooser, random *rand.Rand) chooseFunc {
 	next := 0
 	switch p {
 	case RoundRobin, PlainRoundRobin:
-		return pick(func(usable []int, _ uint64, _ []*target.Target) int {
+		return chooseUsable(func(usable []int, _ uint64, _ []*target.Target) int {
 			next++
 			return usable[next%len(usable)]
 		})
 	case LeastLoad:
-		return pick(func(usable []int, _ uint64, all []*target.Target) int {
+		return chooseUsable(func(usable []int, _ uint64, all []*target.Target) int {
 			random.Shuffle(len(usable), func(i, j int) { usable[i], usable[j] = usable[j], usable[i] })
 			return slices.MinFunc(usable, func(i, j int) int { return cmp.Compare(all[i].Load(), all[j].Load()) })
 		})
 	case Affinity:
-		return pick(func(usable []int, home uint64, all []*target.Target) int {
+		return chooseUsable(func(usable []int, home uint64, all []*target.Target) int {
 			return slices.MaxFunc(usable, func(i, j int) int {
 				return cmp.Compare(placement.Weight(home, all[i].Hash), placement.Weight(home, all[j].Hash))
 			})
@@ -63,8 +64,8 @@
 	return ours.Choose
 }
 
-// pick makes a chooser of a function over the usable targets.
-func pick(of func(usable []int, home uint64, all []*target.Target) int) choose {
+// chooseUsable returns a chooser that picks one of the usable targets with a function.
+func chooseUsable(of func(usable []int, home uint64, all []*target.Target) int) chooseFunc {
 	return func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error) {
 		var choice placement.Choice
 		var usable []int
@@ -83,8 +84,8 @@
 	}
 }
 
-// keep returns the policy's way to decide what is kept.
-func (p Policy) keep() func(*retention.Policy, retention.Candidate) bool {
+// keepFunc returns the policy's function that decides what is exported.
+func (p Policy) keepFunc() func(*retention.Policy, retention.Candidate) bool {
 	switch p {
 	case KeepAll:
 		return func(*retention.Policy, retention.Candidate) bool { return true }
@@ -94,8 +95,8 @@
 	return (*retention.Policy).Keep
 }
 
-// imports returns how many of the pieces found are imported.
-func (p Policy) imports(now time.Time, e reuse.Estimate, weights pool.Policy, c reuse.Choice) int {
+// importPieces returns how many of the found pieces are imported.
+func (p Policy) importPieces(now time.Time, e reuse.Estimate, weights pool.Policy, c reuse.Choice) int {
 	switch p {
 	case KeepAll:
 		return len(c.Found.Run)
@@ -105,8 +106,8 @@
 	return e.Best(now, weights, c)
 }
 
-// drop returns what a full store box loses.
-func (p Policy) drop(now time.Time, all []kvcache.Manifest, need int) []string {
+// evict returns the keys that a full store box evicts.
+func (p Policy) evict(now time.Time, all []kvcache.Manifest, need int) []string {
 	if p != KeepAll {
 		return retention.Evict(now, all, need)
 	}
--- a/internal/measure/traffic.go
+++ b/internal/measure/traffic.go
@@ -21,26 +21,26 @@
 
 // request is one model request.
 type request struct {
-	id      int
-	account string
-	prompt  prompt
-	answer  int
-	arrived time.Time
-	first   time.Time
-	attempt int
-	exclude []string
-	avoid   string
-	placed  route.Placed
-	store   *store
-	usage   stream.Usage
-	// queued are its tokens that its engine still has to compute.
+	id           int
+	account      string
+	prompt       prompt
+	answer       int
+	arrived      time.Time
+	firstTokenAt time.Time
+	attempt      int
+	exclude      []string
+	avoid        string
+	placed       route.Placed
+	store        *store
+	usage        stream.Usage
+	// queued is the number of its tokens that its engine has to compute.
 	queued int
 }
 
-// padding stands for any prompt's bytes; only its length matters.
+// padding stands in for the text of any prompt; only its length matters.
 var padding = strings.Repeat(" ", 64*pieceTokens*dispatch.BytesPerToken)
 
-// prompt is a text that is there once or returns.
+// prompt is a prompt's recurring part, or that of a one-off request.
 type prompt struct {
 	name   string
 	pieces int
@@ -48,27 +48,27 @@
 	keys   []prefix.Key
 }
 
-// tokens counts the prompt's tokens: its pieces and a question of its own.
+// tokens returns the request's prompt tokens: the prompt's pieces and a question.
 func (r *request) tokens() int { return r.prompt.pieces*pieceTokens + pieceTokens/4 }
 
-// traffic makes requests and sees them through.
+// traffic generates requests and drives them to their ends.
 type traffic struct {
-	*world
+	*simulation
 	prompts []prompt
-	// weights are the cumulated odds of the prompts.
-	weights []float64
-	n       int
-	// extra is a further rate of the first account alone, in a flood.
-	extra float64
+	// weights are the cumulative weights of the prompts.
+	weights   []float64
+	generated int
+	// floodRate is the first account's additional rate during FaultFlood.
+	floodRate float64
 }
 
-func newTraffic(w *world) *traffic {
-	t := &traffic{world: w}
-	sizes := rand.New(rand.NewPCG(99, 0)) // The same prompts under each seed.
+func newTraffic(w *simulation) *traffic {
+	t := &traffic{simulation: w}
+	sizes := rand.New(rand.NewPCG(99, 0)) // A fixed seed, so that the prompts are the same in all runs.
 	sum := 0.0
 	for i := range w.Deployment.Prompts {
 		d := w.Deployment
-		t.prompts = append(t.prompts, t.newPrompt(fmt.Sprint(i), i%d.Clients, d.LeastPieces+sizes.IntN(d.MostPieces-d.LeastPieces+1)))
+		t.prompts = append(t.prompts, t.newPrompt(fmt.Sprint(i), i%d.Accounts, d.MinPieces+sizes.IntN(d.MaxPieces-d.MinPieces+1)))
 		sum += 1 / math.Pow(float64(i+1), 0.6)
 		t.weights = append(t.weights, sum)
 	}
@@ -87,42 +87,43 @@
 	return p
 }
 
-// next makes one request and sets the time of the one after.
+// next generates a request and schedules the next one.
 func (t *traffic) next() {
-	t.n++
+	t.generated++
 	d := t.Deployment
-	r := &request{id: t.n, arrived: t.now, answer: 1 + int(t.random.ExpFloat64()*float64(d.Tokens))}
-	if t.random.Float64() < d.Once {
+	r := &request{id: t.generated, arrived: t.now, answer: 1 + int(t.random.ExpFloat64()*float64(d.Tokens))}
+	if t.random.Float64() < d.OneOffShare {
 		account := t.account()
 		r.account = accountName(account)
-		r.prompt = t.newPrompt(fmt.Sprint("once ", t.n), account, d.LeastPieces+t.random.IntN(d.MostPieces-d.LeastPieces+1))
+		r.prompt = t.newPrompt(fmt.Sprint("once ", t.generated), account, d.MinPieces+t.random.IntN(d.MaxPieces-d.MinPieces+1))
 	} else {
 		at, _ := slices.BinarySearch(t.weights, t.random.Float64()*t.weights[len(t.weights)-1])
 		at = min(at, len(t.prompts)-1)
-		r.account = accountName(at % d.Clients)
+		r.account = accountName(at % d.Accounts)
 		r.prompt = t.prompts[at]
 	}
-	if t.extra > 0 && t.random.Float64() < t.extra/(t.extra+d.Rate) {
+	if t.floodRate > 0 && t.random.Float64() < t.floodRate/(t.floodRate+d.Rate) {
 		r.account = accountName(0)
-		r.prompt = t.newPrompt(fmt.Sprint("flood ", t.n), 0, d.LeastPieces)
+		r.prompt = t.newPrompt(fmt.Sprint("flood ", t.generated), 0, d.MinPieces)
 	}
 	t.figures.requests++
-	t.try(r)
-	t.after(seconds(t.random.ExpFloat64()/(d.Rate+t.extra)), t.next)
+	t.place(r)
+	t.after(seconds(t.random.ExpFloat64()/(d.Rate+t.floodRate)), t.next)
 }
 
-// account draws one; the first two are large.
+// account draws an account. Half of the draws are among the first two only, which makes
+// these large.
 func (t *traffic) account() int {
 	if t.random.Float64() < 0.5 {
 		return t.random.IntN(2)
 	}
-	return t.random.IntN(t.Deployment.Clients)
+	return t.random.IntN(t.Deployment.Accounts)
 }
 
-// try places one attempt.
-func (t *traffic) try(r *request) {
+// place places one attempt.
+func (t *traffic) place(r *request) {
 	r.attempt++
-	placed, err := t.board.Place(t.now, route.Ask{
+	placed, err := t.scheduler.Place(t.now, route.Ask{
 		Request: fmt.Sprint(r.id), Account: r.account, Model: poolName, Attempt: r.attempt, Home: r.prompt.home,
 		Prompt: padding[:r.tokens()*dispatch.BytesPerToken], Tokens: r.answer, Exclude: r.exclude, AvoidDomain: r.avoid,
 	})
@@ -137,7 +138,7 @@
 	t.after(hop, func() { t.send(r) })
 }
 
-// find looks for kept cache and decides whether to import it, as the daemon
+// find looks up cache in the store box and decides whether to import it, as the daemon
 // does.
 func (t *traffic) find(r *request) {
 	for _, s := range t.stores {
@@ -149,7 +150,7 @@
 		return
 	}
 	if r.store.dead {
-		t.board.StoreAvoidUntil[r.placed.StoreName] = t.now.Add(dispatch.StoreBackoff)
+		t.scheduler.StoreAvoidUntil[r.placed.StoreName] = t.now.Add(dispatch.StoreBackoff)
 		return
 	}
 	keys := make([]string, len(r.placed.Keys))
@@ -159,8 +160,8 @@
 	found := r.store.find(keys)
 	found.Run = kvcache.Usable(found.Run, r.placed.Scope.String(), keys)
 	r.placed.KeptPieces = len(found.Run)
-	weights := t.board.Configuration.Pools[poolName].Policy
-	n := t.Policy.imports(t.now, r.placed.Estimate, weights, reuse.Choice{Tokens: r.tokens(), Found: found, Wait: r.placed.Wait})
+	weights := t.scheduler.Configuration.Pools[poolName].Policy
+	n := t.Policy.importPieces(t.now, r.placed.Estimate, weights, reuse.Choice{Tokens: r.tokens(), Found: found, Wait: r.placed.Wait})
 	r.placed.Said = reuse.Predicted(found, n)
 	if n > 0 {
 		r.placed.Import = &api.Import{Store: r.placed.Store, Run: found.Run[:n]}
@@ -177,19 +178,19 @@
 			return
 		}
 		if !e.submit(r) {
-			t.board.ApplySignals(t.now, r.placed, notice.Signals{Leaving: e.leaving})
+			t.scheduler.ApplySignals(t.now, r.placed, notice.Signals{Leaving: e.leaving})
 			t.retry(r, route.Ended{Placed: r.placed, Refused: true})
 			return
 		}
 	}
 }
 
-// broken is a run that its engine broke off.
-func (t *traffic) broken(r *request) { t.retry(r, route.Ended{Placed: r.placed, Failed: true}) }
+// runFailed handles a run whose engine failed.
+func (t *traffic) runFailed(r *request) { t.retry(r, route.Ended{Placed: r.placed, Failed: true}) }
 
 func (t *traffic) retry(r *request, e route.Ended) {
 	const attempts = 3
-	t.board.Ended(t.now, e)
+	t.scheduler.Ended(t.now, e)
 	if r.attempt >= attempts {
 		t.figures.refused++
 		return
@@ -197,18 +198,18 @@
 	t.figures.retried++
 	r.exclude = append(r.exclude, r.placed.Target)
 	r.avoid = r.placed.Domain
-	t.try(r)
+	t.place(r)
 }
 
-// done is a whole answer.
-func (t *traffic) done(r *request) {
-	ended := route.Ended{Placed: r.placed, FirstToken: r.first.Sub(r.arrived), Took: t.now.Sub(r.arrived), End: stream.Frame{Request: fmt.Sprint(r.id), Usage: r.usage}}
+// completed handles a whole answer.
+func (t *traffic) completed(r *request) {
+	ended := route.Ended{Placed: r.placed, FirstToken: r.firstTokenAt.Sub(r.arrived), Took: t.now.Sub(r.arrived), End: stream.Frame{Request: fmt.Sprint(r.id), Usage: r.usage}}
 	t.figures.answered(r, t.now)
 	if r.placed.Scope != prefix.Scope(r.account, "v1") {
 		t.figures.Wrong++
 	}
-	if t.board.Ended(t.now, ended) && r.store != nil {
-		t.board.Exported(poolName, r.store.keep(r.placed.Scope, r.placed.Keys))
+	if t.scheduler.Ended(t.now, ended) && r.store != nil {
+		t.scheduler.Exported(poolName, r.store.write(r.placed.Scope, r.placed.Keys))
 	}
 }
 
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine stands in for a model engine: finite slots, a prefix cache in
-// limited memory, streams that can be resumed and cancelled, KV import and
-// export, a lagged load report and fenced orders. Its answers are a function of
-// the prompt, so that a caller can check them.
+// Package engine is a stand-in for a model engine. It has a number of slots, a bounded
+// prefix cache, streams that can be resumed and cancelled, KV import and export, a
+// lagging load report and fenced orders. Its answers are a function of the prompt, so
+// that callers can check them.
 package engine
 
 import (
@@ -22,11 +22,11 @@
 	"github.com/thymewind/thymewind/prefix"
 )
 
-// bytesPerToken is the stand-in's tokenizer.
+// bytesPerToken replaces a tokenizer.
 const bytesPerToken = 4
 
-// linger is how long a finished or abandoned run can be resumed.
-const linger = 30 * time.Second
+// runRetention is how long a finished run can be resumed after its last use.
+const runRetention = 30 * time.Second
 
 // Engine is the stand-in. Set the exported fields before Handler.
 type Engine struct {
@@ -34,38 +34,38 @@
 	Fault *fault.Switch
 	// Version is the weight version loaded at the start.
 	Version string
-	// Slots is how many runs are served at once.
+	// Slots bounds the runs served at once.
 	Slots int
 	// CachePieces bounds the prefix cache.
 	CachePieces int
 	// PieceKV is the size of one piece's KV cache, in bytes.
 	PieceKV int
-	// Prefill is the prompt tokens computed a second, Decode the time between
+	// Prefill is the prefill rate in prompt tokens a second, Decode the time between
 	// two tokens.
 	Prefill float64
 	Decode  time.Duration
 	// LoadWeights is how long new weights take to load.
 	LoadWeights time.Duration
-	// Lag is how late the load report follows.
+	// Lag is the delay of load reports and cache events.
 	Lag time.Duration
 	// ChecksFence refuses orders of a lower epoch.
 	ChecksFence bool
 
 	mu sync.Mutex
-	// cache maps prefix keys to the scope they were computed in.
+	// cache is the prefix cache, by prefix key.
 	cache   *simplelru.LRU[string, struct{}]
 	runs    map[string]*run
 	running int
-	// queued are the prompt tokens of runs whose prefill has not ended.
-	queued  int
-	queue   []*run
-	version string
-	loading bool
-	epoch   uint64
-	reports []api.Load
-	events  []event
-	log     []Ran
-	store   kvcache.Client
+	// queued is the number of prompt tokens of runs whose prefill has not ended.
+	queued      int
+	queue       []*run
+	version     string
+	loading     bool
+	epoch       uint64
+	reports     []api.Load
+	events      []event
+	startedRuns []StartedRun
+	store       kvcache.Client
 }
 
 // event is one change of the prefix cache.
@@ -76,19 +76,20 @@
 	At       time.Time `json:"-"`
 }
 
-// Ran tells of one run, for checks from outside.
-type Ran struct {
+// StartedRun describes a run that was started, for checks by tests.
+type StartedRun struct {
 	Request string `json:"request"`
 	Attempt int    `json:"attempt"`
 	Version string `json:"version"`
 	Scope   string `json:"scope"`
 }
 
-// Handler returns the service and starts its reports.
+// Handler returns the engine's HTTP handler and starts its load reports, which end with
+// ctx.
 func (e *Engine) Handler(ctx context.Context) http.Handler {
 	e.version = e.Version
 	e.runs = make(map[string]*run)
-	e.cache, _ = simplelru.NewLRU(max(e.CachePieces, 1), func(key string, _ struct{}) { e.note(false, key) })
+	e.cache, _ = simplelru.NewLRU(max(e.CachePieces, 1), func(key string, _ struct{}) { e.recordEvent(false, key) })
 	e.store = kvcache.Client{HTTP: &http.Client{Timeout: 10 * time.Second}}
 	go e.report(ctx)
 	mux := http.NewServeMux()
@@ -99,11 +100,11 @@
 	mux.HandleFunc("GET /v1/events", e.cacheEvents)
 	mux.HandleFunc("POST /v1/orders", e.order)
 	mux.HandleFunc("POST /v1/export", e.export)
-	mux.HandleFunc("GET /runs", e.ran)
+	mux.HandleFunc("GET /runs", e.listRuns)
 	return e.Fault.Wrap(mux)
 }
 
-// Answer returns the text that a prompt is answered with.
+// Answer returns the answer to a prompt.
 func Answer(prompt string, tokens int) string {
 	sum := blake3.Sum256([]byte(prompt))
 	var b strings.Builder
@@ -113,10 +114,11 @@
 	return b.String()
 }
 
-// report keeps old load reports, so that the latest can be served late.
+// report records load reports, so that they can be served with a lag, and drops expired
+// runs.
 func (e *Engine) report(ctx context.Context) {
-	const every = 50 * time.Millisecond
-	ticker := time.NewTicker(every)
+	const interval = 50 * time.Millisecond
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -124,12 +126,12 @@
 			return
 		case now := <-ticker.C:
 			e.mu.Lock()
-			e.reports = append(e.reports, e.now(now))
+			e.reports = append(e.reports, e.currentLoad(now))
 			for len(e.reports) > 1 && now.Sub(e.reports[1].At) >= e.Lag {
 				e.reports = e.reports[1:]
 			}
 			for key, r := range e.runs {
-				if r.done && now.Sub(r.touched) > linger {
+				if r.done && now.Sub(r.usedAt) > runRetention {
 					delete(e.runs, key)
 				}
 			}
@@ -138,7 +140,7 @@
 	}
 }
 
-func (e *Engine) now(at time.Time) api.Load {
+func (e *Engine) currentLoad(at time.Time) api.Load {
 	return api.Load{
 		Name: e.Name, Version: e.version, Slots: e.Slots, Running: e.running, Waiting: len(e.queue), QueuedTokens: e.queued,
 		Leaving: e.Fault.State().Leaving, Epoch: e.epoch, Loading: e.loading, At: at,
@@ -149,10 +151,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.reports) == 0 {
-		fault.Answer(w, http.StatusOK, e.now(time.Now()))
+		fault.WriteJSON(w, http.StatusOK, e.currentLoad(time.Now()))
 		return
 	}
-	fault.Answer(w, http.StatusOK, e.reports[0])
+	fault.WriteJSON(w, http.StatusOK, e.reports[0])
 }
 
 func (e *Engine) cacheEvents(w http.ResponseWriter, _ *http.Request) {
@@ -166,26 +168,27 @@
 			answer.Events = append(answer.Events, ev)
 		}
 	}
-	fault.Answer(w, http.StatusOK, answer)
+	fault.WriteJSON(w, http.StatusOK, answer)
 }
 
-// note records a cache event; old ones are forgotten, which leaves a gap.
-func (e *Engine) note(added bool, key string) {
-	const remembered = 1000
+// recordEvent records a cache event. Old events are dropped, which readers see as a gap in
+// the sequence.
+func (e *Engine) recordEvent(added bool, key string) {
+	const maxEvents = 1000
 	sequence := 1
 	if n := len(e.events); n > 0 {
 		sequence = e.events[n-1].Sequence + 1
 	}
 	e.events = append(e.events, event{Sequence: sequence, Added: added, Key: key, At: time.Now()})
-	if len(e.events) > remembered {
-		e.events = e.events[len(e.events)-remembered:]
+	if len(e.events) > maxEvents {
+		e.events = e.events[len(e.events)-maxEvents:]
 	}
 }
 
-func (e *Engine) ran(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) listRuns(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	fault.Answer(w, http.StatusOK, e.log)
+	fault.WriteJSON(w, http.StatusOK, e.startedRuns)
 }
 
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
@@ -243,18 +246,18 @@
 		Pieces []kvcache.Piece `json:"pieces"`
 	}
 	for _, key := range keys {
-		data := e.kv(key)
+		data := e.kvCache(key)
 		if err := e.store.PutPiece(r.Context(), order.Store, data); err != nil {
 			http.Error(w, err.Error(), http.StatusInsufficientStorage)
 			return
 		}
 		answer.Pieces = append(answer.Pieces, kvcache.Piece{Digest: kvcache.Digest(data), Bytes: len(data), Tokens: tokens})
 	}
-	fault.Answer(w, http.StatusOK, answer)
+	fault.WriteJSON(w, http.StatusOK, answer)
 }
 
-// kv returns a piece's KV cache, a function of account, version and tokens.
-func (e *Engine) kv(key prefix.Key) []byte {
+// kvCache returns a piece's KV cache, which is a function of account, version and tokens.
+func (e *Engine) kvCache(key prefix.Key) []byte {
 	h := blake3.New()
 	_, _ = h.Write(key[:])
 	data := make([]byte, e.PieceKV)
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -23,8 +23,8 @@
 	return api.Client{HTTP: http.DefaultClient}, netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// TestCancelOfAnUnknownRun shows that an engine that knows nothing of a run,
-// such as one that was restarted, does not confirm that it never started.
+// TestCancelOfAnUnknownRun checks that an engine that does not know a run, for example
+// after a restart, does not claim that it never started.
 func TestCancelOfAnUnknownRun(t *testing.T) {
 	c, at := start(t)
 	started, err := c.Cancel(t.Context(), at, "r", 1)
@@ -42,14 +42,14 @@
 		t.Fatal(err)
 	}
 	want := engine.Answer(prompt, 9)
-	if got := read(t, frames, 0); got != want {
+	if got := readStream(t, frames, 0); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 	frames, err = c.Resume(t.Context(), at, "r", 1, 5)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := read(t, frames, 5); got != want[5:] {
+	if got := readStream(t, frames, 5); got != want[5:] {
 		t.Errorf("resumed %q, want %q", got, want[5:])
 	}
 	if _, err := c.Generate(t.Context(), at, api.Run{Request: "r2", Attempt: 1, Version: "v2"}); err == nil {
@@ -57,8 +57,8 @@
 	}
 }
 
-// read takes a whole stream in through the checker.
-func read(t *testing.T, frames *api.Frames, offset int) string {
+// readStream reads a whole stream through the checker and returns its text.
+func readStream(t *testing.T, frames *api.Frames, offset int) string {
 	t.Helper()
 	checker := stream.Checker{Request: "r", Attempt: 1, Version: "v1", Scope: "s"}
 	checker.Begin(offset)
@@ -77,7 +77,7 @@
 	return b.String()
 }
 
-func TestOrdersAreFenced(t *testing.T) {
+func TestLowerEpochOrdersAreRefused(t *testing.T) {
 	c, at := start(t)
 	tests := []struct {
 		epoch uint64
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform stands in for the platform: its table service, its object
-// store and its lagging list of boxes.
+// Package platform is a stand-in for the platform, with a table service, an object store
+// and a lagging list of boxes.
 package platform
 
 import (
@@ -22,13 +22,14 @@
 
 // Platform is the stand-in. Set the exported fields before Handler.
 type Platform struct {
-	// Fault is shared by the three services.
+	// Fault applies to all three services.
 	Fault *fault.Switch
-	// Lag is how late the list of boxes follows.
+	// Lag is the delay of the list of boxes.
 	Lag time.Duration
-	// Silence is how long a box may be silent before the list drops it.
-	Silence time.Duration
-	// Writes and Reads bound what is served, a second.
+	// SilenceTimeout is how long a box may be silent before it is due to be dropped from
+	// the list, which happens Lag later.
+	SilenceTimeout time.Duration
+	// Writes and Reads are the rate limits, in requests a second.
 	Writes, Reads float64
 
 	mu       sync.Mutex
@@ -40,15 +41,15 @@
 	reads    *rate.Limiter
 }
 
-// listing is one box with the times the lag counts from.
+// listing is one box with the times that the lag is counted from.
 type listing struct {
-	box     boxes.Box
-	since   time.Time
-	seen    time.Time
-	leaving time.Time
+	box       boxes.Box
+	listedAt  time.Time
+	seenAt    time.Time
+	leavingAt time.Time
 }
 
-// Handler returns the services.
+// Handler returns the HTTP handler of the services.
 func (p *Platform) Handler() http.Handler {
 	p.rows = make(map[string]table.Row)
 	p.objects = make(map[string][]byte)
@@ -63,7 +64,7 @@
 	mux.HandleFunc("GET /v1/boxes", p.boxes)
 	root := http.NewServeMux()
 	root.Handle("/", p.Fault.Wrap(mux))
-	// Boxes announce themselves by another way, which no fault strikes.
+	// Announcements bypass the faults.
 	root.HandleFunc("PUT /announce", p.announce)
 	return root
 }
@@ -79,19 +80,19 @@
 		return
 	}
 	conflict := p.apply(tx)
-	if fault.Hit(p.Fault.State().Lose) {
+	if fault.Occurs(p.Fault.State().Lose) {
 		panic(http.ErrAbortHandler)
 	}
 	if conflict != "" {
-		fault.Answer(w, http.StatusConflict, struct {
+		fault.WriteJSON(w, http.StatusConflict, struct {
 			Key string `json:"key"`
 		}{conflict})
 		return
 	}
-	fault.Answer(w, http.StatusOK, struct{}{})
+	fault.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
-// apply returns the key whose condition failed, if one did.
+// apply applies a transaction, or returns the first key whose condition does not hold.
 func (p *Platform) apply(tx table.Transaction) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,7 +127,7 @@
 		if row, ok := p.rows[key]; ok {
 			answer.Rows = append(answer.Rows, row)
 		}
-		fault.Answer(w, http.StatusOK, answer)
+		fault.WriteJSON(w, http.StatusOK, answer)
 		return
 	}
 	for key, row := range p.rows {
@@ -138,7 +139,7 @@
 	if limit, _ := strconv.Atoi(query.Get("limit")); limit > 0 && len(answer.Rows) > limit {
 		answer.Rows = answer.Rows[:limit]
 	}
-	fault.Answer(w, http.StatusOK, answer)
+	fault.WriteJSON(w, http.StatusOK, answer)
 }
 
 func (p *Platform) putObject(w http.ResponseWriter, r *http.Request) {
@@ -174,13 +175,13 @@
 	defer p.mu.Unlock()
 	l, known := p.listed[box.Name]
 	if !known || l.box.Address != box.Address {
-		l = listing{since: now}
+		l = listing{listedAt: now}
 	}
 	if box.Leaving && !l.box.Leaving {
-		l.leaving = now
+		l.leavingAt = now
 	}
 	l.box = box
-	l.seen = now
+	l.seenAt = now
 	p.listed[box.Name] = l
 }
 
@@ -192,15 +193,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, l := range p.listed {
-		if now.Sub(l.seen) > p.Silence+p.Lag {
+		if now.Sub(l.seenAt) > p.SilenceTimeout+p.Lag {
 			delete(p.listed, name)
 			continue
 		}
-		if now.Sub(l.since) < p.Lag {
+		if now.Sub(l.listedAt) < p.Lag {
 			continue
 		}
 		box := l.box
-		box.Leaving = box.Leaving && now.Sub(l.leaving) >= p.Lag
+		box.Leaving = box.Leaving && now.Sub(l.leavingAt) >= p.Lag
 		answer.Boxes = append(answer.Boxes, box)
 	}
 	sort.Slice(answer.Boxes, func(i, j int) bool { return answer.Boxes[i].Name < answer.Boxes[j].Name })
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -1,5 +1,5 @@
-// Package store stands in for a store box, with a memory and a disk tier
-// behind one link each.
+// Package store is a stand-in for a store box with a memory and a disk tier, each behind
+// its own link.
 package store
 
 import (
@@ -15,11 +15,11 @@
 	"github.com/thymewind/thymewind/kvcache"
 )
 
-// pinned is how long a piece that was just read is kept from deletion.
-const pinned = 5 * time.Second
+// pinTime is how long a piece is not deleted after it was read.
+const pinTime = 5 * time.Second
 
-// orphaned is how long a piece without a manifest is kept.
-const orphaned = 30 * time.Second
+// orphanRetention is how long a piece without a manifest is kept after its last use.
+const orphanRetention = 30 * time.Second
 
 // Store is the stand-in. Set the exported fields before Handler.
 type Store struct {
@@ -37,14 +37,14 @@
 	busy      [2]time.Time
 }
 
-// piece is one stored block; whole is set once all its bytes came.
+// piece is a stored piece of cache.
 type piece struct {
 	data   []byte
 	onDisk bool
 	used   time.Time
 }
 
-// Handler returns the service.
+// Handler returns the HTTP handler.
 func (s *Store) Handler() http.Handler {
 	s.pieces = make(map[string]*piece)
 	s.manifests = make(map[string]kvcache.Manifest)
@@ -52,7 +52,7 @@
 	mux.HandleFunc("PUT /v1/pieces/{digest}", s.putPiece)
 	mux.HandleFunc("GET /v1/pieces/{digest}", s.piece)
 	mux.HandleFunc("POST /v1/find", s.find)
-	mux.HandleFunc("GET /v1/room", s.room)
+	mux.HandleFunc("GET /v1/room", s.capacity)
 	mux.HandleFunc("GET /v1/manifests", s.list)
 	mux.HandleFunc("PUT /v1/manifests", s.putManifest)
 	mux.HandleFunc("DELETE /v1/manifests/{key}", s.drop)
@@ -103,7 +103,7 @@
 	_, _ = w.Write(p.data)
 }
 
-// reserve queues the piece on its tier's link and returns how long it takes.
+// reserve queues a piece on its tier's link and returns the time until it has passed.
 func (s *Store) reserve(p *piece) time.Duration {
 	tier, bytesPerSecond := 0, s.MemoryRate
 	if p.onDisk {
@@ -142,10 +142,10 @@
 		}
 		answer.Run = append(answer.Run, m)
 	}
-	fault.Answer(w, http.StatusOK, answer)
+	fault.WriteJSON(w, http.StatusOK, answer)
 }
 
-// links tells how the tiers' links are used.
+// links returns the rate and the queue of each tier's link.
 func (s *Store) links() [kvcache.Tiers]kvcache.Link {
 	links := [kvcache.Tiers]kvcache.Link{{Rate: s.MemoryRate}, {Rate: s.DiskRate}}
 	for tier := range links {
@@ -156,7 +156,7 @@
 	return links
 }
 
-// manifests is how manifests travel.
+// manifests is the JSON body of a list of manifests.
 type manifests struct {
 	Manifests []kvcache.Manifest `json:"manifests"`
 }
@@ -172,14 +172,14 @@
 	if limit, err := strconv.Atoi(r.URL.Query().Get("oldest")); err == nil && limit < len(answer.Manifests) {
 		answer.Manifests = answer.Manifests[:max(limit, 0)]
 	}
-	fault.Answer(w, http.StatusOK, answer)
+	fault.WriteJSON(w, http.StatusOK, answer)
 }
 
-func (s *Store) room(w http.ResponseWriter, _ *http.Request) {
+func (s *Store) capacity(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	size := s.MemoryBytes + s.DiskBytes
-	fault.Answer(w, http.StatusOK, struct {
+	fault.WriteJSON(w, http.StatusOK, struct {
 		Free int `json:"free"`
 		Size int `json:"size"`
 	}{size - s.memory - s.disk, size})
@@ -212,7 +212,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// sweep deletes pieces that no manifest lists and no import uses.
+// sweep deletes pieces without a manifest that were not used recently.
 func (s *Store) sweep() {
 	listed := make(map[string]bool)
 	for _, m := range s.manifests {
@@ -220,7 +220,7 @@
 	}
 	now := time.Now()
 	for digest, p := range s.pieces {
-		if listed[digest] || now.Sub(p.used) < pinned || now.Sub(p.used) < orphaned {
+		if listed[digest] || now.Sub(p.used) < pinTime || now.Sub(p.used) < orphanRetention {
 			continue
 		}
 		if p.onDisk {
--- a/quarantine_test.go
+++ b/quarantine_test.go
@@ -20,12 +20,12 @@
 	"github.com/thymewind/thymewind/stream"
 )
 
-// box is a daemon that knows eight engines and another box.
-func box(t *testing.T, name string, now time.Time) *Daemon {
+// newBox returns a daemon that knows eight engines and another box.
+func newBox(t *testing.T, name string, now time.Time) *Daemon {
 	t.Helper()
 	d := newDaemon(t)
 	d.Settings.Name = name
-	c := inForce(1)
+	c := testConfiguration(1)
 	c.Accounts = map[string]account.Account{"cafe": {Name: "cafe", Weight: 1}}
 	d.update(now, configurationRead{configuration: c})
 	list := []boxes.Box{{Name: "other", Role: boxes.RoleEntry, Peer: netip.MustParseAddrPort("10.0.1.1:1")}}
@@ -41,15 +41,15 @@
 	return d
 }
 
-// asking is a request for something; equal prompts ask for the same.
-func asking(prompt string, attempt int) route.Ask {
+// modelRequest returns a model request. Equal prompts have equal fingerprints.
+func modelRequest(prompt string, attempt int) route.Ask {
 	return route.Ask{Request: "r", Account: "cafe", Model: "m", Prompt: prompt, Tokens: 10, Attempt: attempt}
 }
 
-// placeFor places a request and returns the refusal's code, or an empty text.
+// placeFor places a request and returns the placement and the refusal's code, if any.
 func placeFor(d *Daemon, now time.Time, ask route.Ask) (route.Placed, string) {
-	reply := make(chan placeAnswer, 1)
-	d.update(now, placeAsked{ask, reply})
+	reply := make(chan placementAnswer, 1)
+	d.update(now, placementRequest{ask, reply})
 	answer := <-reply
 	var refused *refusal.Refusal
 	if errors.As(answer.err, &refused) {
@@ -58,13 +58,13 @@
 	return answer.placed, ""
 }
 
-// takesDown has a request come until it is refused, at most so often, and end the engine
-// that it is placed on each time. It returns how many ended.
-func takesDown(t *testing.T, d *Daemon, now time.Time, prompt string, most int) int {
+// crashEngines repeats a request, which ends each engine that it is placed on, until it is
+// quarantined or the given number of engines has ended. It returns how many ended.
+func crashEngines(t *testing.T, d *Daemon, now time.Time, prompt string, most int) int {
 	t.Helper()
 	dead := make(map[string]bool)
 	for len(dead) < most {
-		placed, code := placeFor(d, now, asking(prompt, 1))
+		placed, code := placeFor(d, now, modelRequest(prompt, 1))
 		if code == "quarantined" {
 			break
 		}
@@ -79,55 +79,55 @@
 	return len(dead)
 }
 
-// TestTakedowns has a request that no engine survives come again and again at one box, then
-// at another that heard of it, and at a third that heard of it from that one only.
-func TestTakedowns(t *testing.T) {
+// TestQuarantineSpreadsByGossip repeats a request that crashes every engine at one box, then at
+// a second that got the first one's gossip, and at a third that got only the second one's.
+func TestQuarantineSpreadsByGossip(t *testing.T) {
 	now := time.Unix(1000, 0)
-	first, second, third := box(t, "b1", now), box(t, "b2", now), box(t, "b3", now)
-	if n := takesDown(t, first, now, "same", 8); n != quarantine.Threshold {
+	first, second, third := newBox(t, "b1", now), newBox(t, "b2", now), newBox(t, "b3", now)
+	if n := crashEngines(t, first, now, "same", 8); n != quarantine.Threshold {
 		t.Errorf("%d engines ended", n)
 	}
 	now = now.Add(10 * time.Second)
-	if _, code := placeFor(first, now, asking("another", 1)); code != "" {
+	if _, code := placeFor(first, now, modelRequest("another", 1)); code != "" {
 		t.Errorf("another request is refused with %q", code)
 	}
-	second.update(now, peerAnswered{message: first.state(now, &first.tables)})
-	third.update(now, peerAnswered{message: second.state(now, &second.tables)})
+	second.update(now, peerAnswered{message: first.gossipMessage(now, &first.tables)})
+	third.update(now, peerAnswered{message: second.gossipMessage(now, &second.tables)})
 	for _, d := range []*Daemon{second, third} {
-		if n := takesDown(t, d, now, "same", 1); n != 0 {
+		if n := crashEngines(t, d, now, "same", 1); n != 0 {
 			t.Errorf("%s does not refuse it", d.Settings.Name)
 		}
 	}
-	late := now.Add(2 * endedNews)
-	if m := third.state(late, &third.tables); len(m.CrashReports) != 0 {
-		t.Errorf("told on for ever: %v", m.CrashReports)
+	late := now.Add(2 * announceFor)
+	if m := third.gossipMessage(late, &third.tables); len(m.CrashReports) != 0 {
+		t.Errorf("crash reports are still gossiped: %v", m.CrashReports)
 	}
 }
 
-// TestTakedownsDoubted cuts a request off at three engines that live on: it is served, and
-// so is one that was answered in between.
-func TestTakedownsDoubted(t *testing.T) {
+// TestQuarantineNeedsUnansweredCrashes cuts a request off again and again, but its engines stay
+// alive, or another engine answers it in between. It must not be quarantined.
+func TestQuarantineNeedsUnansweredCrashes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tests := []struct {
 		name string
-		// after is what is heard of an engine once it cut the request off.
+		// after is what happens after an engine cut the request off.
 		after func(d *Daemon, placed route.Placed, at time.Time)
 	}{
 		{"the engine reports", func(d *Daemon, placed route.Placed, at time.Time) {
-			d.update(at, loadRead{target: placed.Target, load: engine.Load{Version: "v1", Slots: 8}, asked: at})
+			d.update(at, loadRead{target: placed.Target, load: engine.Load{Version: "v1", Slots: 8}, requestedAt: at})
 		}},
 		{"the engine ends, and another one answers", func(d *Daemon, placed route.Placed, at time.Time) {
 			d.update(at, loadRead{target: placed.Target, err: syscall.ECONNREFUSED})
-			other, _ := placeFor(d, at, asking("same", 1))
+			other, _ := placeFor(d, at, modelRequest("same", 1))
 			d.update(at, attemptEnded{route.Ended{Placed: other, End: stream.Frame{Request: "r"}}})
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := box(t, "b1", now)
+			d := newBox(t, "b1", now)
 			at := now
 			for range 2 * quarantine.Threshold {
-				placed, code := placeFor(d, at, asking("same", 1))
+				placed, code := placeFor(d, at, modelRequest("same", 1))
 				if code == "quarantined" {
 					t.Fatal("refused")
 				}
@@ -142,26 +142,28 @@
 	}
 }
 
-// TestTakedownsLifted has a box hear that a request was answered elsewhere.
-func TestTakedownsLifted(t *testing.T) {
+// TestQuarantineLiftedByPeer has a box learn from a peer that a request was answered, which lifts
+// its quarantine.
+func TestQuarantineLiftedByPeer(t *testing.T) {
 	now := time.Unix(1000, 0)
-	d := box(t, "b1", now)
-	takesDown(t, d, now, "same", 8)
+	d := newBox(t, "b1", now)
+	crashEngines(t, d, now, "same", 8)
 	now = now.Add(10 * time.Second)
-	d.update(now, peerAnswered{message: peer.Message{Lifted: []fingerprint.Sum{asking("same", 1).Fingerprint()}}})
-	if _, code := placeFor(d, now, asking("same", 1)); code != "" {
+	d.update(now, peerAnswered{message: peer.Message{Lifted: []fingerprint.Sum{modelRequest("same", 1).Fingerprint()}}})
+	if _, code := placeFor(d, now, modelRequest("same", 1)); code != "" {
 		t.Errorf("refused with %q", code)
 	}
-	if m := d.state(now, &d.tables); len(m.Lifted) != 1 {
-		t.Error("not told on")
+	if m := d.gossipMessage(now, &d.tables); len(m.Lifted) != 1 {
+		t.Error("the lifted request is not gossiped")
 	}
 }
 
-// TestTakedownsOfAccounts keeps accounts apart: what one asks for refuses no other.
-func TestTakedownsOfAccounts(t *testing.T) {
-	mine, theirs := asking("same", 1), asking("same", 1)
+// TestFingerprintsDifferByAccount guards against one account's requests quarantining another's,
+// and against account names in fingerprints.
+func TestFingerprintsDifferByAccount(t *testing.T) {
+	mine, theirs := modelRequest("same", 1), modelRequest("same", 1)
 	theirs.Account = "bistro"
 	if mine.Fingerprint() == theirs.Fingerprint() || strings.Contains(mine.Fingerprint().String(), "cafe") {
-		t.Error("accounts meet")
+		t.Error("fingerprints of two accounts are equal, or one contains the account's name")
 	}
 }
--- a/request.go
+++ b/request.go
@@ -18,33 +18,34 @@
 	"github.com/thymewind/thymewind/stream"
 )
 
-// askPlace asks the loop for a place.
-func (d *Daemon) askPlace(ctx context.Context, ask route.Ask) (route.Placed, error) {
+// requestPlacement asks the loop to place an attempt.
+func (d *Daemon) requestPlacement(ctx context.Context, ask route.Ask) (route.Placed, error) {
 	ask.Home = d.homeOf(ask)
-	reply := make(chan placeAnswer, 1)
-	if err := d.send(ctx, placeAsked{ask, reply}); err != nil {
-		return route.Placed{}, d.late()
+	reply := make(chan placementAnswer, 1)
+	if err := d.send(ctx, placementRequest{ask, reply}); err != nil {
+		return route.Placed{}, d.tooLate()
 	}
 	select {
 	case answer := <-reply:
 		if answer.err == nil && ask.Model != "" {
-			d.findKept(ctx, &answer.placed, ask.Prompt)
+			d.findCached(ctx, &answer.placed, ask.Prompt)
 		}
 		return answer.placed, answer.err
 	case <-ctx.Done():
-		// The loop may still count the attempt in; take it out again.
+		// The loop may still place the attempt and count it; report its end.
 		go func() {
 			if answer := <-reply; answer.err == nil {
-				d.tellEnded(route.Ended{Placed: answer.placed})
+				d.reportEnded(route.Ended{Placed: answer.placed})
 			}
 		}()
-		return route.Placed{}, d.late()
+		return route.Placed{}, d.tooLate()
 	}
 }
 
-// homeOf names what ranks the targets: the account and the prompt's first
-// piece, whatever the weight version, so that a rollout moves no prompts. A
-// plain service's requests have no home.
+// homeOf returns the key that ranks the targets by rendezvous hash: account and first
+// piece of the prompt. It does not depend on the weight version, so that a rollout
+// does not move prompts to other homes. Requests to plain services have no home; they
+// get a key of their own.
 func (d *Daemon) homeOf(ask route.Ask) prefix.Key {
 	if ask.Model == "" {
 		return prefix.Scope(ask.Request, ask.Pool)
@@ -54,56 +55,55 @@
 	return prefix.Home(prefix.Scope(ask.Account, ""), []byte(ask.Prompt), max(p.PieceBytes, 1))
 }
 
-// late refuses a request whose time was up before it was placed.
-func (d *Daemon) late() error {
+// tooLate returns the refusal of a request whose time was up before it was placed.
+func (d *Daemon) tooLate() error {
 	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "too_late",
 		"the request's time was up before it was placed").After(d.jitter(time.Second))
 }
 
-// tellEnded tells the loop how an attempt ended.
-func (d *Daemon) tellEnded(e route.Ended) {
+// reportEnded charges a completed attempt and reports the end of any attempt to the loop.
+func (d *Daemon) reportEnded(e route.Ended) {
 	if e.End.Request != "" {
 		d.ledger.Add(e.Placed.Account, e.End.Usage)
 	}
 	_ = d.send(context.Background(), attemptEnded{e})
 }
 
-// tellSaid notes what an answer's head says of its target, and tells the loop of news.
-func (d *Daemon) tellSaid(placed route.Placed, said notice.Signals) {
+// reportSignals records a target's signals and passes them to the loop if they change anything.
+func (d *Daemon) reportSignals(placed route.Placed, said notice.Signals) {
 	limited := d.notices.ObserveLimit(d.now(), placed.At, notice.IncarnationAt(placed.Target, placed.Address), said)
 	if limited || said.Leaving || said.Backoff > 0 {
-		_ = d.send(context.Background(), targetSaid{placed, said})
+		_ = d.send(context.Background(), signalsHeard{placed, said})
 	}
 }
 
-// spendRetry asks the budget for one more attempt.
+// spendRetry takes one attempt from the pool's retry budget.
 func (d *Daemon) spendRetry(pool string) bool {
 	if !d.budget.Spend(pool) {
-		d.counts.retrySpent.Inc()
+		d.metrics.retrySpent.Inc()
 		return false
 	}
-	d.counts.retries.WithLabelValues(pool).Inc()
+	d.metrics.retries.WithLabelValues(pool).Inc()
 	return true
 }
 
-// recordRefused explains a request that was given up.
+// recordRefused records why a request was refused or given up.
 func (d *Daemon) recordRefused(request, account string, r *refusal.Refusal) {
-	d.counts.refused.WithLabelValues(r.Code, r.Outcome).Inc()
+	d.metrics.refused.WithLabelValues(r.Code, r.Outcome).Inc()
 	d.records.Add(decision.Record{
 		At: d.now(), Kind: decision.Refused, Request: request, Account: account, Rule: r.Code,
 		Inputs: "come back after " + r.RetryAfter.String(), Result: r.Outcome + ": " + r.Reason,
 	})
 }
 
-// resumeStream relays a run again from an offset. It is not charged here: the
-// box that placed the run does that if it lives, and a charge may be lost but
-// never doubled.
+// resumeStream relays a run again from an offset. It does not charge the run: the box
+// that placed it does, if it is alive. A charge may be lost but must not be doubled.
 func (d *Daemon) resumeStream(ctx context.Context, token resume.Token, offset int, write func(string, int) error) (stream.Frame, error) {
 	d.records.Add(decision.Record{
 		At: d.now(), Kind: decision.Resumed, Request: token.Request, Account: token.Account,
 		Rule: "resume token", Result: token.Target.String(),
 	})
-	frames, err := d.resume(ctx, token.Target, token.Request, token.Attempt, offset)
+	frames, err := d.resumeRun(ctx, token.Target, token.Request, token.Attempt, offset)
 	if err != nil {
 		return stream.Frame{}, notResumable(err)
 	}
@@ -132,7 +132,8 @@
 	return checker.End(), nil
 }
 
-// notResumable tells a caller that its run is gone, so that it asks anew.
+// notResumable returns the refusal that tells a caller that its run is gone and has to
+// be requested anew.
 func notResumable(err error) error {
 	return refusal.New(refusal.Unknown, http.StatusGone, "not_resumable", "the target has the run no more: %v", trace.Unwrap(err))
 }
--- a/limited_test.go
+++ b/targetlimit_test.go
@@ -16,22 +16,22 @@
 	"github.com/thymewind/thymewind/route"
 )
 
-// limitedTarget stands before a target and may have it name a rate.
+// limitedTarget wraps a target's handler and may announce a rate limit.
 type limitedTarget struct {
 	handler http.Handler
 
 	mu sync.Mutex
-	// rate is named in each answer to a request, unless it is empty, since named.
-	rate  string
-	named time.Time
-	// came is when requests did, runs that are read again among them.
-	came []time.Time
+	// rate is announced in each answer to a request since rateSetAt, unless it is empty.
+	rate      string
+	rateSetAt time.Time
+	// arrivals are the times of requests, including resumed runs.
+	arrivals []time.Time
 }
 
 func (l *limitedTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("X-Request-Id") != "" || strings.HasPrefix(r.URL.Path, "/v1/generate") || strings.HasPrefix(r.URL.Path, "/v1/resume") {
 		l.mu.Lock()
-		l.came = append(l.came, time.Now())
+		l.arrivals = append(l.arrivals, time.Now())
 		if l.rate != "" {
 			w.Header().Set(engine.HeaderLimit, l.rate)
 		}
@@ -40,24 +40,24 @@
 	l.handler.ServeHTTP(w, r)
 }
 
-// name has the target name a rate from now on; empty names none.
-func (l *limitedTarget) name(rate string) {
+// setRate has the target announce a rate limit from now on; an empty rate stops that.
+func (l *limitedTarget) setRate(rate string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rate, l.named = rate, time.Now()
+	l.rate, l.rateSetAt = rate, time.Now()
 }
 
-// most is the most requests that came within 4 s, from 3 s after the rate was named.
-func (l *limitedTarget) most() int {
+// maxArrivals returns the most requests within any 4 s, from 3 s after the rate was set.
+func (l *limitedTarget) maxArrivals() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	most, first := 0, 0
-	for last, at := range l.came {
-		if at.Sub(l.named) < 3*time.Second {
+	for last, at := range l.arrivals {
+		if at.Sub(l.rateSetAt) < 3*time.Second {
 			first = last + 1
 			continue
 		}
-		for at.Sub(l.came[first]) > 4*time.Second {
+		for at.Sub(l.arrivals[first]) > 4*time.Second {
 			first++
 		}
 		most = max(most, last-first+1)
@@ -65,8 +65,9 @@
 	return most
 }
 
-// press has each daemon of a fleet asked again and again, and counts the answers.
-func (f *fleet) press(span time.Duration, ask func(daemon, n int) int) map[int]int {
+// sendLoad sends requests to each daemon of a fleet, one after the other, and counts the answers
+// by status.
+func (f *fleet) sendLoad(span time.Duration, ask func(daemon, n int) int) map[int]int {
 	end := time.Now().Add(span)
 	statuses := make(map[int]int)
 	var mu sync.Mutex
@@ -86,15 +87,15 @@
 	return statuses
 }
 
-// TestTargetsLimitHolds guards against boxes that together send a target more than the rate it
-// names for all of them: engines, services, and both kinds where no other target is left.
-func TestTargetsLimitHolds(t *testing.T) {
-	const rate, allowed = "2.5", 20 // One and a half times what comes in 4 s, and five.
+// TestTargetRateLimitHolds guards against boxes that together exceed the rate limit that a target
+// announces for all of them: for one engine of several, all engines, and a service's only target.
+func TestTargetRateLimitHolds(t *testing.T) {
+	const rate, allowed = "2.5", 20 // One and a half times the requests of 4 s, plus five.
 	tests := []struct {
 		name    string
 		limited []string
 		service bool
-		// refused says that callers may be, as only limited targets are left.
+		// refused allows refusals, as there are limited targets only.
 		refused bool
 	}{
 		{"one engine of three", []string{"engine-1"}, false, false},
@@ -106,9 +107,9 @@
 			t.Parallel()
 			f := newFleet(t, 3, nil)
 			for _, name := range tt.limited {
-				f.limited[name].name(rate)
+				f.limited[name].setRate(rate)
 			}
-			statuses := f.press(9*time.Second, func(daemon, n int) int {
+			statuses := f.sendLoad(9*time.Second, func(daemon, n int) int {
 				if tt.service {
 					return f.do(http.MethodGet, daemon, "menu key", "/services/orders/orders", "", nil).status
 				}
@@ -116,24 +117,25 @@
 				return r.status
 			})
 			for _, name := range tt.limited {
-				if most := f.limited[name].most(); most > allowed {
+				if most := f.limited[name].maxArrivals(); most > allowed {
 					t.Errorf("%d requests reached %s in 4 s, %d are allowed", most, name, allowed)
 				}
 			}
 			t.Logf("answered %v", statuses)
 			if refused := statuses[http.StatusServiceUnavailable]; refused > 0 && !tt.refused {
-				t.Errorf("%d callers were refused beside targets without a limit", refused)
+				t.Errorf("%d requests were refused though other targets have no limit", refused)
 			}
 			served := statuses[http.StatusOK] + statuses[http.StatusCreated]
 			if least := 9 * len(tt.limited); served < least {
-				t.Errorf("%d callers were served, want %d", served, least)
+				t.Errorf("%d requests were served, want at least %d", served, least)
 			}
 		})
 	}
 }
 
-// TestTargetsLimitIsKnown says what a box knows of a target's limit, by answers and peers.
-func TestTargetsLimitIsKnown(t *testing.T) {
+// TestTargetRateLimitSources checks what a box learns of a target's rate limit from answers and
+// from peers.
+func TestTargetRateLimitSources(t *testing.T) {
 	now := time.Unix(1000, 0)
 	at := address("engine-0")
 	placed := route.Placed{Target: "engine-0", Address: at, At: now}
@@ -144,29 +146,29 @@
 		rate    float64
 	}{
 		{"nothing", func(*Daemon) {}, false, 0},
-		{"an answer", func(d *Daemon) { d.tellSaid(placed, notice.Signals{Limited: true, Rate: 3}) }, true, 3},
+		{"an answer", func(d *Daemon) { d.reportSignals(placed, notice.Signals{Limited: true, Rate: 3}) }, true, 3},
 		{"a peer", func(d *Daemon) {
-			d.update(now, peerSaid{peer.Message{RateLimits: []peer.RateLimit{{Target: "engine-0@" + at.String(), Active: true, PerSecond: 2}}}, make(chan peer.Message, 1)})
+			d.update(now, peerRequest{peer.Message{RateLimits: []peer.RateLimit{{Target: "engine-0@" + at.String(), Active: true, PerSecond: 2}}}, make(chan peer.Message, 1)})
 		}, true, 2},
 		{"a peer, of a target at another address", func(d *Daemon) {
-			d.update(now, peerSaid{peer.Message{RateLimits: []peer.RateLimit{{Target: "engine-0@10.9.9.9:1", Active: true, PerSecond: 2}}}, make(chan peer.Message, 1)})
+			d.update(now, peerRequest{peer.Message{RateLimits: []peer.RateLimit{{Target: "engine-0@10.9.9.9:1", Active: true, PerSecond: 2}}}, make(chan peer.Message, 1)})
 		}, false, 0},
 		{"an end", func(d *Daemon) {
-			d.tellSaid(placed, notice.Signals{Limited: true, Rate: 3})
+			d.reportSignals(placed, notice.Signals{Limited: true, Rate: 3})
 			later := placed
 			later.At = d.now().Add(time.Second)
-			d.tellSaid(later, notice.Signals{Unlimited: true})
+			d.reportSignals(later, notice.Signals{Unlimited: true})
 		}, false, 0},
 		{"an answer to a request placed before", func(d *Daemon) {
-			d.tellSaid(placed, notice.Signals{Limited: true, Rate: 3})
-			d.tellSaid(placed, notice.Signals{Unlimited: true})
+			d.reportSignals(placed, notice.Signals{Limited: true, Rate: 3})
+			d.reportSignals(placed, notice.Signals{Unlimited: true})
 		}, true, 3},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon(t)
-			d.update(now, configurationRead{configuration: inForce(1)})
-			(&world{left: make(map[string]bool)}).happens(d, now, "engine-0", listedLive)
+			d.update(now, configurationRead{configuration: testConfiguration(1)})
+			(&targetEvents{leaving: make(map[string]bool)}).apply(d, now, "engine-0", listedLive)
 			tt.happen(d)
 			for len(d.messages) > 0 {
 				d.update(now, <-d.messages)
@@ -179,47 +181,47 @@
 	}
 }
 
-// TestResumedRunsCount guards against answers that are read again beside a target's limit.
-func TestResumedRunsCount(t *testing.T) {
+// TestResumedRunsCountAgainstLimit guards against resumed answers that bypass a target's rate limit.
+func TestResumedRunsCountAgainstLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newDaemon(t)
-	d.update(now, configurationRead{configuration: inForce(1)})
-	(&world{left: make(map[string]bool)}).happens(d, now, "engine-0", listedLive)
+	d.update(now, configurationRead{configuration: testConfiguration(1)})
+	(&targetEvents{leaving: make(map[string]bool)}).apply(d, now, "engine-0", listedLive)
 	x, _ := d.tables.Targets.Lookup("engine-0")
 	d.tables.SetLimit(x, true, 1)
-	taken := func(at time.Time) bool {
+	placed := func(at time.Time) bool {
 		_, err := d.tables.Place(at, route.Ask{Request: "r", Model: "m", Attempt: 1, Exclude: []string{"engine-1", "engine-2"}})
 		return err == nil
 	}
 	d.update(now, loadRead{target: "engine-0", load: engine.Load{Version: "v1", Slots: 8}})
-	taken(now) // The first request fills the bucket.
+	placed(now) // The first request uses up the burst.
 	d.update(now, runResumed{x.Address})
-	if taken(now.Add(1500 * time.Millisecond)) {
-		t.Error("a request is placed though an answer was read again a moment ago")
+	if placed(now.Add(1500 * time.Millisecond)) {
+		t.Error("a request is placed 1.5 s after a run was resumed, at a limit of one a second")
 	}
-	if !taken(now.Add(2500 * time.Millisecond)) {
+	if !placed(now.Add(2500 * time.Millisecond)) {
 		t.Error("no request is placed 2.5 s after that")
 	}
 }
 
-// TestKeptBack guards against requests that leave though their target limited requests after
-// they were placed.
-func TestKeptBack(t *testing.T) {
+// TestAllowChecksLimitBeforeSending guards against requests that are sent although their target
+// announced a rate limit after they were placed.
+func TestAllowChecksLimitBeforeSending(t *testing.T) {
 	d := newDaemon(t)
 	p := route.Placed{Target: "engine-0", Address: netip.MustParseAddrPort("10.0.0.1:1"), At: d.now()}
 	if err := d.allow(p); err != nil {
 		t.Errorf("no limit is known: %v", err)
 	}
-	d.tellSaid(p, notice.Signals{Limited: true, Rate: 3})
+	d.reportSignals(p, notice.Signals{Limited: true, Rate: 3})
 	if d.allow(p) == nil {
-		t.Error("placed before the limit, and not kept back")
+		t.Error("placed before the limit, and still allowed")
 	}
 	p.Granted = true
 	if err := d.allow(p); err != nil {
 		t.Errorf("placed within the limit: %v", err)
 	}
-	p.At = p.At.Add(-grantFor - time.Second)
+	p.At = p.At.Add(-grantLifetime - time.Second)
 	if d.allow(p) == nil {
-		t.Error("placed long ago, and not kept back")
+		t.Error("placed longer than grantLifetime ago, and still allowed")
 	}
 }
--- a/update.go
+++ b/update.go
@@ -9,71 +9,71 @@
 	"github.com/thymewind/thymewind/target"
 )
 
-// update changes the tables for one message and returns what to do about it.
+// update applies one message to the tables and returns the effects to run.
 func (d *Daemon) update(now time.Time, m message) []effect {
 	t := &d.tables
 	switch m := m.(type) {
-	case placeAsked:
-		return d.placeOrKeep(now, t, m)
-	case targetSaid:
-		d.targetSaid(now, t, m)
+	case placementRequest:
+		return d.placeOrHold(now, t, m)
+	case signalsHeard:
+		d.signalsHeard(now, t, m)
 	case runResumed:
 		d.runResumed(now, t, m)
 	case attemptEnded:
-		return d.ended(now, t, m)
+		return d.attemptEnded(now, t, m)
 	case boxesRead:
-		defer d.looked(now, t, m.asked, &t.thaw.boxes)
+		defer d.refreshed(now, t, m.requestedAt, &t.refresh.boxesDue)
 		return d.boxesRead(now, t, m)
 	case loadRead:
 		d.loadRead(now, t, m)
-	case peerHolds:
+	case peerSnapshotRead:
 		return append(d.boxesRead(now, t, m.boxes), d.configurationRead(now, t, m.configuration)...)
 	case configurationRead:
-		defer d.looked(now, t, m.asked, &t.thaw.configuration)
+		defer d.refreshed(now, t, m.requestedAt, &t.refresh.configurationDue)
 		return d.configurationRead(now, t, m)
-	case leaseStepped:
-		return d.leaseStepped(now, t, m)
+	case leaseRenewed:
+		return d.leaseRenewed(now, t, m)
 	case ordersRead:
 		return d.ordersRead(now, t, m)
-	case charged:
-		d.charged(t, m)
+	case chargesProcessed:
+		d.chargesProcessed(t, m)
 	case storeFailed:
 		t.StoreAvoidUntil[m.store] = now.Add(dispatch.StoreBackoff)
 	case cacheExported:
 		d.cacheExported(now, t, m)
-	case roomMade:
-		d.roomMade(now, t, m)
-	case peerSaid:
-		effects := d.heard(now, t, m.message)
-		m.reply <- d.state(now, t)
+	case cacheEvicted:
+		d.cacheEvicted(now, t, m)
+	case peerRequest:
+		effects := d.receiveGossip(now, t, m.message)
+		m.reply <- d.gossipMessage(now, t)
 		return effects
 	case peerAnswered:
 		if m.err == nil && m.message.Error == "" {
-			return d.heard(now, t, m.message)
+			return d.receiveGossip(now, t, m.message)
 		}
-	case inspected:
-		m.look(now, t)
+	case inspection:
+		m.read(now, t)
 		close(m.done)
 	}
 	return nil
 }
 
-// boxesRead takes the platform's list over. A target that is not listed gets
-// no new work; one that moved to another address starts afresh.
+// boxesRead applies a list of boxes. Targets that are not listed get no new requests.
+// A target at another address is a new one, without the old one's state.
 func (d *Daemon) boxesRead(now time.Time, t *tables, m boxesRead) []effect {
 	delete(t.pending, pendingBoxes)
 	if m.unchanged {
-		t.relist(now)
+		t.listUnchanged(now)
 		return nil
 	}
 	if m.err != nil {
-		d.counts.platformErrors.WithLabelValues("boxes").Inc()
-		return d.askKnownPeers(t)
+		d.metrics.platformErrors.WithLabelValues("boxes").Inc()
+		return d.fetchFromKnownPeers(t)
 	}
-	if m.from != "" && !t.listed.IsZero() {
-		return nil // This box has read the platform's own list meanwhile.
+	if m.from != "" && !t.listedAt.IsZero() {
+		return nil // The platform's own list takes precedence.
 	}
-	t.listed = now
+	t.listedAt = now
 	t.list = m.list
 	listed := make(map[string]bool, len(m.list))
 	for _, b := range m.list {
@@ -81,19 +81,19 @@
 		switch b.Role {
 		case boxes.RoleEntry:
 			if b.Name != d.Settings.Name {
-				d.listPeer(t, b)
+				d.upsertPeer(t, b)
 			}
 		case boxes.RoleStore:
 			t.Stores.Put(b.Name, b)
 		case boxes.RoleEngine, boxes.RoleService:
-			d.listTarget(now, t, b)
+			d.upsertTarget(now, t, b)
 		}
 	}
-	d.unlist(now, t, listed)
+	d.removeUnlisted(now, t, listed)
 	t.ExpireLeaving(now)
 	t.GroupByPool()
-	d.watch(t)
-	d.limitTargets(t)
+	d.chooseWatched(t)
+	d.applyLimits(t)
 	t.byID = make(map[uint64]*target.Target, t.Targets.Len())
 	for _, x := range t.Targets.All() {
 		t.byID[x.ID] = x
@@ -101,9 +101,10 @@
 	return nil
 }
 
-// relist takes over that the list is as it was.
-func (t *tables) relist(now time.Time) {
-	t.listed = now
+// listUnchanged applies the last list again: targets that it marks as leaving are
+// still leaving.
+func (t *tables) listUnchanged(now time.Time) {
+	t.listedAt = now
 	for _, b := range t.list {
 		if x, known := t.Targets.Lookup(b.Name); known && b.Leaving {
 			t.MarkLeaving(x, now, "list")
@@ -112,32 +113,32 @@
 	t.ExpireLeaving(now)
 }
 
-// askKnownPeers is how a daemon that boots while the platform is down comes to
-// a list of boxes and a configuration.
-func (d *Daemon) askKnownPeers(t *tables) []effect {
-	if !t.listed.IsZero() {
+// fetchFromKnownPeers gets a list of boxes and a configuration for a daemon that starts
+// while the platform is down.
+func (d *Daemon) fetchFromKnownPeers(t *tables) []effect {
+	if !t.listedAt.IsZero() {
 		return nil
 	}
 	var effects []effect
 	for _, at := range d.Settings.KnownPeers {
-		effects = append(effects, askPeer{at})
+		effects = append(effects, fetchFromPeer{at})
 	}
 	return effects
 }
 
-func (d *Daemon) listPeer(t *tables, b boxes.Box) {
+func (d *Daemon) upsertPeer(t *tables, b boxes.Box) {
 	p, _ := t.peers.Lookup(b.Name)
 	p.address, p.domain, p.leaving = b.Peer, b.Domain, b.Leaving
 	t.peers.Put(b.Name, p)
 }
 
-func (d *Daemon) listTarget(now time.Time, t *tables, b boxes.Box) {
+func (d *Daemon) upsertTarget(now time.Time, t *tables, b boxes.Box) {
 	x, known := t.Targets.Lookup(b.Name)
 	if !known || x.Address != b.Address {
 		x = &target.Target{Name: b.Name, Address: b.Address, Hash: placement.Hash(b.Name), ID: target.ID(b.Name, b.Address)}
-		was, gone := t.departed[b.Name]
+		was, gone := t.tombstones[b.Name]
 		if gone && was.address == b.Address {
-			x.Leaving, x.LeavingAt = true, was.at
+			x.Leaving, x.LeavingAt = true, was.leavingAt
 		}
 		t.Targets.Put(b.Name, x)
 	}
@@ -147,12 +148,12 @@
 	}
 }
 
-// unlist marks what the list no longer names. Targets with requests under way
-// are kept until those end.
-func (d *Daemon) unlist(now time.Time, t *tables, listed map[string]bool) {
-	for name, was := range t.departed {
-		if now.Sub(was.at) >= dispatch.LeavingFor {
-			delete(t.departed, name)
+// removeUnlisted removes what the list does not name. A target with requests in flight
+// is only marked, and removed by a later list.
+func (d *Daemon) removeUnlisted(now time.Time, t *tables, listed map[string]bool) {
+	for name, was := range t.tombstones {
+		if now.Sub(was.leavingAt) >= dispatch.LeavingFor {
+			delete(t.tombstones, name)
 		}
 	}
 	for _, name := range t.Targets.Keys() {
@@ -162,7 +163,7 @@
 		}
 		x.Listed = false
 		if x.Leaving {
-			t.departed[name] = departure{x.Address, x.LeavingAt}
+			t.tombstones[name] = tombstone{x.Address, x.LeavingAt}
 		}
 		if x.InFlight == 0 {
 			t.Targets.Delete(name)
@@ -180,16 +181,16 @@
 	}
 }
 
-// loadRead takes a target's own report over.
+// loadRead applies a target's load report, or the failure to read it.
 func (d *Daemon) loadRead(now time.Time, t *tables, m loadRead) {
 	delete(t.pending, m.target)
 	x, known := t.Targets.Lookup(m.target)
 	if !known {
 		return
 	}
-	d.loadOfLife(now, t, m)
+	d.livenessFromReport(now, t, m)
 	if m.err != nil {
-		d.counts.loadErrors.Inc()
+		d.metrics.loadErrors.Inc()
 		t.Fail(now, x)
 		return
 	}
@@ -200,11 +201,11 @@
 	}
 }
 
-// configurationRead puts a revision in force. A lower one is never taken.
+// configurationRead puts a configuration in force if it supersedes the current one.
 func (d *Daemon) configurationRead(now time.Time, t *tables, m configurationRead) []effect {
 	delete(t.pending, pendingConfiguration)
 	if m.err != nil {
-		d.counts.platformErrors.WithLabelValues("configuration").Inc()
+		d.metrics.platformErrors.WithLabelValues("configuration").Inc()
 		return nil
 	}
 	if m.configuration == nil || !d.supersedes(m.configuration, t.Configuration) {
@@ -212,7 +213,7 @@
 	}
 	t.Configuration = m.configuration
 	d.current.Store(m.configuration)
-	d.counts.revision.Set(float64(m.configuration.Revision))
+	d.metrics.revision.Set(float64(m.configuration.Revision))
 	d.Log.Info("configuration in force", "revision", m.configuration.Revision, "from", m.from)
-	return d.tell(now, t, newsPartners)
+	return d.gossipTo(now, t, newRevisionFanOut)
 }
