--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -9,7 +9,7 @@
 	"github.com/leanovate/gopter/prop"
 
 	"github.com/thymewind/thymewind/admission"
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 )
 
 func request(account string) admission.Request {
@@ -37,11 +37,11 @@
 	}, gen.IntRange(0, 200), gen.IntRange(0, 3))
 }
 
-func TestSmallAccountGetsIn(t *testing.T) { proof.Holds(t, smallGetsIn(1)) }
+func TestSmallAccountGetsIn(t *testing.T) { proptest.Holds(t, smallGetsIn(1)) }
 
 func TestSmallAccountGetsInNeedsTheShares(t *testing.T) {
 	// Control: with a load of zero, no account is limited to its share.
-	proof.Breaks(t, smallGetsIn(0))
+	proptest.Violated(t, smallGetsIn(0))
 }
 
 func TestAdmit(t *testing.T) {
--- a/attempt.go
+++ b/attempt.go
@@ -12,12 +12,12 @@
 // refused read again.
 func (d *Daemon) attemptEnded(now time.Time, t *tables, m attemptEnded) []effect {
 	d.recordAttempt(now, m)
-	d.recordLiveness(now, t, m.Ended)
-	if t.Ended(now, m.Ended) {
-		return []effect{exportCache{m.Placed}}
+	d.recordLiveness(now, t, m.AttemptResult)
+	if t.Ended(now, m.AttemptResult) {
+		return []effect{exportCache{m.Placement}}
 	}
 	if m.Refused {
-		return t.readLoad(m.Placed.Target) // This box's knowledge of it is stale.
+		return t.readLoad(m.Placement.Target) // This box's knowledge of it is stale.
 	}
 	return nil
 }
@@ -34,8 +34,8 @@
 func (d *Daemon) recordAttempt(now time.Time, m attemptEnded) {
 	u := m.End.Usage
 	r := decision.Record{
-		At: now, Kind: decision.Finished, Request: m.Placed.Request, Account: m.Placed.Account, Pool: m.Placed.Pool,
-		Rule: "whole answer", Result: m.Placed.Target,
+		At: now, Kind: decision.Finished, Request: m.Placement.Request, Account: m.Placement.Account, Pool: m.Placement.Pool,
+		Rule: "whole answer", Result: m.Placement.Target,
 		Inputs: fmt.Sprintf("first token %v, prompt %d tokens: %d reused, %d imported; answer %d tokens", m.FirstToken.Round(time.Microsecond), u.Prompt, u.Reused, u.Imported, u.Completion),
 	}
 	switch {
@@ -47,10 +47,10 @@
 		if m.FirstToken == 0 {
 			break
 		}
-		d.metrics.firstToken.WithLabelValues(m.Placed.Pool).Observe(m.FirstToken.Seconds())
-		d.metrics.tokens.WithLabelValues(m.Placed.Pool, "reused").Add(float64(u.Reused))
-		d.metrics.tokens.WithLabelValues(m.Placed.Pool, "imported").Add(float64(u.Imported))
-		d.metrics.tokens.WithLabelValues(m.Placed.Pool, "computed").Add(float64(u.Prompt - u.Reused - u.Imported))
+		d.metrics.firstToken.WithLabelValues(m.Placement.Pool).Observe(m.FirstToken.Seconds())
+		d.metrics.tokens.WithLabelValues(m.Placement.Pool, "reused").Add(float64(u.Reused))
+		d.metrics.tokens.WithLabelValues(m.Placement.Pool, "imported").Add(float64(u.Imported))
+		d.metrics.tokens.WithLabelValues(m.Placement.Pool, "computed").Add(float64(u.Prompt - u.Reused - u.Imported))
 	}
 	d.records.Add(r)
 }
--- a/build.go
+++ b/build.go
@@ -67,7 +67,7 @@
 	engines  engine.Client
 	stores   kvcache.Client
 	ledger   charge.Ledger
-	claims   claim.Book
+	claims   claim.Store
 	budget   retry.Budget
 	peers    peer.Node
 	signer   resume.Signer
@@ -115,7 +115,7 @@
 	b.Record = d.records.Add
 	b.OnFailing = func(name string) { d.Log.Warn("target fails", "target", name) }
 	b.OnLeaving = func(name, heard string) { d.Log.Info("target is leaving", "target", name, "heard", heard) }
-	b.Start()
+	b.Init()
 }
 
 // chooseAndCount chooses a target and counts the choice by its rule.
@@ -134,9 +134,9 @@
 	d.rows = configuration.Rows{
 		Commit: d.table.Commit, Read: d.table.Read, List: d.table.List, ListAll: d.table.ListAll, Wait: wait,
 	}
-	d.claims = claim.Book{
+	d.claims = claim.Store{
 		Commit: d.table.Commit, Read: d.table.Read, Nonce: newID, Now: d.now,
-		Box: d.Settings.Name, Patience: tableTimeout, Forget: claimRetention,
+		Box: d.Settings.Name, Timeout: tableTimeout, OrphanTTL: claimRetention,
 	}
 }
 
@@ -145,7 +145,7 @@
 func (d *Daemon) buildLedger() {
 	d.ledger = charge.Ledger{
 		Incarnation: d.Settings.Name + "-" + newID(), Commit: d.table.Commit, Read: d.table.Read, ListAll: d.table.ListAll,
-		MaxAccounts: maxBufferedAccounts, Lost: func(n int) { d.metrics.chargesLost.Add(float64(n)) },
+		MaxAccounts: maxBufferedAccounts, OnLost: func(n int) { d.metrics.chargesLost.Add(float64(n)) },
 	}
 }
 
@@ -175,10 +175,10 @@
 	retryAfter := func() time.Duration { return d.jitter(time.Second) }
 	d.relay = relay.Relay{
 		Place: d.requestPlacement, Generate: d.engines.Generate, Resume: d.resumeRun, Cancel: d.engines.Cancel,
-		Accept: (*stream.Checker).Accept,
-		Stall:  stallTimeout,
-		Ended:  d.reportEnded, Said: d.reportSignals, Allow: d.allow, Retry: d.spendRetry, Now: d.now, Attempts: maxAttempts, Resumes: maxResumes,
-		CancelPatience: cancelTimeout, ComeBack: retryAfter,
+		Accept:       (*stream.Checker).Accept,
+		StallTimeout: stallTimeout,
+		OnEnded:      d.reportEnded, OnSignals: d.reportSignals, Allow: d.allow, Retry: d.spendRetry, Now: d.now, MaxAttempts: maxAttempts, MaxResumes: maxResumes,
+		CancelTimeout: cancelTimeout, RetryAfter: retryAfter,
 	}
 	sender := forward.Sender{Dial: dialer.DialContext}
 	d.permits = idempotency.Guard{
@@ -186,8 +186,8 @@
 		Record: d.records.Add, Timeout: tableTimeout, RetryAfter: retryAfter,
 	}
 	d.forward = forward.Forwarder{
-		Place: d.requestPlacement, Ended: d.reportEnded, Said: d.reportSignals, Allow: d.allow, Permits: &d.permits, Send: sender.Send, Retry: d.spendRetry,
-		Attempts: maxAttempts, ComeBack: retryAfter,
+		Place: d.requestPlacement, OnEnded: d.reportEnded, OnSignals: d.reportSignals, Allow: d.allow, Permits: &d.permits, Send: sender.Send, Retry: d.spendRetry,
+		MaxAttempts: maxAttempts, RetryAfter: retryAfter,
 	}
 	d.front = caller.Front{
 		Configuration: d.current.Load, Permits: &d.permits, Run: d.relay.Run, Forward: d.forward.Serve, Resume: d.resumeStream,
--- a/cache.go
+++ b/cache.go
@@ -33,11 +33,11 @@
 type storeFailed struct{ store string }
 
 // exportCache has an engine export a prompt's cache to a store box.
-type exportCache struct{ placed route.Placed }
+type exportCache struct{ placed route.Placement }
 
 // cacheExported is the result of exportCache.
 type cacheExported struct {
-	placed route.Placed
+	placed route.Placement
 	run    []kvcache.Manifest
 	err    error
 }
@@ -57,7 +57,7 @@
 
 // findCached looks up a placed prompt's cache in the store box and decides whether
 // to import it. It runs on the request's goroutine.
-func (d *Daemon) findCached(ctx context.Context, placed *route.Placed, prompt string) {
+func (d *Daemon) findCached(ctx context.Context, placed *route.Placement, prompt string) {
 	placed.Keys = prefix.Chain(placed.Scope, []byte(prompt), max(placed.PieceBytes, 1))
 	if !placed.Store.IsValid() || len(placed.Keys) == 0 {
 		return
@@ -82,7 +82,7 @@
 		return
 	}
 	d.metrics.cacheEvents.WithLabelValues("found").Inc()
-	placed.KeptPieces = len(usable)
+	placed.CachedPieces = len(usable)
 	found.Run = usable
 	d.decideImport(placed, prompt, found)
 }
@@ -97,10 +97,10 @@
 
 // decideImport has the engine import as much of the cache found as is predicted to
 // cost less than computing it.
-func (d *Daemon) decideImport(placed *route.Placed, prompt string, found kvcache.Found) {
+func (d *Daemon) decideImport(placed *route.Placement, prompt string, found kvcache.Found) {
 	p := d.currentOrEmpty().Pools[placed.Pool]
 	n := placed.Estimate.Best(d.now(), p.Policy, reuse.Choice{Tokens: len(prompt) / dispatch.BytesPerToken, Found: found, Wait: placed.Wait})
-	placed.Said = reuse.Predicted(found, n)
+	placed.PredictedImport = reuse.Predicted(found, n)
 	tokens, bytes := kvcache.Size(found.Run)
 	record := decision.Record{
 		At: d.now(), Kind: decision.Reused, Request: placed.Request, Account: placed.Account, Pool: placed.Pool,
@@ -117,7 +117,7 @@
 
 // export has the engine write the pieces and then, once all are written, puts their
 // manifests.
-func (d *Daemon) export(ctx context.Context, placed route.Placed) message {
+func (d *Daemon) export(ctx context.Context, placed route.Placement) message {
 	ctx, cancel := context.WithTimeout(ctx, exportTimeout)
 	defer cancel()
 	pieces, err := d.engines.Export(ctx, placed.Address, placed.Request, placed.Scope.String(), placed.Store)
--- a/cache_test.go
+++ b/cache_test.go
@@ -29,7 +29,7 @@
 			if tt.left {
 				cancel()
 			}
-			placed := route.Placed{
+			placed := route.Placement{
 				Scope: prefix.Scope("a", "v"), PieceBytes: 8, StoreName: "store-1",
 				Store: netip.MustParseAddrPort("127.0.0.1:1"), // Nothing listens there.
 			}
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -105,7 +105,7 @@
 
 func (c *call) serve(method string, serve func(*call) error) error {
 	if c.configuration == nil || c.configuration.Revision == 0 {
-		return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "not_ready", "this box has no configuration yet").After(time.Second)
+		return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "not_ready", "this box has no configuration yet").WithRetryAfter(time.Second)
 	}
 	key, ok := strings.CutPrefix(c.r.Header.Get("Authorization"), "Bearer ")
 	if c.account, ok = c.configuration.Account(key); !ok {
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -54,7 +54,7 @@
 
 // helloThere answers every request with two pieces of text.
 func helloThere(r relay.Request) (stream.Frame, error) {
-	r.Open(route.Placed{Target: "t", Attempt: 1, Rule: "home"})
+	r.OnFirstText(route.Placement{Target: "t", Attempt: 1, Rule: "home"})
 	_ = r.Write("hello ", 6)
 	_ = r.Write("there", 11)
 	return stream.Frame{Finish: "stop", Total: 11, Usage: stream.Usage{Prompt: 7, Reused: 4, Completion: 2}}, nil
@@ -99,7 +99,7 @@
 // TestRefusalIsSentAtOnce checks every part of a refusal's response.
 func TestRefusalIsSentAtOnce(t *testing.T) {
 	h := newFront(t, func(relay.Request) (stream.Frame, error) {
-		return stream.Frame{}, refusal.New(refusal.DidNotRun, http.StatusTooManyRequests, "over_limit", "too much").After(1500 * time.Millisecond)
+		return stream.Frame{}, refusal.New(refusal.DidNotRun, http.StatusTooManyRequests, "over_limit", "too much").WithRetryAfter(1500 * time.Millisecond)
 	})
 	got := post(h, "/v1/completions", `{"model":"m","prompt":"x","stream":true}`)
 	if got.Code != http.StatusTooManyRequests || got.Header().Get("Retry-After") != "2" || got.Header().Get("Thymewind-Outcome") != "did-not-run" {
@@ -115,7 +115,7 @@
 // TestBrokenStreamIsNoSuccess interrupts an answer after its beginning.
 func TestBrokenStreamIsNoSuccess(t *testing.T) {
 	h := newFront(t, func(r relay.Request) (stream.Frame, error) {
-		r.Open(route.Placed{})
+		r.OnFirstText(route.Placement{})
 		_ = r.Write("hel", 3)
 		return stream.Frame{}, refusal.New(refusal.Unknown, http.StatusBadGateway, "no_answer", "cut")
 	})
--- a/caller/complete.go
+++ b/caller/complete.go
@@ -53,12 +53,12 @@
 	request := relay.Request{
 		ID: c.id, Account: c.account.Name, Model: a.Model, Pool: c.configuration.Models[a.Model].Pool,
 		Prompt: prompt, MaxTokens: a.maxTokens(),
-		Open: func(placed route.Placed) {
+		OnFirstText: func(placed route.Placement) {
 			release()
 			out.start(placed)
 		},
-		Moved: out.attemptChanged,
-		Write: out.write,
+		OnMoved: out.attemptChanged,
+		Write:   out.write,
 	}
 	if c.notRepeatable() {
 		release() // The answer is stored for a caller that retries.
@@ -114,7 +114,7 @@
 }
 
 // resumeToken returns a resume token for an attempt, or an empty string if signing fails.
-func (c *call) resumeToken(placed route.Placed, model string, chat bool) string {
+func (c *call) resumeToken(placed route.Placement, model string, chat bool) string {
 	text, err := c.SignToken(resume.Token{
 		Account: c.account.Name, Request: c.id, Target: placed.Address, Attempt: placed.Attempt,
 		Version: placed.Version, Scope: placed.Scope.String(), Model: model, Chat: chat,
--- a/caller/once.go
+++ b/caller/once.go
@@ -44,13 +44,13 @@
 		return out.replay(earlier)
 	}
 	request.Once = true
-	request.Permit = func(ctx context.Context) error {
+	request.Acquire = func(ctx context.Context) error {
 		if earlier, err = p.Acquire(ctx); err == nil && earlier != nil {
 			err = errReplayed
 		}
 		return err
 	}
-	request.GiveBack = p.Abandon
+	request.Abandon = p.Abandon
 	end, err := c.Run(ctx, request)
 	if errors.Is(err, errReplayed) {
 		return out.replay(earlier)
@@ -71,7 +71,7 @@
 	}
 	answer := claim.Answer{Status: http.StatusOK, Body: body}
 	if len(body) > idempotency.MaxStored {
-		answer.Body, answer.Cut = nil, true
+		answer.Body, answer.Truncated = nil, true
 	}
 	p.Complete(ctx, answer)
 }
--- a/caller/writer.go
+++ b/caller/writer.go
@@ -73,7 +73,7 @@
 }
 
 // start sets the headers, once the run that answers has been checked.
-func (a *completionWriter) start(placed route.Placed) {
+func (a *completionWriter) start(placed route.Placement) {
 	h := a.w.Header()
 	h.Set(HeaderRule, placed.Rule+": "+placed.Target)
 	h.Set(HeaderResume, a.resumeToken(placed, a.model, a.chat))
@@ -99,7 +99,7 @@
 
 // attemptChanged sends the caller the resume token of the attempt that continues, in a comment
 // line, which clients of the API ignore.
-func (a *completionWriter) attemptChanged(placed route.Placed) {
+func (a *completionWriter) attemptChanged(placed route.Placement) {
 	if a.streamed {
 		fmt.Fprintf(a.w, ": resume %s\n\n", a.resumeToken(placed, a.model, a.chat))
 	}
--- a/charge/charge.go
+++ b/charge/charge.go
@@ -68,8 +68,8 @@
 	// MaxAccounts bounds the accounts with pending charges while the table service
 	// is down. Charges of further accounts are dropped and reported to OnLost.
 	MaxAccounts int
-	// Lost is called with the number of requests whose charges were dropped.
-	Lost func(requests int)
+	// OnLost is called with the number of requests whose charges were dropped.
+	OnLost func(requests int)
 
 	mu sync.Mutex
 	// pending holds the charges that are in no batch yet.
@@ -105,15 +105,15 @@
 	}
 	sum, known := l.pending[account]
 	if !known && len(l.pending) >= l.MaxAccounts {
-		l.Lost(1)
+		l.OnLost(1)
 		return
 	}
 	l.pending[account] = sum.plus(Sum{Requests: 1, Prompt: u.Prompt, Cached: u.Reused + u.Imported, Completion: u.Completion})
 }
 
-// Waiting returns the number of accounts with charges not known to be written. An
+// Pending returns the number of accounts with charges not known to be written. An
 // account that is both in the current batch and pending counts twice.
-func (l *Ledger) Waiting() int {
+func (l *Ledger) Pending() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := len(l.pending)
@@ -215,7 +215,7 @@
 		switch {
 		case err == nil:
 			applied += n
-		case trace.IsCompareFailed(err), errors.Is(err, table.ErrLost):
+		case trace.IsCompareFailed(err), errors.Is(err, table.ErrOutcomeUnknown):
 			// Another daemon applied some of them, or the outcome is unknown. The next
 			// call lists what is left.
 		default:
--- a/charge/charge_test.go
+++ b/charge/charge_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/thymewind/thymewind/charge"
 	"github.com/thymewind/thymewind/internal/fake"
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/stream"
 	"github.com/thymewind/thymewind/table"
 )
@@ -38,7 +38,7 @@
 		incarnation++
 		return &charge.Ledger{
 			Incarnation: fmt.Sprint(incarnation), Commit: commitOf(rows), Read: rows.Read, ListAll: rows.ListAll,
-			MaxAccounts: 100, Lost: func(int) {},
+			MaxAccounts: 100, OnLost: func(int) {},
 		}
 	}
 	ledgers := []*charge.Ledger{start(), start(), start()}
@@ -79,25 +79,25 @@
 	return prop.ForAll(func(faults, actions []int) bool {
 		charged, ran, lost := play(commitOf, faults, actions)
 		return charged <= ran && charged >= ran-lost
-	}, gen.SliceOfN(13, gen.IntRange(0, int(fake.Kinds)-1)), gen.SliceOfN(60, gen.IntRange(0, steps-1)))
+	}, gen.SliceOfN(13, gen.IntRange(0, int(fake.NumKinds)-1)), gen.SliceOfN(60, gen.IntRange(0, steps-1)))
 }
 
 func TestChargedOnce(t *testing.T) {
-	proof.Holds(t, chargedOnce(func(t *fake.Table) commit { return t.Commit }))
+	proptest.Holds(t, chargedOnce(func(t *fake.Table) commit { return t.Commit }))
 }
 
 func TestChargedOnceNeedsTheConditions(t *testing.T) {
-	proof.Breaks(t, chargedOnce(func(t *fake.Table) commit { return t.Unconditional }))
+	proptest.Violated(t, chargedOnce(func(t *fake.Table) commit { return t.Unconditional }))
 }
 
 func TestFullBufferIsCounted(t *testing.T) {
 	lost := 0
-	l := charge.Ledger{MaxAccounts: 2, Lost: func(n int) { lost += n }}
+	l := charge.Ledger{MaxAccounts: 2, OnLost: func(n int) { lost += n }}
 	for i := range 5 {
 		l.Add(fmt.Sprint(i), stream.Usage{})
 	}
-	if lost != 3 || l.Waiting() != 2 {
-		t.Errorf("lost %d, waiting %d, want 3 and 2", lost, l.Waiting())
+	if lost != 3 || l.Pending() != 2 {
+		t.Errorf("lost %d, waiting %d, want 3 and 2", lost, l.Pending())
 	}
 }
 
@@ -108,7 +108,7 @@
 	t.Helper()
 	rows := &fake.Table{Fault: func() fake.Kind { return fake.None }}
 	l := &charge.Ledger{
-		Incarnation: "1", Commit: commitOf(rows), Read: rows.Read, ListAll: rows.ListAll, MaxAccounts: 9, Lost: func(int) {},
+		Incarnation: "1", Commit: commitOf(rows), Read: rows.Read, ListAll: rows.ListAll, MaxAccounts: 9, OnLost: func(int) {},
 	}
 	ctx := t.Context()
 	l.Add("a", stream.Usage{Prompt: 10})
--- a/charges.go
+++ b/charges.go
@@ -31,7 +31,7 @@
 // holds dutyCharges, applies the batches of all boxes.
 func (d *Daemon) processCharges(now time.Time, t *tables) []effect {
 	var effects []effect
-	if !now.Before(t.due.flush) && !t.pending[pendingFlush] && d.ledger.Waiting() > 0 {
+	if !now.Before(t.due.flush) && !t.pending[pendingFlush] && d.ledger.Pending() > 0 {
 		t.due.flush = now.Add(d.jitter(flushInterval(t)))
 		t.pending[pendingFlush] = true
 		effects = append(effects, flushCharges{})
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -53,19 +53,19 @@
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	// Cut says that the body was too large to be stored completely.
-	Cut bool `json:"cut,omitempty"`
+	// Truncated says that the body was too large to be stored completely.
+	Truncated bool `json:"cut,omitempty"`
 }
 
-// Taken is the error if another request holds the claim. The request that got it
+// TakenError is the error if another request holds the claim. The request that got it
 // has not run and will not.
-type Taken struct {
+type TakenError struct {
 	// By is the stored claim.
 	By Claim
 }
 
 // Error implements error.
-func (t *Taken) Error() string { return "idempotency key taken by request " + t.By.Request }
+func (t *TakenError) Error() string { return "idempotency key taken by request " + t.By.Request }
 
 // rowKey returns the key of the claim's row. The caller's key is hashed, as
 // callers choose its bytes and length.
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/thymewind/thymewind/claim"
 	"github.com/thymewind/thymewind/internal/fake"
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/table"
 )
 
@@ -44,7 +44,7 @@
 }
 
 // attempt makes one caller's attempt at one daemon.
-func (h *history) attempt(book *claim.Book, digest string, action int) {
+func (h *history) attempt(book *claim.Store, digest string, action int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	held, err := book.Take(ctx, claim.Claim{Account: "a", Key: "k", Digest: digest, Request: "r"})
@@ -78,13 +78,13 @@
 	synctest.Test(t, func(*testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		rows := &fake.Table{Fault: (&fake.Script{Kinds: faults}).Draw}
-		books := make([]*claim.Book, daemons)
+		books := make([]*claim.Store, daemons)
 		var nonce int
 		var mu sync.Mutex
 		for i := range books {
-			books[i] = &claim.Book{
+			books[i] = &claim.Store{
 				Commit: c.commit(rows), Read: rows.Read, Now: time.Now, Box: fmt.Sprint(i),
-				Patience: 2 * time.Second, Forget: 30 * time.Second,
+				Timeout: 2 * time.Second, OrphanTTL: 30 * time.Second,
 				Nonce: func() string {
 					mu.Lock()
 					defer mu.Unlock()
@@ -113,21 +113,21 @@
 func atMostOnce(t *testing.T, c control) gopter.Prop {
 	return prop.ForAll(func(daemons int, faults, tries []int) bool {
 		return runs(t, c, daemons, faults, tries) <= 1
-	}, gen.IntRange(1, 4), gen.SliceOfN(9, gen.IntRange(0, int(fake.Kinds)-1)), gen.SliceOfN(12, gen.IntRange(0, actions-1)))
+	}, gen.IntRange(1, 4), gen.SliceOfN(9, gen.IntRange(0, int(fake.NumKinds)-1)), gen.SliceOfN(12, gen.IntRange(0, actions-1)))
 }
 
-func TestAtMostOneRun(t *testing.T) { proof.Holds(t, atMostOnce(t, conditional)) }
+func TestAtMostOneRun(t *testing.T) { proptest.Holds(t, atMostOnce(t, conditional)) }
 
 func TestAtMostOneRunNeedsTheCondition(t *testing.T) {
 	removed := control{commit: func(t *fake.Table) func(context.Context, table.Transaction) error { return t.Unconditional }}
-	proof.Breaks(t, atMostOnce(t, removed))
+	proptest.Violated(t, atMostOnce(t, removed))
 }
 
 // start returns a running Store over a fake table service.
-func start(ctx context.Context, rows *fake.Table) *claim.Book {
+func start(ctx context.Context, rows *fake.Table) *claim.Store {
 	n := 0
-	b := &claim.Book{
-		Commit: rows.Commit, Read: rows.Read, Now: time.Now, Patience: time.Second, Forget: time.Second,
+	b := &claim.Store{
+		Commit: rows.Commit, Read: rows.Read, Now: time.Now, Timeout: time.Second, OrphanTTL: time.Second,
 		Nonce: func() string { n++; return fmt.Sprint(n) },
 	}
 	go b.Run(ctx)
@@ -140,15 +140,15 @@
 		name   string
 		faults []int
 		// before is what the first holder does.
-		before func(ctx context.Context, b *claim.Book, held claim.Claim) error
+		before func(ctx context.Context, b *claim.Store, held claim.Claim) error
 		// taken and down say which error the second Take returns, if any.
 		taken, down bool
 	}{
 		{name: "running", taken: true},
-		{name: "released", before: func(ctx context.Context, b *claim.Book, held claim.Claim) error {
+		{name: "released", before: func(ctx context.Context, b *claim.Store, held claim.Claim) error {
 			return b.Release(ctx, held)
 		}},
-		{name: "finished", taken: true, before: func(ctx context.Context, b *claim.Book, held claim.Claim) error {
+		{name: "finished", taken: true, before: func(ctx context.Context, b *claim.Store, held claim.Claim) error {
 			return b.Finish(ctx, held, claim.Answer{Status: 201})
 		}},
 		{name: "table service down", down: true, faults: []int{int(fake.Down)}},
@@ -170,7 +170,7 @@
 				}
 				rows.Fault = (&fake.Script{Kinds: tt.faults}).Draw
 				_, err = b.Take(ctx, claim.Claim{Account: "a", Key: "k"})
-				var taken *claim.Taken
+				var taken *claim.TakenError
 				if errors.As(err, &taken) != tt.taken || errors.Is(err, claim.ErrDown) != tt.down {
 					t.Errorf("Take = %v, want taken %v, down %v", err, tt.taken, tt.down)
 				}
@@ -198,7 +198,7 @@
 			t.Error("the first holder released the second one's claim")
 		}
 		time.Sleep(5 * time.Second)
-		var taken *claim.Taken
+		var taken *claim.TakenError
 		if _, err := b.Take(ctx, claim.Claim{Account: "a", Key: "k"}); !errors.As(err, &taken) {
 			t.Errorf("Take after a late release = %v, want the second claim to stand", err)
 		}
--- a/claim/group.go
+++ b/claim/group.go
@@ -11,7 +11,7 @@
 
 // collect adds queued writes to a group, at most one for each row, and returns the
 // writes that must wait for the next group.
-func (b *Book) collect(first []*write) (group, next []*write) {
+func (b *Store) collect(first []*write) (group, next []*write) {
 	rows := make(map[string]bool)
 	add := func(w *write) {
 		if rows[w.key] {
@@ -37,8 +37,8 @@
 
 // commitGroup commits the writes in one transaction. A write that conflicts gets the
 // error, and the others are committed without it.
-func (b *Book) commitGroup(ctx context.Context, group []*write) {
-	ctx, cancel := context.WithTimeout(ctx, b.Patience)
+func (b *Store) commitGroup(ctx context.Context, group []*write) {
+	ctx, cancel := context.WithTimeout(ctx, b.Timeout)
 	defer cancel()
 	for len(group) > 0 {
 		err := b.Commit(ctx, transactionOf(group))
@@ -68,7 +68,7 @@
 }
 
 // conditionHolds reports whether a write's condition still holds.
-func (b *Book) conditionHolds(ctx context.Context, w *write) bool {
+func (b *Store) conditionHolds(ctx context.Context, w *write) bool {
 	row, err := b.Read(ctx, w.key)
 	if trace.IsNotFound(err) {
 		return w.expect == 0
--- a/claim/orphan.go
+++ b/claim/orphan.go
@@ -8,8 +8,8 @@
 
 // deleteOrphans deletes the rows of orphans and returns the orphans to look for
 // again.
-func (b *Book) deleteOrphans(ctx context.Context, orphans []*write) []*write {
-	ctx, cancel := context.WithTimeout(ctx, b.Patience)
+func (b *Store) deleteOrphans(ctx context.Context, orphans []*write) []*write {
+	ctx, cancel := context.WithTimeout(ctx, b.Timeout)
 	defer cancel()
 	left := orphans[:0:0]
 	for _, w := range orphans {
@@ -21,7 +21,7 @@
 }
 
 // deleteOrphan reports whether the orphan's row was found and deleted.
-func (b *Book) deleteOrphan(ctx context.Context, w *write) bool {
+func (b *Store) deleteOrphan(ctx context.Context, w *write) bool {
 	stored, revision, err := b.readClaim(ctx, w.key)
 	if err != nil || stored.Nonce != w.claim.Nonce {
 		return false
--- a/claim/store.go
+++ b/claim/store.go
@@ -15,10 +15,10 @@
 // maxGroup is the largest number of writes in one transaction.
 const maxGroup = 200
 
-// Book takes, releases and finishes claims. It batches writes: those that arrive
+// Store takes, releases and finishes claims. It batches writes: those that arrive
 // while a transaction is in flight are committed together in the next one. Set
 // the exported fields before Run.
-type Book struct {
+type Store struct {
 	Commit func(ctx context.Context, tx table.Transaction) error
 	Read   func(ctx context.Context, key string) (table.Row, error)
 	// Nonce returns a new nonce on each call.
@@ -26,13 +26,13 @@
 	Now   func() time.Time
 	// Box is this box's name.
 	Box string
-	// Patience bounds a transaction with the reads after a conflict, a Lookup, and
+	// Timeout bounds a transaction with the reads after a conflict, a Lookup, and
 	// one pass over the orphans.
-	Patience time.Duration
-	// Forget is for how long an insert with an unknown outcome is looked for, so
+	Timeout time.Duration
+	// OrphanTTL is for how long an insert with an unknown outcome is looked for, so
 	// that its row is deleted. It must be longer than any transaction can be in
 	// flight.
-	Forget time.Duration
+	OrphanTTL time.Duration
 
 	once  sync.Once
 	queue chan *write
@@ -51,7 +51,7 @@
 	until time.Time
 }
 
-func (b *Book) start() {
+func (b *Store) start() {
 	b.once.Do(func() {
 		b.queue = make(chan *write, maxGroup)
 		b.orphans = make(chan *write, 4096)
@@ -60,7 +60,7 @@
 
 // Run commits queued writes and deletes orphans until ctx ends. It finishes the
 // group in progress before it returns.
-func (b *Book) Run(ctx context.Context) {
+func (b *Store) Run(ctx context.Context) {
 	b.start()
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -87,7 +87,7 @@
 // Take inserts a claim. The returned claim is the permission to dispatch. Take
 // fails with *TakenError if the key is in use and with ErrDown if the table service
 // does not answer. In both cases the request has not run.
-func (b *Book) Take(ctx context.Context, c Claim) (Claim, error) {
+func (b *Store) Take(ctx context.Context, c Claim) (Claim, error) {
 	b.start()
 	c.Nonce = b.Nonce()
 	c.Box = b.Box
@@ -100,15 +100,15 @@
 		return c, nil
 	case trace.IsCompareFailed(err):
 		return b.resolveConflict(ctx, w)
-	case errors.Is(err, table.ErrLost):
+	case errors.Is(err, table.ErrOutcomeUnknown):
 		return b.resolveUnknown(ctx, w)
 	}
 	return Claim{}, trace.Wrap(ErrDown, "%v", err)
 }
 
 // Lookup returns the stored claim of a key, or trace.NotFound.
-func (b *Book) Lookup(ctx context.Context, account, key string) (Claim, error) {
-	ctx, cancel := context.WithTimeout(ctx, b.Patience)
+func (b *Store) Lookup(ctx context.Context, account, key string) (Claim, error) {
+	ctx, cancel := context.WithTimeout(ctx, b.Timeout)
 	defer cancel()
 	c, _, err := b.readClaim(ctx, rowKey(account, key))
 	return c, trace.Wrap(err)
@@ -116,7 +116,7 @@
 
 // resolveConflict returns the stored claim if it is this insert's own,
 // else *TakenError.
-func (b *Book) resolveConflict(ctx context.Context, w *write) (Claim, error) {
+func (b *Store) resolveConflict(ctx context.Context, w *write) (Claim, error) {
 	stored, _, err := b.readClaim(ctx, w.key)
 	if err != nil {
 		return Claim{}, trace.Wrap(ErrDown, "%v", err)
@@ -124,33 +124,33 @@
 	if stored.Nonce == w.claim.Nonce {
 		return stored, nil
 	}
-	return Claim{}, &Taken{By: stored}
+	return Claim{}, &TakenError{By: stored}
 }
 
 // resolveUnknown reads back an insert with an unknown outcome. One that is not
 // visible may still arrive: Take fails at once, and the row becomes an orphan that
 // is deleted when it appears.
-func (b *Book) resolveUnknown(ctx context.Context, w *write) (Claim, error) {
+func (b *Store) resolveUnknown(ctx context.Context, w *write) (Claim, error) {
 	stored, _, err := b.readClaim(ctx, w.key)
 	if err == nil && stored.Nonce == w.claim.Nonce {
 		return stored, nil
 	}
 	if err == nil {
-		return Claim{}, &Taken{By: stored}
+		return Claim{}, &TakenError{By: stored}
 	}
 	b.addOrphan(w)
 	return Claim{}, trace.Wrap(ErrDown, "outcome of inserting row %s unknown", w.key)
 }
 
-func (b *Book) addOrphan(w *write) {
-	w.until = b.Now().Add(b.Forget)
+func (b *Store) addOrphan(w *write) {
+	w.until = b.Now().Add(b.OrphanTTL)
 	select {
 	case b.orphans <- w:
 	default: // The queue is full. The key stays taken, which is safe.
 	}
 }
 
-func (b *Book) readClaim(ctx context.Context, key string) (Claim, uint64, error) {
+func (b *Store) readClaim(ctx context.Context, key string) (Claim, uint64, error) {
 	row, err := b.Read(ctx, key)
 	if err != nil {
 		return Claim{}, 0, trace.Wrap(err)
@@ -163,7 +163,7 @@
 // Release deletes a claim if its nonce still matches. Call it only if nothing can
 // have been sent. If it fails, the key stays taken until the orphan's row is
 // deleted.
-func (b *Book) Release(ctx context.Context, c Claim) error {
+func (b *Store) Release(ctx context.Context, c Claim) error {
 	err := b.replace(ctx, c, nil)
 	if err != nil {
 		b.addOrphan(&write{key: rowKey(c.Account, c.Key), claim: &c})
@@ -172,7 +172,7 @@
 }
 
 // Finish stores the answer for callers that retry with the key.
-func (b *Book) Finish(ctx context.Context, c Claim, answer Answer) error {
+func (b *Store) Finish(ctx context.Context, c Claim, answer Answer) error {
 	done := c
 	done.State = Done
 	done.Answer = &answer
@@ -180,7 +180,7 @@
 }
 
 // replace overwrites the row of a held claim, or deletes it if with is nil.
-func (b *Book) replace(ctx context.Context, held Claim, with *Claim) error {
+func (b *Store) replace(ctx context.Context, held Claim, with *Claim) error {
 	key := rowKey(held.Account, held.Key)
 	stored, revision, err := b.readClaim(ctx, key)
 	if err != nil {
@@ -192,7 +192,7 @@
 	return b.submit(ctx, &write{key: key, expect: revision, claim: with, answer: make(chan error, 1)})
 }
 
-func (b *Book) submit(ctx context.Context, w *write) error {
+func (b *Store) submit(ctx context.Context, w *write) error {
 	b.start()
 	select {
 	case b.queue <- w:
@@ -203,6 +203,6 @@
 	case err := <-w.answer:
 		return err
 	case <-ctx.Done():
-		return trace.Wrap(table.ErrLost, "%v", ctx.Err())
+		return trace.Wrap(table.ErrOutcomeUnknown, "%v", ctx.Err())
 	}
 }
--- a/cmd/thymefront/main.go
+++ b/cmd/thymefront/main.go
@@ -63,7 +63,7 @@
 	file := flag.String("settings", "", "settings file, YAML")
 	check := flag.Bool("check", false, "check the settings and exit")
 	flag.Parse()
-	queue := &logqueue.Queue{To: os.Stdout, Lines: logQueueLines}
+	queue := &logqueue.Queue{Output: os.Stdout, Capacity: logQueueLines}
 	go queue.Run()
 	defer queue.Close()
 	if err := serve(queue, *file, *check); err != nil {
--- a/configuration/configuration_test.go
+++ b/configuration/configuration_test.go
@@ -19,7 +19,7 @@
 	"github.com/thymewind/thymewind/account"
 	"github.com/thymewind/thymewind/configuration"
 	"github.com/thymewind/thymewind/internal/fake"
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/table"
 )
 
@@ -94,7 +94,7 @@
 			}
 		})
 		return porcupine.CheckOperations(register, events)
-	}, gen.SliceOfN(17, gen.IntRange(0, int(fake.Kinds)-1)))
+	}, gen.SliceOfN(17, gen.IntRange(0, int(fake.NumKinds)-1)))
 }
 
 func pause(ctx context.Context, d time.Duration) error {
@@ -131,11 +131,11 @@
 }
 
 func TestAcceptedNeverReverts(t *testing.T) {
-	proof.Holds(t, linear(t, func(t *fake.Table) commit { return t.Commit }))
+	proptest.Holds(t, linear(t, func(t *fake.Table) commit { return t.Commit }))
 }
 
 func TestAcceptedNeverRevertsNeedsTheCondition(t *testing.T) {
-	proof.Breaks(t, linear(t, func(t *fake.Table) commit { return t.Unconditional }))
+	proptest.Violated(t, linear(t, func(t *fake.Table) commit { return t.Unconditional }))
 }
 
 // TestSnapshotAndDeltas checks a load during which a change is accepted.
--- a/configuration/rows.go
+++ b/configuration/rows.go
@@ -170,7 +170,7 @@
 		if err == nil {
 			return nil
 		}
-		lost = lost || errors.Is(err, table.ErrLost)
+		lost = lost || errors.Is(err, table.ErrOutcomeUnknown)
 		if !lost {
 			return trace.Wrap(err)
 		}
--- a/daemon_test.go
+++ b/daemon_test.go
@@ -136,7 +136,7 @@
 	f.daemons[0].stop()
 	complete := readToEnd(reader)
 	err := <-f.daemons[0].done
-	if waiting := f.daemons[0].d.ledger.Waiting(); waiting > 0 {
+	if waiting := f.daemons[0].d.ledger.Pending(); waiting > 0 {
 		t.Errorf("the charges of %d accounts were not written", waiting)
 	}
 	return complete && err == nil
--- a/decision/decision.go
+++ b/decision/decision.go
@@ -83,8 +83,8 @@
 	r.next = (r.next + 1) % r.Size
 }
 
-// Of returns the records of one request, oldest first.
-func (r *Ring) Of(request string) []Record {
+// ForRequest returns the records of one request, oldest first.
+func (r *Ring) ForRequest(request string) []Record {
 	return r.filter(func(record Record) bool { return record.Request == request })
 }
 
--- a/deliver/admit.go
+++ b/deliver/admit.go
@@ -85,7 +85,7 @@
 
 // unavailable refuses a request that did not run, with a Retry-After.
 func (s *Server) unavailable(job *Job, code, format string, args ...any) *refusal.Refusal {
-	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, code, format, args...).After(s.RetryAfter(code, job))
+	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, code, format, args...).WithRetryAfter(s.RetryAfter(code, job))
 }
 
 // readBody reads the whole body, within the configured size limit and the request's
--- a/deliver/caller_left_test.go
+++ b/deliver/caller_left_test.go
@@ -16,7 +16,7 @@
 	"github.com/leanovate/gopter/prop"
 
 	"github.com/thymewind/thymewind/deliver"
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/refusal"
 	"github.com/thymewind/thymewind/routing"
 )
@@ -236,24 +236,24 @@
 }
 
 func TestReleasesAll(t *testing.T) {
-	proof.Holds(t, releasesAll(t, func(*deliver.Server, *leavingCaller) {}))
+	proptest.Holds(t, releasesAll(t, func(*deliver.Server, *leavingCaller) {}))
 }
 
 // TestReleaseNeedsDisconnect has neither the context nor the connection report it.
 func TestReleaseNeedsDisconnect(t *testing.T) {
-	proof.Breaks(t, releasesAll(t, func(_ *deliver.Server, l *leavingCaller) { l.untold = true }))
+	proptest.Violated(t, releasesAll(t, func(_ *deliver.Server, l *leavingCaller) { l.untold = true }))
 }
 
 // TestReleaseNeedsRefund does not refund a retry that was never made.
 func TestReleaseNeedsRefund(t *testing.T) {
-	proof.Breaks(t, releasesAll(t, func(s *deliver.Server, _ *leavingCaller) {
+	proptest.Violated(t, releasesAll(t, func(s *deliver.Server, _ *leavingCaller) {
 		s.Refund = func(string) {}
 	}))
 }
 
 // TestReleaseNeedsEnded does not report the end of attempts without an answer.
 func TestReleaseNeedsEnded(t *testing.T) {
-	proof.Breaks(t, releasesAll(t, func(s *deliver.Server, _ *leavingCaller) {
+	proptest.Violated(t, releasesAll(t, func(s *deliver.Server, _ *leavingCaller) {
 		ended := s.Ended
 		s.Ended = func(e deliver.AttemptResult) {
 			if e.Began {
--- a/deliver/deliver_test.go
+++ b/deliver/deliver_test.go
@@ -19,7 +19,7 @@
 
 	"github.com/thymewind/thymewind/deliver"
 	"github.com/thymewind/thymewind/exchange"
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/notice"
 	"github.com/thymewind/thymewind/refusal"
 	"github.com/thymewind/thymewind/routing"
@@ -200,12 +200,12 @@
 }
 
 func TestInvariants(t *testing.T) {
-	proof.Holds(t, invariants(t, func(*deliver.Server) {}))
+	proptest.Holds(t, invariants(t, func(*deliver.Server) {}))
 }
 
 // TestInvariantsNeedErrNotSent reports every failed attempt as not sent.
 func TestInvariantsNeedErrNotSent(t *testing.T) {
-	proof.Breaks(t, invariants(t, func(s *deliver.Server) {
+	proptest.Violated(t, invariants(t, func(s *deliver.Server) {
 		send := s.Send
 		s.Send = func(ctx context.Context, attempt deliver.Attempt) (*deliver.Reply, error) {
 			r, err := send(ctx, attempt)
@@ -220,7 +220,7 @@
 // TestInvariantsNeedVerdict takes every error answer for the statement that the request
 // did not run.
 func TestInvariantsNeedVerdict(t *testing.T) {
-	proof.Breaks(t, invariants(t, func(s *deliver.Server) {
+	proptest.Violated(t, invariants(t, func(s *deliver.Server) {
 		send := s.Send
 		s.Send = func(ctx context.Context, attempt deliver.Attempt) (*deliver.Reply, error) {
 			r, err := send(ctx, attempt)
@@ -234,7 +234,7 @@
 
 // TestInvariantsNeedLastEventID has a resumed stream continue from a wrong event.
 func TestInvariantsNeedLastEventID(t *testing.T) {
-	proof.Breaks(t, invariants(t, func(s *deliver.Server) {
+	proptest.Violated(t, invariants(t, func(s *deliver.Server) {
 		send := s.Send
 		s.Send = func(ctx context.Context, attempt deliver.Attempt) (*deliver.Reply, error) {
 			if attempt.LastEventID != "" {
--- a/dispatch/ended.go
+++ b/dispatch/ended.go
@@ -14,10 +14,10 @@
 
 // Ended releases what Place counted and learns from how the attempt went. It returns true
 // if the prompt's cache should be exported to its store box.
-func (b *Scheduler) Ended(now time.Time, e route.Ended) (export bool) {
-	b.Gate.Release(e.Placed.Account, e.Placed.Pool)
-	x, known := b.Targets.Lookup(e.Placed.Target)
-	if !known || x.Address != e.Placed.Address {
+func (b *Scheduler) Ended(now time.Time, e route.AttemptResult) (export bool) {
+	b.Gate.Release(e.Placement.Account, e.Placement.Pool)
+	x, known := b.Targets.Lookup(e.Placement.Target)
+	if !known || x.Address != e.Placement.Address {
 		return false
 	}
 	x.InFlight--
@@ -37,7 +37,7 @@
 
 // ApplySignals applies what a target says of itself in an answer as soon as its head has
 // arrived: the answer itself may last for minutes.
-func (b *Scheduler) ApplySignals(now time.Time, placed route.Placed, signals notice.Signals) {
+func (b *Scheduler) ApplySignals(now time.Time, placed route.Placement, signals notice.Signals) {
 	x, known := b.Targets.Lookup(placed.Target)
 	if !known || x.Address != placed.Address {
 		return
@@ -52,33 +52,33 @@
 
 // learn updates the cache statistics from a complete answer and decides whether the
 // prompt's cache is exported.
-func (b *Scheduler) learn(now time.Time, e route.Ended) (export bool) {
-	p := b.Configuration.Pools[e.Placed.Pool]
-	if p.Kind != pool.KindModel || len(e.Placed.Keys) == 0 {
+func (b *Scheduler) learn(now time.Time, e route.AttemptResult) (export bool) {
+	p := b.Configuration.Pools[e.Placement.Pool]
+	if p.Kind != pool.KindModel || len(e.Placement.Keys) == 0 {
 		return false
 	}
 	c := b.cacheStatsOf(p.Name)
 	bytes := 0
-	if e.Placed.Import != nil {
-		_, bytes = kvcache.Size(e.Placed.Import.Run)
+	if e.Placement.Import != nil {
+		_, bytes = kvcache.Size(e.Placement.Import.Run)
 	}
-	c.estimate.Learn(now, reuse.Sample{Usage: e.End.Usage, Bytes: bytes, Predicted: e.Placed.Said})
-	if e.Placed.Import != nil && e.End.Usage.Imported == 0 && e.End.Usage.Reused == 0 {
-		b.StoreAvoidUntil[e.Placed.StoreName] = now.Add(StoreBackoff)
+	c.estimate.Learn(now, reuse.Sample{Usage: e.End.Usage, Bytes: bytes, Predicted: e.Placement.PredictedImport})
+	if e.Placement.Import != nil && e.End.Usage.Imported == 0 && e.End.Usage.Reused == 0 {
+		b.StoreAvoidUntil[e.Placement.StoreName] = now.Add(StoreBackoff)
 	}
 	c.learnCost(e)
 	c.learnComputed(e)
-	c.policy.Observe(e.Placed.Account, e.Placed.Warm || e.Placed.KeptPieces > 0)
-	b.recent.Add(e.Placed.Home, e.Placed.Target+e.Placed.Version)
-	if !p.Stores || !e.Placed.Store.IsValid() || e.Placed.KeptPieces >= len(e.Placed.Keys) {
+	c.policy.Observe(e.Placement.Account, e.Placement.TargetWarm || e.Placement.CachedPieces > 0)
+	b.recent.Add(e.Placement.Home, e.Placement.Target+e.Placement.Version)
+	if !p.Stores || !e.Placement.Store.IsValid() || e.Placement.CachedPieces >= len(e.Placement.Keys) {
 		return false
 	}
 	if c.bytesPerToken == 0 || c.estimate.Link == 0 {
 		return true // The link speed is unknown until something was moved.
 	}
-	tokens := float64(len(e.Placed.Keys) * p.PieceBytes / BytesPerToken)
+	tokens := float64(len(e.Placement.Keys) * p.PieceBytes / BytesPerToken)
 	return b.Keep(&c.policy, retention.Candidate{
-		At: now, Account: e.Placed.Account, Weights: p.Policy,
+		At: now, Account: e.Placement.Account, Weights: p.Policy,
 		Prefill: ratio(tokens, c.estimate.Prefill), Link: tokens * c.bytesPerToken / c.estimate.Link,
 	})
 }
@@ -91,27 +91,27 @@
 }
 
 // learnSpeed learns a target's speed from the prefill time of a prompt.
-func (b *Scheduler) learnSpeed(now time.Time, x *target.Target, e route.Ended) {
+func (b *Scheduler) learnSpeed(now time.Time, x *target.Target, e route.AttemptResult) {
 	u := e.End.Usage
 	computed := float64(u.Prompt - u.Reused - u.Imported)
 	prefill := b.cacheStatsOf(x.Pool).estimate.Prefill
 	if u.PrefillMillis <= 0 || computed <= 0 || prefill == 0 {
 		return
 	}
-	x.Computed(now, u.PrefillMillis/1000*prefill/computed)
+	x.ObservePrefill(now, u.PrefillMillis/1000*prefill/computed)
 }
 
 // learnComputed updates the shares of prompt tokens that were prefilled.
-func (c *cacheStats) learnComputed(e route.Ended) {
+func (c *cacheStats) learnComputed(e route.AttemptResult) {
 	u := e.End.Usage
 	if u.Prompt == 0 {
 		return
 	}
-	if e.Placed.Warm {
+	if e.Placement.TargetWarm {
 		c.hitShare += (float64(u.Reused)/float64(u.Prompt) - c.hitShare) * computedWeight
 	}
 	share := &c.computedNew
-	if e.Placed.Known {
+	if e.Placement.PrefixKnown {
 		share = &c.computed
 	}
 	*share += (float64(u.Prompt-u.Reused-u.Imported)/float64(u.Prompt) - *share) * computedWeight
--- a/dispatch/fairness.go
+++ b/dispatch/fairness.go
@@ -34,7 +34,7 @@
 
 // priority returns the engines' priority for a request, or refuses it if its account has
 // more than its fair share of a pool that is nearly full.
-func (b *Scheduler) priority(now time.Time, ask route.Ask, p pool.Pool) (int, error) {
+func (b *Scheduler) priority(now time.Time, ask route.PlacementRequest, p pool.Pool) (int, error) {
 	if p.Kind != pool.KindModel {
 		return 0, nil
 	}
@@ -49,7 +49,7 @@
 	switch {
 	case over(highShare), c.floods(now, ask.Account, b.shareOf(floodPart*engines, others.Engines, others.Unreported)) && over(floodShare):
 		return 0, refusal.New(refusal.DidNotRun, http.StatusTooManyRequests, "over_share",
-			"pool %s is crowded and the account has its share", p.Name).After(b.Jitter(fairWindow / 2))
+			"pool %s is crowded and the account has its share", p.Name).WithRetryAfter(b.Jitter(fairWindow / 2))
 	case over(lowShare):
 		return 1, nil
 	}
@@ -90,7 +90,7 @@
 }
 
 // recordUse records the expected cost of an admitted request.
-func (b *Scheduler) recordUse(now time.Time, ask route.Ask, p pool.Pool, tokens int) {
+func (b *Scheduler) recordUse(now time.Time, ask route.PlacementRequest, p pool.Pool, tokens int) {
 	if p.Kind != pool.KindModel {
 		return
 	}
@@ -116,15 +116,15 @@
 }
 
 // learnCost learns from the actual cost of a run.
-func (c *cacheStats) learnCost(e route.Ended) {
+func (c *cacheStats) learnCost(e route.AttemptResult) {
 	c.meanRun += (e.Took.Seconds() - c.meanRun) * learnWeight
 	u := e.End.Usage
 	if u.Prompt == 0 {
 		return
 	}
 	perToken := u.PrefillMillis / 1000 / float64(u.Prompt)
-	if mean, known := c.perToken[e.Placed.Account]; known {
+	if mean, known := c.perToken[e.Placement.Account]; known {
 		perToken = mean + (perToken-mean)*learnWeight
 	}
-	c.perToken[e.Placed.Account] = perToken
+	c.perToken[e.Placement.Account] = perToken
 }
--- a/dispatch/fairness_test.go
+++ b/dispatch/fairness_test.go
@@ -26,7 +26,7 @@
 	}
 	chooser := &placement.Chooser{Usable: (*target.Target).Usable, Wait: b.Wait}
 	b.Choose = chooser.Choose
-	b.Start()
+	b.Init()
 	b.Configuration = &configuration.Configuration{
 		Revision: 1,
 		Pools:    map[string]pool.Pool{"p": {Name: "p", Kind: pool.KindModel, Weights: "v", PieceBytes: 4000, Concurrency: 1000}},
@@ -43,13 +43,13 @@
 // serve runs one request that takes half a second of an engine, if it is admitted.
 func serve(b *dispatch.Scheduler, now time.Time, account string) bool {
 	prompt := string(make([]byte, 500*dispatch.BytesPerToken))
-	placed, err := b.Place(now, route.Ask{Request: "r", Account: account, Model: "m", Attempt: 1, Prompt: prompt})
+	placed, err := b.Place(now, route.PlacementRequest{Request: "r", Account: account, Model: "m", Attempt: 1, Prompt: prompt})
 	if err != nil {
 		return false
 	}
 	placed.Keys = []prefix.Key{placed.Home}
 	usage := stream.Usage{Prompt: 500, PrefillMillis: 500}
-	b.Ended(now, route.Ended{Placed: placed, Took: time.Second, End: stream.Frame{Request: "r", Usage: usage}})
+	b.Ended(now, route.AttemptResult{Placement: placed, Took: time.Second, End: stream.Frame{Request: "r", Usage: usage}})
 	return true
 }
 
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -19,26 +19,26 @@
 
 // Place admits a request and chooses the target of one attempt. The error is a
 // *refusal.Refusal.
-func (b *Scheduler) Place(now time.Time, ask route.Ask) (route.Placed, error) {
-	b.now, b.at = now, target.Since(now)
+func (b *Scheduler) Place(now time.Time, ask route.PlacementRequest) (route.Placement, error) {
+	b.now, b.at = now, target.SinceStart(now)
 	name := ask.Pool
 	if ask.Model != "" {
 		name = b.Configuration.Models[ask.Model].Pool
 	}
 	p, known := b.Configuration.Pools[name]
 	if !known {
-		return route.Placed{}, refusal.New(refusal.DidNotRun, http.StatusNotFound, "unknown_pool", "pool %q is not configured any more", name)
+		return route.Placement{}, refusal.New(refusal.DidNotRun, http.StatusNotFound, "unknown_pool", "pool %q is not configured any more", name)
 	}
 	if ask.Attempt > 1 {
 		b.Gate.AddAttempt(ask.Account, name)
 	} else if err := b.admit(now, ask, name); err != nil {
-		return route.Placed{}, err
+		return route.Placement{}, err
 	}
 	priority, err := b.priority(now, ask, p)
 	if ask.Attempt > 1 {
 		err = nil
 	}
-	var placed route.Placed
+	var placed route.Placement
 	if err == nil {
 		placed, err = b.choose(now, ask, p)
 	}
@@ -53,7 +53,7 @@
 }
 
 // admit asks the admission gate and turns its rejection into a refusal with a Retry-After.
-func (b *Scheduler) admit(now time.Time, ask route.Ask, name string) error {
+func (b *Scheduler) admit(now time.Time, ask route.PlacementRequest, name string) error {
 	a := b.Configuration.Accounts[ask.Account]
 	capacity, load := b.Capacity(now, name)
 	b.demand.Add(now, ask.Account, 1, 1)
@@ -74,14 +74,14 @@
 	if v.OK {
 		return nil
 	}
-	return refusal.New(refusal.DidNotRun, http.StatusTooManyRequests, "over_limit", "%s", v.Reason).After(b.Jitter(v.After))
+	return refusal.New(refusal.DidNotRun, http.StatusTooManyRequests, "over_limit", "%s", v.Reason).WithRetryAfter(b.Jitter(v.After))
 }
 
 // choose picks the target of an attempt and counts the attempt on it.
-func (b *Scheduler) choose(now time.Time, ask route.Ask, p pool.Pool) (route.Placed, error) {
+func (b *Scheduler) choose(now time.Time, ask route.PlacementRequest, p pool.Pool) (route.Placement, error) {
 	targets := b.Pools[p.Name]
 	skip := func(x *target.Target) bool {
-		if slices.Contains(ask.Exclude, x.Name) || slices.Contains(p.Leave, x.Name) || !b.withinQuota(now, x) {
+		if slices.Contains(ask.Exclude, x.Name) || slices.Contains(p.Leaving, x.Name) || !b.withinQuota(now, x) {
 			return true
 		}
 		if p.Kind != pool.KindModel {
@@ -100,21 +100,21 @@
 		choice, err = b.Choose(now, want, targets)
 	}
 	if err != nil {
-		return route.Placed{}, b.refuseNoTarget(now, ask, p)
+		return route.Placement{}, b.refuseNoTarget(now, ask, p)
 	}
 	x := targets[choice.Index]
 	x.InFlight++
 	if p.Kind == pool.KindModel {
 		// Services report no load that would reset these.
-		x.Send(now, scaled(now, b.prefillTime, x))
+		x.RecordSent(now, scaled(now, b.prefillTime, x))
 		b.recordUse(now, ask, p, tokens)
 	}
 	b.recordPlaced(now, ask, p, targets, choice)
-	placed := route.Placed{
+	placed := route.Placement{
 		Request: ask.Request, Account: ask.Account, Pool: p.Name, Attempt: ask.Attempt,
 		Target: x.Name, Address: x.Address, Domain: x.Domain, Version: x.Version,
 		Scope: b.Scope(ask.Account, x.Version), PieceBytes: p.PieceBytes, Rule: choice.Rule,
-		FirstToken: firstTokenTimeout(p), Wait: choice.Wait, At: now, Granted: b.takeQuota(now, x),
+		FirstToken: firstTokenTimeout(p), Wait: choice.Wait, PlacedAt: now, QuotaGranted: b.takeQuota(now, x),
 	}
 	if p.Kind == pool.KindModel {
 		b.addCacheInfo(now, ask, p, &placed)
@@ -125,7 +125,7 @@
 // slack is how much longer a request may wait in order to reach the target that probably
 // has its cache: as long as the wait costs no more, by the pool's weights, than computing
 // again what engines recently had in memory of such prompts.
-func (b *Scheduler) slack(p pool.Pool, ask route.Ask, tokens int) time.Duration {
+func (b *Scheduler) slack(p pool.Pool, ask route.PlacementRequest, tokens int) time.Duration {
 	if p.Kind != pool.KindModel || p.Policy.FirstToken <= 0 {
 		return minSlack
 	}
@@ -145,7 +145,7 @@
 		return time.Duration(x.InFlight) * serviceWait
 	}
 	wait := x.WaitAt(b.at, assumedRun)
-	if slow := x.Slowness(b.now); slow > 1 {
+	if slow := x.Slowdown(b.now); slow > 1 {
 		wait += time.Duration((slow - 1) * float64(b.prefillTime))
 	}
 	return wait
@@ -153,7 +153,7 @@
 
 // predictPrefillTime predicts a prompt's prefill time from the recent share of tokens
 // prefilled of prompts like it.
-func (b *Scheduler) predictPrefillTime(p pool.Pool, ask route.Ask, tokens int) time.Duration {
+func (b *Scheduler) predictPrefillTime(p pool.Pool, ask route.PlacementRequest, tokens int) time.Duration {
 	c := b.cacheStatsOf(p.Name)
 	share := c.computedNew
 	if b.recent.Contains(ask.Home) {
@@ -166,12 +166,12 @@
 // to be prefilled; lag is the report's age.
 func (b *Scheduler) Report(now time.Time, x *target.Target, running, waiting, queued int, lag time.Duration) {
 	busy := ratio(float64(queued), b.cacheStatsOf(x.Pool).estimate.Prefill)
-	x.Report(now.Add(-lag-reportLag), running, waiting, scaled(now, time.Duration(busy*float64(time.Second)), x))
+	x.ApplyReport(now.Add(-lag-reportLag), running, waiting, scaled(now, time.Duration(busy*float64(time.Second)), x))
 }
 
 // scaled scales a time that is the pool's mean to a target's speed.
 func scaled(now time.Time, d time.Duration, x *target.Target) time.Duration {
-	return time.Duration(float64(d) * x.Slowness(now))
+	return time.Duration(float64(d) * x.Slowdown(now))
 }
 
 // reportLag is the delay with which targets report their load.
@@ -211,10 +211,10 @@
 }
 
 // addCacheInfo adds what is known about the cache of a prompt's beginning.
-func (b *Scheduler) addCacheInfo(now time.Time, ask route.Ask, p pool.Pool, placed *route.Placed) {
+func (b *Scheduler) addCacheInfo(now time.Time, ask route.PlacementRequest, p pool.Pool, placed *route.Placement) {
 	last, known := b.recent.Get(ask.Home)
-	placed.Known = known
-	placed.Warm = known && last == placed.Target+placed.Version
+	placed.PrefixKnown = known
+	placed.TargetWarm = known && last == placed.Target+placed.Version
 	placed.Home = ask.Home
 	placed.Estimate = b.cacheStatsOf(p.Name).estimate
 	if !p.Stores {
@@ -241,7 +241,7 @@
 	return best, found
 }
 
-func (b *Scheduler) recordPlaced(now time.Time, ask route.Ask, p pool.Pool, targets []*target.Target, choice placement.Choice) {
+func (b *Scheduler) recordPlaced(now time.Time, ask route.PlacementRequest, p pool.Pool, targets []*target.Target, choice placement.Choice) {
 	r := decision.Record{
 		At: now, Kind: decision.Placed, Request: ask.Request, Account: ask.Account, Pool: p.Name, Rule: choice.Rule,
 		Inputs: fmt.Sprintf("attempt %d, %d usable targets, shortest wait %v, excluded %v", ask.Attempt, choice.Usable, choice.MinWait, ask.Exclude),
--- a/dispatch/place_test.go
+++ b/dispatch/place_test.go
@@ -16,7 +16,7 @@
 	b.Configuration.Accounts = map[string]account.Account{"a": {Name: "a", Weight: 1, TokensPerMinute: 1000}}
 	x, _ := b.Targets.Lookup("a")
 	now := time.Unix(1000, 0)
-	ask := route.Ask{Request: "r", Account: "a", Model: "m", Attempt: 1, Tokens: 300}
+	ask := route.PlacementRequest{Request: "r", Account: "a", Model: "m", Attempt: 1, Tokens: 300}
 	x.Version = "another"
 	for range 10 {
 		if _, err := b.Place(now, ask); err == nil {
--- a/dispatch/quota.go
+++ b/dispatch/quota.go
@@ -55,14 +55,14 @@
 
 // refuseNoTarget refuses a request that no target takes. The code says whether that is
 // because the targets' rate limits are used up.
-func (b *Scheduler) refuseNoTarget(now time.Time, ask route.Ask, p pool.Pool) *refusal.Refusal {
+func (b *Scheduler) refuseNoTarget(now time.Time, ask route.PlacementRequest, p pool.Pool) *refusal.Refusal {
 	spent := func(x *target.Target) bool {
 		return x.Usable(now) && !slices.Contains(ask.Exclude, x.Name) && !b.withinQuota(now, x)
 	}
 	if slices.ContainsFunc(b.Pools[p.Name], spent) {
 		return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "limited",
-			"the targets of pool %s have got the requests that they take a second", p.Name).After(b.Jitter(time.Second))
+			"the targets of pool %s have got the requests that they take a second", p.Name).WithRetryAfter(b.Jitter(time.Second))
 	}
 	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "no_target",
-		"no target of pool %s takes new work", p.Name).After(b.Jitter(time.Second))
+		"no target of pool %s takes new work", p.Name).WithRetryAfter(b.Jitter(time.Second))
 }
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -110,8 +110,8 @@
 	bytesPerToken float64
 }
 
-// Start initialises an empty scheduler.
-func (b *Scheduler) Start() {
+// Init initialises an empty scheduler.
+func (b *Scheduler) Init() {
 	b.Configuration = &configuration.Configuration{}
 	b.Pools = make(map[string][]*target.Target)
 	b.StoreAvoidUntil = make(map[string]time.Time)
--- a/edit.go
+++ b/edit.go
@@ -30,7 +30,7 @@
 		IfRevision *uint64               `json:"if_revision"`
 	}
 	if err := json.Unmarshal(body, &in); err != nil {
-		return report.Refused(trace.BadParameter("the body is not the JSON of a change: %v", err))
+		return report.FromError(trace.BadParameter("the body is not the JSON of a change: %v", err))
 	}
 	return d.submit(ctx, name, in.Entries, in.IfRevision)
 }
@@ -54,11 +54,11 @@
 	for attempt := 1; ; attempt++ {
 		current, err := d.latest(ctx)
 		if err != nil {
-			return report.Refused(err)
+			return report.FromError(err)
 		}
 		entry, err := build(current)
 		if err != nil {
-			return report.Refused(err)
+			return report.FromError(err)
 		}
 		revision := current.Revision
 		if ifRevision > 0 {
@@ -146,7 +146,7 @@
 			// can't store it.
 			_ = d.rows.Refuse(ctx, change, record.Result)
 		}
-		answer := report.Refused(err)
+		answer := report.FromError(err)
 		answer.Change = change.ID
 		return answer, err
 	}
@@ -259,12 +259,12 @@
 	if !known {
 		return configuration.Entry{}, trace.NotFound("there is no target %q", target)
 	}
-	if slices.Contains(p.Leave, target) == leaving {
+	if slices.Contains(p.Leaving, target) == leaving {
 		return configuration.Entry{}, trace.AlreadyExists("target %q is so already", target)
 	}
-	p.Leave = slices.DeleteFunc(slices.Clone(p.Leave), func(other string) bool { return other == target })
+	p.Leaving = slices.DeleteFunc(slices.Clone(p.Leaving), func(other string) bool { return other == target })
 	if leaving {
-		p.Leave = append(p.Leave, target)
+		p.Leaving = append(p.Leaving, target)
 	}
 	after, err := json.Marshal(p)
 	return configuration.Entry{Kind: configuration.KindPool, Name: name, After: after}, trace.Wrap(err)
--- a/engine/client.go
+++ b/engine/client.go
@@ -31,9 +31,9 @@
 // entry boxes together. It holds while the target's answers to requests carry it.
 const HeaderLimit = "Target-Limit"
 
-// Said returns the signals in the headers of an answer by a target, an engine or a plain
+// SignalsOf returns the signals in the headers of an answer by a target, an engine or a plain
 // service.
-func Said(response *http.Response) notice.Signals {
+func SignalsOf(response *http.Response) notice.Signals {
 	said := notice.Signals{Leaving: response.Header.Get(HeaderLeaving) != ""}
 	if response.StatusCode == http.StatusServiceUnavailable {
 		said.Backoff = notice.ParseRetryAfter(response.Header.Get("Retry-After"))
@@ -57,8 +57,8 @@
 
 // Frames reads the frames of one stream.
 type Frames struct {
-	// Said holds the signals in the answer's headers.
-	Said notice.Signals
+	// Signals holds the signals in the answer's headers.
+	Signals notice.Signals
 	// Next returns the next frame, or io.EOF after the last.
 	Next func() (stream.Frame, error)
 	// Close stops reading. The engine keeps the run for a while, for Resume.
@@ -172,7 +172,7 @@
 		return nil, refusal(response)
 	}
 	frames := newFrames(response.Body)
-	frames.Said = Said(response)
+	frames.Signals = SignalsOf(response)
 	return frames, nil
 }
 
@@ -183,9 +183,9 @@
 		return trace.Errorf("engine answered with status %d: %s", response.StatusCode, reason)
 	}
 	return &Refusal{
-		Status: response.StatusCode,
-		Reason: string(reason),
-		Said:   Said(response),
+		Status:  response.StatusCode,
+		Reason:  string(reason),
+		Signals: SignalsOf(response),
 	}
 }
 
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -77,8 +77,8 @@
 type Refusal struct {
 	Status int
 	Reason string
-	// Said holds the signals in the answer's headers.
-	Said notice.Signals
+	// Signals holds the signals in the answer's headers.
+	Signals notice.Signals
 }
 
 // Error implements error.
--- a/entry/ablation.go
+++ b/entry/ablation.go
@@ -15,12 +15,12 @@
 // hooks are the mechanisms that can be switched off one by one to measure what each is
 // worth. All are on unless the settings name them under "without".
 type hooks struct {
-	// usual is the typical memory of a job's requests.
-	usual func(t *tables, job *deliver.Job) int
-	// reserve is the share of memory that requests of the lowest priority leave free while
+	// typicalTokens is the typical memory of a job's requests.
+	typicalTokens func(t *tables, job *deliver.Job) int
+	// reservedShare is the share of memory that requests of the lowest priority leave free while
 	// answers are late, fillLeast the share up to which they are admitted otherwise.
-	reserve   func(g *headroom.Gauge) float64
-	fillLeast float64
+	reservedShare       func(g *headroom.Gauge) float64
+	maxShareLowPriority float64
 	// applyUsage applies what another box reports of its requests' load.
 	applyUsage func(now time.Time, t *tables, m peer.Message)
 	// freeableBelow is the version below which parts may be freed.
@@ -33,14 +33,14 @@
 
 func newHooks() hooks {
 	return hooks{
-		usual:     (*tables).learnTypicalTokens,
-		reserve:   (*headroom.Gauge).Reserve,
-		fillLeast: maxShareLowPriority,
+		typicalTokens:       (*tables).learnTypicalTokens,
+		reservedShare:       (*headroom.Gauge).Reserve,
+		maxShareLowPriority: maxShareLowPriority,
 		applyUsage: func(now time.Time, t *tables, m peer.Message) {
 			t.receiveLoads(now, m.From, m.TargetLoads)
 			t.receivePrefill(now, m.From, m.PrefillTotals)
 		},
-		freeableBelow:   func(now time.Time, w *modelRollout) int64 { return w.clearing.Below(now) },
+		freeableBelow:   func(now time.Time, w *modelRollout) int64 { return w.reclaim.Below(now) },
 		preferredDomain: func(domain string) string { return domain },
 		quarantined: func(now time.Time, t *tables, sum fingerprint.Sum) bool {
 			return t.quarantined(now, sum)
@@ -73,14 +73,14 @@
 		d.preferredDomain = func(string) string { return "" }
 	}
 	if off(settings.LeastUrgent) {
-		d.fillLeast = maxShare
-		d.reserve = func(*headroom.Gauge) float64 { return 0 }
+		d.maxShareLowPriority = maxShare
+		d.reservedShare = func(*headroom.Gauge) float64 { return 0 }
 	}
 	if off(settings.Reserve) {
-		d.reserve = func(*headroom.Gauge) float64 { return 0 }
+		d.reservedShare = func(*headroom.Gauge) float64 { return 0 }
 	}
 	if off(settings.UsualSize) {
-		d.usual = func(_ *tables, job *deliver.Job) int { return job.PromptTokens + job.MaxOutputTokens }
+		d.typicalTokens = func(_ *tables, job *deliver.Job) int { return job.PromptTokens + job.MaxOutputTokens }
 	}
 	if off(settings.Freeing) {
 		d.freeableBelow = func(time.Time, *modelRollout) int64 { return 0 }
--- a/entry/ablation_test.go
+++ b/entry/ablation_test.go
@@ -29,7 +29,7 @@
 		{settings.LearntReading, func(d *Daemon) bool {
 			before := d.engines.PrefillPerToken()
 			for range 100 {
-				d.tables.pace.Observe(start, throughput.Sample{Took: before * 40000, Tokens: 10000})
+				d.tables.throughput.Observe(start, throughput.Sample{Took: before * 40000, Tokens: 10000})
 			}
 			return d.engines.PrefillPerToken() > 2*before
 		}},
@@ -48,8 +48,8 @@
 		}},
 		{settings.Freeing, func(d *Daemon) bool {
 			w := d.tables.rolloutOf("m")
-			w.name(start, 2)
-			w.clearing.SetFloor(start, 2)
+			w.setNewest(start, 2)
+			w.reclaim.SetFloor(start, 2)
 			return d.freeableBelow(start.Add(60e9), w) == 2
 		}},
 		{settings.Loads, func(d *Daemon) bool {
--- a/entry/admission.go
+++ b/entry/admission.go
@@ -42,9 +42,9 @@
 // admissionLimit returns the bound for a job. Requests of the pool's lowest priority leave a
 // reserve for the others, which grows while answers are late.
 func (d *Daemon) admissionLimit(t *tables, job *deliver.Job) admissionLimit {
-	r := admissionLimit{maxMemoryShare: maxShare, typicalTokens: d.usual(t, job)}
+	r := admissionLimit{maxMemoryShare: maxShare, typicalTokens: d.typicalTokens(t, job)}
 	if routing.Priority(job.Route, job.Account) > 0 && job.Route.Priority >= d.current.Load().LowestPriority(job.Pool.Name) {
-		r.maxMemoryShare = d.fillLeast - d.reserve(t.lateness(job.Pool.Name))
+		r.maxMemoryShare = d.maxShareLowPriority - d.reservedShare(t.lateness(job.Pool.Name))
 	}
 	return r
 }
@@ -53,12 +53,12 @@
 // learns from this job.
 func (t *tables) learnTypicalTokens(job *deliver.Job) int {
 	own := float64(job.PromptTokens + job.MaxOutputTokens)
-	typical, known := t.sizes[job.Route.Name]
+	typical, known := t.typicalSizes[job.Route.Name]
 	if !known {
 		typical = own
 	}
 	typical += (own - typical) * typicalWeight
-	t.sizes[job.Route.Name] = typical
+	t.typicalSizes[job.Route.Name] = typical
 	return int(typical)
 }
 
--- a/entry/build.go
+++ b/entry/build.go
@@ -37,14 +37,14 @@
 	// answerLogRate limits the log lines for complete answers a second; a line costs about
 	// 10 us.
 	answerLogRate = 100
-	// retryUse is the share of the retry budget that the boxes use together. The rest
+	// retryUtilization is the share of the retry budget that the boxes use together. The rest
 	// covers boxes that are not counted yet.
-	retryUse = 0.7
-	// leaseLength and leaseMargin are short, as nobody gives orders until a successor has
+	retryUtilization = 0.7
+	// leaseTTL and leaseMargin are short, as nobody gives orders until a successor has
 	// taken the lease, which takes 2.4 s. A renewal takes up to 0.3 s when the table service
 	// is slow. Orders of two holders to the same target are kept further apart; see
 	// holdOff.
-	leaseLength = 2 * time.Second
+	leaseTTL    = 2 * time.Second
 	leaseMargin = 400 * time.Millisecond
 )
 
@@ -76,8 +76,8 @@
 	notices notice.Registry
 	peers   peer.Node
 	hooks
-	// chance returns true once in oneIn times on average.
-	chance func(oneIn int) bool
+	// oneIn returns true once in oneIn times on average.
+	oneIn func(oneIn int) bool
 	// random returns a random number in [0, 1).
 	random func() float64
 	// logLimiter limits the log lines for complete answers; all others are written.
@@ -96,26 +96,26 @@
 	d.hooks = newHooks()
 	d.metrics = newMetricSet(d.Registry)
 	d.ended = make(chan struct{})
-	d.systems = []system{d.sweep, d.updateInUse, d.probeSilent, d.rollWeights, d.pollLoading, d.probeSuspects, d.rereadIfStale, d.judgeCanaries, d.reportCrashes, d.noteSuspension, d.updateRole, d.gossip, d.reapRequests}
-	d.plan = rollout.Plan{Least: concurrentLoads, Share: concurrentLoadShare}
+	d.systems = []system{d.sweep, d.updateInUse, d.probeSilent, d.rollWeights, d.pollLoading, d.probeSuspects, d.rereadIfBehind, d.judgeCanaries, d.reportCrashes, d.noteSuspension, d.updateRole, d.gossip, d.reapRequests}
+	d.plan = rollout.Plan{MinConcurrent: concurrentLoads, ConcurrentShare: concurrentLoadShare}
 	d.services = leastrequest.Chooser{Domain: d.Settings.Domain, Self: placement.Hash(d.Settings.Name)}
-	d.tables.prefillBacklog.TokenTime = d.readingToken
+	d.tables.prefillBacklog.TokenTime = d.prefillPerToken
 	d.engines = affinity.Chooser{
 		Directory:        d.tables.directory,
 		Stores:           func() []*affinity.Source { return d.tables.stores },
-		TransferPerToken: func() time.Duration { return d.tables.engineToken },
+		TransferPerToken: func() time.Duration { return d.tables.engineTransferPerToken },
 		Slack:            affinity.Slack,
 		AllowSave:        allSources, AllowStoreFetch: allSources, AllowEngineFetch: allSources,
-		PrefillPerToken: d.readingToken,
-		FirstEventBase:  func() time.Duration { base, _ := d.tables.pace.Prefill(); return base },
-		Slowdown:        func(now time.Time, source string) float64 { return d.tables.stretch(now, source) },
+		PrefillPerToken: d.prefillPerToken,
+		FirstEventBase:  func() time.Duration { base, _ := d.tables.throughput.Prefill(); return base },
+		Slowdown:        func(now time.Time, source string) float64 { return d.tables.slowdown(now, source) },
 		Load:            func(now time.Time, x *fleet.Target) (int, int) { return d.load(now, &d.tables, x) },
 	}
 	d.budget = retry.Budget{
-		Share: d.bounds.Load().RetryShare * retryUse,
+		Share: d.bounds.Load().RetryShare * retryUtilization,
 		Burst: d.retryBurst(d.startedAt, &d.tables), StartEmpty: true,
 	}
-	d.chance = func(oneIn int) bool { return rand.N(oneIn) == 0 }
+	d.oneIn = func(oneIn int) bool { return rand.N(oneIn) == 0 }
 	d.random = rand.Float64
 	d.retryEstimator = retryafter.Estimator{Draw: d.random}
 	d.retryEstimator.Started(d.startedAt, noConfiguration)
@@ -151,7 +151,7 @@
 // buildLease prepares the lease of the rollout.
 func (d *Daemon) buildLease() {
 	d.lease = lease.Lease{
-		Name: "weights", Holder: d.Settings.Name, Margin: leaseMargin, TTL: leaseLength,
+		Name: "weights", Holder: d.Settings.Name, Margin: leaseMargin, TTL: leaseTTL,
 		Commit: d.Platform.Commit, Read: d.Platform.Read, Nonce: func() string { return ulid.Make().String() }, Now: d.now,
 	}
 }
--- a/entry/burst.go
+++ b/entry/burst.go
@@ -15,7 +15,7 @@
 // is less than one, as many boxes as the bound allows get one each and the others none. A box
 // that does not know the others yet gets one.
 func (d *Daemon) retryBurst(now time.Time, t *tables) float64 {
-	all := d.bounds.Load().RetryExtra * retryUse
+	all := d.bounds.Load().RetryExtra * retryUtilization
 	boxes := t.boxCount(now)
 	switch {
 	case d.unlisted.Load() && t.hubBoxes == 0:
@@ -26,7 +26,7 @@
 	if float64(boxes) <= all {
 		return max(1, all/float64(max(boxes, burstBoxes)))
 	}
-	if t.hasUnregistered(now) {
+	if t.hasUnlisted(now) {
 		return sampledBurst(d.Settings.Name, boxes, all)
 	}
 	rank := slices.Index(slices.Sorted(maps.Keys(t.members)), d.Settings.Name)
--- a/entry/burst_test.go
+++ b/entry/burst_test.go
@@ -8,7 +8,7 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/retry"
 )
 
@@ -80,7 +80,7 @@
 	return prop.ForAll(func(size int, history []int) bool {
 		var fleet []retry.Budget
 		for _, most := range bursts[sizes[size]] {
-			fleet = append(fleet, retry.Budget{Share: retryRatio * retryUse, Burst: most, StartEmpty: true})
+			fleet = append(fleet, retry.Budget{Share: retryRatio * retryUtilization, Burst: most, StartEmpty: true})
 		}
 		return keepsBudget(fleet, history)
 	}, gen.IntRange(0, len(sizes)-1), gen.SliceOfN(phases, gen.IntRange(0, 2*window*actions-1)))
@@ -118,24 +118,24 @@
 // TestRetriesOverAllBoxes checks that boxes keep the platform's bound together, each on its
 // own.
 func TestRetriesOverAllBoxes(t *testing.T) {
-	proof.Holds(t, withinBudget(t, func(d *Daemon) float64 { return d.retryBurst(start, &d.tables) }))
+	proptest.Holds(t, withinBudget(t, func(d *Daemon) float64 { return d.retryBurst(start, &d.tables) }))
 }
 
 // TestRetriesOverAllBoxesNeedBoxCount has each box save up as much as one of ten boxes may, and
 // must break the bound.
 func TestRetriesOverAllBoxesNeedBoxCount(t *testing.T) {
-	proof.Breaks(t, withinBudget(t, func(*Daemon) float64 { return retryExtra * retryUse / burstBoxes }))
+	proptest.Violated(t, withinBudget(t, func(*Daemon) float64 { return retryExtra * retryUtilization / burstBoxes }))
 }
 
 // TestRetriesOverAllBoxesNeedRank has each of many boxes save up one retry, and must break the
 // bound.
 func TestRetriesOverAllBoxesNeedRank(t *testing.T) {
-	proof.Breaks(t, withinBudget(t, func(d *Daemon) float64 { return max(1, d.retryBurst(start, &d.tables)) }))
+	proptest.Violated(t, withinBudget(t, func(d *Daemon) float64 { return max(1, d.retryBurst(start, &d.tables)) }))
 }
 
 // TestBurst checks how many retries a box may save up.
 func TestBurst(t *testing.T) {
-	const all = retryExtra * retryUse
+	const all = retryExtra * retryUtilization
 	tests := []struct {
 		name  string
 		boxes int
--- a/entry/callerleft_test.go
+++ b/entry/callerleft_test.go
@@ -32,7 +32,7 @@
 			hub, spoke := boxWithEngines("box-00"), boxWithEngines("box-05")
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			reply := make(chan placeAnswer, 1)
+			reply := make(chan placementAnswer, 1)
 			var m message = placementRequest{ctx: ctx, ask: deliver.PlacementRequest{Job: job("long", 1000)}, reply: reply}
 			for i := range tt.asks {
 				asked := spoke.update(start, m)[0].(askHub)
--- a/entry/canary_test.go
+++ b/entry/canary_test.go
@@ -94,8 +94,8 @@
 		w.olderAfterCompletion++
 	}
 	w.after(took, func() {
-		w.reach(d, answerBegan{place})
-		w.reach(d, attemptEnded{deliver.AttemptResult{Place: place, Job: job, Began: true, Failed: failed, Answered: true}})
+		w.receive(d, answerBegan{place})
+		w.receive(d, attemptEnded{deliver.AttemptResult{Place: place, Job: job, Began: true, Failed: failed, Answered: true}})
 	})
 }
 
@@ -188,7 +188,9 @@
 		}
 	}},
 	{"the table service loses answers", func(w *canaryFleet) {
-		w.rows.Fault = func() fake.Kind { return []fake.Kind{fake.None, fake.Lost, fake.Dropped, fake.Late}[w.random.IntN(4)] }
+		w.rows.Fault = func() fake.Kind {
+			return []fake.Kind{fake.None, fake.AnswerLost, fake.RequestLost, fake.Late}[w.random.IntN(4)]
+		}
 	}},
 	{"asked for again", func(w *canaryFleet) { w.ask("v2") }},
 	{"an older target goes", func(w *canaryFleet) { w.removeTargets("old-0") }},
@@ -207,7 +209,7 @@
 // restart replaces a box by one without any state.
 func (w *canaryFleet) restart(i int) {
 	old := w.boxes[i]
-	d := w.add(old.Settings.Name, old.Settings.Domain, false)
+	d := w.addBox(old.Settings.Name, old.Settings.Domain, false)
 	w.boxes = slices.Delete(w.boxes, len(w.boxes)-1, len(w.boxes))
 	w.boxes[i] = d
 	w.join(d)
--- a/entry/canarysamples.go
+++ b/entry/canarysamples.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// canarySamplesFor lists the counts to send in a call to a box: a hub sends them to another one
+// canarySamplesForPeer lists the counts to send in a call to a box: a hub sends them to another one
 // only every canaryGossipEvery.
-func (d *Daemon) canarySamplesFor(now time.Time, t *tables, m *member) []peer.CanarySample {
+func (d *Daemon) canarySamplesForPeer(now time.Time, t *tables, m *member) []peer.CanarySample {
 	if len(t.canaries) == 0 {
 		return nil
 	}
--- a/entry/cold.go
+++ b/entry/cold.go
@@ -32,7 +32,7 @@
 		return false
 	}
 	target := placement.Hash(x.ID)
-	return !t.gate.Allow(now, target, d.coldShare(now, t, pool, target))
+	return !t.slowStart.Allow(now, target, d.coldShare(now, t, pool, target))
 }
 
 // coldShare is how many requests this box may send to a cold target in a window. A box that
@@ -49,7 +49,7 @@
 // placing lists the boxes that place requests for a pool: all of them, or only the hubs if the
 // fleet has hubs and the pool is of engines or no box knows all others.
 func (t *tables) placing(now time.Time, pool *routing.Pool) []string {
-	if pool.Engine == nil && !t.hasUnregistered(now) {
+	if pool.Engine == nil && !t.hasUnlisted(now) {
 		return slices.Collect(maps.Keys(t.members))
 	}
 	if t.placersAt.IsZero() || now.Sub(t.placersAt) > placersTTL {
@@ -61,7 +61,7 @@
 // countCold counts a request sent to a target, if the target is cold.
 func (d *Daemon) countCold(now time.Time, t *tables, pool *routing.Pool, x *fleet.Target) {
 	if cold(now, pool, x) {
-		t.gate.Take(now, placement.Hash(x.ID))
+		t.slowStart.Take(now, placement.Hash(x.ID))
 	}
 }
 
--- a/entry/costgrowth_test.go
+++ b/entry/costgrowth_test.go
@@ -29,7 +29,7 @@
 	}
 	w.advance(3*time.Second, nil)
 	for _, c := range w.cost {
-		*c = emulatedCost{followed: c.followed}
+		*c = emulatorCost{watched: c.watched}
 	}
 	steps := 0
 	for i := range length {
@@ -41,9 +41,9 @@
 		w.advance(time.Second, func() {
 			steps++
 			for n, d := range w.boxes {
-				if (n+steps)%int(time.Second/emulatedStep) == 0 {
+				if (n+steps)%int(time.Second/emulatorStep) == 0 {
 					ask := deliver.PlacementRequest{Job: job("short", 100)}
-					w.perform(d, d.update(w.now, placementRequest{ctx: context.Background(), ask: ask, reply: make(chan placeAnswer, 1)}))
+					w.perform(d, d.update(w.now, placementRequest{ctx: context.Background(), ask: ask, reply: make(chan placementAnswer, 1)}))
 				}
 			}
 		})
@@ -65,7 +65,7 @@
 		}
 		hubs++
 		at.hub += float64(c.bytes) / seconds
-		at.watched = max(at.watched, float64(c.followed))
+		at.watched = max(at.watched, float64(c.watched))
 	}
 	at.spoke /= plain
 	at.hub /= hubs
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -143,7 +143,7 @@
 		return probe{}, false
 	}
 	pool := table.Pools[x.Pool]
-	p := probe{target: x.ID, path: pool.HealthPath, at: x.Address, life: x.Incarnation(), engine: pool.Engine != nil, suspected: true, asked: now}
+	p := probe{target: x.ID, path: pool.HealthPath, at: x.Address, incarnation: x.Incarnation(), engine: pool.Engine != nil, suspected: true, asked: now}
 	if p.engine {
 		return p, true
 	}
@@ -154,16 +154,16 @@
 	return p, true
 }
 
-// ask probes a target's health, or an engine's report, which engines answer at once.
-func (d *Daemon) ask(ctx context.Context, p probe) error {
+// runProbe probes a target's health, or an engine's report, which engines answer at once.
+func (d *Daemon) runProbe(ctx context.Context, p probe) error {
 	if !p.engine {
 		signals, err := d.Platform.Healthy(ctx, p.at, p.path, p.target)
-		d.recordSignals(p.asked, p.life, signals, "its health")
+		d.recordSignals(p.asked, p.incarnation, signals, "its health")
 		return err
 	}
 	report, err := d.Platform.Report(ctx, p.at)
-	d.signalsFromReport(p.asked, p.life, report)
-	if err == nil && !p.life.StartedAt.IsZero() && report.StartedAt.After(p.life.StartedAt) {
+	d.signalsFromReport(p.asked, p.incarnation, report)
+	if err == nil && !p.incarnation.StartedAt.IsZero() && report.StartedAt.After(p.incarnation.StartedAt) {
 		return ErrReplaced
 	}
 	return err
@@ -171,7 +171,7 @@
 
 // probeAnswered learns from a probe's answer whether the target is alive.
 func (d *Daemon) probeAnswered(now time.Time, t *tables, m probed) {
-	incarnation := incarnationKey(m.life)
+	incarnation := incarnationKey(m.incarnation)
 	switch {
 	case m.err == nil || errors.Is(m.err, ErrUnhealthy):
 		t.crashes.Alive(incarnation, m.asked)
@@ -195,9 +195,9 @@
 type probe struct {
 	target, path string
 	at           netip.AddrPort
-	// life is the target's incarnation at asked, when the probe was decided on.
-	life  fleet.Incarnation
-	asked time.Time
+	// incarnation is the target's incarnation at asked, when the probe was decided on.
+	incarnation fleet.Incarnation
+	asked       time.Time
 	// engine means that the report is asked for, suspected that the target may have ended.
 	engine, suspected bool
 }
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -60,7 +60,7 @@
 
 // placeCode returns the code of an immediate refusal, or an empty string.
 func placeCode(d *Daemon, at time.Time, j *deliver.Job) string {
-	reply := make(chan placeAnswer, 1)
+	reply := make(chan placementAnswer, 1)
 	d.placementRequested(at, &d.tables, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: j}, reply: reply})
 	select {
 	case answer := <-reply:
@@ -105,13 +105,13 @@
 		}, false},
 		{"its address is another's", func(x string) []message { return []message{probed{probe{target: x}, ErrReplaced}} }, true},
 		{"another box found it replaced", func(x string) []message {
-			return []message{peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: x}}}}}
+			return []message{peerAnswered{name: "b2", answer: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: x}}}}}
 		}, true},
 		{"asked for its health, it refuses connections", func(x string) []message {
-			return []message{probed{probe{target: x, life: fleet.Incarnation{ID: x}, asked: start.Add(time.Second)}, syscall.ECONNREFUSED}}
+			return []message{probed{probe{target: x, incarnation: fleet.Incarnation{ID: x}, asked: start.Add(time.Second)}, syscall.ECONNREFUSED}}
 		}, true},
 		{"asked for its health, it says that it is unhealthy, and then ends", func(x string) []message {
-			return []message{probed{probe{target: x, life: fleet.Incarnation{ID: x}, asked: start.Add(time.Second)}, ErrUnhealthy}, refusesDial(x)}
+			return []message{probed{probe{target: x, incarnation: fleet.Incarnation{ID: x}, asked: start.Add(time.Second)}, ErrUnhealthy}, refusesDial(x)}
 		}, false},
 		{"it answers what was sent later, and then ends", func(x string) []message { return []message{answersAt(1, x), refusesDial(x)} }, false},
 		{"it answers what was sent before, and then ends", func(x string) []message { return []message{answersAt(-1, x), refusesDial(x)} }, true},
--- a/entry/effect.go
+++ b/entry/effect.go
@@ -21,7 +21,7 @@
 	at   netip.AddrPort
 	// hold is how long the source may hold a call, every the least time between two
 	// calls.
-	hold, every time.Duration
+	hold, interval time.Duration
 }
 
 // stepLease acquires or renews the rollout's lease, and reads what the previous holder
@@ -47,27 +47,27 @@
 type sendOrder struct {
 	order rollout.Order
 	at    netip.AddrPort
-	// life is the target's incarnation when the order was decided.
-	life fleet.Incarnation
+	// incarnation is the target's incarnation when the order was decided.
+	incarnation fleet.Incarnation
 }
 
 // run starts effects; each posts its result to the loop.
 func (d *Daemon) run(ctx context.Context, effects []effect) {
 	for _, e := range effects {
-		d.effects.Go(func() { d.do(ctx, e) })
+		d.effects.Go(func() { d.perform(ctx, e) })
 	}
 }
 
-func (d *Daemon) do(ctx context.Context, e effect) {
+func (d *Daemon) perform(ctx context.Context, e effect) {
 	switch e := e.(type) {
 	case watchSource:
 		d.watchSource(ctx, e)
 	case stepLease:
 		d.postContext(ctx, d.step(ctx, e))
 	case freeParts:
-		d.postContext(ctx, staleFreed{e.model, e.version, d.free(ctx, e)})
+		d.postContext(ctx, staleFreed{e.model, e.version, d.freeStores(ctx, e)})
 	case announce:
-		d.postContext(ctx, announced{e.model, d.write(ctx, e.row)})
+		d.postContext(ctx, announced{e.model, d.writeRow(ctx, e.row)})
 	case sendOrder:
 		err := d.loadWeights(ctx, e)
 		d.postContext(ctx, orderEnded{e.order.Target, e.order.Model, e.order.Version, err})
@@ -80,10 +80,10 @@
 	case pollLoaded:
 		asked := d.now()
 		report, err := d.Platform.Report(ctx, e.at)
-		d.signalsFromReport(asked, e.life, report)
+		d.signalsFromReport(asked, e.incarnation, report)
 		d.postContext(ctx, loadPolled{e.target, report, err})
 	case probe:
-		d.postContext(ctx, probed{e, d.ask(ctx, e)})
+		d.postContext(ctx, probed{e, d.runProbe(ctx, e)})
 	case claimTrial:
 		d.postContext(ctx, d.claimTrial(ctx, e))
 	case writeCanary:
@@ -112,8 +112,8 @@
 	return m
 }
 
-// write puts one row unconditionally: only the holder of the rollout's lease writes it, and
+// writeRow puts one row unconditionally: only the holder of the rollout's lease writes it, and
 // readers take it for a hint.
-func (d *Daemon) write(ctx context.Context, row table.Row) error {
+func (d *Daemon) writeRow(ctx context.Context, row table.Row) error {
 	return d.Platform.Commit(ctx, table.Transaction{Put: []table.Row{row}})
 }
--- a/entry/emulator_test.go
+++ b/entry/emulator_test.go
@@ -22,15 +22,15 @@
 // Behaviour of the emulated fleet.
 const (
 	// networkDelay is the one-way delay between two boxes, storeAnswer the table service's response time.
-	networkDelay = time.Millisecond
-	storeAnswer  = 5 * time.Millisecond
-	// emulatedStep is the step of virtual time.
-	emulatedStep = 50 * time.Millisecond
-	// emulatedShare is the share of a core of the boxes eligible as hubs, of which each
+	networkDelay      = time.Millisecond
+	tableServiceDelay = 5 * time.Millisecond
+	// emulatorStep is the step of virtual time.
+	emulatorStep = 50 * time.Millisecond
+	// hubShare is the share of a core of the boxes eligible as hubs, of which each
 	// domain has strongEach; the others have weakShare.
-	emulatedShare = 0.8
-	weakShare     = 0.192
-	strongEach    = 2
+	hubShare        = 0.8
+	weakShare       = 0.192
+	strongPerDomain = 2
 )
 
 // emulator is a fleet in one process and in virtual time: the boxes' own loops, tables and
@@ -54,12 +54,12 @@
 	version, restores uint64
 	// canaryReports is what was reported to the operator, by pool.
 	canaryReports map[string][]canary.State
-	cost          map[string]*emulatedCost
+	cost          map[string]*emulatorCost
 }
 
-// emulatedCost counts what one box did.
-type emulatedCost struct {
-	messages, bytes, storeCalls, followed int
+// emulatorCost counts what one box did.
+type emulatorCost struct {
+	messages, bytes, storeCalls, watched int
 }
 
 // pending is an event in flight.
@@ -72,11 +72,11 @@
 func emulate(boxes, domains int, table *routing.Table) *emulator {
 	w := &emulator{
 		now: start, byName: make(map[string]*Daemon), rows: &fake.Table{}, tableServiceDown: make(map[string]bool), dead: make(map[string]bool),
-		targets: make(map[string]fleet.Entry), version: 10, canaryReports: make(map[string][]canary.State), cost: make(map[string]*emulatedCost),
+		targets: make(map[string]fleet.Entry), version: 10, canaryReports: make(map[string][]canary.State), cost: make(map[string]*emulatorCost),
 	}
 	w.operator = Operator{Table: table, Raw: []byte("raw"), Snapshot: true, Changed: rev(9), Known: rev(10)}
 	for i := range boxes {
-		w.add(fmt.Sprintf("box-%04d", i), fmt.Sprintf("d%d", i%domains), i < strongEach*domains)
+		w.addBox(fmt.Sprintf("box-%04d", i), fmt.Sprintf("d%d", i%domains), i < strongPerDomain*domains)
 	}
 	for _, d := range w.boxes {
 		w.join(d)
@@ -84,14 +84,14 @@
 	return w
 }
 
-// add creates a box.
-func (w *emulator) add(name, domain string, strong bool) *Daemon {
+// addBox creates a box.
+func (w *emulator) addBox(name, domain string, strong bool) *Daemon {
 	d := newDaemon(name)
 	d.Settings.Domain = domain
 	d.Settings.Bounds.TriedShare, d.Settings.Bounds.TriedExtra = 0.1, 50
 	d.Settings.Box.Share = weakShare
 	if strong {
-		d.Settings.Box.Share = emulatedShare
+		d.Settings.Box.Share = hubShare
 	}
 	d.now = func() time.Time { return w.now }
 	credential := "c"
@@ -114,7 +114,7 @@
 	d.lease.Now, d.lease.Commit, d.lease.Read = d.now, d.Platform.Commit, d.Platform.Read
 	w.boxes = append(w.boxes, d)
 	w.byName[name] = d
-	w.cost[name] = &emulatedCost{}
+	w.cost[name] = &emulatorCost{}
 	return d
 }
 
@@ -215,7 +215,7 @@
 
 // restore restores the table service from a copy that lacks the last versions, with the
 // system's own rows of that time. What the operator wrote and the list are written again.
-func (w *emulator) restore(lost uint64, own fake.Copy) {
+func (w *emulator) restore(lost uint64, own fake.Snapshot) {
 	w.version -= lost
 	w.restores++
 	w.rows.Restore(own)
@@ -248,7 +248,7 @@
 
 // advance advances time: each box's systems run, and events in flight arrive.
 func (w *emulator) advance(length time.Duration, each func()) {
-	for end := w.now.Add(length); w.now.Before(end); w.now = w.now.Add(emulatedStep) {
+	for end := w.now.Add(length); w.now.Before(end); w.now = w.now.Add(emulatorStep) {
 		w.runDue()
 		w.notifyRowReaders()
 		for _, d := range w.boxes {
@@ -295,7 +295,7 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case callPeer:
-			w.call(d, e.name, e.m, func(answer peer.Message, err error) {
+			w.call(d, e.name, e.message, func(answer peer.Message, err error) {
 				w.perform(d, d.update(w.now, peerAnswered{e.name, e.asked, answer, err}))
 			})
 		case askHub:
@@ -308,28 +308,28 @@
 				w.perform(d, d.update(w.now, configurationFromHub{e.proof, Operator{Table: w.operator.Table}, nil}))
 			})
 		case watchSource:
-			w.cost[d.Settings.Name].followed++
-			w.after(storeAnswer, func() {
+			w.cost[d.Settings.Name].watched++
+			w.after(tableServiceDelay, func() {
 				if e.ctx.Err() == nil {
 					w.perform(d, d.update(w.now, cacheEventsRead{source: e.name, asked: w.now}))
 				}
 			})
 		case rewrite:
-			w.after(e.after+storeAnswer, func() { w.reach(d, rewritten{e, d.Platform.Commit(context.Background(), e.tx)}) })
+			w.after(e.after+tableServiceDelay, func() { w.receive(d, rewritten{e, d.Platform.Commit(context.Background(), e.tx)}) })
 		case writeCrashes:
-			w.after(storeAnswer, func() { w.reach(d, d.writeCrashes(context.Background(), e)) })
+			w.after(tableServiceDelay, func() { w.receive(d, d.writeCrashes(context.Background(), e)) })
 		case stepLease:
-			w.after(storeAnswer, func() { w.reach(d, d.step(context.Background(), e)) })
+			w.after(tableServiceDelay, func() { w.receive(d, d.step(context.Background(), e)) })
 		case writeCanary:
-			w.after(storeAnswer, func() { w.reach(d, d.writeCanary(context.Background(), e)) })
+			w.after(tableServiceDelay, func() { w.receive(d, d.writeCanary(context.Background(), e)) })
 		case reportCanary:
-			w.after(storeAnswer, func() { w.reach(d, d.reportCanary(context.Background(), e)) })
+			w.after(tableServiceDelay, func() { w.receive(d, d.reportCanary(context.Background(), e)) })
 		}
 	}
 }
 
-// reach delivers a message to a box unless it is dead.
-func (w *emulator) reach(d *Daemon, m message) {
+// receive delivers a message to a box unless it is dead.
+func (w *emulator) receive(d *Daemon, m message) {
 	if !w.dead[d.Settings.Name] {
 		w.perform(d, d.update(w.now, m))
 	}
--- a/entry/evacuate.go
+++ b/entry/evacuate.go
@@ -88,9 +88,9 @@
 	d.metrics.evacuated.Set(float64(len(t.fleet.Evacuated())))
 }
 
-// evacuationsUnknown says that this box's last proof of the operator's rows is so old that any
+// evacuationsStale says that this box's last proof of the operator's rows is so old that any
 // domain may have been evacuated since. It then sends nothing to targets.
-func (d *Daemon) evacuationsUnknown(now time.Time) bool {
+func (d *Daemon) evacuationsStale(now time.Time) bool {
 	bounds := d.bounds.Load()
 	return bounds.EvacuatedWithin > 0 && d.provedAgo(now) >= bounds.EvacuatedWithin+bounds.Stretch
 }
--- a/entry/free.go
+++ b/entry/free.go
@@ -29,7 +29,7 @@
 
 // hasStaleParts reports whether stores may still hold parts computed with older weights.
 func (w *modelRollout) hasStaleParts(t *tables) bool {
-	return t.ownRowsKnown && len(t.stores) > 0 && w.clearing.Floor() > 1 && w.freed < w.clearing.Floor()
+	return t.ownRowsKnown && len(t.stores) > 0 && w.reclaim.Floor() > 1 && w.freed < w.reclaim.Floor()
 }
 
 // freeStale clears the stores of parts computed with older weights, once no fetch of them can
@@ -50,8 +50,8 @@
 	return []effect{freeParts{model, version, stores, d.uptime(now) + t.clock + freeTimeout}}
 }
 
-// free clears all stores and returns the errors of those that could not be cleared.
-func (d *Daemon) free(ctx context.Context, e freeParts) error {
+// freeStores clears all stores and returns the errors of those that could not be cleared.
+func (d *Daemon) freeStores(ctx context.Context, e freeParts) error {
 	var failed []error
 	for _, at := range e.stores {
 		if err := d.freeStore(ctx, e, at); err != nil {
@@ -68,7 +68,7 @@
 	}
 	var old []Part
 	for _, c := range slices.Concat(cached.Changes, cached.Partial) {
-		if outdated(c.Scope, e.model, e.version) {
+		if isStaleScope(c.Scope, e.model, e.version) {
 			old = append(old, Part{c.Scope, c.Part})
 		}
 	}
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// outdated reports whether a scope belongs to the model at a version below the given one.
-func outdated(scope, model string, version int64) bool {
+// isStaleScope reports whether a scope belongs to the model at a version below the given one.
+func isStaleScope(scope, model string, version int64) bool {
 	rest, ok := strings.CutPrefix(scope, model+"@")
 	if !ok {
 		return false
--- a/entry/free_test.go
+++ b/entry/free_test.go
@@ -48,9 +48,9 @@
 			d.tables.stores = []*affinity.Source{{Name: "s"}}
 			d.update(start, operatorRead{start, Operator{Weights: map[string]int64{"m": 2}}})
 			w := d.tables.rolloutOf("m")
-			w.clearing.SetFloor(start, 1)
+			w.reclaim.SetFloor(start, 1)
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 2), engine("b", 2)}}, false})
-			w.clearing.SetFloor(start.Add(10*time.Second), 2)
+			w.reclaim.SetFloor(start.Add(10*time.Second), 2)
 			tt.change(d, start.Add(later-time.Second))
 			if effects := d.freeStale(start.Add(tt.after), &d.tables, "m", w); (len(effects) > 0) != tt.frees {
 				t.Errorf("effects %v, want some: %v", effects, tt.frees)
--- a/entry/gossip.go
+++ b/entry/gossip.go
@@ -38,24 +38,24 @@
 
 // callPeer exchanges gossip with another box.
 type callPeer struct {
-	name  string
-	at    netip.AddrPort
-	asked time.Time
-	m     peer.Message
+	name    string
+	at      netip.AddrPort
+	asked   time.Time
+	message peer.Message
 }
 
 // peerAnswered is the result of a call to another box.
 type peerAnswered struct {
-	name  string
-	asked time.Time
-	m     peer.Message
-	err   error
+	name   string
+	asked  time.Time
+	answer peer.Message
+	err    error
 }
 
 // peerRequest is a call from another box. The loop answers on reply, which is buffered.
 type peerRequest struct {
-	m     peer.Message
-	reply chan<- peer.Message
+	message peer.Message
+	reply   chan<- peer.Message
 }
 
 // gossip exchanges loads with other boxes. In a small fleet and among hubs, each box calls
@@ -116,13 +116,13 @@
 			continue
 		}
 		m.calling = true
-		call := callPeer{name: name, at: m.address, asked: now, m: message}
+		call := callPeer{name: name, at: m.address, asked: now, message: message}
 		if t.hub == name {
-			call.m.ListVersion, call.m.ListStartVersion, call.m.QuarantineVersion = t.hubList.Number, t.hubList.SnapshotAt, t.hubQuarantineVersion
+			call.message.ListVersion, call.message.ListStartVersion, call.message.QuarantineVersion = t.hubList.Number, t.hubList.SnapshotAt, t.hubQuarantineVersion
 		}
-		call.m.CanarySamples = d.canarySamplesFor(now, t, m)
-		call.m.RateLimits = d.limitsFor(now, m)
-		call.m.RetryCredits = d.takeCredits()
+		call.message.CanarySamples = d.canarySamplesForPeer(now, t, m)
+		call.message.RateLimits = d.limitsForPeer(now, m)
+		call.message.RetryCredits = d.takeCredits()
 		effects = append(effects, call)
 	}
 	return effects
@@ -175,7 +175,7 @@
 func (d *Daemon) callPeer(ctx context.Context, e callPeer) peerAnswered {
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
-	answer, err := d.peers.Call(ctx, e.at, e.m)
+	answer, err := d.peers.Call(ctx, e.at, e.message)
 	return peerAnswered{e.name, e.asked, answer, err}
 }
 
@@ -214,7 +214,7 @@
 		d.receiveAdmitting(now, m)
 		d.receiveLimits(now, now, t, m)
 		t.markHeard(now, m.From)
-		answer.RateLimits = d.limitsFor(now, t.members[m.From])
+		answer.RateLimits = d.limitsForPeer(now, t.members[m.From])
 		answer.EndedIncarnations, answer.Stale = t.recentlyReplaced(now), d.refusesKeyed(now)
 		answer.CrashReports, answer.Lifted = t.recentCrashes(now), t.recentlyLifted(now)
 		d.applyUsage(now, t, m)
@@ -251,30 +251,30 @@
 		x.retryAt = now.Add(gossipInterval) // A new connection may work.
 		return nil
 	}
-	failed := m.err != nil || m.m.Error != ""
-	if failed != x.failed {
+	failed := m.err != nil || m.answer.Error != ""
+	if failed != x.unanswered {
 		d.Log.Info("box heard", "name", m.name, "answers", !failed, "err", m.err)
 	}
-	x.failed = failed
+	x.unanswered = failed
 	if failed {
 		x.retryAt = now.Add(gossipRetryDelay)
 		return nil
 	}
-	d.receiveReplaced(now, t, m.m)
-	d.receiveQuarantine(now, t, m.m)
-	d.receiveAdmitting(now, m.m)
-	d.receiveLimits(now, m.asked, t, m.m)
+	d.receiveReplaced(now, t, m.answer)
+	d.receiveQuarantine(now, t, m.answer)
+	d.receiveAdmitting(now, m.answer)
+	d.receiveLimits(now, m.asked, t, m.answer)
 	x.heardAt = now
 	if d.spoke.Load() {
 		t.hubHeardAt = now
-		return d.applyView(now, t, m.name, m.asked, m.m.View)
+		return d.applyView(now, t, m.name, m.asked, m.answer.View)
 	}
-	d.applyUsage(now, t, m.m)
-	d.receiveProof(t, m.asked, m.m)
-	d.receiveRewritten(t, m.m)
-	t.receiveUnlistedCount(now, m.m)
-	d.receiveCanarySamples(now, t, m.m.CanarySamples)
-	d.receiveListRevision(now, t, m.m)
+	d.applyUsage(now, t, m.answer)
+	d.receiveProof(t, m.asked, m.answer)
+	d.receiveRewritten(t, m.answer)
+	t.receiveUnlistedCount(now, m.answer)
+	d.receiveCanarySamples(now, t, m.answer.CanarySamples)
+	d.receiveListRevision(now, t, m.answer)
 	return nil
 }
 
--- a/entry/hub.go
+++ b/entry/hub.go
@@ -118,7 +118,7 @@
 // failed to answer must first answer gossip again, as a request can't wait for it.
 func (d *Daemon) placementHub(now time.Time, t *tables, asked []string) string {
 	return d.firstHub(t, func(name string, m *member) bool {
-		return !m.failed && !now.Before(m.retryAt) && !slices.Contains(asked, name)
+		return !m.unanswered && !now.Before(m.retryAt) && !slices.Contains(asked, name)
 	})
 }
 
@@ -179,7 +179,7 @@
 	t.hubHeardAt = now
 	d.Log.Info("role in the fleet", "hub", hub, "boxes", len(t.members), "of_domain", len(t.rankedHubs(d.Settings.Domain)))
 	if !hub {
-		t.hub, t.hubList, t.hubSeen, t.hubQuarantineVersion = "", changelog.Cursor{}, nil, 0
+		t.hub, t.hubList, t.hubListed, t.hubQuarantineVersion = "", changelog.Cursor{}, nil, 0
 	}
 	return d.reconcileSources(now, t)
 }
--- a/entry/hub_bench_test.go
+++ b/entry/hub_bench_test.go
@@ -72,7 +72,7 @@
 		for _, closed := range []int{0, n / 10} {
 			d := hubWithTargets(n)
 			for i := range closed {
-				sendSignals(d, start, fleet.Incarnation{ID: fmt.Sprintf("i-%010x", i)}, leaving)
+				sendSignals(d, start, fleet.Incarnation{ID: fmt.Sprintf("i-%010x", i)}, signalsLeaving)
 			}
 			b.Run(fmt.Sprintf("%d of %d", closed, n), func(b *testing.B) {
 				for b.Loop() {
--- a/entry/hub_test.go
+++ b/entry/hub_test.go
@@ -306,7 +306,7 @@
 			hubs := map[string]*Daemon{"box-00": boxWithEngines("box-00"), "box-01": boxWithEngines("box-01")}
 			spoke := boxWithEngines("box-05")
 			tt.change(hubs["box-00"], hubs["box-01"], spoke)
-			reply := make(chan placeAnswer, 1)
+			reply := make(chan placementAnswer, 1)
 			effects := spoke.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: job("long", 1000)}, reply: reply})
 			asks := 0
 			for ; len(effects) == 1; asks++ {
@@ -412,7 +412,7 @@
 func TestPresumedLoad(t *testing.T) {
 	d := boxWithEngines("box-05")
 	d.tables.fleet.Target("a").Tokens = 100
-	d.tables.usual = d.tables.presumedOthers(start, d.tables.fleet.Pool("models"))
+	d.tables.presumedLoad = d.tables.presumedOthers(start, d.tables.fleet.Pool("models"))
 	a, _ := d.load(start, &d.tables, d.tables.fleet.Target("a"))
 	b, _ := d.load(start, &d.tables, d.tables.fleet.Target("b"))
 	if a != 100+19*100/2 || b != 19*100/2 {
@@ -499,7 +499,7 @@
 	hub.tables.hubWarm = true
 	for i, id := range []string{"a", "b", "c", "a"} {
 		idle = spoke.tables.fleet.Target(id).Address.String()
-		effects := spoke.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: job("short", 100)}, reply: make(chan placeAnswer, 1)})
+		effects := spoke.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: job("short", 100)}, reply: make(chan placementAnswer, 1)})
 		ask := effects[0].(askHub).ask
 		got := hub.peerRequest(start.Add(time.Duration(i)*time.Second), &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &ask})
 		if got.PlacementResponse == nil || got.PlacementResponse.Target != id {
--- a/entry/idle_test.go
+++ b/entry/idle_test.go
@@ -17,7 +17,7 @@
 	for i := range boxes {
 		m := &member{address: netip.MustParseAddrPort("10.0.0.1:1"), domain: "a", share: weakShare}
 		if i < 2 {
-			m.share = emulatedShare
+			m.share = hubShare
 		}
 		d.tables.members[fmt.Sprintf("box-%04d", i)] = m
 	}
--- a/entry/inuse.go
+++ b/entry/inuse.go
@@ -207,9 +207,9 @@
 	return float64(sum) / float64(capacity*max(len(engines), 1))
 }
 
-// touch notes that a target was added or changed, for boxes that use this one's view. A list
+// markChanged notes that a target was added or changed, for boxes that use this one's view. A list
 // that was never read has no number.
-func (t *tables) touch(id string) {
+func (t *tables) markChanged(id string) {
 	if t.listVersion == 0 {
 		return
 	}
@@ -219,8 +219,8 @@
 	}
 }
 
-// untouch notes that a target was removed.
-func (t *tables) untouch(id string) {
+// markRemoved notes that a target was removed.
+func (t *tables) markRemoved(id string) {
 	if t.listVersion == 0 {
 		return
 	}
--- a/entry/inuse_test.go
+++ b/entry/inuse_test.go
@@ -74,8 +74,8 @@
 		t.Fatalf("%d engines are in use, by all boxes: %v", len(inUse), w.agree())
 	}
 	for name, cost := range w.cost {
-		if cost.followed > len(inUse) {
-			t.Errorf("%s watches %d sources, %d are in use", name, cost.followed, len(inUse))
+		if cost.watched > len(inUse) {
+			t.Errorf("%s watches %d sources, %d are in use", name, cost.watched, len(inUse))
 		}
 	}
 	for _, d := range w.boxes {
@@ -121,12 +121,12 @@
 			some = append(some, engineAt(i+j))
 		}
 		w.addTargets(some...)
-		w.advance(2*emulatedStep, nil)
+		w.advance(2*emulatorStep, nil)
 	}
 	w.advance(4*time.Second, nil)
 	inUse := len(w.boxes[0].tables.engines("models"))
 	for _, d := range w.boxes {
-		followed := w.cost[d.Settings.Name].followed
+		followed := w.cost[d.Settings.Name].watched
 		if !d.spoke.Load() && (followed < inUse || followed > inUse*3/2) {
 			t.Errorf("%s has watched %d engines, %d are in use", d.Settings.Name, followed, inUse)
 		}
@@ -144,7 +144,7 @@
 	spoke := w.boxes[len(w.boxes)-1]
 	placed, refused := 0, 0
 	w.advance(2*time.Second, func() {
-		reply := make(chan placeAnswer, 1)
+		reply := make(chan placementAnswer, 1)
 		w.perform(spoke, spoke.update(w.now, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: job("short", 100)}, reply: reply}))
 		w.after(200*time.Millisecond, func() {
 			select {
--- a/entry/join.go
+++ b/entry/join.go
@@ -53,9 +53,9 @@
 func (d *Daemon) join(ctx context.Context, rows []table.Row) {
 	own := d.ownRow()
 	if !hasRow(rows, own) {
-		d.retryWrite(ctx, func() error { return d.write(ctx, own) })
+		d.retryWrite(ctx, func() error { return d.writeRow(ctx, own) })
 	}
-	if !hasCredential(rows) && d.chance(credentialWriterOneIn) {
+	if !hasCredential(rows) && d.oneIn(credentialWriterOneIn) {
 		d.retryWrite(ctx, func() error { return d.createCredential(ctx) })
 	}
 }
--- a/entry/join_test.go
+++ b/entry/join_test.go
@@ -30,7 +30,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var writes []string
 			d := newDaemon("box-1")
-			d.chance = func(int) bool { return tt.falls }
+			d.oneIn = func(int) bool { return tt.falls }
 			d.Platform.Commit = func(_ context.Context, tx table.Transaction) error {
 				writes = append(writes, tx.Put[0].Key)
 				return nil
--- a/entry/list.go
+++ b/entry/list.go
@@ -19,7 +19,7 @@
 	restored := m.change.Known.Restores > t.listRestores
 	t.listRestores = m.change.Known.Restores
 	t.listRead = m.asked
-	t.hub, t.hubList, t.hubSeen = "", changelog.Cursor{}, nil // What it lacks of a hub's list is unknown, so the next one is taken whole.
+	t.hub, t.hubList, t.hubListed = "", changelog.Cursor{}, nil // What it lacks of a hub's list is unknown, so the next one is taken whole.
 	d.noteListRead(now, t, m)
 	for _, id := range slices.Sorted(maps.Keys(m.change.Unusable)) {
 		d.Log.Error("entry can't be used, so it names no target", "target", id, "err", m.change.Unusable[id])
@@ -75,13 +75,13 @@
 	}
 	x, fresh := t.fleet.Upsert(now, e)
 	if x != nil {
-		d.applyNotices(now, x)
+		d.applySignals(now, x)
 	}
 	if x != nil && e.Cold > 0 && !wasCold {
 		d.Log.Info("target is cold", "target", e.ID, "pool", e.Pool, "domain", e.Domain, "for", e.Cold)
 	}
 	if x != nil && (fresh || differs(earlier, entryOf(now, x))) {
-		t.touch(e.ID)
+		t.markChanged(e.ID)
 	}
 	switch {
 	case x == nil: // Another replica has its address by now.
@@ -159,13 +159,13 @@
 func (t *tables) markGoneUncertain(now time.Time, x *fleet.Target) {
 	for model, version := range x.Versions {
 		if w := t.weights[model]; w != nil && version < w.newestVersion {
-			w.clearing.MarkIncomplete(now)
+			w.reclaim.MarkIncomplete(now)
 		}
 	}
 }
 
 func (d *Daemon) removeTarget(t *tables, id string) {
-	t.untouch(id)
+	t.markRemoved(id)
 	t.fleet.Drop(id)
 	t.forgetTarget(id)
 }
@@ -183,6 +183,6 @@
 	d.Log.Warn("a target's life is over", "target", ended.ID, "born", ended.StartedAt, "told_by", from)
 	d.incarnationEnded(now, t, incarnationKey(ended), from)
 	t.forgetTarget(ended.ID)
-	t.untouch(ended.ID)
+	t.markRemoved(ended.ID)
 	return d.reconcileSources(now, t)
 }
--- a/entry/listbehind.go
+++ b/entry/listbehind.go
@@ -54,8 +54,8 @@
 	d.listReads.answered()
 }
 
-// rereadIfStale has the list read at once if another hub has read a later change.
-func (d *Daemon) rereadIfStale(now time.Time, t *tables) []effect {
+// rereadIfBehind has the list read at once if another hub has read a later change.
+func (d *Daemon) rereadIfBehind(now time.Time, t *tables) []effect {
 	if t.listBehindSince.IsZero() || now.Sub(t.listBehindSince) < behindReadAfter {
 		return nil
 	}
--- a/entry/load.go
+++ b/entry/load.go
@@ -29,7 +29,7 @@
 // that they waited for.
 func (t *tables) ownLoads(now time.Time) []peer.TargetLoad {
 	var list []peer.TargetLoad
-	t.pace.Each(now, func(source uint64, asked, took time.Duration) {
+	t.throughput.Each(now, func(source uint64, asked, took time.Duration) {
 		list = append(list, peer.TargetLoad{Target: source, ExpectedMS: int(asked.Milliseconds()), ActualMS: int(took.Milliseconds())})
 	})
 	for id, x := range t.targetsInUse {
@@ -65,7 +65,7 @@
 	target := placement.Hash(x.ID)
 	prefill = t.prefillBacklog.PrefillBacklog(now, target) + t.overdue.Tokens(now, target)
 	if t.othersUsage.Boxes() == 0 {
-		return x.Tokens + t.usual.Tokens, prefill + t.usual.PrefillBacklog
+		return x.Tokens + t.presumedLoad.Tokens, prefill + t.presumedLoad.PrefillBacklog
 	}
 	others := t.othersUsage.Of(target)
 	return others.Tokens + x.Tokens, prefill + others.PrefillBacklog
@@ -84,7 +84,7 @@
 	if p.PrefillTokens == 0 {
 		return
 	}
-	base, token := t.pace.Prefill()
+	base, token := t.throughput.Prefill()
 	due := now.Add(base + time.Duration(p.PrefillBacklog+p.PrefillTokens)*token + firstTokenJitter)
 	for _, m := range p.Transfers {
 		due = due.Add(m.Expected)
--- a/entry/loading.go
+++ b/entry/loading.go
@@ -22,8 +22,8 @@
 type pollLoaded struct {
 	target string
 	at     netip.AddrPort
-	// life is the target's incarnation when it was polled.
-	life fleet.Incarnation
+	// incarnation is the target's incarnation when it was polled.
+	incarnation fleet.Incarnation
 }
 
 // loadPolled is the answer.
@@ -71,6 +71,6 @@
 		x.Versions[model] = max(x.Versions[model], version)
 	}
 	x.LoadingUntil = time.Time{}
-	t.touch(m.target)
+	t.markChanged(m.target)
 	d.Log.Info("target does not load any more, it says", "target", m.target, "versions", m.report.Versions)
 }
--- a/entry/message.go
+++ b/entry/message.go
@@ -18,15 +18,15 @@
 	// placed nor counted.
 	ctx   context.Context
 	ask   deliver.PlacementRequest
-	reply chan<- placeAnswer
+	reply chan<- placementAnswer
 	// askedHubs are the hubs that were asked before.
 	askedHubs []string
 	// trial says that the request is placed even if requests like it are quarantined.
 	trial bool
 }
 
-// placeAnswer is a placement or the refusal.
-type placeAnswer struct {
+// placementAnswer is a placement or the refusal.
+type placementAnswer struct {
 	place deliver.Placement
 	err   error
 }
--- a/entry/order.go
+++ b/entry/order.go
@@ -37,12 +37,12 @@
 	for {
 		asked := d.now()
 		report, err := d.Platform.Report(ctx, e.at)
-		d.signalsFromReport(asked, e.life, report)
+		d.signalsFromReport(asked, e.incarnation, report)
 		if err == nil && report.Versions[e.order.Model] >= e.order.Version {
 			return nil
 		}
-		if err == nil && !report.Busy && (!ordered || report.OrdersTaken == e.order.After) {
-			e.order.After = report.OrdersTaken
+		if err == nil && !report.Busy && (!ordered || report.OrdersTaken == e.order.OrdersTaken) {
+			e.order.OrdersTaken = report.OrdersTaken
 			if err = d.order(ctx, e); err == nil {
 				ordered = true
 			}
@@ -76,7 +76,7 @@
 	e.order.Until = until
 	asked := d.now()
 	signals, err := d.Platform.Order(ctx, e.at, e.order)
-	d.recordSignals(asked, e.life, signals, "an order")
+	d.recordSignals(asked, e.incarnation, signals, "an order")
 	return err
 }
 
@@ -95,7 +95,7 @@
 		return d.dropReplaced(now, t, x.Incarnation(), "its answer to an order")
 	}
 	x.LoadingUntil = time.Time{}
-	t.touch(m.target)
+	t.markChanged(m.target)
 	if m.err != nil {
 		w.barredUntil[m.target] = now.Add(orderRetryDelay)
 		d.Log.Warn("target did not load weights", "target", m.target, "version", m.version, "err", m.err)
--- a/entry/peerproof.go
+++ b/entry/peerproof.go
@@ -37,7 +37,7 @@
 	}
 	before := 0
 	for _, name := range hubs {
-		if name > d.Settings.Name && !t.members[name].failed {
+		if name > d.Settings.Name && !t.members[name].unanswered {
 			before++
 		}
 	}
--- a/entry/peerproof_test.go
+++ b/entry/peerproof_test.go
@@ -35,7 +35,7 @@
 	for _, tt := range tests {
 		d := boxOfFleet(tt.box)
 		for _, name := range tt.failed {
-			d.tables.members[name].failed = true
+			d.tables.members[name].unanswered = true
 		}
 		if got := d.peerProofLifetime(&d.tables); got != tt.want {
 			t.Errorf("%s, failed %v: waits for %v, want %v", tt.box, tt.failed, got, tt.want)
@@ -69,7 +69,7 @@
 			old := start.Add(-time.Minute)
 			d.provedAt.Store(&old)
 			d.update(start.Add(-time.Minute), operatorRead{old, Operator{Changed: rev(known - 2), Known: rev(known)}})
-			d.update(start.Add(50*time.Millisecond), peerAnswered{name: "box-11", asked: start, m: tt.m})
+			d.update(start.Add(50*time.Millisecond), peerAnswered{name: "box-11", asked: start, answer: tt.m})
 			if got := d.hasPeerProof(start.Add(tt.after)); got != tt.want {
 				t.Errorf("has a peer's proof: %v", got)
 			}
@@ -77,7 +77,7 @@
 				t.Errorf("the next read is held for %v", d.operatorHold())
 			}
 			d.update(start.Add(time.Second), operatorRead{start.Add(time.Second), Operator{Known: rev(known + 1)}})
-			d.update(start.Add(time.Second), peerAnswered{name: "box-11", asked: start, m: tt.m})
+			d.update(start.Add(time.Second), peerAnswered{name: "box-11", asked: start, answer: tt.m})
 			if !d.hasPeerProof(start.Add(time.Second)) {
 				t.Error("reads again, though it has read all that the other hub knows")
 			}
@@ -112,7 +112,7 @@
 						continue
 					}
 					m := other.peerRequest(now, &other.tables, peer.Message{Kind: peer.KindGossip, From: d.Settings.Name})
-					d.update(now, peerAnswered{name: other.Settings.Name, asked: now, m: m})
+					d.update(now, peerAnswered{name: other.Settings.Name, asked: now, answer: m})
 				}
 				d.updateRole(now, &d.tables)
 				if now.Before(next[i]) || d.hasPeerProof(now) {
--- a/entry/place.go
+++ b/entry/place.go
@@ -27,7 +27,7 @@
 
 // askPlace asks the loop for a place. In a large fleet the loop asks hubs first.
 func (d *Daemon) askPlace(ctx context.Context, ask deliver.PlacementRequest) (deliver.Placement, error) {
-	reply := make(chan placeAnswer, 1)
+	reply := make(chan placementAnswer, 1)
 	select {
 	case d.messages <- placementRequest{ctx: ctx, ask: ask, reply: reply}:
 	case <-ctx.Done():
@@ -54,10 +54,10 @@
 	return false
 }
 
-// silenceFor is how long a connection that was found silent counts against requests that wait
+// silenceTTL is how long a connection that was found silent counts against requests that wait
 // on other connections to the same target. A waiting request asks after each 0.4 to 1.5 s
 // whether its target looks dead; this spans several such rounds.
-const silenceFor = 3 * time.Second
+const silenceTTL = 3 * time.Second
 
 // looksDead reports whether a target is gone, unreachable or silent, or had a connection that
 // was found silent within silenceFor.
@@ -67,7 +67,7 @@
 		return true
 	}
 	at, silent := t.silences[x.Address]
-	return silent && now.Sub(at) < silenceFor
+	return silent && now.Sub(at) < silenceTTL
 }
 
 // isSilent reports whether a target has been silent for longer than a live one is. An engine
@@ -81,13 +81,13 @@
 }
 
 func (d *Daemon) timeoutRefusal(job *deliver.Job) error {
-	return refusal.New(refusal.DidNotRun, 503, "timeout", "the time was up, or the caller left, before the request was placed").After(d.retryAfter("timeout", job))
+	return refusal.New(refusal.DidNotRun, 503, "timeout", "the time was up, or the caller left, before the request was placed").WithRetryAfter(d.retryAfter("timeout", job))
 }
 
 // place chooses a target and counts the request there.
 func (d *Daemon) place(now time.Time, t *tables, ask deliver.PlacementRequest) (deliver.Placement, error) {
-	if d.evacuationsUnknown(now) {
-		return deliver.Placement{}, refusal.New(refusal.DidNotRun, 503, "stale", "which domains are evacuated was last known %v ago", d.provedAgo(now)).After(d.retryAfter("stale", ask.Job))
+	if d.evacuationsStale(now) {
+		return deliver.Placement{}, refusal.New(refusal.DidNotRun, 503, "stale", "which domains are evacuated was last known %v ago", d.provedAgo(now)).WithRetryAfter(d.retryAfter("stale", ask.Job))
 	}
 	choose := d.placePlain
 	if ask.Job.Pool.Engine != nil {
@@ -96,7 +96,7 @@
 	place, refused := choose(now, t, ask)
 	d.notePlacement(now, ask, refused)
 	if refused != nil {
-		return place, refused.After(d.retryAfterRefusal(now, t, refused.Code, ask.Job))
+		return place, refused.WithRetryAfter(d.retryAfterRefusal(now, t, refused.Code, ask.Job))
 	}
 	t.countSent(now, place)
 	t.prefillBacklog.Place(now, placement.Hash(place.Target), place.PrefillTokens)
@@ -228,7 +228,7 @@
 		},
 	}
 	targets := t.engines(job.Pool.Name)
-	t.usual = t.presumedOthers(now, targets)
+	t.presumedLoad = t.presumedOthers(now, targets)
 	choice, ok := d.engines.Choose(now, question, targets)
 	if !ok {
 		return deliver.Placement{}, d.refuseEngine(now, t, ask, question, targets, from)
--- a/entry/placehub.go
+++ b/entry/placehub.go
@@ -45,21 +45,21 @@
 // left or whose deadline has passed is not counted at any target and costs no hub any work.
 func (d *Daemon) placementRequested(now time.Time, t *tables, m placementRequest) []effect {
 	if m.ctx.Err() != nil {
-		m.reply <- placeAnswer{err: d.timeoutRefusal(m.ask.Job)}
+		m.reply <- placementAnswer{err: d.timeoutRefusal(m.ask.Job)}
 		return nil
 	}
 	if effects, done := d.refuseOrClaimTrial(now, t, m); done {
 		return effects
 	}
 	if refused := d.refuseImpossible(t, m.ask.Job); refused != nil {
-		m.reply <- placeAnswer{err: refused}
+		m.reply <- placementAnswer{err: refused}
 		return nil
 	}
 	if effects, remote := d.placeRemotely(now, t, m); remote {
 		return effects
 	}
 	place, err := d.place(now, t, m.ask)
-	m.reply <- placeAnswer{place, err}
+	m.reply <- placementAnswer{place, err}
 	return nil
 }
 
@@ -151,14 +151,14 @@
 	if m.misses++; m.misses < maxHubMisses {
 		return
 	}
-	m.misses, m.failed = 0, true
+	m.misses, m.unanswered = 0, true
 	m.retryAt = now.Add(gossipRetryDelay)
 	d.Log.Warn("hub does not answer", "hub", hub, "err", err)
 }
 
 // acceptHubPlace converts a hub's answer to a place, unless this box knows of a reason against
 // the target.
-func (d *Daemon) acceptHubPlace(now time.Time, t *tables, request deliver.PlacementRequest, p *peer.PlacementResponse) (placeAnswer, bool) {
+func (d *Daemon) acceptHubPlace(now time.Time, t *tables, request deliver.PlacementRequest, p *peer.PlacementResponse) (placementAnswer, bool) {
 	job := request.Job
 	if p.Refused == codeBackoff {
 		return d.allExcludedAtHub(now, t, request)
@@ -166,24 +166,24 @@
 	if p.Refused != "" {
 		refused := refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, p.Refused, "%s", p.Reason)
 		d.notePlacement(now, request, refused)
-		return placeAnswer{err: refused.After(d.retryAfterRefusal(now, t, p.Refused, job))}, true
+		return placementAnswer{err: refused.WithRetryAfter(d.retryAfterRefusal(now, t, p.Refused, job))}, true
 	}
 	if p.Entry != nil && t.fleet.Target(p.Target) == nil {
 		d.applyHubEntry(now, t, *p.Entry)
 	}
 	x := t.fleet.Target(p.Target)
 	if x == nil || !x.Available(now) || x.Ejected(now) || x.InBackoff(now) || x.Limited && !p.QuotaGranted || d.excludedBySoftware(now, t, x) || !t.inRegions(allowedRegions(job), x.Domain) {
-		return placeAnswer{}, false
+		return placementAnswer{}, false
 	}
 	w := t.rolloutOf(job.Model)
 	within := d.bounds.Load().WeightsWithin
 	if job.Pool.Engine != nil && p.Version < w.requiredVersion(now, within) {
-		return placeAnswer{}, false
+		return placementAnswer{}, false
 	}
 	fetch, save, err := transferAddresses(p)
 	if err != nil {
 		d.Log.Error("place chosen by a hub is invalid", "request", job.ID, "target", p.Target, "err", err)
-		return placeAnswer{}, false
+		return placementAnswer{}, false
 	}
 	place := deliver.Placement{
 		Target: x.ID, StartedAt: x.StartedAt, Address: x.Address, Version: p.Version, Scope: scope(p.Version, job), PrefillTokens: p.PrefillTokens,
@@ -197,21 +197,21 @@
 	}
 	t.countSent(now, place)
 	d.notePlacement(now, request, nil)
-	return placeAnswer{place: place}, true
+	return placementAnswer{place: place}, true
 }
 
 // allExcludedAtHub refuses a request for which the hub knows only targets that this box named
 // as excluded. If this box knows of others, the hub's list is stale and another hub is asked.
-func (d *Daemon) allExcludedAtHub(now time.Time, t *tables, request deliver.PlacementRequest) (placeAnswer, bool) {
+func (d *Daemon) allExcludedAtHub(now time.Time, t *tables, request deliver.PlacementRequest) (placementAnswer, bool) {
 	fits := func(x *fleet.Target) bool {
 		return x.Available(now) && !x.InBackoff(now) && !slices.Contains(request.Attempted, x.ID)
 	}
 	if slices.ContainsFunc(t.fleet.Pool(request.Job.Pool.Name), fits) {
-		return placeAnswer{}, false
+		return placementAnswer{}, false
 	}
 	refused := d.refuseNone(now, t, request, inBackoff(now))
 	d.notePlacement(now, request, refused)
-	return placeAnswer{err: refused.After(d.retryAfterRefusal(now, t, refused.Code, request.Job))}, true
+	return placementAnswer{err: refused.WithRetryAfter(d.retryAfterRefusal(now, t, refused.Code, request.Job))}, true
 }
 
 // transferAddresses returns the sources and destinations of the transfers that a hub planned.
--- a/entry/placepeer.go
+++ b/entry/placepeer.go
@@ -24,7 +24,7 @@
 func (d *Daemon) placeForPeer(now time.Time, t *tables, m peer.Message) *peer.PlacementResponse {
 	t.lastHubRequest = now
 	table := d.current.Load()
-	if table == nil || table.Pools[m.PlacementRequest.Pool] == nil || d.evacuationsUnknown(now) {
+	if table == nil || table.Pools[m.PlacementRequest.Pool] == nil || d.evacuationsStale(now) {
 		return nil
 	}
 	pool := table.Pools[m.PlacementRequest.Pool]
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -100,8 +100,8 @@
 	x.Limited, x.Rate = limit.Active, limit.PerSecond
 }
 
-// limitsFor lists the rate limits to send to another box now; m is nil for an unknown box.
-func (d *Daemon) limitsFor(now time.Time, m *member) []peer.RateLimit {
+// limitsForPeer lists the rate limits to send to another box now; m is nil for an unknown box.
+func (d *Daemon) limitsForPeer(now time.Time, m *member) []peer.RateLimit {
 	all := m == nil || !now.Before(m.limitsDue)
 	if all && m != nil {
 		m.limitsDue = now.Add(allLimitsInterval)
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -57,7 +57,7 @@
 // pendingRequest is a request that waits for its place.
 type pendingRequest struct {
 	box   *Daemon
-	reply chan placeAnswer
+	reply chan placementAnswer
 	asked time.Time
 }
 
@@ -68,7 +68,7 @@
 		d := w.boxes[w.turn%len(w.boxes)]
 		j := job("short", 100)
 		j.Pool = configuration(1).Pools[w.pool]
-		reply := make(chan placeAnswer, 1)
+		reply := make(chan placementAnswer, 1)
 		w.pending = append(w.pending, pendingRequest{d, reply, w.now})
 		w.perform(d, d.update(w.now, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: j}, reply: reply}))
 	}
@@ -84,7 +84,7 @@
 }
 
 // answered sends a request that was placed, and has its box receive the answer.
-func (w *ratedFleet) answered(x pendingRequest, answer placeAnswer) {
+func (w *ratedFleet) answered(x pendingRequest, answer placementAnswer) {
 	if answer.err != nil {
 		w.codes[refusal.Of(answer.err, "", 0).Code]++
 		return
@@ -329,7 +329,7 @@
 		after time.Duration
 		want  int
 	}{{0, maxLimitsPerMessage}, {newLimitRepeat, maxLimitsPerMessage}, {newLimitRepeat + 1, 0}, {allLimitsInterval, maxLimitsPerMessage}, {allLimitsInterval + 1, 0}} {
-		if got := len(d.limitsFor(start.Add(tt.after), other)); got != tt.want {
+		if got := len(d.limitsForPeer(start.Add(tt.after), other)); got != tt.want {
 			t.Errorf("after %v: %d are sent, want %d", tt.after, got, tt.want)
 		}
 	}
--- a/entry/refuse.go
+++ b/entry/refuse.go
@@ -32,7 +32,7 @@
 }
 
 func (d *Daemon) refusePermanently(job *deliver.Job, code, format string, args ...any) *refusal.Refusal {
-	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, code, format, args...).After(d.retryAfter(code, job))
+	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, code, format, args...).WithRetryAfter(d.retryAfter(code, job))
 }
 
 // servesModel reports whether a target lists a model, in any version.
--- a/entry/refuse_test.go
+++ b/entry/refuse_test.go
@@ -37,7 +37,7 @@
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{{ID: "a", Pool: "models", Versions: tt.versions}}}, false})
 			j := job("short", 0)
 			j.Model, j.PromptTokens, j.MaxOutputTokens = tt.model, tt.input, tt.output
-			reply := make(chan placeAnswer, 1)
+			reply := make(chan placementAnswer, 1)
 			d.update(start, placementRequest{ctx: t.Context(), ask: deliver.PlacementRequest{Job: j}, reply: reply})
 			got := <-reply
 			if tt.code == "" {
@@ -59,7 +59,7 @@
 	d := largeFleet("box-05")
 	d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
 	for _, tokens := range []int{200000, 10} {
-		reply := make(chan placeAnswer, 1)
+		reply := make(chan placementAnswer, 1)
 		effects := d.update(start, placementRequest{ctx: t.Context(), ask: deliver.PlacementRequest{Job: job("short", tokens)}, reply: reply})
 		if refused := len(reply) > 0; refused == (len(effects) > 0) || refused != (tokens == 200000) {
 			t.Errorf("%d tokens: refused %v, effects %v", tokens, refused, effects)
--- a/entry/region_test.go
+++ b/entry/region_test.go
@@ -106,7 +106,7 @@
 func TestRegionsByHub(t *testing.T) {
 	hub, spoke := twoRegions("box-00"), twoRegions("box-05")
 	j := limitedJob("models", routing.Regions{"south"}, nil)
-	effects := spoke.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: j}, reply: make(chan placeAnswer, 1)})
+	effects := spoke.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: j}, reply: make(chan placementAnswer, 1)})
 	ask := effects[0].(askHub).ask
 	got := hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &ask}).PlacementResponse
 	if got == nil || got.Target != "e-z" {
@@ -135,7 +135,7 @@
 		for _, pool := range []string{"models", "orders"} {
 			t.Run(tt.name+"/"+pool, func(t *testing.T) {
 				d := twoRegions("box-00")
-				reply := make(chan placeAnswer, 1)
+				reply := make(chan placementAnswer, 1)
 				d.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: limitedJob(pool, tt.route, tt.account)}, reply: reply})
 				answer := <-reply
 				var refused *refusal.Refusal
--- a/entry/restored_canary_test.go
+++ b/entry/restored_canary_test.go
@@ -37,7 +37,7 @@
 			w.answer = w.badAnswers(tt.percent, false, 0, "")
 			w.ask("v2")
 			w.advance(tt.copied, w.serve)
-			copied, lost := w.rows.Copy(), w.version
+			copied, lost := w.rows.Snapshot(), w.version
 			w.advance(tt.restored-tt.copied, w.serve)
 			w.restore(min(w.version-lost+5, w.version-1), copied)
 			w.advance(rolloutTime-tt.restored+6*time.Second, w.serve)
--- a/entry/restored_random_test.go
+++ b/entry/restored_random_test.go
@@ -46,7 +46,7 @@
 
 // restoreCopy restores the table service from a copy c, and after a time has the operator and
 // the targets write again what they had written since.
-func (w *emulator) restoreCopy(lost uint64, own fake.Copy, c writtenState, again time.Duration) {
+func (w *emulator) restoreCopy(lost uint64, own fake.Snapshot, c writtenState, again time.Duration) {
 	before := w.writtenState()
 	w.operator, w.targets = c.operator, maps.Clone(c.listed)
 	w.restore(lost, own)
@@ -85,7 +85,7 @@
 	delete(w.dead, name)
 	i := slices.IndexFunc(w.boxes, func(d *Daemon) bool { return d.Settings.Name == name })
 	old := w.boxes[i]
-	d := w.add(name, old.Settings.Domain, old.Settings.Box.Share == emulatedShare)
+	d := w.addBox(name, old.Settings.Domain, old.Settings.Box.Share == hubShare)
 	w.boxes = slices.Delete(w.boxes, len(w.boxes)-1, len(w.boxes))
 	w.boxes[i] = d
 	w.join(d)
@@ -129,16 +129,16 @@
 	properties.Property("in force, and no state reverts", prop.ForAll(func(size, trouble, victim int, lost, again, pauseMS uint64) string {
 		boxes := []int{3, 16, 60}[size]
 		w := emulate(boxes, 3, configuration(1))
-		empty := w.rows.Copy()
+		empty := w.rows.Snapshot()
 		for _, d := range w.boxes {
-			if err := d.write(context.Background(), d.ownRow()); err != nil {
+			if err := d.writeRow(context.Background(), d.ownRow()); err != nil {
 				return err.Error()
 			}
 		}
 		w.addTargets(serviceAt("stays", "v1", 1), serviceAt("goes", "v1", 2))
 		w.writeOperator(func(o *Operator) { o.Evacuations = map[string]bool{} })
 		w.advance(2*time.Second, nil)
-		copied, had := w.rows.Copy(), w.writtenState()
+		copied, had := w.rows.Snapshot(), w.writtenState()
 		if lost%2 == 0 {
 			copied = empty
 		}
--- a/entry/restored_rows_test.go
+++ b/entry/restored_rows_test.go
@@ -25,14 +25,14 @@
 	for _, boxes := range []int{3, 16, 60, 300} {
 		t.Run(fmt.Sprint(boxes, "_boxes"), func(t *testing.T) {
 			w := emulate(boxes, 3, configuration(1))
-			empty := w.rows.Copy()
+			empty := w.rows.Snapshot()
 			for _, d := range w.boxes {
-				if err := d.write(context.Background(), d.ownRow()); err != nil {
+				if err := d.writeRow(context.Background(), d.ownRow()); err != nil {
 					t.Fatal(err)
 				}
 			}
 			credential := table.Row{Key: credentialKey, Value: []byte(`"c"`)}
-			if err := w.boxes[0].write(context.Background(), credential); err != nil {
+			if err := w.boxes[0].writeRow(context.Background(), credential); err != nil {
 				t.Fatal(err)
 			}
 			reporter := w.boxes[boxes-1]
@@ -97,13 +97,13 @@
 			d.now = func() time.Time { return now }
 			stored := &fake.Table{}
 			for range tt.restores {
-				stored.Restore(stored.Copy())
+				stored.Restore(stored.Snapshot())
 			}
 			d.lease.Now, d.lease.Commit, d.lease.Read = d.now, stored.Commit, stored.Read
 			known := revision.Revision{Restores: tt.restores, Number: 9}
 			d.update(now, operatorRead{now, Operator{Table: configuration(1), Weights: map[string]int64{"m": 2}, Known: known}})
 			d.update(now, targetsRead{now, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}, Known: known}, false})
-			now = start.Add(leaseLength + leaseMargin)
+			now = start.Add(leaseTTL + leaseMargin)
 			if err := d.lease.AcquireOrRenew(context.Background()); err != nil {
 				t.Fatal(err)
 			}
@@ -115,7 +115,7 @@
 				rows = append(rows, *tt.row)
 			}
 			d.update(now, leaseStepped{read: true, rows: rows})
-			may := start.Add(leaseLength + d.bounds.Load().Takeover + handoverMargin)
+			may := start.Add(leaseTTL + d.bounds.Load().Takeover + handoverMargin)
 			early := d.replicas(now, &d.tables, "m", d.tables.rolloutOf("m"))[0].Barred
 			late := d.replicas(may, &d.tables, "m", d.tables.rolloutOf("m"))[0].Barred
 			if early != tt.waits || late {
--- a/entry/restored_test.go
+++ b/entry/restored_test.go
@@ -53,7 +53,7 @@
 			w.version += 100
 			w.writeOperator(func(*Operator) {})
 			w.advance(time.Second, nil)
-			w.restore(tt.lost, w.rows.Copy())
+			w.restore(tt.lost, w.rows.Snapshot())
 			w.advance(time.Second, nil)
 			w.version += tt.written
 			for version := int64(2); version <= 5; version++ {
@@ -93,7 +93,7 @@
 			for _, ago := range []time.Duration{time.Minute, 30 * time.Second} { // The first read proves nothing yet.
 				d.update(start.Add(-ago), operatorRead{start.Add(-ago), Operator{Changed: known, Known: known}})
 			}
-			d.update(start, peerAnswered{name: "box-11", asked: start, m: peer.Message{OperatorRevision: tt.reported, ProofAgeMS: 10}})
+			d.update(start, peerAnswered{name: "box-11", asked: start, answer: peer.Message{OperatorRevision: tt.reported, ProofAgeMS: 10}})
 			if got := d.provedAgo(start) < time.Second; got != tt.proved {
 				t.Errorf("proved %v", got)
 			}
@@ -122,9 +122,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := boxOfFleet("box-00")
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Changed: known, Known: known, Listed: []fleet.Entry{engine("a", 1)}}, false})
-			d.update(start, peerAnswered{name: "box-11", asked: start, m: peer.Message{ListRevision: tt.reported}})
+			d.update(start, peerAnswered{name: "box-11", asked: start, answer: peer.Message{ListRevision: tt.reported}})
 			now := start.Add(behindAfter)
-			d.rereadIfStale(now, &d.tables)
+			d.rereadIfBehind(now, &d.tables)
 			if got := d.listReads.interrupted(); got != tt.behind {
 				t.Errorf("the list is reread at once: %v", got)
 			}
--- a/entry/retryafter_test.go
+++ b/entry/retryafter_test.go
@@ -51,7 +51,7 @@
 		{"no proof, another box answers that it admits callers", "stale", func(d *Daemon) {
 			refuseStale(d)
 			d.tables.members["b2"] = &member{}
-			d.update(start.Add(500*time.Millisecond), peerAnswered{name: "b2", m: peer.Message{Kind: peer.KindGossip}})
+			d.update(start.Add(500*time.Millisecond), peerAnswered{name: "b2", answer: peer.Message{Kind: peer.KindGossip}})
 		}, 1200 * time.Millisecond, soonest},
 		{"no proof, another box refuses callers as well", "stale", func(d *Daemon) {
 			refuseStale(d)
@@ -144,7 +144,7 @@
 			d.credential.Store(&credential)
 			d.tables.members["b2"] = &member{address: netip.MustParseAddrPort("10.0.0.2:1")}
 			effects := d.gossip(now, &d.tables)
-			if len(effects) != 1 || effects[0].(callPeer).m.Stale != tt.closed {
+			if len(effects) != 1 || effects[0].(callPeer).message.Stale != tt.closed {
 				t.Errorf("calls with %+v", effects)
 			}
 		})
--- a/entry/retrybudget.go
+++ b/entry/retrybudget.go
@@ -32,10 +32,10 @@
 // chooseRetryBudget notes who keeps this box's retries. That is nobody unless there are more
 // boxes than may save up one retry each, and a hub.
 func (d *Daemon) chooseRetryBudget(now time.Time, t *tables) {
-	all := d.bounds.Load().RetryExtra * retryUse
+	all := d.bounds.Load().RetryExtra * retryUtilization
 	hub := t.members[t.hub]
 	switch {
-	case !t.hasUnregistered(now) || float64(t.boxCount(now)) <= all:
+	case !t.hasUnlisted(now) || float64(t.boxCount(now)) <= all:
 		d.retryBudget.Store(nil)
 	case !d.spoke.Load():
 		d.sharedRetryBudget.SetBurst(hubRetryShare * all / float64(max(len(t.hubs()), 1)))
--- a/entry/retrybudget_test.go
+++ b/entry/retrybudget_test.go
@@ -19,12 +19,12 @@
 		for _, d := range w.boxes {
 			d.bounds.Load().RetryExtra = extra
 			d.budget.Share = 0.14
-			for _, other := range w.boxes[strongEach*domains:] { // Only the hubs have rows.
+			for _, other := range w.boxes[strongPerDomain*domains:] { // Only the hubs have rows.
 				if other != d {
 					delete(d.tables.members, other.Settings.Name)
 				}
 			}
-			d.unlisted.Store(d.Settings.Box.Share < emulatedShare)
+			d.unlisted.Store(d.Settings.Box.Share < hubShare)
 		}
 		w.advance(3*time.Second, nil)
 		granted, asked, n := 0, 0, 0
--- a/entry/rolloutrow.go
+++ b/entry/rolloutrow.go
@@ -109,10 +109,10 @@
 		}
 		w.ordered[id] = true
 		x.LoadingUntil = now.Add(maxLoadTime)
-		t.touch(id)
+		t.markChanged(id)
 		d.Log.Info("target is ordered to load weights", "target", id, "model", m.model, "version", w.newestVersion, "epoch", epoch, "after_orders", x.Orders)
 		effects = append(effects, sendOrder{rollout.Order{
-			Target: id, Model: m.model, Version: w.newestVersion, Holder: d.Settings.Name, Epoch: epoch, After: x.Orders,
+			Target: id, Model: m.model, Version: w.newestVersion, Holder: d.Settings.Name, Epoch: epoch, OrdersTaken: x.Orders,
 		}, x.Address, x.Incarnation()})
 	}
 	return effects
@@ -174,13 +174,13 @@
 		}
 		x.Versions[model] = max(x.Versions[model], row.Version)
 		x.LoadingUntil = time.Time{}
-		t.touch(id)
+		t.markChanged(id)
 	}
 	for _, id := range row.Loading {
 		if x := t.fleet.Target(id); x != nil && x.Versions[model] < row.Version && !w.ordered[id] {
 			x.LoadingUntil = now.Add(maxLoadTime)
 			t.loading[id] = now.Add(firstLoadPoll)
-			t.touch(id)
+			t.markChanged(id)
 		}
 	}
 }
--- a/entry/signals.go
+++ b/entry/signals.go
@@ -29,7 +29,7 @@
 const codeBackoff = "backoff"
 
 // signalsHeard tells the loop that a target's signals changed; they are in the registry.
-type signalsHeard struct{ life fleet.Incarnation }
+type signalsHeard struct{ incarnation fleet.Incarnation }
 
 // incarnationOf is the incarnation on which a request was placed.
 func incarnationOf(p deliver.Placement) fleet.Incarnation {
@@ -129,15 +129,15 @@
 
 // signalsHeard applies a target's recorded signals to it.
 func (d *Daemon) signalsHeard(now time.Time, t *tables, incarnation fleet.Incarnation) {
-	if x := t.fleet.Incarnation(incarnation); x != nil && d.applyNotices(now, x) {
-		t.touch(x.ID)
+	if x := t.fleet.Incarnation(incarnation); x != nil && d.applySignals(now, x) {
+		t.markChanged(x.ID)
 	}
 }
 
-// applyNotices applies the recorded signals to a listed target, also if a stale list adds it
+// applySignals applies the recorded signals to a listed target, also if a stale list adds it
 // again. That the list once showed it as leaving is recorded as well. It reports whether the
 // target is leaving and was not before.
-func (d *Daemon) applyNotices(now time.Time, x *fleet.Target) bool {
+func (d *Daemon) applySignals(now time.Time, x *fleet.Target) bool {
 	before := x.Leaving
 	d.notices.Observe(now, x.Incarnation(), notice.Signals{Leaving: x.Leaving})
 	d.notices.Touch(now, x.Incarnation())
--- a/entry/signals_test.go
+++ b/entry/signals_test.go
@@ -18,7 +18,7 @@
 )
 
 var (
-	leaving        = notice.Signals{Leaving: true}
+	signalsLeaving = notice.Signals{Leaving: true}
 	signalsBackoff = notice.Signals{Backoff: 3 * time.Second}
 )
 
@@ -64,19 +64,19 @@
 		want   string
 	}{
 		{"nothing", func(*Daemon) {}, 0, "[a b]"},
-		{"it leaves", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, leaving) }, time.Hour / 2, "[b]"},
+		{"it leaves", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsLeaving) }, time.Hour / 2, "[b]"},
 		{"it asks for a backoff", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, 2 * time.Second, "[b]"},
 		{"its backoff is over", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, 3 * time.Second, "[a b]"},
 		{"its cache events say that it leaves", func(d *Daemon) {
 			d.tables.watched["a"] = func() {}
-			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Signals: leaving}, asked: start})
+			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Signals: signalsLeaving}, asked: start})
 		}, 0, "[b]"},
 		{"its cache events are refused, with a backoff", func(d *Daemon) {
 			d.tables.watched["a"] = func() {}
 			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Signals: signalsBackoff}, asked: start, err: errors.New("503")})
 		}, 2500 * time.Millisecond, "[b]"},
 		{"it leaves, goes from the list, and a stale list has it", func(d *Daemon) {
-			sendSignals(d, start, fleet.Incarnation{ID: "a"}, leaving)
+			sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsLeaving)
 			d.update(start, targetsRead{start, Targets{Gone: []string{"a"}}, false})
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{engine("a", 1)}}, false})
 		}, 0, "[b]"},
@@ -98,18 +98,18 @@
 		}, 0, "[a b]"},
 		{"its report says that it leaves, and a later incarnation has its ID", func(d *Daemon) {
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{{ID: "a", Pool: "models", Versions: map[string]int64{"m": 1}, StartedAt: start}}}, false})
-			d.Platform.Report = func(context.Context, netip.AddrPort) (Report, error) { return Report{Signals: leaving}, nil }
-			d.do(context.Background(), pollLoaded{"a", netip.AddrPort{}, d.tables.fleet.Target("a").Incarnation()})
+			d.Platform.Report = func(context.Context, netip.AddrPort) (Report, error) { return Report{Signals: signalsLeaving}, nil }
+			d.perform(context.Background(), pollLoaded{"a", netip.AddrPort{}, d.tables.fleet.Target("a").Incarnation()})
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{later}}, false})
 		}, 0, "[a b]"},
 		{"its report says that it leaves", func(d *Daemon) {
-			d.Platform.Report = func(context.Context, netip.AddrPort) (Report, error) { return Report{Signals: leaving}, nil }
-			d.do(context.Background(), pollLoaded{"a", netip.AddrPort{}, d.tables.fleet.Target("a").Incarnation()})
+			d.Platform.Report = func(context.Context, netip.AddrPort) (Report, error) { return Report{Signals: signalsLeaving}, nil }
+			d.perform(context.Background(), pollLoaded{"a", netip.AddrPort{}, d.tables.fleet.Target("a").Incarnation()})
 			d.update(start, <-d.messages)
 		}, 0, "[b]"},
 		{"both leave", func(d *Daemon) {
-			sendSignals(d, start, fleet.Incarnation{ID: "a"}, leaving)
-			sendSignals(d, start, fleet.Incarnation{ID: "b"}, leaving)
+			sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsLeaving)
+			sendSignals(d, start, fleet.Incarnation{ID: "b"}, signalsLeaving)
 		}, 0, "[]"},
 	}
 	for _, tt := range tests {
@@ -158,14 +158,14 @@
 // TestHubMissesSignal has a hub that heard nothing place for a box that was asked for a
 // backoff, and a hub that was itself asked for one place there for others.
 func TestHubMissesSignal(t *testing.T) {
-	for _, said := range []notice.Signals{leaving, signalsBackoff} {
+	for _, said := range []notice.Signals{signalsLeaving, signalsBackoff} {
 		t.Run(fmt.Sprintf("%+v", said), func(t *testing.T) {
 			d := withEngines(largeFleet("box-05"), "a", "b")
 			sendSignals(d, start, fleet.Incarnation{ID: "a"}, said)
 			if _, ok := d.acceptHubPlace(start, &d.tables, deliver.PlacementRequest{Job: job("long", 1000)}, &peer.PlacementResponse{Target: "a", Version: 1}); ok {
 				t.Error("the hub's place is accepted")
 			}
-			reply := make(chan placeAnswer, 1)
+			reply := make(chan placementAnswer, 1)
 			effects := d.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: job("long", 1000)}, reply: reply})
 			ask := effects[0].(askHub).ask
 			if want := shortID(d.tables.fleet.Target("a")); len(ask.Excluded) != 1 || ask.Excluded[0] != want {
@@ -200,8 +200,8 @@
 			sendSignals(d, start, fleet.Incarnation{ID: "b"}, signalsBackoff)
 		}, nil, codeBackoff},
 		{"they leave", func(d *Daemon) {
-			sendSignals(d, start, fleet.Incarnation{ID: "a"}, leaving)
-			sendSignals(d, start, fleet.Incarnation{ID: "b"}, leaving)
+			sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsLeaving)
+			sendSignals(d, start, fleet.Incarnation{ID: "b"}, signalsLeaving)
 		}, nil, "no_target"},
 		{"one is available", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, nil, ""},
 		{"one is available and was tried", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, []string{"b"}, codeBackoff},
@@ -246,9 +246,9 @@
 		want error
 	}{
 		{"nothing", fleet.Incarnation{ID: "a"}, notice.Signals{}, nil},
-		{"it leaves", fleet.Incarnation{ID: "a"}, leaving, notice.ErrLeaving},
+		{"it leaves", fleet.Incarnation{ID: "a"}, signalsLeaving, notice.ErrLeaving},
 		{"it asks for a backoff", fleet.Incarnation{ID: "a"}, signalsBackoff, notice.ErrBackoff},
-		{"another leaves", fleet.Incarnation{ID: "b"}, leaving, nil},
+		{"another leaves", fleet.Incarnation{ID: "b"}, signalsLeaving, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -272,7 +272,7 @@
 // TestSignalsReachLoop has an answer carry signals of its target. The next request is not
 // placed there, so that no attempt is wasted.
 func TestSignalsReachLoop(t *testing.T) {
-	for _, said := range []notice.Signals{leaving, signalsBackoff} {
+	for _, said := range []notice.Signals{signalsLeaving, signalsBackoff} {
 		t.Run(fmt.Sprintf("%+v", said), func(t *testing.T) {
 			d := withEngines(newDaemon("b1"), "a", "b")
 			d.Platform.Send = func(context.Context, deliver.Attempt) (*deliver.Reply, error) {
--- a/entry/silent_test.go
+++ b/entry/silent_test.go
@@ -30,8 +30,8 @@
 			m := &member{address: netip.MustParseAddrPort("10.0.0.2:7700"), calling: true}
 			d.tables.members["b2"] = m
 			d.update(start, peerAnswered{name: "b2", err: tt.err})
-			if m.failed != tt.failed || m.calling {
-				t.Errorf("failed %v, calling %v", m.failed, m.calling)
+			if m.unanswered != tt.failed || m.calling {
+				t.Errorf("failed %v, calling %v", m.unanswered, m.calling)
 			}
 			if early := start.Add(tt.again - 1); tt.again > 0 && !early.Before(m.retryAt) || start.Add(tt.again).Before(m.retryAt) {
 				t.Errorf("called again after %v, want %v", m.retryAt.Sub(start), tt.again)
--- a/entry/sources.go
+++ b/entry/sources.go
@@ -41,7 +41,7 @@
 			Delay: p.Store.TransferDelay, PerToken: transferTime(tokenBytes(table), p.Store.Megabits),
 		})
 	}
-	t.engineToken = transferTime(tokenBytes(table), engineMegabits(table))
+	t.engineTransferPerToken = transferTime(tokenBytes(table), engineMegabits(table))
 	slices.SortFunc(t.stores, func(a, b *affinity.Source) int { return strings.Compare(a.Name, b.Name) })
 }
 
@@ -106,13 +106,13 @@
 // used, as they may change unnoticed.
 func (d *Daemon) watchOnly(t *tables, wanted map[string]netip.AddrPort, hubless bool) []effect {
 	for name, stop := range t.watched {
-		if _, still := wanted[name]; !still || hubless != t.followsHubless {
+		if _, still := wanted[name]; !still || hubless != t.watchesHubless {
 			stop()
 			delete(t.watched, name)
 			t.directory.Disconnected(name)
 		}
 	}
-	t.followsHubless = hubless
+	t.watchesHubless = hubless
 	t.hubWarm = t.hubWarm && !hubless && len(wanted) > 0
 	var effects []effect
 	for name, at := range wanted {
@@ -121,9 +121,9 @@
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		t.watched[name] = stop
-		effect := watchSource{ctx: ctx, name: name, at: at, hold: eventsHold, every: eventsInterval}
+		effect := watchSource{ctx: ctx, name: name, at: at, hold: eventsHold, interval: eventsInterval}
 		if hubless {
-			effect.hold, effect.every = 0, hublessInterval
+			effect.hold, effect.interval = 0, hublessInterval
 		}
 		effects = append(effects, effect)
 	}
@@ -154,6 +154,6 @@
 			continue
 		}
 		since = m.events.Next
-		d.sleep(ctx, e.every-d.now().Sub(began))
+		d.sleep(ctx, e.interval-d.now().Sub(began))
 	}
 }
--- a/entry/sources_test.go
+++ b/entry/sources_test.go
@@ -36,7 +36,7 @@
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 6*time.Second-time.Millisecond)
 				defer cancel()
-				d.watchSource(ctx, watchSource{ctx: ctx, name: "a", hold: eventsHold, every: eventsInterval})
+				d.watchSource(ctx, watchSource{ctx: ctx, name: "a", hold: eventsHold, interval: eventsInterval})
 				if calls != tt.calls {
 					t.Errorf("%d calls, want %d", calls, tt.calls)
 				}
--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -61,7 +61,7 @@
 				}
 				d.Platform.Operator = func(ctx context.Context, _ revision.Revision, _ time.Duration) (Operator, error) {
 					if reads++; reads == 1 {
-						d.sleep(ctx, storeAnswer)
+						d.sleep(ctx, tableServiceDelay)
 						if tt.configured {
 							if loopFirst {
 								d.current.Store(configuration(1))
@@ -109,7 +109,7 @@
 				cancel()
 				synctest.Wait()
 				within := func(got, want time.Duration) bool {
-					return want == 0 && got == 0 || want > 0 && got >= want && got <= want+storeAnswer+viewPoll
+					return want == 0 && got == 0 || want > 0 && got >= want && got <= want+tableServiceDelay+viewPoll
 				}
 				if !within(list, tt.list) || !within(operator, tt.operator) {
 					t.Errorf("the list is read after %v, want %v; the operator's rows again after %v, want %v", list, tt.list, operator, tt.operator)
--- a/entry/systems.go
+++ b/entry/systems.go
@@ -35,7 +35,7 @@
 	t.directory.Expire(now)
 	t.fleet.Expire(now.Add(-replacedRetention))
 	t.prefillBacklog.Expire(now)
-	t.gate.Expire(now)
+	t.slowStart.Expire(now)
 	t.crashes.Expire(now)
 	t.quarantine.Expire(now)
 	d.notices.Expire(now)
@@ -46,7 +46,7 @@
 		w.versionLog.Trim()
 		maps.DeleteFunc(w.barredUntil, func(_ string, until time.Time) bool { return now.After(until) })
 	}
-	maps.DeleteFunc(t.silences, func(_ netip.AddrPort, at time.Time) bool { return now.Sub(at) > silenceFor })
+	maps.DeleteFunc(t.silences, func(_ netip.AddrPort, at time.Time) bool { return now.Sub(at) > silenceTTL })
 	d.logSlowStores(now, t)
 	d.logOverload(t)
 	d.logCongestion(t)
@@ -96,7 +96,7 @@
 			}
 			t.probing[x.ID] = true
 			d.takeQuota(now, t, x)
-			effects = append(effects, probe{target: x.ID, path: pool.HealthPath, at: x.Address, life: x.Incarnation(), asked: now})
+			effects = append(effects, probe{target: x.ID, path: pool.HealthPath, at: x.Address, incarnation: x.Incarnation(), asked: now})
 		}
 	}
 	return effects
--- a/entry/tables.go
+++ b/entry/tables.go
@@ -33,8 +33,8 @@
 	directory *directory.Directory
 	// stores are the stores of cached parts, sorted by name.
 	stores []*affinity.Source
-	// engineToken is the time to transfer one token between engines.
-	engineToken time.Duration
+	// engineTransferPerToken is the time to transfer one token between engines.
+	engineTransferPerToken time.Duration
 	// targetsInUse are the targets, by ID, that this box's requests may use something of.
 	// Gossip each tick covers only these, so its cost depends on the work in flight, not on
 	// the number of targets.
@@ -61,11 +61,11 @@
 	// requests.
 	prefillBacklog backlog.Estimator
 	overdue        overdue.Tracker
-	// pace is the speed of engines' prefill and of transfers from sources, learned from
+	// throughput is the speed of engines' prefill and of transfers from sources, learned from
 	// this box's requests.
-	pace throughput.Estimator
-	// sizes are the typical sizes of requests, in tokens, by route.
-	sizes map[string]float64
+	throughput throughput.Estimator
+	// typicalSizes are the typical sizes of requests, in tokens, by route.
+	typicalSizes map[string]float64
 	// latenessByPool are the shares of late answers, by pool.
 	latenessByPool map[string]*headroom.Gauge
 	// lateLogged marks the pools that were logged as answering late.
@@ -76,9 +76,9 @@
 	congestionLogged map[string]bool
 	// slowLogged marks the stores that were logged as slow.
 	slowLogged map[string]bool
-	// usual is the presumed load of other boxes' requests at each engine if none of them
+	// presumedLoad is the presumed load of other boxes' requests at each engine if none of them
 	// is heard, as of the last placement.
-	usual peer.TargetLoad
+	presumedLoad peer.TargetLoad
 	// silences is when connections to targets were last found silent, by address.
 	silences map[netip.AddrPort]time.Time
 	// members are the boxes that have ever written their row, including this one.
@@ -130,13 +130,13 @@
 	listBehindLogged bool
 	// hub is the hub that this box's list is from, hubList how far it was received. hubSeen
 	// are the targets received since a snapshot began; nil once it is complete.
-	hub     string
-	hubList changelog.Cursor
-	hubSeen map[string]bool
+	hub       string
+	hubList   changelog.Cursor
+	hubListed map[string]bool
 	// hubHeardAt is when a hub last answered this box.
 	hubHeardAt time.Time
-	// followsHubless says that the watched sources are those of a box without hubs.
-	followsHubless bool
+	// watchesHubless says that the watched sources are those of a box without hubs.
+	watchesHubless bool
 	// hubWarm says that this box, as a hub, has heard of most sources since it watches them.
 	hubWarm bool
 	// lastHubRequest is when another box last asked this one for a placement.
@@ -148,8 +148,8 @@
 	operatorChange, operatorKnown revision.Revision
 	// provedNewest is the newest change that another box last reported with a proof.
 	provedNewest revision.Revision
-	// gate limits what this box sends to cold targets.
-	gate slowstart.Limiter
+	// slowStart limits what this box sends to cold targets.
+	slowStart slowstart.Limiter
 	// quotas hold what this box may send to targets with rate limits.
 	quotas map[fleet.Incarnation]*targetQuota
 	// placers are the boxes that place requests for engines, as of placersAt.
@@ -226,8 +226,8 @@
 	allBarredUntil time.Time
 	// epoch is the lease's epoch in the row last read.
 	epoch uint64
-	// clearing says when parts made on older weights may be freed.
-	clearing reclaim.Tracker
+	// reclaim says when parts made on older weights may be freed.
+	reclaim reclaim.Tracker
 	// freed is the version for which the stores were cleared of older parts.
 	freed   int64
 	freeing bool
@@ -259,7 +259,7 @@
 	heardAt time.Time
 	// calling says that gossip with it is in flight, failed that it did not answer the last
 	// gossip, or too many placement requests since.
-	calling, failed bool
+	calling, unanswered bool
 	// misses counts unanswered placement requests in a row.
 	misses int
 	// retryAt is when a box that did not answer is called again.
@@ -279,7 +279,7 @@
 		fleet: fleet.New(), directory: directory.New(), othersUsage: peerload.New(), targetsInUse: make(map[string]*fleet.Target), watched: make(map[string]context.CancelFunc),
 		weights: make(map[string]*modelRollout), loading: make(map[string]time.Time), members: make(map[string]*member), quotas: make(map[fleet.Incarnation]*targetQuota), probing: make(map[string]bool),
 		silences: make(map[netip.AddrPort]time.Time), lostEvacuations: make(map[string]time.Time), tombstones: make(map[string]tombstone), heldEntries: make(map[string]heldEntry),
-		slowLogged: make(map[string]bool), sizes: make(map[string]float64),
+		slowLogged: make(map[string]bool), typicalSizes: make(map[string]float64),
 		latenessByPool: make(map[string]*headroom.Gauge), lateLogged: make(map[string]bool),
 		canaries: make(map[string]*canaryRollout), inUse: make(map[string]*inUse), regions: make(map[string]string), answerTimes: make(map[string]*outlier.Detector), lifted: make(map[fingerprint.Sum]time.Time), nextTrial: make(map[fingerprint.Sum]time.Time), endedIncarnations: make(map[string]time.Time),
 		congestionByPool: make(map[string]*congestion.Gauge), congestionLogged: make(map[string]bool),
@@ -293,7 +293,7 @@
 // markListUncertain records that the list may lack live engines with older weights.
 func (t *tables) markListUncertain(now time.Time) {
 	for _, w := range t.weights {
-		w.clearing.MarkIncomplete(now)
+		w.reclaim.MarkIncomplete(now)
 	}
 }
 
--- a/entry/throughput.go
+++ b/entry/throughput.go
@@ -17,21 +17,21 @@
 	t.crashes.Alive(placementIncarnation(p), p.PlacedAt)
 	t.overdue.Done(placement.Hash(p.Target), p.PlacedAt)
 	if p.Scope != "" {
-		t.pace.Observe(now, throughput.Sample{Took: now.Sub(p.PlacedAt), Tokens: p.PrefillBacklog + p.PrefillTokens, Transfers: p.Transfers})
+		t.throughput.Observe(now, throughput.Sample{Took: now.Sub(p.PlacedAt), Tokens: p.PrefillBacklog + p.PrefillTokens, Transfers: p.Transfers})
 	}
 }
 
-// readingToken is the learned prefill time of an engine per token.
-func (d *Daemon) readingToken() time.Duration {
-	_, token := d.tables.pace.Prefill()
+// prefillPerToken is the learned prefill time of an engine per token.
+func (d *Daemon) prefillPerToken() time.Duration {
+	_, token := d.tables.throughput.Prefill()
 	return token
 }
 
-// stretch is the factor by which transfers from a source take longer than planned, as observed
+// slowdown is the factor by which transfers from a source take longer than planned, as observed
 // by all boxes.
-func (t *tables) stretch(now time.Time, source string) float64 {
+func (t *tables) slowdown(now time.Time, source string) float64 {
 	name := placement.Hash(source)
-	asked, took := t.pace.Transferred(now, name)
+	asked, took := t.throughput.Transferred(now, name)
 	others := t.othersUsage.Of(name)
 	return throughput.Slowdown(asked+milliseconds(others.ExpectedMS), took+milliseconds(others.ActualMS))
 }
@@ -44,7 +44,7 @@
 // logSlowStores logs when stores become slow and when they recover.
 func (d *Daemon) logSlowStores(now time.Time, t *tables) {
 	for _, s := range t.stores {
-		slowdown := t.stretch(now, s.Name)
+		slowdown := t.slowdown(now, s.Name)
 		slow := slowdown >= slowFactor
 		if slow == t.slowLogged[s.Name] {
 			continue
--- a/entry/throughput_test.go
+++ b/entry/throughput_test.go
@@ -48,7 +48,7 @@
 			d := newDaemon("b1")
 			tt.see(d)
 			now := start.Add(took)
-			if got := d.tables.stretch(now, "large"); got < tt.least || got > tt.most {
+			if got := d.tables.slowdown(now, "large"); got < tt.least || got > tt.most {
 				t.Errorf("slowdown %.1f, want %.1f to %.1f", got, tt.least, tt.most)
 			}
 			if tells := len(d.tables.ownLoads(now)) > 0; tells != tt.tells {
--- a/entry/trial.go
+++ b/entry/trial.go
@@ -66,7 +66,7 @@
 	if t.trialDue(now, sum) {
 		return []effect{claimTrial{m, sum}}, true
 	}
-	m.reply <- placeAnswer{err: refused}
+	m.reply <- placementAnswer{err: refused}
 	return nil, true
 }
 
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -15,7 +15,7 @@
 func codeWithTrial(t *testing.T, d *Daemon, now time.Time, j *deliver.Job) string {
 	t.Helper()
 	d.now = func() time.Time { return now }
-	reply := make(chan placeAnswer, 1)
+	reply := make(chan placementAnswer, 1)
 	effects := d.placementRequested(now, &d.tables, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: j}, reply: reply})
 	for _, e := range effects {
 		d.update(now, d.claimTrial(context.Background(), e.(claimTrial)))
@@ -95,7 +95,7 @@
 	}{
 		{"it can't be read", func(context.Context, string) (table.Row, error) { return table.Row{}, failing }, nil},
 		{"the row is another writer's", func(context.Context, string) (table.Row, error) { return table.Row{Value: []byte("seven")}, nil }, nil},
-		{"the answer is lost", nil, func(context.Context, table.Transaction) error { return table.ErrLost }},
+		{"the answer is lost", nil, func(context.Context, table.Transaction) error { return table.ErrOutcomeUnknown }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/entry/unlisted.go
+++ b/entry/unlisted.go
@@ -156,9 +156,9 @@
 	return max(t.unlistedMet+t.unlistedElsewhere(now), t.hubUnlisted)
 }
 
-// hasUnregistered says that unlisted boxes share the work, so that no box knows all names. A
+// hasUnlisted says that unlisted boxes share the work, so that no box knows all names. A
 // box that has just joined and whose row this one has not read is not unlisted.
-func (t *tables) hasUnregistered(now time.Time) bool { return t.unlistedTotal(now) > 0 }
+func (t *tables) hasUnlisted(now time.Time) bool { return t.unlistedTotal(now) > 0 }
 
 // sampledBurst is the retry burst of a box in a fleet where no box knows all names: one if its
 // name's hash is in the sample. As boxes are sampled independently, the sum stays below the
--- a/entry/unlisted_test.go
+++ b/entry/unlisted_test.go
@@ -14,7 +14,7 @@
 	"github.com/leanovate/gopter/prop"
 
 	"github.com/thymewind/thymewind/internal/fake"
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/peer"
 	"github.com/thymewind/thymewind/revision"
 	"github.com/thymewind/thymewind/routing"
@@ -38,7 +38,7 @@
 		d.Settings.Peers = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 1)
 		d.Settings.Box.Share = weakShare
 		if i < strong {
-			d.Settings.Box.Share = emulatedShare
+			d.Settings.Box.Share = hubShare
 		}
 		d.now = time.Now
 		d.startedAt = time.Now()
@@ -132,12 +132,12 @@
 	const boxes, domains = 120, 18
 	w := emulate(boxes, domains, configuration(1))
 	for _, d := range w.boxes {
-		for _, other := range w.boxes[strongEach*domains:] { // Only the hubs have rows.
+		for _, other := range w.boxes[strongPerDomain*domains:] { // Only the hubs have rows.
 			if other != d {
 				delete(d.tables.members, other.Settings.Name)
 			}
 		}
-		d.unlisted.Store(d.Settings.Box.Share < emulatedShare)
+		d.unlisted.Store(d.Settings.Box.Share < hubShare)
 	}
 	w.advance(3*time.Second, nil)
 	count := func(d *Daemon) int { return d.tables.boxCount(w.now) }
@@ -158,7 +158,7 @@
 // burstWithinTotal says that the retry bursts of unlisted boxes stay within the fleet's total,
 // for any names and number of boxes and counts that are slightly wrong.
 func burstWithinTotal(burst func(name string, boxes int, all float64) float64) gopter.Prop {
-	const all = 1040 * retryUse
+	const all = 1040 * retryUtilization
 	return prop.ForAll(func(prefix string, boxes, wrong int) bool {
 		sum := 0.0
 		for i := range boxes {
@@ -170,10 +170,10 @@
 
 // TestSampledBurst bounds the sum of the sampled retry bursts; without the sampling, in the
 // next test, the bound breaks.
-func TestSampledBurst(t *testing.T) { proof.Holds(t, burstWithinTotal(sampledBurst)) }
+func TestSampledBurst(t *testing.T) { proptest.Holds(t, burstWithinTotal(sampledBurst)) }
 
 func TestSampledBurstNeedsSampling(t *testing.T) {
-	proof.Breaks(t, burstWithinTotal(func(string, int, float64) float64 { return 1 }))
+	proptest.Violated(t, burstWithinTotal(func(string, int, float64) float64 { return 1 }))
 }
 
 // TestUnlistedBurst checks the retry burst of an unlisted box before and after it knows the
--- a/entry/update.go
+++ b/entry/update.go
@@ -18,7 +18,7 @@
 	case suspectQuery:
 		m.reply <- d.looksDead(now, t, m.target)
 	case signalsHeard:
-		d.signalsHeard(now, t, m.life)
+		d.signalsHeard(now, t, m.incarnation)
 	case silenceSeen:
 		t.silences[m.at] = now
 	case answerBegan:
@@ -57,7 +57,7 @@
 	case peerAnswered:
 		return d.peerAnswered(now, t, m)
 	case peerRequest:
-		m.reply <- d.peerRequest(now, t, m.m)
+		m.reply <- d.peerRequest(now, t, m.message)
 	case probed:
 		d.probed(now, t, m)
 	case trialClaimed:
@@ -82,7 +82,7 @@
 		d.Log.Info("what the operator wrote was read whole", "revision", m.change.Known, "known", t.operatorKnown, "newest_known", t.operatorChange)
 	}
 	d.countProof(t, d.Settings.Name, m.change.Known)
-	d.weightsRead(now, t, m)
+	d.applyWeightVersions(now, t, m)
 	d.applyEvacuations(now, t, m)
 	d.applyCanaryAsks(now, t, m)
 	if d.provesNewest(now, t, m) {
--- a/entry/update_test.go
+++ b/entry/update_test.go
@@ -153,7 +153,7 @@
 	if scope(1, plain) != scope(1, open) {
 		t.Error("accounts that are not isolated have different scopes")
 	}
-	if !outdated(scope(1, isolated), "m", 2) || outdated(scope(2, open), "m", 2) || outdated(scope(1, open), "other", 2) {
+	if !isStaleScope(scope(1, isolated), "m", 2) || isStaleScope(scope(2, open), "m", 2) || isStaleScope(scope(1, open), "other", 2) {
 		t.Error("wrong scopes count as outdated")
 	}
 }
@@ -190,7 +190,7 @@
 		{"its epoch is unchanged", cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1}}, false},
 		{"another replica answers its health probe", probed{probe{target: "a"}, ErrReplaced}, true},
 		{"its health probe fails", probed{probe{target: "a"}, errors.New("503")}, false},
-		{"another box reports it", peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a"}}}}, true},
+		{"another box reports it", peerAnswered{name: "b2", answer: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a"}}}}, true},
 		{"another replica refused a request", attemptEnded{deliver.AttemptResult{
 			Place: deliver.Placement{Target: "a"}, Job: job("long", 10), Verdict: deliver.OtherReplica,
 		}}, true},
@@ -237,8 +237,8 @@
 		{"seen in its entry", []message{list(incarnation(second, 3))}, true},
 		{"seen in its cache events", []message{cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1, StartedAt: second}}}, false},
 		{"seen in its cache events, then its entry", []message{cacheEventsRead{source: "a", events: CacheEvents{Epoch: 1, StartedAt: second}}, list(incarnation(first, 5)), list(incarnation(second, 3))}, true},
-		{"reported by another box, then its entry", []message{peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a", StartedMS: first.UnixMilli()}}}}, list(incarnation(second, 3))}, true},
-		{"seen in its entry, then another box reports the earlier one", []message{list(incarnation(second, 3)), peerAnswered{name: "b2", m: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a", StartedMS: first.UnixMilli()}}}}}, true},
+		{"reported by another box, then its entry", []message{peerAnswered{name: "b2", answer: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a", StartedMS: first.UnixMilli()}}}}, list(incarnation(second, 3))}, true},
+		{"seen in its entry, then another box reports the earlier one", []message{list(incarnation(second, 3)), peerAnswered{name: "b2", answer: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: "a", StartedMS: first.UnixMilli()}}}}}, true},
 		{"requests of the earlier incarnation end late", []message{list(incarnation(second, 3)), ended, answerBegan{ended.Place}}, true},
 	}
 	for _, tt := range tests {
--- a/entry/view.go
+++ b/entry/view.go
@@ -88,20 +88,20 @@
 		return
 	}
 	if !v.Delta {
-		t.hubSeen = make(map[string]bool)
+		t.hubListed = make(map[string]bool)
 	}
 	t.listRestores = max(t.listRestores, v.Restores)
 	t.hub, t.hubList = hub, next
 	d.applyHubEntries(now, t, v.Entries)
 	for _, id := range v.Removed {
-		delete(t.hubSeen, id)
+		delete(t.hubListed, id)
 		d.unlist(now, t, id, false)
 	}
 	if v.More {
 		t.due.gossip = now // The rest is requested at once.
 		return
 	}
-	if t.hubSeen != nil {
+	if t.hubListed != nil {
 		d.removeUnseen(now, t)
 	}
 }
@@ -109,11 +109,11 @@
 // removeUnseen drops the targets that were missing from a hub's whole list.
 func (d *Daemon) removeUnseen(now time.Time, t *tables) {
 	for _, id := range t.fleet.IDs() {
-		if !t.hubSeen[id] {
+		if !t.hubListed[id] {
 			d.unlist(now, t, id, false)
 		}
 	}
-	t.hubSeen = nil
+	t.hubListed = nil
 	d.Log.Info("hub's list applied", "hub", t.hub, "targets", t.fleet.Len())
 }
 
@@ -138,8 +138,8 @@
 		d.Log.Error("hub sent an entry with an invalid address", "target", e.ID, "err", err)
 		return
 	}
-	if t.hubSeen != nil {
-		t.hubSeen[e.ID] = true
+	if t.hubListed != nil {
+		t.hubListed[e.ID] = true
 	}
 	if e.Lapsed && t.fleet.Target(e.ID) == nil {
 		return // Another hub's list had it removed; a hub that was cut off can't tell that from an outage.
--- a/entry/weights.go
+++ b/entry/weights.go
@@ -43,12 +43,12 @@
 	for _, model := range slices.Sorted(maps.Keys(t.weights)) {
 		w := t.weights[model]
 		if at := (scan{t.listVersion, w.newestVersion}); t.listVersion != 0 && at == w.upToDateScan && !w.hasStaleParts(t) {
-			w.clearing.SetFloor(now, w.minVersion)
+			w.reclaim.SetFloor(now, w.minVersion)
 			continue
 		}
 		replicas := d.replicas(now, t, model, w)
-		least := rollout.Least(replicas)
-		w.clearing.SetFloor(now, least)
+		least := rollout.MinVersion(replicas)
+		w.reclaim.SetFloor(now, least)
 		behind := rollout.Behind(w.newestVersion, replicas) > 0
 		if !behind && !w.hasStaleParts(t) {
 			w.upToDateScan, w.minVersion = scan{t.listVersion, w.newestVersion}, least
--- a/entry/weightversions.go
+++ b/entry/weightversions.go
@@ -44,8 +44,8 @@
 	announceRetryDelay = 500 * time.Millisecond
 )
 
-// weightsRead applies the versions that the operator named.
-func (d *Daemon) weightsRead(now time.Time, t *tables, m operatorRead) {
+// applyWeightVersions applies the versions that the operator named.
+func (d *Daemon) applyWeightVersions(now time.Time, t *tables, m operatorRead) {
 	unnamed := d.readTableClock(now, t, m)
 	for model, version := range m.change.Weights {
 		w := t.rolloutOf(model)
@@ -53,7 +53,7 @@
 			continue
 		}
 		before := w.newestVersion
-		w.name(now, version)
+		w.setNewest(now, version)
 		at, told, proved := d.unnamedAt(t, unnamed)
 		if proved {
 			w.versionLog.Prove(version, at, told)
@@ -107,10 +107,10 @@
 	return *proved, told, true
 }
 
-// name sets a newer version, of which this box learned at a time.
-func (w *modelRollout) name(at time.Time, version int64) {
+// setNewest sets a newer version, of which this box learned at a time.
+func (w *modelRollout) setNewest(at time.Time, version int64) {
 	w.newestVersion = version
-	w.clearing.AddVersion(at, version)
+	w.reclaim.AddVersion(at, version)
 }
 
 // age returns the longest time for which a version, or a newer one, can have been named.
@@ -136,7 +136,7 @@
 	if within == 0 {
 		return 0
 	}
-	return w.versionLog.Required(now, within-overdueMargin)
+	return w.versionLog.MinVersion(now, within-overdueMargin)
 }
 
 // beginBy returns the deadline for a request to begin on a version; zero if no newer version is
@@ -178,7 +178,7 @@
 				w.versionLog.Prove(n.Version, at, 0)
 			}
 			if n.Version > w.newestVersion {
-				w.name(now, n.Version)
+				w.setNewest(now, n.Version)
 				d.Log.Info("weights named", "model", model, "version", n.Version, "hub", hub, "at_most_ago", w.age(now, n.Version), "proved", !n.Assumed)
 			}
 		}
--- a/entry/weightversions_test.go
+++ b/entry/weightversions_test.go
@@ -255,7 +255,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			spoke := boxWithEngines("box-05")
 			w := spoke.tables.rolloutOf("m")
-			w.name(start, 2)
+			w.setNewest(start, 2)
 			w.versionLog.Prove(2, start.Add(-tt.named), 0)
 			answer, ok := spoke.acceptHubPlace(start, &spoke.tables, deliver.PlacementRequest{Job: job("long", 10)}, &peer.PlacementResponse{Target: "a", Version: 1})
 			if ok == tt.refused {
--- a/eventstream/eventstream.go
+++ b/eventstream/eventstream.go
@@ -14,12 +14,12 @@
 	"github.com/gravitational/trace"
 )
 
-// ErrCut says that the body ended inside an event.
-var ErrCut = trace.BadParameter("event stream ended inside an event")
+// ErrTruncated says that the body ended inside an event.
+var ErrTruncated = trace.BadParameter("event stream ended inside an event")
 
-// Longest bounds one event, in bytes. It is far above the size of a model's step and
+// MaxEventBytes bounds one event, in bytes. It is far above the size of a model's step and
 // keeps a corrupt stream from exhausting memory.
-const Longest = 1 << 20
+const MaxEventBytes = 1 << 20
 
 // initialBuffer is the initial buffer size in bytes, enough for a few typical events.
 const initialBuffer = 1 << 10
@@ -46,8 +46,8 @@
 		if r.err != nil {
 			return nil, r.endError()
 		}
-		if r.end-r.start > Longest {
-			return nil, trace.LimitExceeded("event exceeds %d bytes", Longest)
+		if r.end-r.start > MaxEventBytes {
+			return nil, trace.LimitExceeded("event exceeds %d bytes", MaxEventBytes)
 		}
 		r.fill()
 	}
@@ -82,7 +82,7 @@
 
 func (r *Reader) endError() error {
 	if r.err == io.EOF && r.end > r.start {
-		return ErrCut
+		return ErrTruncated
 	}
 	return r.err
 }
--- a/eventstream/eventstream_test.go
+++ b/eventstream/eventstream_test.go
@@ -19,8 +19,8 @@
 	}{
 		{"two events", "id: 1\ndata: a\n\nid: 2\n\n", []string{"id: 1\ndata: a\n\n", "id: 2\n\n"}, io.EOF},
 		{"carriage returns", "id: 1\r\ndata: a\r\n\r\nid: 2\r\n\r\n", []string{"id: 1\r\ndata: a\r\n\r\n", "id: 2\r\n\r\n"}, io.EOF},
-		{"truncated event", "id: 1\n\nid: 2\ndata: to", []string{"id: 1\n\n"}, eventstream.ErrCut},
-		{"truncated between the line ends", "id: 1\n", nil, eventstream.ErrCut},
+		{"truncated event", "id: 1\n\nid: 2\ndata: to", []string{"id: 1\n\n"}, eventstream.ErrTruncated},
+		{"truncated between the line ends", "id: 1\n", nil, eventstream.ErrTruncated},
 		{"nothing", "", nil, io.EOF},
 		{"longer than the buffer", "id: 1\n\n" + long, []string{"id: 1\n\n", long}, io.EOF},
 	}
--- a/exchange/silent_test.go
+++ b/exchange/silent_test.go
@@ -70,20 +70,20 @@
 // each.
 func TestSilentIdleConnections(t *testing.T) {
 	c, link, reported := clientBehindProxy(t)
-	openIdle(t, c, link.At, 4)
-	if n := link.Hush(anyConnection); n != 4 {
+	openIdle(t, c, link.Address, 4)
+	if n := link.Silence(anyConnection); n != 4 {
 		t.Fatalf("silenced %d", n)
 	}
-	if err := doWithTimeout(c, link.At, 2*silentAfter); !errors.Is(err, context.DeadlineExceeded) {
+	if err := doWithTimeout(c, link.Address, 2*silentAfter); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("first request: %v", err)
 	}
 	for range 3 {
-		if status, _, err := ask(c, link.At, &exchange.Request{Method: "GET", Path: "/"}); err != nil || status != http.StatusOK {
+		if status, _, err := ask(c, link.Address, &exchange.Request{Method: "GET", Path: "/"}); err != nil || status != http.StatusOK {
 			t.Errorf("a later request: %d, %v", status, err)
 		}
 	}
-	if reported.Load() != 1 || link.Came() != 5 {
-		t.Errorf("%d reported silent, %d connections opened", reported.Load(), link.Came())
+	if reported.Load() != 1 || link.Accepted() != 5 {
+		t.Errorf("%d reported silent, %d connections opened", reported.Load(), link.Accepted())
 	}
 }
 
@@ -102,16 +102,16 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c, link, reported := clientBehindProxy(t)
-			openIdle(t, c, link.At, tt.kept)
+			openIdle(t, c, link.Address, tt.kept)
 			link.Set(loopback.Delays)
 			link.SetDelay(10 * silentAfter)
-			if err := doWithTimeout(c, link.At, tt.after); err == nil {
+			if err := doWithTimeout(c, link.Address, tt.after); err == nil {
 				t.Fatal("answered")
 			}
 			link.Set(loopback.Passes)
-			openIdle(t, c, link.At, max(tt.kept-1, 0))
-			if want := max(tt.kept, 1); reported.Load() != 0 || link.Came() != want {
-				t.Errorf("%d reported silent, %d connections opened, want %d", reported.Load(), link.Came(), want)
+			openIdle(t, c, link.Address, max(tt.kept-1, 0))
+			if want := max(tt.kept, 1); reported.Load() != 0 || link.Accepted() != want {
+				t.Errorf("%d reported silent, %d connections opened, want %d", reported.Load(), link.Accepted(), want)
 			}
 		})
 	}
@@ -121,9 +121,9 @@
 // about the connection.
 func TestSlowReader(t *testing.T) {
 	c, link, reported := clientBehindProxy(t)
-	openIdle(t, c, link.At, 2)
+	openIdle(t, c, link.Address, 2)
 	ctx, cancel := context.WithCancel(context.Background())
-	a, err := c.Do(ctx, link.At, &exchange.Request{Method: "GET", Path: "/", Header: http.Header{}})
+	a, err := c.Do(ctx, link.Address, &exchange.Request{Method: "GET", Path: "/", Header: http.Header{}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,10 +151,10 @@
 	reported := &atomic.Int64{}
 	c := newClient()
 	c.SilentAfter, c.OnSilent = silentAfter, func(netip.AddrPort, time.Duration) { reported.Add(1) }
-	openIdle(t, c, link.At, 2)
+	openIdle(t, c, link.Address, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	a, err := c.Do(ctx, link.At, &exchange.Request{Method: "GET", Path: "/stream", Header: http.Header{}})
+	a, err := c.Do(ctx, link.Address, &exchange.Request{Method: "GET", Path: "/stream", Header: http.Header{}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,14 +162,14 @@
 	if _, err := io.ReadFull(a, first); err != nil {
 		t.Fatal(err)
 	}
-	link.Hush(anyConnection)
+	link.Silence(anyConnection)
 	timer := time.AfterFunc(2*silentAfter, cancel)
 	defer timer.Stop()
 	if _, err := a.Read(first); err == nil {
 		t.Error("the silenced stream could still be read")
 	}
 	a.Close()
-	if status, _, err := ask(c, link.At, &exchange.Request{Method: "GET", Path: "/"}); err != nil || status != http.StatusOK || reported.Load() != 1 {
+	if status, _, err := ask(c, link.Address, &exchange.Request{Method: "GET", Path: "/"}); err != nil || status != http.StatusOK || reported.Load() != 1 {
 		t.Errorf("next request: %d, %v; %d reported silent", status, err, reported.Load())
 	}
 }
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -10,7 +10,7 @@
 	"github.com/leanovate/gopter/prop"
 
 	"github.com/thymewind/thymewind/fair"
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 )
 
 var now = time.Unix(1000, 0)
@@ -59,14 +59,14 @@
 }
 
 func TestEqualShareIsSafe(t *testing.T) {
-	proof.Holds(t, equalShareIsSafe(func(m *fair.Meter, account string, capacity float64) bool {
+	proptest.Holds(t, equalShareIsSafe(func(m *fair.Meter, account string, capacity float64) bool {
 		return m.OverShare(now, account, capacity)
 	}))
 }
 
 func TestEqualShareIsSafeNeedsTheShares(t *testing.T) {
 	// Control: without shares every account is over once the sum is.
-	proof.Breaks(t, equalShareIsSafe(func(m *fair.Meter, _ string, capacity float64) bool {
+	proptest.Violated(t, equalShareIsSafe(func(m *fair.Meter, _ string, capacity float64) bool {
 		sum := m.Rate(now, "small")
 		for i := range 6 {
 			sum += m.Rate(now, fmt.Sprint(i))
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -14,9 +14,9 @@
 // answer copies the target's answer to the caller and stores the answer to a
 // not-repeatable request with its claim. If the answer breaks off, the caller's
 // connection is aborted, so that a part never looks complete.
-func (x *exchange) answer(w http.ResponseWriter, response *http.Response, placed route.Placed) {
+func (x *exchange) answer(w http.ResponseWriter, response *http.Response, placed route.Placement) {
 	defer func() { _ = response.Body.Close() }()
-	x.Said(placed, engine.Said(response))
+	x.OnSignals(placed, engine.SignalsOf(response))
 	hop.Strip(response.Header)
 	for name, values := range response.Header {
 		w.Header()[name] = values
@@ -25,10 +25,10 @@
 	w.WriteHeader(response.StatusCode)
 	copied := &tee{caller: w, flush: http.NewResponseController(w), drain: x.atMostOnce}
 	_, err := io.Copy(copied, response.Body)
-	x.Ended(route.Ended{Placed: placed, Failed: err != nil && !copied.callerLeft})
+	x.OnEnded(route.AttemptResult{Placement: placed, Failed: err != nil && !copied.callerLeft})
 	if err == nil && x.atMostOnce {
 		x.permit.Complete(x.ctx, claim.Answer{
-			Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: copied.stored, Cut: copied.truncated,
+			Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: copied.stored, Truncated: copied.truncated,
 		})
 	}
 	if err != nil || copied.callerLeft {
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -51,14 +51,14 @@
 // Forwarder proxies requests. Set the exported fields before first use; it is
 // safe for concurrent use after that.
 type Forwarder struct {
-	Place func(ctx context.Context, ask route.Ask) (route.Placed, error)
-	// Ended is called exactly once for each placed attempt.
-	Ended func(route.Ended)
-	// Said gets the signals in the headers of a target's answer, before any of the answer
+	Place func(ctx context.Context, ask route.PlacementRequest) (route.Placement, error)
+	// OnEnded is called exactly once for each placed attempt.
+	OnEnded func(route.AttemptResult)
+	// OnSignals gets the signals in the headers of a target's answer, before any of the answer
 	// is copied.
-	Said func(route.Placed, notice.Signals)
+	OnSignals func(route.Placement, notice.Signals)
 	// Allow is called right before a request leaves this box; its error stops the send.
-	Allow func(route.Placed) error
+	Allow func(route.Placement) error
 	// Permits acquires the claims of not-repeatable requests.
 	Permits *idempotency.Guard
 	// Send makes one attempt on a new connection and reports whether any byte was
@@ -66,10 +66,10 @@
 	Send func(request *http.Request, at netip.AddrPort, timeout time.Duration) (response *http.Response, wrote bool, err error)
 	// Retry spends one attempt of the retry budget, or returns false if none is left.
 	Retry func(pool string) bool
-	// Attempts bounds the attempts of one request. It is at least 1.
-	Attempts int
-	// ComeBack returns the delay after which a refused caller should retry.
-	ComeBack func() time.Duration
+	// MaxAttempts bounds the attempts of one request. It is at least 1.
+	MaxAttempts int
+	// RetryAfter returns the delay after which a refused caller should retry.
+	RetryAfter func() time.Duration
 }
 
 // Sender sends each request on a new connection, so that the HTTP transport never
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -26,7 +26,7 @@
 	"github.com/thymewind/thymewind/forward"
 	"github.com/thymewind/thymewind/idempotency"
 	"github.com/thymewind/thymewind/internal/fake"
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/notice"
 	"github.com/thymewind/thymewind/refusal"
 	"github.com/thymewind/thymewind/route"
@@ -108,23 +108,23 @@
 // forwarder returns a Forwarder with real claims over a fake table service.
 func forwarder(ctx context.Context, rows *fake.Table, placing *fake.Script, send send) *forward.Forwarder {
 	n := 0
-	book := &claim.Book{
-		Commit: rows.Commit, Read: rows.Read, Now: time.Now, Box: "b", Patience: 2 * time.Second, Forget: 30 * time.Second,
+	book := &claim.Store{
+		Commit: rows.Commit, Read: rows.Read, Now: time.Now, Box: "b", Timeout: 2 * time.Second, OrphanTTL: 30 * time.Second,
 		Nonce: func() string { n++; return fmt.Sprint(n) },
 	}
 	go book.Run(ctx)
 	return &forward.Forwarder{
-		Place: func(context.Context, route.Ask) (route.Placed, error) {
+		Place: func(context.Context, route.PlacementRequest) (route.Placement, error) {
 			if placing.Draw() != fake.None {
-				return route.Placed{}, refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "no_target", "none")
+				return route.Placement{}, refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "no_target", "none")
 			}
-			return route.Placed{Target: "t"}, nil
+			return route.Placement{Target: "t"}, nil
 		},
 		Permits: &idempotency.Guard{
 			Lookup: book.Lookup, Take: book.Take, Release: book.Release, Finish: book.Finish,
 			Record: func(decision.Record) {}, Timeout: 2 * time.Second, RetryAfter: comeBack,
 		},
-		Ended: func(route.Ended) {}, Said: func(route.Placed, notice.Signals) {}, Allow: func(route.Placed) error { return nil }, Send: send, Retry: func(string) bool { return true }, Attempts: 3, ComeBack: comeBack,
+		OnEnded: func(route.AttemptResult) {}, OnSignals: func(route.Placement, notice.Signals) {}, Allow: func(route.Placement) error { return nil }, Send: send, Retry: func(string) bool { return true }, MaxAttempts: 3, RetryAfter: comeBack,
 	}
 }
 
@@ -167,15 +167,15 @@
 		})
 		return ok
 	}, gen.Bool(), gen.OneConstOf(http.MethodGet, http.MethodPost), gen.SliceOfN(5, gen.IntRange(0, sendKinds-1)),
-		gen.SliceOfN(7, gen.IntRange(0, int(fake.Kinds)-1)), gen.SliceOfN(5, gen.IntRange(0, 1)))
+		gen.SliceOfN(7, gen.IntRange(0, int(fake.NumKinds)-1)), gen.SliceOfN(5, gen.IntRange(0, 1)))
 }
 
 func TestDidNotRunIsTrue(t *testing.T) {
-	proof.Holds(t, outcomeIsTrue(t, func(s send) send { return s }))
+	proptest.Holds(t, outcomeIsTrue(t, func(s send) send { return s }))
 }
 
 func TestDidNotRunNeedsToKnowWhatWasWritten(t *testing.T) {
-	proof.Breaks(t, outcomeIsTrue(t, func(s send) send {
+	proptest.Violated(t, outcomeIsTrue(t, func(s send) send {
 		return func(r *http.Request, at netip.AddrPort, timeout time.Duration) (*http.Response, bool, error) {
 			response, _, err := s(r, at, timeout)
 			return response, false, err
@@ -309,7 +309,7 @@
 			f := forwarder(t.Context(), &fake.Table{}, &fake.Script{}, func(*http.Request, netip.AddrPort, time.Duration) (*http.Response, bool, error) {
 				return &http.Response{StatusCode: tt.status, Header: tt.header, Body: io.NopCloser(body)}, true, nil
 			})
-			f.Said = func(_ route.Placed, said notice.Signals) {
+			f.OnSignals = func(_ route.Placement, said notice.Signals) {
 				if body.read > 0 {
 					t.Error("signals arrived after the answer's first bytes")
 				}
--- a/forward/serve.go
+++ b/forward/serve.go
@@ -104,7 +104,7 @@
 // run tries targets until one answers, no attempt is left, or the outcome is
 // unknown.
 func (x *exchange) run(w http.ResponseWriter) error {
-	ask := route.Ask{Request: x.call.Request, Account: x.call.Account, Pool: x.call.Pool}
+	ask := route.PlacementRequest{Request: x.call.Request, Account: x.call.Account, Pool: x.call.Pool}
 	for {
 		ask.Attempt++
 		placed, err := x.Place(x.ctx, ask)
@@ -114,7 +114,7 @@
 		if x.atMostOnce {
 			earlier, err := x.permit.Acquire(x.ctx)
 			if err != nil || earlier != nil {
-				x.Ended(route.Ended{Placed: placed})
+				x.OnEnded(route.AttemptResult{Placement: placed})
 			}
 			if err != nil {
 				return err
@@ -131,13 +131,13 @@
 		}
 		x.maybeSent = x.maybeSent || wrote
 		limited := errors.Is(err, notice.ErrLimited)
-		x.Ended(route.Ended{Placed: placed, Failed: x.ctx.Err() == nil && !limited, Refused: limited})
+		x.OnEnded(route.AttemptResult{Placement: placed, Failed: x.ctx.Err() == nil && !limited, Refused: limited})
 		if wrote && !x.repeatable {
 			return refusal.New(refusal.Unknown, http.StatusBadGateway, "no_answer", "the request was sent to %s but no answer came", placed.Target)
 		}
-		last := ask.Attempt >= x.Attempts || x.bodyRead || x.ctx.Err() != nil
+		last := ask.Attempt >= x.MaxAttempts || x.bodyRead || x.ctx.Err() != nil
 		if last || !x.Retry(x.call.Pool) {
-			return x.giveUp(refusal.New(refusal.DidNotRun, http.StatusBadGateway, "unreachable", "no target gave an answer: %v", err).After(x.ComeBack()))
+			return x.giveUp(refusal.New(refusal.DidNotRun, http.StatusBadGateway, "unreachable", "no target gave an answer: %v", err).WithRetryAfter(x.RetryAfter()))
 		}
 		ask.Exclude = append(ask.Exclude, placed.Target)
 		ask.AvoidDomain = placed.Domain
@@ -168,7 +168,7 @@
 }
 
 // send makes one attempt on the chosen target.
-func (x *exchange) send(placed route.Placed) (*http.Response, bool, error) {
+func (x *exchange) send(placed route.Placement) (*http.Response, bool, error) {
 	if err := x.Allow(placed); err != nil {
 		return nil, false, err
 	}
--- a/gossip.go
+++ b/gossip.go
@@ -173,7 +173,7 @@
 	if busy > 0 {
 		busy += now.Sub(at) // The queue is given as of now, but the report is older.
 	}
-	x.Report(at, l.Running, l.Waiting, busy)
+	x.ApplyReport(at, l.Running, l.Waiting, busy)
 }
 
 // catchUp reads the configuration from the table service and, if that fails, from
--- a/idempotency/idempotency.go
+++ b/idempotency/idempotency.go
@@ -99,7 +99,7 @@
 	held, err := p.Take(ctx, claim.Claim{
 		Account: p.request.Account, Key: p.request.Key, Digest: p.request.Digest, Request: p.request.ID,
 	})
-	var taken *claim.Taken
+	var taken *claim.TakenError
 	switch {
 	case err == nil:
 		p.held, p.acquired = held, true
@@ -143,19 +143,19 @@
 	switch {
 	case by.Digest != p.request.Digest:
 		return nil, refusal.New(refusal.DidNotRun, http.StatusUnprocessableEntity, "key_reused", "the key was used with another request")
-	case by.State == claim.Done && by.Answer != nil && !by.Answer.Cut:
+	case by.State == claim.Done && by.Answer != nil && !by.Answer.Truncated:
 		return by.Answer, nil
 	case by.State == claim.Done && by.Answer != nil:
 		return nil, refusal.New(refusal.Unknown, http.StatusConflict, "answered_before",
 			"request %s ran and was answered with status %d; its answer was too large to keep", by.Request, by.Answer.Status)
 	}
 	return nil, refusal.New(refusal.Unknown, http.StatusConflict, "still_running",
-		"request %s has this key; it may be running or may have run", by.Request).After(p.RetryAfter())
+		"request %s has this key; it may be running or may have run", by.Request).WithRetryAfter(p.RetryAfter())
 }
 
 func (p *Permit) unavailable() error {
 	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "no_permission",
-		"the platform's table service gives no permission to run it; whether an earlier try with this key ran is not known").After(p.RetryAfter())
+		"the platform's table service gives no permission to run it; whether an earlier try with this key ran is not known").WithRetryAfter(p.RetryAfter())
 }
 
 func (p *Permit) record(rule, result string) {
--- a/internal/fake/table.go
+++ b/internal/fake/table.go
@@ -25,14 +25,14 @@
 	None Kind = iota
 	// Down refuses the call.
 	Down
-	// Lost applies the transaction and loses the answer.
-	Lost
-	// Dropped loses the transaction, which is never applied.
-	Dropped
+	// AnswerLost applies the transaction and loses the answer.
+	AnswerLost
+	// RequestLost loses the transaction, which is never applied.
+	RequestLost
 	// Late loses the answer and applies the transaction some calls later.
 	Late
-	// Kinds is the number of kinds.
-	Kinds
+	// NumKinds is the number of kinds.
+	NumKinds
 )
 
 // Table is the platform's table service in memory. Set Fault before first use;
@@ -65,14 +65,14 @@
 	switch t.draw() {
 	case Down:
 		return trace.ConnectionProblem(nil, "down")
-	case Lost:
+	case AnswerLost:
 		_ = t.apply(tx)
-		return trace.Wrap(table.ErrLost)
-	case Dropped:
-		return trace.Wrap(table.ErrLost)
+		return trace.Wrap(table.ErrOutcomeUnknown)
+	case RequestLost:
+		return trace.Wrap(table.ErrOutcomeUnknown)
 	case Late:
 		t.late = append(t.late, lateTransaction{tx, lateCalls})
-		return trace.Wrap(table.ErrLost)
+		return trace.Wrap(table.ErrOutcomeUnknown)
 	}
 	return t.apply(tx)
 }
@@ -106,22 +106,22 @@
 	return row, nil
 }
 
-// Copy is a snapshot of a Table.
-type Copy struct {
+// Snapshot is a snapshot of a Table.
+type Snapshot struct {
 	rows     map[string]table.Row
 	revision uint64
 }
 
-// Copy takes a snapshot.
-func (t *Table) Copy() Copy {
+// Snapshot takes a snapshot.
+func (t *Table) Snapshot() Snapshot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return Copy{maps.Clone(t.rows), t.revision}
+	return Snapshot{maps.Clone(t.rows), t.revision}
 }
 
 // Restore restores the table from a snapshot, after which it assigns the same revisions
 // again. Late transactions are still applied, if their conditions hold then.
-func (t *Table) Restore(c Copy) {
+func (t *Table) Restore(c Snapshot) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rows, t.revision = maps.Clone(c.rows), c.revision
--- a/internal/loopback/proxy.go
+++ b/internal/loopback/proxy.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// Modes of a proxy.
+// NumModes of a proxy.
 const (
 	// Passes forwards all bytes.
 	Passes = iota
@@ -26,12 +26,12 @@
 	Delays
 	// Resets resets open connections and new ones.
 	Resets
-	// Silences discards the bytes of both directions.
-	Silences
-	// OneWay discards the bytes from upstream.
-	OneWay
-	// Modes is the number of modes.
-	Modes
+	// Discards discards the bytes of both directions.
+	Discards
+	// DiscardsReplies discards the bytes from upstream.
+	DiscardsReplies
+	// NumModes is the number of modes.
+	NumModes
 )
 
 // defaultDelay is the delay of a chunk in mode Delays unless SetDelay changes it.
@@ -39,8 +39,8 @@
 
 // Proxy forwards connections to an upstream address, with the faults of its mode.
 type Proxy struct {
-	// At is the address that it listens on.
-	At       netip.AddrPort
+	// Address is the address that it listens on.
+	Address  netip.AddrPort
 	upstream atomic.Pointer[string]
 	mode     atomic.Int32
 	delay    atomic.Int64
@@ -69,8 +69,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Proxy{At: netip.MustParseAddrPort(l.Addr().String()), links: make(map[*link]bool)}
-	p.Lead(upstream)
+	p := &Proxy{Address: netip.MustParseAddrPort(l.Addr().String()), links: make(map[*link]bool)}
+	p.SetUpstream(upstream)
 	p.SetDelay(defaultDelay)
 	t.Cleanup(func() { _ = l.Close(); p.resetAll() })
 	go func() {
@@ -94,8 +94,8 @@
 	}
 }
 
-// Lead resets the open connections and forwards new ones to another address.
-func (p *Proxy) Lead(upstream netip.AddrPort) {
+// SetUpstream resets the open connections and forwards new ones to another address.
+func (p *Proxy) SetUpstream(upstream netip.AddrPort) {
 	to := upstream.String()
 	p.upstream.Store(&to)
 	p.resetAll()
@@ -104,10 +104,10 @@
 // SetDelay changes the delay of a chunk in mode Delays.
 func (p *Proxy) SetDelay(length time.Duration) { p.delay.Store(int64(length)) }
 
-// Hush silences the matching open connections for good and without a reset. It matches
+// Silence silences the matching open connections for good and without a reset. It matches
 // the last chunk that the connecting side sent. New connections work. It returns how
 // many it silenced.
-func (p *Proxy) Hush(match func(sent string) bool) int {
+func (p *Proxy) Silence(match func(sent string) bool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
@@ -124,8 +124,8 @@
 	return n
 }
 
-// Came returns how many connections were accepted so far.
-func (p *Proxy) Came() int { return int(p.accepted.Load()) }
+// Accepted returns how many connections were accepted so far.
+func (p *Proxy) Accepted() int { return int(p.accepted.Load()) }
 
 func (p *Proxy) resetAll() {
 	p.mu.Lock()
@@ -185,7 +185,7 @@
 			sent := string(buffer[:n])
 			l.sent.Store(&sent)
 		}
-		discard := l.silenced.Load() || mode == Silences || (mode == OneWay && back)
+		discard := l.silenced.Load() || mode == Discards || (mode == DiscardsReplies && back)
 		if n > 0 && discard {
 			l.gap.Store(true)
 		}
--- a/internal/measure/simulation.go
+++ b/internal/measure/simulation.go
@@ -130,7 +130,7 @@
 		Jitter: func(d time.Duration) time.Duration { return d }, Record: func(decision.Record) {},
 		OnFailing: func(string) {}, OnLeaving: func(_, _ string) {},
 	}
-	w.scheduler.Start()
+	w.scheduler.Init()
 	w.scheduler.Configuration = &configuration.Configuration{
 		Revision: 1,
 		Accounts: w.Deployment.accounts(),
--- a/internal/measure/traffic.go
+++ b/internal/measure/traffic.go
@@ -30,7 +30,7 @@
 	attempt      int
 	exclude      []string
 	avoid        string
-	placed       route.Placed
+	placed       route.Placement
 	store        *store
 	usage        stream.Usage
 	// queued is the number of its tokens that its engine has to compute.
@@ -123,7 +123,7 @@
 // place places one attempt.
 func (t *traffic) place(r *request) {
 	r.attempt++
-	placed, err := t.scheduler.Place(t.now, route.Ask{
+	placed, err := t.scheduler.Place(t.now, route.PlacementRequest{
 		Request: fmt.Sprint(r.id), Account: r.account, Model: poolName, Attempt: r.attempt, Home: r.prompt.home,
 		Prompt: padding[:r.tokens()*dispatch.BytesPerToken], Tokens: r.answer, Exclude: r.exclude, AvoidDomain: r.avoid,
 	})
@@ -159,10 +159,10 @@
 	}
 	found := r.store.find(keys)
 	found.Run = kvcache.Usable(found.Run, r.placed.Scope.String(), keys)
-	r.placed.KeptPieces = len(found.Run)
+	r.placed.CachedPieces = len(found.Run)
 	weights := t.scheduler.Configuration.Pools[poolName].Policy
 	n := t.Policy.importPieces(t.now, r.placed.Estimate, weights, reuse.Choice{Tokens: r.tokens(), Found: found, Wait: r.placed.Wait})
-	r.placed.Said = reuse.Predicted(found, n)
+	r.placed.PredictedImport = reuse.Predicted(found, n)
 	if n > 0 {
 		r.placed.Import = &api.Import{Store: r.placed.Store, Run: found.Run[:n]}
 	}
@@ -174,21 +174,23 @@
 			continue
 		}
 		if e.dead {
-			t.retry(r, route.Ended{Placed: r.placed, Failed: true})
+			t.retry(r, route.AttemptResult{Placement: r.placed, Failed: true})
 			return
 		}
 		if !e.submit(r) {
 			t.scheduler.ApplySignals(t.now, r.placed, notice.Signals{Leaving: e.leaving})
-			t.retry(r, route.Ended{Placed: r.placed, Refused: true})
+			t.retry(r, route.AttemptResult{Placement: r.placed, Refused: true})
 			return
 		}
 	}
 }
 
 // runFailed handles a run whose engine failed.
-func (t *traffic) runFailed(r *request) { t.retry(r, route.Ended{Placed: r.placed, Failed: true}) }
+func (t *traffic) runFailed(r *request) {
+	t.retry(r, route.AttemptResult{Placement: r.placed, Failed: true})
+}
 
-func (t *traffic) retry(r *request, e route.Ended) {
+func (t *traffic) retry(r *request, e route.AttemptResult) {
 	const attempts = 3
 	t.scheduler.Ended(t.now, e)
 	if r.attempt >= attempts {
@@ -203,7 +205,7 @@
 
 // completed handles a whole answer.
 func (t *traffic) completed(r *request) {
-	ended := route.Ended{Placed: r.placed, FirstToken: r.firstTokenAt.Sub(r.arrived), Took: t.now.Sub(r.arrived), End: stream.Frame{Request: fmt.Sprint(r.id), Usage: r.usage}}
+	ended := route.AttemptResult{Placement: r.placed, FirstToken: r.firstTokenAt.Sub(r.arrived), Took: t.now.Sub(r.arrived), End: stream.Frame{Request: fmt.Sprint(r.id), Usage: r.usage}}
 	t.figures.answered(r, t.now)
 	if r.placed.Scope != prefix.Scope(r.account, "v1") {
 		t.figures.Wrong++
--- a/internal/proof/proof.go
+++ b/internal/proptest/proof.go
@@ -1,9 +1,9 @@
-// Package proof runs property tests with a fixed seed. Each has a counterpart in which
+// Package proptest runs property tests with a fixed seed. Each has a counterpart in which
 // the safeguard under test is removed and the property must be violated.
 //
 //	proptest.Holds(t, property(control))
 //	proptest.Violated(t, property(removed))
-package proof
+package proptest
 
 import (
 	"testing"
@@ -27,8 +27,8 @@
 	t.Logf("held for %d samples", result.Succeeded)
 }
 
-// Breaks fails the test unless some sample violates the property.
-func Breaks(t *testing.T, property gopter.Prop) {
+// Violated fails the test unless some sample violates the property.
+func Violated(t *testing.T, property gopter.Prop) {
 	t.Helper()
 	result := property.Check(parameters())
 	if result.Passed() {
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -61,7 +61,7 @@
 func readStream(t *testing.T, frames *api.Frames, offset int) string {
 	t.Helper()
 	checker := stream.Checker{Request: "r", Attempt: 1, Version: "v1", Scope: "s"}
-	checker.Begin(offset)
+	checker.ResumeAt(offset)
 	var b strings.Builder
 	for !checker.Complete() {
 		frame, err := frames.Next()
--- a/kvcache/kvcache_test.go
+++ b/kvcache/kvcache_test.go
@@ -19,7 +19,7 @@
 	"github.com/zeebo/blake3"
 
 	"github.com/thymewind/thymewind/internal/fake"
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/internal/standin/fault"
 	"github.com/thymewind/thymewind/internal/standin/store"
 	"github.com/thymewind/thymewind/kvcache"
@@ -178,12 +178,12 @@
 	}, gen.SliceOfN(19, gen.IntRange(0, faultKinds-1)), gen.SliceOfN(24, gen.IntRange(0, 7)))
 }
 
-func TestOnlyOwnWholePieces(t *testing.T) { proof.Holds(t, onlyOwnWholePieces(t, inForce)) }
+func TestOnlyOwnWholePieces(t *testing.T) { proptest.Holds(t, onlyOwnWholePieces(t, inForce)) }
 
 func TestOnlyOwnWholePiecesNeedsTheManifestCheck(t *testing.T) {
 	removed := inForce
 	removed.usable = func(run []kvcache.Manifest, _ string, _ []string) []kvcache.Manifest { return run }
-	proof.Breaks(t, onlyOwnWholePieces(t, removed))
+	proptest.Violated(t, onlyOwnWholePieces(t, removed))
 }
 
 func TestOnlyOwnWholePiecesNeedsTheDigest(t *testing.T) {
@@ -199,7 +199,7 @@
 		}
 		return io.ReadAll(response.Body)
 	}
-	proof.Breaks(t, onlyOwnWholePieces(t, removed))
+	proptest.Violated(t, onlyOwnWholePieces(t, removed))
 }
 
 func TestCheck(t *testing.T) {
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -201,7 +201,7 @@
 
 func (l *Lease) write(ctx context.Context, next row, at revision.Revision, started time.Time) error {
 	err := l.commit(ctx, next, at)
-	if errors.Is(err, table.ErrLost) {
+	if errors.Is(err, table.ErrOutcomeUnknown) {
 		// The outcome is unknown; the nonce in the row shows it.
 		stored, read, readErr := l.read(ctx)
 		if readErr == nil && stored.Nonce == next.Nonce && read.Restores == at.Restores {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -13,7 +13,7 @@
 	"github.com/leanovate/gopter/prop"
 
 	"github.com/thymewind/thymewind/internal/fake"
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/lease"
 	"github.com/thymewind/thymewind/table"
 )
@@ -87,7 +87,7 @@
 			boxes.Wait()
 		})
 		return !check.wrong
-	}, gen.SliceOfN(11, gen.IntRange(0, int(fake.Kinds)-1)), gen.SliceOfN(40, gen.IntRange(0, 30)))
+	}, gen.SliceOfN(11, gen.IntRange(0, int(fake.NumKinds)-1)), gen.SliceOfN(40, gen.IntRange(0, 30)))
 }
 
 // run steps one box's lease. A freeze lies between a step and the next use of the lease;
@@ -110,12 +110,12 @@
 	check.observe(box, 0, false)
 }
 
-func TestOneHolder(t *testing.T) { proof.Holds(t, oneHolder(t, inForce)) }
+func TestOneHolder(t *testing.T) { proptest.Holds(t, oneHolder(t, inForce)) }
 
 func TestOneHolderNeedsTheCondition(t *testing.T) {
 	removed := inForce
 	removed.commit = func(t *fake.Table) func(context.Context, table.Transaction) error { return t.Unconditional }
-	proof.Breaks(t, oneHolder(t, removed))
+	proptest.Violated(t, oneHolder(t, removed))
 }
 
 func TestOneHolderNeedsTheSuccessorsWait(t *testing.T) {
@@ -128,7 +128,7 @@
 			return row, err
 		}
 	}
-	proof.Breaks(t, oneHolder(t, removed))
+	proptest.Violated(t, oneHolder(t, removed))
 }
 
 func TestRelease(t *testing.T) {
--- a/lease/restored_test.go
+++ b/lease/restored_test.go
@@ -13,7 +13,7 @@
 	"github.com/leanovate/gopter/prop"
 
 	"github.com/thymewind/thymewind/internal/fake"
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/lease"
 	"github.com/thymewind/thymewind/table"
 )
@@ -42,15 +42,15 @@
 			boxes.Wait()
 		})
 		return !check.wrong
-	}, gen.SliceOfN(11, gen.IntRange(0, int(fake.Kinds)-1)), gen.SliceOfN(40, gen.IntRange(0, 30)), gen.SliceOfN(6, gen.IntRange(0, 9)))
+	}, gen.SliceOfN(11, gen.IntRange(0, int(fake.NumKinds)-1)), gen.SliceOfN(40, gen.IntRange(0, 30)), gen.SliceOfN(6, gen.IntRange(0, 9)))
 }
 
 // restore restores a table from copies of the given ages, in seconds, one after another.
 func restore(rows *fake.Table, ages []int) {
-	first := rows.Copy()
+	first := rows.Snapshot()
 	for i, age := range ages {
 		time.Sleep(time.Duration(3+7*i%11) * time.Second)
-		copied := rows.Copy()
+		copied := rows.Snapshot()
 		if i == 0 {
 			copied = first
 		}
@@ -62,11 +62,11 @@
 // TestOneHolderRestored guards against two holders, or a fencing token assigned twice,
 // when a restored table service has lost renewals of the lease or its row.
 func TestOneHolderRestored(t *testing.T) {
-	proof.Holds(t, oneHolderRestored(t, func(t *fake.Table) func(context.Context, string) (table.Row, error) { return t.Read }))
+	proptest.Holds(t, oneHolderRestored(t, func(t *fake.Table) func(context.Context, string) (table.Row, error) { return t.Read }))
 }
 
 func TestOneHolderRestoredNeedsTheCount(t *testing.T) {
-	proof.Breaks(t, oneHolderRestored(t, func(t *fake.Table) func(context.Context, string) (table.Row, error) {
+	proptest.Violated(t, oneHolderRestored(t, func(t *fake.Table) func(context.Context, string) (table.Row, error) {
 		return func(ctx context.Context, key string) (table.Row, error) {
 			row, err := t.Read(ctx, key)
 			row.Restores = 0
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -6,7 +6,7 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/limit"
 )
 
@@ -38,7 +38,7 @@
 // TestSharesKeepTheLimit checks that with the same view of demand the boxes' shares
 // together do not exceed the limit, apart from the minimum of one per box.
 func TestSharesKeepTheLimit(t *testing.T) {
-	proof.Holds(t, prop.ForAll(func(bound int, demand []int) bool {
+	proptest.Holds(t, prop.ForAll(func(bound int, demand []int) bool {
 		sum := 0
 		for i, own := range demand {
 			var others []int
--- a/listen.go
+++ b/listen.go
@@ -131,9 +131,9 @@
 	)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	for d.ledger.Waiting() > 0 {
+	for d.ledger.Pending() > 0 {
 		if d.ledger.Flush(ctx) != nil && wait(ctx, pause) != nil {
-			d.Log.Error("charges could not be written and are lost", "accounts", d.ledger.Waiting())
+			d.Log.Error("charges could not be written and are lost", "accounts", d.ledger.Pending())
 			return
 		}
 	}
