--- a/logqueue/logqueue.go
+++ b/logqueue/logqueue.go
@@ -20,9 +20,9 @@
 // Queue is an io.Writer that gets one line in each call. Set the exported fields before
 // first use; it is safe for concurrent use after that.
 type Queue struct {
-	To io.Writer
-	// Lines is the capacity of the queue.
-	Lines int
+	Output io.Writer
+	// Capacity is the capacity of the queue.
+	Capacity int
 
 	once  sync.Once
 	lines chan []byte
@@ -35,7 +35,7 @@
 
 func (q *Queue) start() {
 	q.once.Do(func() {
-		q.lines = make(chan []byte, q.Lines)
+		q.lines = make(chan []byte, q.Capacity)
 		q.done = make(chan struct{})
 	})
 }
@@ -62,7 +62,7 @@
 func (q *Queue) Run() {
 	q.start()
 	defer close(q.done)
-	out := bufio.NewWriter(q.To)
+	out := bufio.NewWriter(q.Output)
 	reported := int64(0)
 	for line := range q.lines {
 		_, _ = out.Write(line) // There is nowhere to report a failure to write the log.
--- a/logqueue/logqueue_test.go
+++ b/logqueue/logqueue_test.go
@@ -26,7 +26,7 @@
 // TestNeverBlocks writes far more lines than the queue holds while the output is blocked.
 func TestNeverBlocks(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
-	q := logqueue.Queue{To: out, Lines: 10}
+	q := logqueue.Queue{Output: out, Capacity: 10}
 	go q.Run()
 	const lines = 1000
 	// A line is longer than Run's output buffer, so that none is buffered there.
--- a/message.go
+++ b/message.go
@@ -17,22 +17,22 @@
 // placementRequest asks for a target. The loop answers on reply, whose buffer must
 // have room.
 type placementRequest struct {
-	ask   route.Ask
+	ask   route.PlacementRequest
 	reply chan<- placementAnswer
 }
 
 // placementAnswer is a placement or the refusal.
 type placementAnswer struct {
-	placed route.Placed
+	placed route.Placement
 	err    error
 }
 
 // attemptEnded is the outcome of a placed attempt.
-type attemptEnded struct{ route.Ended }
+type attemptEnded struct{ route.AttemptResult }
 
 // signalsHeard carries the signals that a target sent in the head of an answer.
 type signalsHeard struct {
-	placed  route.Placed
+	placed  route.Placement
 	signals notice.Signals
 }
 
--- a/operator.go
+++ b/operator.go
@@ -71,11 +71,11 @@
 		Statement string `json:"statement"`
 	}
 	if err := json.Unmarshal(body, &in); err != nil {
-		return report.Refused(trace.BadParameter("the body is not the JSON of a statement: %v", err))
+		return report.FromError(trace.BadParameter("the body is not the JSON of a statement: %v", err))
 	}
 	s, err := query.Parse(in.Statement)
 	if err != nil {
-		return report.Refused(err)
+		return report.FromError(err)
 	}
 	switch {
 	case s.Help:
@@ -141,7 +141,7 @@
 	answer := report.Report{}
 	s, err := query.Parse(text)
 	if err != nil {
-		answer = report.Refused(err)
+		answer = report.FromError(err)
 	} else {
 		answer = d.local(ctx, s)
 	}
--- a/operator_test.go
+++ b/operator_test.go
@@ -77,7 +77,7 @@
 		})
 	}
 	f.eventually("the other daemon sends engine-1 nothing new", func() bool {
-		return slices.Contains(f.daemons[1].d.currentOrEmpty().Pools["menu"].Leave, "engine-1")
+		return slices.Contains(f.daemons[1].d.currentOrEmpty().Pools["menu"].Leaving, "engine-1")
 	})
 	before := len(f.runs("engine-1"))
 	for i := range 20 {
--- a/peer/silent_test.go
+++ b/peer/silent_test.go
@@ -49,29 +49,29 @@
 // the next call uses a new connection.
 func TestSilentConnection(t *testing.T) {
 	n, first, reported := callerBehindProxy(t)
-	links := []*loopback.Proxy{first, loopback.New(t, first.At), loopback.New(t, first.At)}
+	links := []*loopback.Proxy{first, loopback.New(t, first.Address), loopback.New(t, first.Address)}
 	for range 3 {
 		for _, link := range links {
-			if err := callWithTimeout(n, link.At, "quick", time.Minute); err != nil {
+			if err := callWithTimeout(n, link.Address, "quick", time.Minute); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	for _, link := range links {
-		link.Hush(func(string) bool { return true })
+		link.Silence(func(string) bool { return true })
 	}
 	for _, link := range links {
-		if err := callWithTimeout(n, link.At, "quick", gossipTimeout); !errors.Is(err, peer.ErrSilent) {
+		if err := callWithTimeout(n, link.Address, "quick", gossipTimeout); !errors.Is(err, peer.ErrSilent) {
 			t.Errorf("first call: %v", err)
 		}
 	}
 	for _, link := range links {
-		if err := callWithTimeout(n, link.At, "quick", time.Minute); err != nil {
+		if err := callWithTimeout(n, link.Address, "quick", time.Minute); err != nil {
 			t.Errorf("next call: %v", err)
 		}
 	}
-	if reported.Load() != 3 || links[1].Came() != 2 || links[2].Came() != 2 {
-		t.Errorf("%d reported silent, %d and %d connections", reported.Load(), links[1].Came(), links[2].Came())
+	if reported.Load() != 3 || links[1].Accepted() != 2 || links[2].Accepted() != 2 {
+		t.Errorf("%d reported silent, %d and %d connections", reported.Load(), links[1].Accepted(), links[2].Accepted())
 	}
 }
 
@@ -83,22 +83,22 @@
 	for _, each := range []time.Duration{2 * time.Millisecond, 20 * time.Millisecond} {
 		link.SetDelay(each)
 		for range 30 {
-			if err := callWithTimeout(n, link.At, "quick", gossipTimeout); err != nil {
+			if err := callWithTimeout(n, link.Address, "quick", gossipTimeout); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	// The answer of 800 KB in chunks of 16 KB takes a second.
 	large := make(chan error, 1)
-	go func() { large <- callWithTimeout(n, link.At, "large", time.Minute) }()
+	go func() { large <- callWithTimeout(n, link.Address, "large", time.Minute) }()
 	for range 3 {
-		_ = callWithTimeout(n, link.At, "quick", gossipTimeout/2) // It waits behind the large answer and may be late.
+		_ = callWithTimeout(n, link.Address, "quick", gossipTimeout/2) // It waits behind the large answer and may be late.
 	}
 	if err := <-large; err != nil {
 		t.Errorf("a large message: %v", err)
 	}
-	if reported.Load() != 0 || link.Came() != 1 {
-		t.Errorf("%d reported silent, %d connections", reported.Load(), link.Came())
+	if reported.Load() != 0 || link.Accepted() != 1 {
+		t.Errorf("%d reported silent, %d connections", reported.Load(), link.Accepted())
 	}
 }
 
@@ -108,18 +108,18 @@
 	const within = 100 * time.Millisecond
 	n, link, reported := callerBehindProxy(t)
 	for range 3 {
-		if err := callWithTimeout(n, link.At, "quick", time.Minute); err != nil {
+		if err := callWithTimeout(n, link.Address, "quick", time.Minute); err != nil {
 			t.Fatal(err)
 		}
 	}
-	link.Hush(func(string) bool { return true })
+	link.Silence(func(string) bool { return true })
 	failed := 0
 	for reported.Load() == 0 && failed < 10 {
-		if callWithTimeout(n, link.At, "quick", within) != nil {
+		if callWithTimeout(n, link.Address, "quick", within) != nil {
 			failed++
 		}
 	}
-	if err := callWithTimeout(n, link.At, "quick", time.Minute); err != nil || failed > 3 {
+	if err := callWithTimeout(n, link.Address, "quick", time.Minute); err != nil || failed > 3 {
 		t.Errorf("%d calls failed, then %v", failed, err)
 	}
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -26,7 +26,7 @@
 // now is the time of all tests.
 var (
 	now = time.Now()
-	at  = target.Since(now)
+	at  = target.SinceStart(now)
 )
 
 func wait(t *target.Target) time.Duration { return t.WaitAt(at, 2*time.Second) }
@@ -49,9 +49,9 @@
 	}{
 		{"home", func([]*target.Target) {}, placement.RuleHome, false},
 		{"home has a free slot", func(all []*target.Target) { all[home.Home].Running = 7 }, placement.RuleHome, false},
-		{"home has a little to prefill", func(all []*target.Target) { all[home.Home].Report(now, 0, 0, 95*time.Millisecond) }, placement.RuleHome, false},
-		{"home has a lot to prefill", func(all []*target.Target) { all[home.Home].Report(now, 0, 0, 105*time.Millisecond) }, placement.RuleNext, false},
-		{"home was sent a lot since its report", func(all []*target.Target) { all[home.Home].Send(now, 105*time.Millisecond) }, placement.RuleNext, false},
+		{"home has a little to prefill", func(all []*target.Target) { all[home.Home].ApplyReport(now, 0, 0, 95*time.Millisecond) }, placement.RuleHome, false},
+		{"home has a lot to prefill", func(all []*target.Target) { all[home.Home].ApplyReport(now, 0, 0, 105*time.Millisecond) }, placement.RuleNext, false},
+		{"home was sent a lot since its report", func(all []*target.Target) { all[home.Home].RecordSent(now, 105*time.Millisecond) }, placement.RuleNext, false},
 		{"home is full", func(all []*target.Target) { all[home.Home].Running = 30 }, placement.RuleNext, false},
 		{"home is leaving", func(all []*target.Target) { all[home.Home].Leaving = true }, placement.RuleHome, false},
 		{"all are full", func(all []*target.Target) {
@@ -110,7 +110,7 @@
 	all := targets(600)
 	r := rand.New(rand.NewPCG(1, 2))
 	for _, x := range all {
-		x.Report(now, r.IntN(8), 0, time.Duration(r.IntN(200))*time.Millisecond)
+		x.ApplyReport(now, r.IntN(8), 0, time.Duration(r.IntN(200))*time.Millisecond)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -150,7 +150,7 @@
 		c := chooser()
 		all := targets(n)
 		for i, x := range all {
-			x.Report(now, 0, 0, time.Duration(report[i])*time.Millisecond)
+			x.ApplyReport(now, 0, 0, time.Duration(report[i])*time.Millisecond)
 		}
 		for request := range perBox {
 			i := 0
@@ -163,7 +163,7 @@
 				}
 				i = choice.Index
 			}
-			all[i].Send(now, 100*time.Millisecond)
+			all[i].RecordSent(now, 100*time.Millisecond)
 			load[i]++
 			sum++
 		}
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -20,8 +20,8 @@
 	// Previous is the weight version that targets serve until the rollout reaches
 	// them. It is set when Weights changes.
 	Previous string `json:"previous,omitempty"`
-	// Leave names the targets that operators drain: they get no new work.
-	Leave []string `json:"leave,omitempty"`
+	// Leaving names the targets that operators drain: they get no new work.
+	Leaving []string `json:"leave,omitempty"`
 	// ChecksFence says that the pool's targets check the fencing token: they refuse
 	// orders with a lower epoch than one they have seen.
 	ChecksFence bool `json:"checks_fence,omitempty"`
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -8,7 +8,7 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/prefix"
 )
 
@@ -35,14 +35,14 @@
 		gen.OneConstOf("bc", "c", "v1", "v2"), gen.OneConstOf("bc", "c", "v1", "v2"), gen.AlphaString(), gen.AlphaString())
 }
 
-func TestKeysIsolated(t *testing.T) { proof.Holds(t, keysIsolated(prefix.Scope)) }
+func TestKeysIsolated(t *testing.T) { proptest.Holds(t, keysIsolated(prefix.Scope)) }
 
 func TestKeysIsolatedNeedsTheAccount(t *testing.T) {
-	proof.Breaks(t, keysIsolated(func(_, version string) prefix.Key { return prefix.Scope("", version) }))
+	proptest.Violated(t, keysIsolated(func(_, version string) prefix.Key { return prefix.Scope("", version) }))
 }
 
 func TestKeysIsolatedNeedsTheVersion(t *testing.T) {
-	proof.Breaks(t, keysIsolated(func(account, _ string) prefix.Key { return prefix.Scope(account, "") }))
+	proptest.Violated(t, keysIsolated(func(account, _ string) prefix.Key { return prefix.Scope(account, "") }))
 }
 
 func TestHome(t *testing.T) {
--- a/quarantine.go
+++ b/quarantine.go
@@ -61,16 +61,16 @@
 }
 
 // place places a request, unless its fingerprint is quarantined.
-func (d *Daemon) place(now time.Time, t *tables, ask route.Ask) (route.Placed, error) {
+func (d *Daemon) place(now time.Time, t *tables, ask route.PlacementRequest) (route.Placement, error) {
 	k := &t.crashes
 	if ask.Model != "" && k.quarantine.Len()+k.tracker.Len() > 0 {
 		if sum := ask.Fingerprint(); k.quarantine.Refuses(now, sum, k.tracker.Suspects(sum)) {
-			return route.Placed{}, refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "quarantined",
-				"%d engines ended while requests for the same ran there", quarantine.Threshold).After(quarantineRetryAfter)
+			return route.Placement{}, refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "quarantined",
+				"%d engines ended while requests for the same ran there", quarantine.Threshold).WithRetryAfter(quarantineRetryAfter)
 		}
 	}
 	placed, err := t.Place(now, ask)
-	placed.Ask = ask
+	placed.PlacementRequest = ask
 	return placed, err
 }
 
@@ -80,17 +80,17 @@
 
 // recordLiveness learns from an attempt's end whether its engine crashed under it, or whether it
 // was answered after all.
-func (d *Daemon) recordLiveness(now time.Time, t *tables, e route.Ended) {
-	if e.Placed.Ask.Model == "" {
+func (d *Daemon) recordLiveness(now time.Time, t *tables, e route.AttemptResult) {
+	if e.Placement.PlacementRequest.Model == "" {
 		return
 	}
 	k := &t.crashes
-	incarnation := k.incarnation(d.Settings.Name, e.Placed.Target)
-	sum := e.Placed.Ask.Fingerprint
+	incarnation := k.incarnation(d.Settings.Name, e.Placement.Target)
+	sum := e.Placement.PlacementRequest.Fingerprint
 	switch {
-	case e.Dead:
-		d.incarnationEnded(now, t, e.Placed.Target)
-	case e.Cut && k.tracker.CutOff(now, incarnation, sum()):
+	case e.ConnectionRefused:
+		d.incarnationEnded(now, t, e.Placement.Target)
+	case e.CutOff && k.tracker.CutOff(now, incarnation, sum()):
 		d.blameRequests(now, t, incarnation, []fingerprint.Sum{sum()}, d.Settings.Name)
 	case e.End.Request != "" && k.quarantine.Len() > 0 && k.quarantine.Answered(now, sum()):
 		k.lifted[sum()] = now
--- a/quarantine_test.go
+++ b/quarantine_test.go
@@ -42,12 +42,12 @@
 }
 
 // modelRequest returns a model request. Equal prompts have equal fingerprints.
-func modelRequest(prompt string, attempt int) route.Ask {
-	return route.Ask{Request: "r", Account: "cafe", Model: "m", Prompt: prompt, Tokens: 10, Attempt: attempt}
+func modelRequest(prompt string, attempt int) route.PlacementRequest {
+	return route.PlacementRequest{Request: "r", Account: "cafe", Model: "m", Prompt: prompt, Tokens: 10, Attempt: attempt}
 }
 
 // placeFor places a request and returns the placement and the refusal's code, if any.
-func placeFor(d *Daemon, now time.Time, ask route.Ask) (route.Placed, string) {
+func placeFor(d *Daemon, now time.Time, ask route.PlacementRequest) (route.Placement, string) {
 	reply := make(chan placementAnswer, 1)
 	d.update(now, placementRequest{ask, reply})
 	answer := <-reply
@@ -71,7 +71,7 @@
 		if code != "" {
 			t.Fatalf("refused with %q", code)
 		}
-		d.update(now, attemptEnded{route.Ended{Placed: placed, Failed: true, Cut: !dead[placed.Target], Dead: dead[placed.Target]}})
+		d.update(now, attemptEnded{route.AttemptResult{Placement: placed, Failed: true, CutOff: !dead[placed.Target], ConnectionRefused: dead[placed.Target]}})
 		d.update(now, loadRead{target: placed.Target, err: fmt.Errorf("dial: %w", syscall.ECONNREFUSED)})
 		dead[placed.Target] = true
 		now = now.Add(time.Second)
@@ -111,15 +111,15 @@
 	tests := []struct {
 		name string
 		// after is what happens after an engine cut the request off.
-		after func(d *Daemon, placed route.Placed, at time.Time)
+		after func(d *Daemon, placed route.Placement, at time.Time)
 	}{
-		{"the engine reports", func(d *Daemon, placed route.Placed, at time.Time) {
+		{"the engine reports", func(d *Daemon, placed route.Placement, at time.Time) {
 			d.update(at, loadRead{target: placed.Target, load: engine.Load{Version: "v1", Slots: 8}, requestedAt: at})
 		}},
-		{"the engine ends, and another one answers", func(d *Daemon, placed route.Placed, at time.Time) {
+		{"the engine ends, and another one answers", func(d *Daemon, placed route.Placement, at time.Time) {
 			d.update(at, loadRead{target: placed.Target, err: syscall.ECONNREFUSED})
 			other, _ := placeFor(d, at, modelRequest("same", 1))
-			d.update(at, attemptEnded{route.Ended{Placed: other, End: stream.Frame{Request: "r"}}})
+			d.update(at, attemptEnded{route.AttemptResult{Placement: other, End: stream.Frame{Request: "r"}}})
 		}},
 	}
 	for _, tt := range tests {
@@ -134,7 +134,7 @@
 				if code != "" {
 					break // No engine is left to try.
 				}
-				d.update(at, attemptEnded{route.Ended{Placed: placed, Failed: true, Cut: true}})
+				d.update(at, attemptEnded{route.AttemptResult{Placement: placed, Failed: true, CutOff: true}})
 				at = at.Add(3 * time.Second)
 				tt.after(d, placed, at)
 			}
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -38,8 +38,8 @@
 	return &Refusal{Outcome: outcome, Status: status, Code: code, Reason: fmt.Sprintf(format, args...)}
 }
 
-// After sets RetryAfter and returns the refusal.
-func (r *Refusal) After(d time.Duration) *Refusal {
+// WithRetryAfter sets RetryAfter and returns the refusal.
+func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	r.RetryAfter = d
 	return r
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -32,12 +32,12 @@
 	// Permit, if set, is called once, right before the first send. Its error ends
 	// the request and is returned unchanged. Abandon is called after it if
 	// nothing can have been sent.
-	Permit   func(ctx context.Context) error
-	GiveBack func(ctx context.Context)
-	// Open is called once, before the first Write, with the attempt that starts
+	Acquire func(ctx context.Context) error
+	Abandon func(ctx context.Context)
+	// OnFirstText is called once, before the first Write, with the attempt that starts
 	// the answer. OnMoved, if set, is called when another target continues it.
-	Open  func(route.Placed)
-	Moved func(route.Placed)
+	OnFirstText func(route.Placement)
+	OnMoved     func(route.Placement)
 	// Write gets the next text of the answer and the byte offset after it.
 	Write func(text string, offset int) error
 }
@@ -45,32 +45,32 @@
 // Relay runs requests. Set the exported fields before first use; it is safe
 // for concurrent use after that.
 type Relay struct {
-	Place    func(ctx context.Context, ask route.Ask) (route.Placed, error)
+	Place    func(ctx context.Context, ask route.PlacementRequest) (route.Placement, error)
 	Generate func(ctx context.Context, at netip.AddrPort, run engine.Run) (*engine.Frames, error)
 	Resume   func(ctx context.Context, at netip.AddrPort, request string, attempt, offset int) (*engine.Frames, error)
 	Cancel   func(ctx context.Context, at netip.AddrPort, request string, attempt int) (started bool, err error)
 	// Accept validates a frame; outside tests it is (*stream.Checker).Accept.
 	Accept func(c *stream.Checker, f stream.Frame) (string, error)
-	// Ended is called exactly once for each placed attempt.
-	Ended func(route.Ended)
-	// Said gets the signals in the headers of a target's answer, before any of its text
+	// OnEnded is called exactly once for each placed attempt.
+	OnEnded func(route.AttemptResult)
+	// OnSignals gets the signals in the headers of a target's answer, before any of its text
 	// is written.
-	Said func(route.Placed, notice.Signals)
+	OnSignals func(route.Placement, notice.Signals)
 	// Allow is called right before a request leaves this box; its error stops the send.
-	Allow func(route.Placed) error
+	Allow func(route.Placement) error
 	// Retry spends one attempt of the retry budget, or returns false if none is
 	// left.
 	Retry func(pool string) bool
 	Now   func() time.Time
-	// Attempts bounds the attempts of one request, MaxResumes the resumes of one
+	// MaxAttempts bounds the attempts of one request, MaxResumes the resumes of one
 	// attempt. Both are at least 1.
-	Attempts, Resumes int
-	// Stall bounds the wait for the next text once the answer has begun. An
+	MaxAttempts, MaxResumes int
+	// StallTimeout bounds the wait for the next text once the answer has begun. An
 	// attempt whose engine is silent for longer is abandoned. Before the first
 	// text the bound is the placement's FirstToken.
-	Stall time.Duration
-	// CancelPatience bounds the wait for an engine to confirm a cancel.
-	CancelPatience time.Duration
-	// ComeBack returns the delay after which a refused caller should retry.
-	ComeBack func() time.Duration
+	StallTimeout time.Duration
+	// CancelTimeout bounds the wait for an engine to confirm a cancel.
+	CancelTimeout time.Duration
+	// RetryAfter returns the delay after which a refused caller should retry.
+	RetryAfter func() time.Duration
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/thymewind/thymewind/engine"
 	"github.com/thymewind/thymewind/internal/fake"
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/notice"
 	"github.com/thymewind/thymewind/refusal"
 	"github.com/thymewind/thymewind/relay"
@@ -94,7 +94,7 @@
 	return !e.queued[at.String()], nil
 }
 
-var scope = route.Placed{}
+var scope = route.Placement{}
 
 // frames streams the answer from an offset, with the faults drawn.
 func (e *engines) frames(request string, attempt int, version, scope string, offset int) *engine.Frames {
@@ -160,9 +160,9 @@
 }
 
 // ignoreSignals is the OnSignals hook of tests without signals.
-func ignoreSignals(route.Placed, notice.Signals) {}
+func ignoreSignals(route.Placement, notice.Signals) {}
 
-func allowAll(route.Placed) error { return nil }
+func allowAll(route.Placement) error { return nil }
 
 // outcome is what the caller got.
 type outcome struct {
@@ -178,19 +178,19 @@
 	var got outcome
 	var text strings.Builder
 	r := relay.Relay{
-		Place: func(_ context.Context, ask route.Ask) (route.Placed, error) {
-			return route.Placed{
+		Place: func(_ context.Context, ask route.PlacementRequest) (route.Placement, error) {
+			return route.Placement{
 				Request: ask.Request, Attempt: ask.Attempt, Target: "t" + string(rune('0'+ask.Attempt)), Version: "v1",
 				Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(ask.Attempt)), FirstToken: time.Minute,
 			}, nil
 		},
 		Generate: e.generate, Resume: e.resume, Cancel: s.cancel(e), Accept: s.accept,
-		Ended: func(route.Ended) {}, Said: ignoreSignals, Allow: allowAll, Retry: func(string) bool { return true },
-		Now: func() time.Time { return time.Time{} }, Attempts: 3, Resumes: 2, Stall: time.Minute,
-		ComeBack: func() time.Duration { return time.Second },
+		OnEnded: func(route.AttemptResult) {}, OnSignals: ignoreSignals, Allow: allowAll, Retry: func(string) bool { return true },
+		Now: func() time.Time { return time.Time{} }, MaxAttempts: 3, MaxResumes: 2, StallTimeout: time.Minute,
+		RetryAfter: func() time.Duration { return time.Second },
 	}
 	_, err := r.Run(context.Background(), relay.Request{
-		ID: "r", Once: once, Open: func(route.Placed) { got.opened++ },
+		ID: "r", Once: once, OnFirstText: func(route.Placement) { got.opened++ },
 		Write: func(piece string, offset int) error {
 			text.WriteString(piece)
 			if offset != text.Len() {
@@ -228,7 +228,7 @@
 	}, gen.Bool(), gen.SliceOfN(4, gen.IntRange(0, openKinds-1)), gen.SliceOfN(23, gen.IntRange(0, streamKinds-1)))
 }
 
-func TestWholeAnswerOrTypedError(t *testing.T) { proof.Holds(t, wholeOrTyped(production)) }
+func TestWholeAnswerOrTypedError(t *testing.T) { proptest.Holds(t, wholeOrTyped(production)) }
 
 func TestWholeAnswerNeedsTheChecker(t *testing.T) {
 	removed := production
@@ -237,17 +237,17 @@
 		f.Request, f.Attempt, f.Version, f.Scope, f.Offset, f.Total = c.Request, c.Attempt, c.Version, c.Scope, c.Offset(), c.Offset()
 		return c.Accept(f)
 	}
-	proof.Breaks(t, wholeOrTyped(removed))
+	proptest.Violated(t, wholeOrTyped(removed))
 }
 
-func TestDidNotRunIsTrue(t *testing.T) { proof.Holds(t, didNotRunIsTrue(production)) }
+func TestDidNotRunIsTrue(t *testing.T) { proptest.Holds(t, didNotRunIsTrue(production)) }
 
 func TestDidNotRunNeedsTheCancelsAnswer(t *testing.T) {
 	removed := production
 	removed.cancel = func(*engines) func(context.Context, netip.AddrPort, string, int) (bool, error) {
 		return func(context.Context, netip.AddrPort, string, int) (bool, error) { return false, nil }
 	}
-	proof.Breaks(t, didNotRunIsTrue(removed))
+	proptest.Violated(t, didNotRunIsTrue(removed))
 }
 
 // TestAnotherVersionIsNeverRelayed lets every engine answer with other weights.
@@ -281,8 +281,8 @@
 	e := &engines{queued: make(map[string]bool), versions: make(map[string]string)}
 	var text strings.Builder
 	r := relay.Relay{
-		Place: func(_ context.Context, ask route.Ask) (route.Placed, error) {
-			return route.Placed{Attempt: ask.Attempt, Version: "v1", FirstToken: 3 * time.Second}, nil
+		Place: func(_ context.Context, ask route.PlacementRequest) (route.Placement, error) {
+			return route.Placement{Attempt: ask.Attempt, Version: "v1", FirstToken: 3 * time.Second}, nil
 		},
 		Generate: func(ctx context.Context, at netip.AddrPort, run engine.Run) (*engine.Frames, error) {
 			frames, err := e.generate(ctx, at, run)
@@ -301,12 +301,12 @@
 			return frames, err
 		},
 		Resume: e.resume, Cancel: e.cancel, Accept: (*stream.Checker).Accept,
-		Ended: func(route.Ended) {}, Said: ignoreSignals, Allow: allowAll, Retry: func(string) bool { return true }, Now: time.Now,
-		Attempts: 2, Resumes: 2, Stall: 2 * time.Second, ComeBack: func() time.Duration { return time.Second },
+		OnEnded: func(route.AttemptResult) {}, OnSignals: ignoreSignals, Allow: allowAll, Retry: func(string) bool { return true }, Now: time.Now,
+		MaxAttempts: 2, MaxResumes: 2, StallTimeout: 2 * time.Second, RetryAfter: func() time.Duration { return time.Second },
 	}
 	began := time.Now()
 	_, err := r.Run(context.Background(), relay.Request{
-		ID: "r", Open: func(route.Placed) {}, Write: func(piece string, _ int) error { text.WriteString(piece); return nil },
+		ID: "r", OnFirstText: func(route.Placement) {}, Write: func(piece string, _ int) error { text.WriteString(piece); return nil },
 	})
 	if err != nil || text.String() != answer {
 		t.Errorf("got %q, %v", text.String(), err)
@@ -323,8 +323,8 @@
 		e := &engines{queued: make(map[string]bool), versions: make(map[string]string)}
 		var text strings.Builder
 		r := relay.Relay{
-			Place: func(_ context.Context, ask route.Ask) (route.Placed, error) {
-				return route.Placed{Attempt: ask.Attempt, Version: "v1", FirstToken: 3 * time.Second}, nil
+			Place: func(_ context.Context, ask route.PlacementRequest) (route.Placement, error) {
+				return route.Placement{Attempt: ask.Attempt, Version: "v1", FirstToken: 3 * time.Second}, nil
 			},
 			Generate: func(ctx context.Context, at netip.AddrPort, run engine.Run) (*engine.Frames, error) {
 				frames, err := e.generate(ctx, at, run)
@@ -337,12 +337,12 @@
 				}
 				return frames, err
 			},
-			Resume: e.resume, Cancel: e.cancel, Accept: (*stream.Checker).Accept, Ended: func(route.Ended) {},
-			Said: ignoreSignals, Allow: allowAll, Retry: func(string) bool { return true }, Now: time.Now, Attempts: 3, Resumes: 2, Stall: 2 * time.Second,
-			ComeBack: func() time.Duration { return time.Second },
+			Resume: e.resume, Cancel: e.cancel, Accept: (*stream.Checker).Accept, OnEnded: func(route.AttemptResult) {},
+			OnSignals: ignoreSignals, Allow: allowAll, Retry: func(string) bool { return true }, Now: time.Now, MaxAttempts: 3, MaxResumes: 2, StallTimeout: 2 * time.Second,
+			RetryAfter: func() time.Duration { return time.Second },
 		}
 		_, err := r.Run(context.Background(), relay.Request{
-			ID: "r", Open: func(route.Placed) {}, Write: func(piece string, _ int) error {
+			ID: "r", OnFirstText: func(route.Placement) {}, Write: func(piece string, _ int) error {
 				time.Sleep(10 * time.Second)
 				text.WriteString(piece)
 				return nil
@@ -370,26 +370,26 @@
 			passed := 0
 			var got []notice.Signals
 			r := relay.Relay{
-				Place: func(_ context.Context, ask route.Ask) (route.Placed, error) {
-					return route.Placed{Attempt: ask.Attempt, Version: "v1", FirstToken: time.Minute}, nil
+				Place: func(_ context.Context, ask route.PlacementRequest) (route.Placement, error) {
+					return route.Placement{Attempt: ask.Attempt, Version: "v1", FirstToken: time.Minute}, nil
 				},
 				Generate: func(ctx context.Context, at netip.AddrPort, run engine.Run) (*engine.Frames, error) {
 					frames, err := e.generate(ctx, at, run)
-					frames.Said = tt.said
+					frames.Signals = tt.said
 					return frames, err
 				},
-				Resume: e.resume, Cancel: e.cancel, Accept: (*stream.Checker).Accept, Ended: func(route.Ended) {},
-				Said: func(_ route.Placed, said notice.Signals) {
+				Resume: e.resume, Cancel: e.cancel, Accept: (*stream.Checker).Accept, OnEnded: func(route.AttemptResult) {},
+				OnSignals: func(_ route.Placement, said notice.Signals) {
 					if passed > 0 {
 						t.Error("signals arrived after the answer's first text")
 					}
 					got = append(got, said)
 				},
-				Allow: allowAll, Retry: func(string) bool { return true }, Now: time.Now, Attempts: 1, Resumes: 1, Stall: time.Minute,
-				ComeBack: func() time.Duration { return time.Second },
+				Allow: allowAll, Retry: func(string) bool { return true }, Now: time.Now, MaxAttempts: 1, MaxResumes: 1, StallTimeout: time.Minute,
+				RetryAfter: func() time.Duration { return time.Second },
 			}
 			_, err := r.Run(t.Context(), relay.Request{
-				ID: "r", Open: func(route.Placed) {}, Write: func(string, int) error { passed++; return nil },
+				ID: "r", OnFirstText: func(route.Placement) {}, Write: func(string, int) error { passed++; return nil },
 			})
 			if err != nil || len(got) != 1 || got[0] != tt.said {
 				t.Errorf("signals %+v, want %+v, %v", got, tt.said, err)
--- a/relay/run.go
+++ b/relay/run.go
@@ -47,7 +47,7 @@
 func (r *Relay) Run(ctx context.Context, request Request) (stream.Frame, error) {
 	j := &job{Relay: r, request: request}
 	j.checker.Request = request.ID
-	for attempt := 1; attempt <= r.Attempts; attempt++ {
+	for attempt := 1; attempt <= r.MaxAttempts; attempt++ {
 		if attempt > 1 && !r.Retry(request.Pool) {
 			break
 		}
@@ -56,11 +56,11 @@
 			return stream.Frame{}, j.giveUp(ctx, err)
 		}
 		if err := j.permit(ctx); err != nil {
-			r.Ended(route.Ended{Placed: placed})
+			r.OnEnded(route.AttemptResult{Placement: placed})
 			return stream.Frame{}, err
 		}
 		ended, err := j.attempt(ctx, placed)
-		r.Ended(ended)
+		r.OnEnded(ended)
 		if err == nil {
 			return ended.End, nil
 		}
@@ -74,8 +74,8 @@
 	return stream.Frame{}, j.giveUp(ctx, j.lastErr)
 }
 
-func (j *job) placementRequest(attempt int) route.Ask {
-	return route.Ask{
+func (j *job) placementRequest(attempt int) route.PlacementRequest {
+	return route.PlacementRequest{
 		Request: j.request.ID, Account: j.request.Account, Model: j.request.Model, Attempt: attempt,
 		Prompt: j.request.Prompt, Tokens: j.request.MaxTokens,
 		Exclude: j.exclude, AvoidDomain: j.avoidDomain, Version: j.pinnedVersion(),
@@ -93,10 +93,10 @@
 
 // permit calls Request.Acquire before the first send.
 func (j *job) permit(ctx context.Context) error {
-	if j.request.Permit == nil || j.permitted {
+	if j.request.Acquire == nil || j.permitted {
 		return nil
 	}
-	err := j.request.Permit(ctx)
+	err := j.request.Acquire(ctx)
 	j.permitted = err == nil
 	return err
 }
@@ -104,7 +104,7 @@
 // giveUp returns the final refusal, with the outcome that is certain.
 func (j *job) giveUp(ctx context.Context, err error) *refusal.Refusal {
 	if j.permitted && !j.mayRun {
-		j.request.GiveBack(ctx)
+		j.request.Abandon(ctx)
 	}
 	outcome := refusal.DidNotRun
 	if j.mayRun || j.announced > 0 {
@@ -116,15 +116,15 @@
 		answer.Outcome = outcome
 		return &answer
 	}
-	return refusal.New(outcome, http.StatusBadGateway, "no_answer", "no target gave a whole answer: %v", err).After(j.ComeBack())
+	return refusal.New(outcome, http.StatusBadGateway, "no_answer", "no target gave a whole answer: %v", err).WithRetryAfter(j.RetryAfter())
 }
 
 // attempt runs the request on one target.
-func (j *job) attempt(ctx context.Context, placed route.Placed) (route.Ended, error) {
-	ended := route.Ended{Placed: placed}
+func (j *job) attempt(ctx context.Context, placed route.Placement) (route.AttemptResult, error) {
+	ended := route.AttemptResult{Placement: placed}
 	j.checker.Version = placed.Version
 	j.checker.Scope = placed.Scope.String()
-	j.checker.Next(placed.Attempt)
+	j.checker.NextAttempt(placed.Attempt)
 	if err := j.Allow(placed); err != nil {
 		ended.Refused = true
 		return ended, trace.Wrap(err)
@@ -140,29 +140,29 @@
 	case errors.As(err, &refused):
 		j.mayRun = before
 		ended.Refused = true
-		j.Said(placed, refused.Said)
+		j.OnSignals(placed, refused.Signals)
 		return ended, trace.Wrap(err)
 	case errors.Is(err, engine.ErrNotSent):
 		j.mayRun = before
 		ended.Failed = true
-		ended.Dead = errors.Is(err, syscall.ECONNREFUSED)
+		ended.ConnectionRefused = errors.Is(err, syscall.ECONNREFUSED)
 		return ended, trace.Wrap(err)
 	case err == nil:
-		j.Said(placed, frames.Said)
+		j.OnSignals(placed, frames.Signals)
 		err = j.relayFrames(frames, watch, placed, sent, &ended)
 	}
-	for resumes := 0; err != nil && resumes < j.Resumes && resumable(err) && watch.ctx.Err() == nil; resumes++ {
+	for resumes := 0; err != nil && resumes < j.MaxResumes && resumable(err) && watch.ctx.Err() == nil; resumes++ {
 		frames, resumeErr := j.Resume(watch.ctx, placed.Address, j.request.ID, placed.Attempt, j.checker.Offset())
 		if resumeErr != nil {
 			break
 		}
-		j.Said(placed, frames.Said)
-		j.checker.Next(placed.Attempt)
+		j.OnSignals(placed, frames.Signals)
+		j.checker.NextAttempt(placed.Attempt)
 		err = j.relayFrames(frames, watch, placed, sent, &ended)
 	}
 	if err != nil {
 		ended.Failed = ctx.Err() == nil
-		ended.Cut = ended.Failed
+		ended.CutOff = ended.Failed
 		j.cancelAttempt(ctx, placed, before)
 		return ended, trace.Wrap(err)
 	}
@@ -171,7 +171,7 @@
 	return ended, nil
 }
 
-func (j *job) run(placed route.Placed) engine.Run {
+func (j *job) run(placed route.Placement) engine.Run {
 	return engine.Run{
 		Request: j.request.ID, Attempt: placed.Attempt, Model: j.request.Model,
 		Version: placed.Version, Scope: placed.Scope.String(),
@@ -182,8 +182,8 @@
 
 // cancelAttempt cancels an abandoned attempt. If the engine confirms that it
 // never started, mayRun is set back to before, its value from earlier attempts.
-func (j *job) cancelAttempt(ctx context.Context, placed route.Placed, before bool) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), j.CancelPatience)
+func (j *job) cancelAttempt(ctx context.Context, placed route.Placement, before bool) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), j.CancelTimeout)
 	defer cancel()
 	started, err := j.Cancel(ctx, placed.Address, j.request.ID, placed.Attempt)
 	if err == nil && !started {
@@ -199,7 +199,7 @@
 }
 
 // relayFrames relays the frames of one stream until the answer is complete.
-func (j *job) relayFrames(frames *engine.Frames, watch *watchdog, placed route.Placed, sent time.Time, ended *route.Ended) error {
+func (j *job) relayFrames(frames *engine.Frames, watch *watchdog, placed route.Placement, sent time.Time, ended *route.AttemptResult) error {
 	defer func() { _ = frames.Close() }()
 	for !j.checker.Complete() {
 		frame, err := frames.Next()
@@ -226,7 +226,7 @@
 
 // write sends text to the caller. A caller that has left doesn't end the run:
 // it may resume the stream at another box, and the work is charged here.
-func (j *job) write(text string, placed route.Placed) {
+func (j *job) write(text string, placed route.Placement) {
 	j.announce(placed)
 	j.text.WriteString(text)
 	if j.callerLeft {
@@ -237,12 +237,12 @@
 
 // announce reports to the caller which attempt the answer comes from. It is called
 // only after the run's start frame was accepted.
-func (j *job) announce(placed route.Placed) {
+func (j *job) announce(placed route.Placement) {
 	switch {
 	case j.announced == 0:
-		j.request.Open(placed)
-	case j.announced != placed.Attempt && j.request.Moved != nil:
-		j.request.Moved(placed)
+		j.request.OnFirstText(placed)
+	case j.announced != placed.Attempt && j.request.OnMoved != nil:
+		j.request.OnMoved(placed)
 	}
 	j.announced = placed.Attempt
 }
--- a/relay/watchdog.go
+++ b/relay/watchdog.go
@@ -17,8 +17,8 @@
 }
 
 // startWatchdog starts the wait for the first text.
-func (j *job) startWatchdog(ctx context.Context, placed route.Placed) *watchdog {
-	w := &watchdog{stall: j.Stall}
+func (j *job) startWatchdog(ctx context.Context, placed route.Placement) *watchdog {
+	w := &watchdog{stall: j.StallTimeout}
 	w.ctx, w.cancel = context.WithCancel(ctx)
 	w.timer = time.AfterFunc(placed.FirstToken, w.cancel)
 	return w
--- a/report/report.go
+++ b/report/report.go
@@ -32,8 +32,8 @@
 	Error string `json:"error,omitempty"`
 }
 
-// Refused returns the report of a refused statement.
-func Refused(err error) Report { return Report{Error: trace.Unwrap(err).Error()} }
+// FromError returns the report of a refused statement.
+func FromError(err error) Report { return Report{Error: trace.Unwrap(err).Error()} }
 
 // Add appends a row.
 func (r *Report) Add(values ...any) {
@@ -44,9 +44,9 @@
 	r.Rows = append(r.Rows, row)
 }
 
-// Where keeps the rows whose column satisfies a comparison. Two numbers are compared by
+// Filter keeps the rows whose column satisfies a comparison. Two numbers are compared by
 // value, anything else as text. It fails with trace.NotFound for an unknown column.
-func (r *Report) Where(column, sign, value string) error {
+func (r *Report) Filter(column, sign, value string) error {
 	at := slices.Index(r.Columns, column)
 	if at < 0 {
 		return trace.NotFound("there is no column %q; there are %s", column, strings.Join(r.Columns, ", "))
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -24,7 +24,7 @@
 			r.Add("a", 2)
 			r.Add("b", 9)
 			r.Add("c", 10)
-			err := r.Where(tt.column, tt.sign, tt.value)
+			err := r.Filter(tt.column, tt.sign, tt.value)
 			if (err != nil) != tt.err || len(r.Rows) != tt.left {
 				t.Errorf("%d rows left, error %v", len(r.Rows), err)
 			}
--- a/request.go
+++ b/request.go
@@ -19,11 +19,11 @@
 )
 
 // requestPlacement asks the loop to place an attempt.
-func (d *Daemon) requestPlacement(ctx context.Context, ask route.Ask) (route.Placed, error) {
+func (d *Daemon) requestPlacement(ctx context.Context, ask route.PlacementRequest) (route.Placement, error) {
 	ask.Home = d.homeOf(ask)
 	reply := make(chan placementAnswer, 1)
 	if err := d.send(ctx, placementRequest{ask, reply}); err != nil {
-		return route.Placed{}, d.tooLate()
+		return route.Placement{}, d.tooLate()
 	}
 	select {
 	case answer := <-reply:
@@ -35,10 +35,10 @@
 		// The loop may still place the attempt and count it; report its end.
 		go func() {
 			if answer := <-reply; answer.err == nil {
-				d.reportEnded(route.Ended{Placed: answer.placed})
+				d.reportEnded(route.AttemptResult{Placement: answer.placed})
 			}
 		}()
-		return route.Placed{}, d.tooLate()
+		return route.Placement{}, d.tooLate()
 	}
 }
 
@@ -46,7 +46,7 @@
 // piece of the prompt. It does not depend on the weight version, so that a rollout
 // does not move prompts to other homes. Requests to plain services have no home; they
 // get a key of their own.
-func (d *Daemon) homeOf(ask route.Ask) prefix.Key {
+func (d *Daemon) homeOf(ask route.PlacementRequest) prefix.Key {
 	if ask.Model == "" {
 		return prefix.Scope(ask.Request, ask.Pool)
 	}
@@ -58,20 +58,20 @@
 // tooLate returns the refusal of a request whose time was up before it was placed.
 func (d *Daemon) tooLate() error {
 	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "too_late",
-		"the request's time was up before it was placed").After(d.jitter(time.Second))
+		"the request's time was up before it was placed").WithRetryAfter(d.jitter(time.Second))
 }
 
 // reportEnded charges a completed attempt and reports the end of any attempt to the loop.
-func (d *Daemon) reportEnded(e route.Ended) {
+func (d *Daemon) reportEnded(e route.AttemptResult) {
 	if e.End.Request != "" {
-		d.ledger.Add(e.Placed.Account, e.End.Usage)
+		d.ledger.Add(e.Placement.Account, e.End.Usage)
 	}
 	_ = d.send(context.Background(), attemptEnded{e})
 }
 
 // reportSignals records a target's signals and passes them to the loop if they change anything.
-func (d *Daemon) reportSignals(placed route.Placed, said notice.Signals) {
-	limited := d.notices.ObserveLimit(d.now(), placed.At, notice.IncarnationAt(placed.Target, placed.Address), said)
+func (d *Daemon) reportSignals(placed route.Placement, said notice.Signals) {
+	limited := d.notices.ObserveLimit(d.now(), placed.PlacedAt, notice.IncarnationAt(placed.Target, placed.Address), said)
 	if limited || said.Leaving || said.Backoff > 0 {
 		_ = d.send(context.Background(), signalsHeard{placed, said})
 	}
@@ -109,7 +109,7 @@
 	}
 	defer func() { _ = frames.Close() }()
 	checker := stream.Checker{Request: token.Request, Attempt: token.Attempt, Version: token.Version, Scope: token.Scope}
-	checker.Begin(offset)
+	checker.ResumeAt(offset)
 	for !checker.Complete() {
 		frame, err := frames.Next()
 		if errors.Is(err, io.EOF) {
@@ -122,7 +122,7 @@
 		if err == nil && text != "" {
 			err = write(text, checker.Offset())
 		}
-		if errors.Is(err, stream.ErrGaveUp) {
+		if errors.Is(err, stream.ErrRunFailed) {
 			return stream.Frame{}, notResumable(err)
 		}
 		if err != nil {
--- a/resume/token_test.go
+++ b/resume/token_test.go
@@ -7,7 +7,7 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/resume"
 )
 
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	proof.Holds(t, prop.ForAll(func(at int, with rune) bool {
+	proptest.Holds(t, prop.ForAll(func(at int, with rune) bool {
 		changed := []byte(text)
 		if changed[at] == byte(with) || at == len(text)-1 { // The last character has unused bits.
 			return true
--- a/retry/shared_test.go
+++ b/retry/shared_test.go
@@ -8,7 +8,7 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/retry"
 )
 
@@ -78,7 +78,9 @@
 // the configured share and burst. TestSharedBudgetsNeedTheirBound shows that the check
 // fails where each hub has ten times the whole burst.
 func TestSharedBudgetsOverAllHubs(t *testing.T) {
-	proof.Holds(t, budgetsStayWithin(totalBurst*0.7/budgetHubs))
+	proptest.Holds(t, budgetsStayWithin(totalBurst*0.7/budgetHubs))
 }
 
-func TestSharedBudgetsNeedTheirBound(t *testing.T) { proof.Breaks(t, budgetsStayWithin(10*totalBurst)) }
+func TestSharedBudgetsNeedTheirBound(t *testing.T) {
+	proptest.Violated(t, budgetsStayWithin(10*totalBurst))
+}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -20,9 +20,9 @@
 	// that check it refuse a lower one.
 	Holder string
 	Epoch  uint64
-	// After is the number of orders that the target must have taken before this
+	// OrdersTaken is the number of orders that the target must have taken before this
 	// one. It makes a delayed order ineffective.
-	After uint64
+	OrdersTaken uint64
 	// Until is the end of the lease. The order must not be sent later.
 	Until time.Time
 }
@@ -43,12 +43,14 @@
 type Plan struct {
 	// At most the larger of MinConcurrent targets and ConcurrentShare of all targets
 	// load at the same time.
-	Least int
-	Share float64
+	MinConcurrent   int
+	ConcurrentShare float64
 }
 
 // concurrentLoads returns how many of a number of replicas may load at the same time.
-func (p Plan) concurrentLoads(replicas int) int { return max(p.Least, int(p.Share*float64(replicas))) }
+func (p Plan) concurrentLoads(replicas int) int {
+	return max(p.MinConcurrent, int(p.ConcurrentShare*float64(replicas)))
+}
 
 // Behind returns the number of replicas with a version older than newest.
 func Behind(newest int64, replicas []Replica) int {
@@ -61,8 +63,8 @@
 	return n
 }
 
-// Least returns the lowest version of the replicas, or zero if there are none.
-func Least(replicas []Replica) int64 {
+// MinVersion returns the lowest version of the replicas, or zero if there are none.
+func MinVersion(replicas []Replica) int64 {
 	var least int64
 	for i, r := range replicas {
 		if i == 0 || r.Version < least {
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -10,7 +10,7 @@
 // TestLargePool checks that a fifth of a large pool loads at the same time.
 func TestLargePool(t *testing.T) {
 	replicas := make([]rollout.Replica, 112)
-	if got := len(rollout.Plan{Least: 2, Share: 0.2}.Next(2, replicas)); got != 22 {
+	if got := len(rollout.Plan{MinConcurrent: 2, ConcurrentShare: 0.2}.Next(2, replicas)); got != 22 {
 		t.Errorf("%d at once, want 22", got)
 	}
 }
@@ -32,7 +32,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := (rollout.Plan{Least: 2, Share: 0.2}).Next(2, tt.replicas); !slices.Equal(got, tt.want) {
+			if got := (rollout.Plan{MinConcurrent: 2, ConcurrentShare: 0.2}).Next(2, tt.replicas); !slices.Equal(got, tt.want) {
 				t.Errorf("Next = %v, want %v", got, tt.want)
 			}
 			if got := rollout.Behind(2, tt.replicas); got != tt.behind {
@@ -54,7 +54,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := rollout.Least(tt.replicas); got != tt.want {
+			if got := rollout.MinVersion(tt.replicas); got != tt.want {
 				t.Errorf("Least = %d, want %d", got, tt.want)
 			}
 		})
--- a/route/route.go
+++ b/route/route.go
@@ -18,8 +18,8 @@
 	"github.com/thymewind/thymewind/stream"
 )
 
-// Ask is a request for the admission and placement of one attempt.
-type Ask struct {
+// PlacementRequest is a request for the admission and placement of one attempt.
+type PlacementRequest struct {
 	Request string
 	Account string
 	// Model is the requested model; empty for a plain service.
@@ -45,22 +45,22 @@
 }
 
 // Fingerprint identifies a model request by its content.
-func (a Ask) Fingerprint() fingerprint.Sum {
+func (a PlacementRequest) Fingerprint() fingerprint.Sum {
 	return fingerprint.Of(a.Account, "generate", a.Model, strconv.Itoa(a.Tokens), []byte(a.Prompt))
 }
 
-// Placed is the placement of one attempt.
-type Placed struct {
-	// Ask is the placement request.
-	Ask     Ask
-	Request string
-	Account string
-	Pool    string
-	Attempt int
-	Target  string
-	Address netip.AddrPort
-	Domain  string
-	Version string
+// Placement is the placement of one attempt.
+type Placement struct {
+	// PlacementRequest is the placement request.
+	PlacementRequest PlacementRequest
+	Request          string
+	Account          string
+	Pool             string
+	Attempt          int
+	Target           string
+	Address          netip.AddrPort
+	Domain           string
+	Version          string
 	// Scope separates the cache by client account and weight version.
 	Scope      prefix.Key
 	PieceBytes int
@@ -71,25 +71,25 @@
 	// Store is the store box for the prompt's cache; unset if there is none.
 	Store     netip.AddrPort
 	StoreName string
-	// Warm says that this box last served the prompt's first piece on this target, with
+	// TargetWarm says that this box last served the prompt's first piece on this target, with
 	// this weight version.
-	Warm bool
-	// Known says that this box served the prompt's first piece recently, on any target.
-	Known bool
-	// KeptPieces is the number of the prompt's pieces that the store box holds.
-	KeptPieces int
-	// At is when the request was placed. Granted says that the target has a rate limit and that
+	TargetWarm bool
+	// PrefixKnown says that this box served the prompt's first piece recently, on any target.
+	PrefixKnown bool
+	// CachedPieces is the number of the prompt's pieces that the store box holds.
+	CachedPieces int
+	// PlacedAt is when the request was placed. Granted says that the target has a rate limit and that
 	// this request is within this box's quota.
-	At      time.Time
-	Granted bool
+	PlacedAt     time.Time
+	QuotaGranted bool
 	// FirstToken bounds the wait for the first text.
 	FirstToken time.Duration
 	// Estimate holds the estimated speeds of the pool's engines and links.
 	Estimate reuse.Estimate
 	// Wait is the predicted wait at the target.
 	Wait time.Duration
-	// Said is the import time that the store box predicts, in seconds.
-	Said float64
+	// PredictedImport is the import time that the store box predicts, in seconds.
+	PredictedImport float64
 	// Priority orders waiting runs on the target; lower goes first.
 	Priority int
 	// Import names cached pieces to fetch, if that is predicted to be faster.
@@ -98,14 +98,14 @@
 	Rule string
 }
 
-// Ended is the result of one attempt.
-type Ended struct {
-	Placed Placed
+// AttemptResult is the result of one attempt.
+type AttemptResult struct {
+	Placement Placement
 	// Failed says that the target broke off its answer or was unreachable.
 	Failed bool
-	// Cut says that the request may have run and got no complete answer, and that the caller
+	// CutOff says that the request may have run and got no complete answer, and that the caller
 	// was not the cause. Dead says that the target's address refuses connections.
-	Cut, Dead bool
+	CutOff, ConnectionRefused bool
 	// Refused says that the target, or this box for the target, refused before the start.
 	Refused bool
 	// FirstToken is the time from sending to the first text; zero if none came.
--- a/show.go
+++ b/show.go
@@ -46,15 +46,15 @@
 func (d *Daemon) show(ctx context.Context, s query.Show) report.Report {
 	at := slices.IndexFunc(listings, func(x listing) bool { return x.thing == s.Thing })
 	if at < 0 {
-		return report.Refused(unknownThing(s.Thing))
+		return report.FromError(unknownThing(s.Thing))
 	}
 	r := report.Report{Columns: listings[at].columns}
 	if err := listings[at].fill(d, ctx, &r); err != nil {
-		return report.Refused(err)
+		return report.FromError(err)
 	}
 	for _, c := range s.Where {
-		if err := r.Where(c.Column, c.Sign, c.Value); err != nil {
-			return report.Refused(err)
+		if err := r.Filter(c.Column, c.Sign, c.Value); err != nil {
+			return report.FromError(err)
 		}
 	}
 	r.Last(s.Last)
@@ -184,7 +184,7 @@
 // why returns this box's decision records of one request.
 func (d *Daemon) why(request string) report.Report {
 	r := report.Report{Columns: []string{"at", "box", "kind", "request", "account", "pool", "rule", "inputs", "candidates", "result"}}
-	for _, record := range d.records.Of(request) {
+	for _, record := range d.records.ForRequest(request) {
 		addRecord(&r, record)
 	}
 	return r
@@ -203,7 +203,7 @@
 func (d *Daemon) who(ctx context.Context, lease string) report.Report {
 	row, err := d.table.Read(ctx, "lease/"+lease)
 	if err != nil {
-		return report.Refused(err)
+		return report.FromError(err)
 	}
 	r := report.Report{Columns: []string{"lease", "value"}}
 	r.Add(lease, string(row.Value))
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -26,9 +26,9 @@
 	KindError = "error"
 )
 
-// ErrGaveUp says that the engine reported the run as failed before its answer was
+// ErrRunFailed says that the engine reported the run as failed before its answer was
 // complete. The run can't be resumed.
-var ErrGaveUp = errors.New("the engine reports that the run failed")
+var ErrRunFailed = errors.New("the engine reports that the run failed")
 
 // Frame is one message of an engine's stream, encoded as a line of JSON.
 type Frame struct {
@@ -81,14 +81,14 @@
 	ended   bool
 }
 
-// Next starts another attempt or resume, which continues the text accepted so far.
-func (c *Checker) Next(attempt int) {
+// NextAttempt starts another attempt or resume, which continues the text accepted so far.
+func (c *Checker) NextAttempt(attempt int) {
 	c.Attempt = attempt
 	c.started = false
 }
 
-// Begin sets the offset at which a resumed answer continues.
-func (c *Checker) Begin(offset int) { c.offset = offset }
+// ResumeAt sets the offset at which a resumed answer continues.
+func (c *Checker) ResumeAt(offset int) { c.offset = offset }
 
 // Offset returns the length of the text accepted so far.
 func (c *Checker) Offset() int { return c.offset }
@@ -124,7 +124,7 @@
 	case KindEnd:
 		return "", c.finish(f)
 	case KindError:
-		return "", trace.Wrap(ErrGaveUp, "%s", f.Error)
+		return "", trace.Wrap(ErrRunFailed, "%s", f.Error)
 	}
 	return "", trace.BadParameter("unknown frame kind %q", f.Kind)
 }
--- a/table/client.go
+++ b/table/client.go
@@ -37,7 +37,7 @@
 	case err != nil && !sent:
 		return trace.ConnectionProblem(err, "table service unreachable")
 	case err != nil:
-		return trace.Wrap(ErrLost, "%v", err)
+		return trace.Wrap(ErrOutcomeUnknown, "%v", err)
 	case status == http.StatusOK:
 		return nil
 	case status == http.StatusConflict:
@@ -49,7 +49,7 @@
 	case status == http.StatusBadRequest:
 		return trace.BadParameter("table service rejects the transaction as malformed")
 	}
-	return trace.Wrap(ErrLost, "status %d", status)
+	return trace.Wrap(ErrOutcomeUnknown, "status %d", status)
 }
 
 // Read returns one row. It fails with trace.NotFound when there is none.
--- a/table/table.go
+++ b/table/table.go
@@ -21,9 +21,9 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// ErrLost says that a transaction was sent but got no answer, so it may have been
+// ErrOutcomeUnknown says that a transaction was sent but got no answer, so it may have been
 // applied. The caller has to read back a unique value that it wrote.
-var ErrLost = errors.New("transaction outcome unknown: no answer from the table service")
+var ErrOutcomeUnknown = errors.New("transaction outcome unknown: no answer from the table service")
 
 // Row is one keyed value.
 type Row struct {
--- a/target/queue.go
+++ b/target/queue.go
@@ -6,8 +6,8 @@
 // which matters as each placement looks at every target.
 var started = time.Now()
 
-// Since returns a time as the duration that WaitAt takes.
-func Since(now time.Time) time.Duration { return now.Sub(started) }
+// SinceStart returns a time as the duration that WaitAt takes.
+func SinceStart(now time.Time) time.Duration { return now.Sub(started) }
 
 // queue predicts how long a target is busy, from its last report, the requests sent
 // since and the time passed. As a report describes an earlier time, the requests sent
--- a/target/target.go
+++ b/target/target.go
@@ -78,24 +78,24 @@
 // passed reports whether a time has passed or was never set.
 func passed(now, until time.Time) bool { return until.IsZero() || !now.Before(until) }
 
-// Report applies the target's own load report, which describes the target at an earlier
+// ApplyReport applies the target's own load report, which describes the target at an earlier
 // time at. busy is the predicted time for the prompts that waited for prefill then.
-func (t *Target) Report(at time.Time, running, waiting int, busy time.Duration) {
+func (t *Target) ApplyReport(at time.Time, running, waiting int, busy time.Duration) {
 	t.Running, t.Waiting = running, waiting
 	t.ReportedAt = at
 	t.SentSince = 0
-	t.queue.report(Since(at), busy)
+	t.queue.report(SinceStart(at), busy)
 }
 
-// Send counts a request sent at now whose prefill is predicted to take busy.
-func (t *Target) Send(now time.Time, busy time.Duration) {
+// RecordSent counts a request sent at now whose prefill is predicted to take busy.
+func (t *Target) RecordSent(now time.Time, busy time.Duration) {
 	t.SentSince++
-	t.queue.send(Since(now), busy)
+	t.queue.send(SinceStart(now), busy)
 }
 
-// Slowness estimates the target's prefill time relative to its pool's mean, at least 1.
+// Slowdown estimates the target's prefill time relative to its pool's mean, at least 1.
 // The estimate decays, so that a target that has recovered gets requests again.
-func (t *Target) Slowness(now time.Time) float64 {
+func (t *Target) Slowdown(now time.Time) float64 {
 	const (
 		maxSlowdown = 50.0
 		// negligible is the slowdown below which a target counts as average.
@@ -109,11 +109,11 @@
 	return min(1+(t.slowdown-1)*math.Exp2(-age), maxSlowdown)
 }
 
-// Computed adds a sample: a prefill took times as long as the pool's mean. The
+// ObservePrefill adds a sample: a prefill took times as long as the pool's mean. The
 // estimate is an exponentially weighted moving average.
-func (t *Target) Computed(now time.Time, times float64) {
+func (t *Target) ObservePrefill(now time.Time, times float64) {
 	const weight = 0.2
-	t.slowdown = t.Slowness(now)
+	t.slowdown = t.Slowdown(now)
 	t.slowdown += (times - t.slowdown) * weight
 	t.slowdownAt = now
 }
@@ -122,7 +122,7 @@
 // if all slots are taken, for a free slot. run is the predicted time of a run in its
 // slot.
 func (t *Target) Wait(now time.Time, run time.Duration) time.Duration {
-	return t.WaitAt(Since(now), run)
+	return t.WaitAt(SinceStart(now), run)
 }
 
 // WaitAt is Wait with a time from SinceStart, for callers that compare many targets.
--- a/target/target_test.go
+++ b/target/target_test.go
@@ -18,20 +18,20 @@
 		want   time.Duration
 	}{
 		{"nothing", func(*target.Target) {}, 0, 0},
-		{"sent", func(x *target.Target) { x.Send(start, second) }, 0, second},
-		{"sent twice", func(x *target.Target) { x.Send(start, second); x.Send(start, second) }, 0, 2 * second},
-		{"time passes", func(x *target.Target) { x.Send(start, 3*second) }, second, 2 * second},
-		{"queue is empty again", func(x *target.Target) { x.Send(start, second) }, 5 * second, 0},
-		{"reported", func(x *target.Target) { x.Report(start, 0, 0, 2*second) }, second, second},
+		{"sent", func(x *target.Target) { x.RecordSent(start, second) }, 0, second},
+		{"sent twice", func(x *target.Target) { x.RecordSent(start, second); x.RecordSent(start, second) }, 0, 2 * second},
+		{"time passes", func(x *target.Target) { x.RecordSent(start, 3*second) }, second, 2 * second},
+		{"queue is empty again", func(x *target.Target) { x.RecordSent(start, second) }, 5 * second, 0},
+		{"reported", func(x *target.Target) { x.ApplyReport(start, 0, 0, 2*second) }, second, second},
 		{"report from before the dispatch", func(x *target.Target) {
-			x.Send(start, second)
-			x.Report(start.Add(-second), 0, 0, 0)
+			x.RecordSent(start, second)
+			x.ApplyReport(start.Add(-second), 0, 0, 0)
 		}, 0, second},
 		{"report from after the dispatch", func(x *target.Target) {
-			x.Send(start, 3*second)
-			x.Report(start.Add(second), 0, 0, 0)
+			x.RecordSent(start, 3*second)
+			x.ApplyReport(start.Add(second), 0, 0, 0)
 		}, second, 0},
-		{"no slot is free", func(x *target.Target) { x.Report(start, 8, 0, 0) }, 0, 2 * second / 8},
+		{"no slot is free", func(x *target.Target) { x.ApplyReport(start, 8, 0, 0) }, 0, 2 * second / 8},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -46,16 +46,16 @@
 
 func TestSlownessDecays(t *testing.T) {
 	x := &target.Target{}
-	if x.Slowness(start) != 1 {
+	if x.Slowdown(start) != 1 {
 		t.Error("a target without samples counts as slow")
 	}
 	for range 40 {
-		x.Computed(start, 5)
+		x.ObservePrefill(start, 5)
 	}
-	if got := x.Slowness(start); got < 4.9 || got > 5 {
+	if got := x.Slowdown(start); got < 4.9 || got > 5 {
 		t.Errorf("Slowness = %v, want 5", got)
 	}
-	if got := x.Slowness(start.Add(30 * time.Second)); got < 2.9 || got > 3.1 {
+	if got := x.Slowdown(start.Add(30 * time.Second)); got < 2.9 || got > 3.1 {
 		t.Errorf("Slowness after its half-life = %v, want 3", got)
 	}
 }
--- a/targetlimit.go
+++ b/targetlimit.go
@@ -23,10 +23,10 @@
 
 // allow returns an error if a placed request must not be sent to its target any more: the target
 // has a rate limit, and the request took no quota or took it too long ago.
-func (d *Daemon) allow(p route.Placed) error {
+func (d *Daemon) allow(p route.Placement) error {
 	now := d.now()
-	if d.notices.Limit(notice.IncarnationAt(p.Target, p.Address)).Active && (!p.Granted || now.Sub(p.At) > grantLifetime) {
-		d.Log.Info("request is kept from a target at the last moment", "request", p.Request, "target", p.Target, "placed_ago", now.Sub(p.At))
+	if d.notices.Limit(notice.IncarnationAt(p.Target, p.Address)).Active && (!p.QuotaGranted || now.Sub(p.PlacedAt) > grantLifetime) {
+		d.Log.Info("request is kept from a target at the last moment", "request", p.Request, "target", p.Target, "placed_ago", now.Sub(p.PlacedAt))
 		return notice.ErrLimited
 	}
 	return nil
--- a/targetlimit_test.go
+++ b/targetlimit_test.go
@@ -138,7 +138,7 @@
 func TestTargetRateLimitSources(t *testing.T) {
 	now := time.Unix(1000, 0)
 	at := address("engine-0")
-	placed := route.Placed{Target: "engine-0", Address: at, At: now}
+	placed := route.Placement{Target: "engine-0", Address: at, PlacedAt: now}
 	tests := []struct {
 		name    string
 		happen  func(d *Daemon)
@@ -156,7 +156,7 @@
 		{"an end", func(d *Daemon) {
 			d.reportSignals(placed, notice.Signals{Limited: true, Rate: 3})
 			later := placed
-			later.At = d.now().Add(time.Second)
+			later.PlacedAt = d.now().Add(time.Second)
 			d.reportSignals(later, notice.Signals{Unlimited: true})
 		}, false, 0},
 		{"an answer to a request placed before", func(d *Daemon) {
@@ -190,7 +190,7 @@
 	x, _ := d.tables.Targets.Lookup("engine-0")
 	d.tables.SetLimit(x, true, 1)
 	placed := func(at time.Time) bool {
-		_, err := d.tables.Place(at, route.Ask{Request: "r", Model: "m", Attempt: 1, Exclude: []string{"engine-1", "engine-2"}})
+		_, err := d.tables.Place(at, route.PlacementRequest{Request: "r", Model: "m", Attempt: 1, Exclude: []string{"engine-1", "engine-2"}})
 		return err == nil
 	}
 	d.update(now, loadRead{target: "engine-0", load: engine.Load{Version: "v1", Slots: 8}})
@@ -208,7 +208,7 @@
 // announced a rate limit after they were placed.
 func TestAllowChecksLimitBeforeSending(t *testing.T) {
 	d := newDaemon(t)
-	p := route.Placed{Target: "engine-0", Address: netip.MustParseAddrPort("10.0.0.1:1"), At: d.now()}
+	p := route.Placement{Target: "engine-0", Address: netip.MustParseAddrPort("10.0.0.1:1"), PlacedAt: d.now()}
 	if err := d.allow(p); err != nil {
 		t.Errorf("no limit is known: %v", err)
 	}
@@ -216,11 +216,11 @@
 	if d.allow(p) == nil {
 		t.Error("placed before the limit, and still allowed")
 	}
-	p.Granted = true
+	p.QuotaGranted = true
 	if err := d.allow(p); err != nil {
 		t.Errorf("placed within the limit: %v", err)
 	}
-	p.At = p.At.Add(-grantLifetime - time.Second)
+	p.PlacedAt = p.PlacedAt.Add(-grantLifetime - time.Second)
 	if d.allow(p) == nil {
 		t.Error("placed longer than grantLifetime ago, and still allowed")
 	}
--- a/update_test.go
+++ b/update_test.go
@@ -20,7 +20,7 @@
 	"github.com/thymewind/thymewind/configuration"
 	"github.com/thymewind/thymewind/engine"
 	"github.com/thymewind/thymewind/internal/fake"
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/model"
 	"github.com/thymewind/thymewind/notice"
 	"github.com/thymewind/thymewind/peer"
@@ -115,10 +115,10 @@
 		said := peer.Message{Kind: peer.KindGossip, From: "entry-2", Leaving: []peer.Leaving{{Target: target.ID(name, address(name))}}}
 		d.update(now, peerRequest{said, make(chan peer.Message, 1)})
 	case answersLeaving:
-		d.update(now, signalsHeard{route.Placed{Pool: "menu", Target: name, Address: address(name)}, notice.Signals{Leaving: true}})
+		d.update(now, signalsHeard{route.Placement{Pool: "menu", Target: name, Address: address(name)}, notice.Signals{Leaving: true}})
 	case placementAsked:
 		reply := make(chan placementAnswer, 1)
-		d.update(now, placementRequest{route.Ask{Request: "r", Model: "m", Attempt: 1}, reply})
+		d.update(now, placementRequest{route.PlacementRequest{Request: "r", Model: "m", Attempt: 1}, reply})
 		answer := <-reply
 		return answer.err != nil || !w.leaving[answer.placed.Target]
 	}
@@ -130,11 +130,11 @@
 }
 
 func TestLeavingTargetsGetNoRequests(t *testing.T) {
-	proof.Holds(t, leavingGetsNoRequests(t, (*target.Target).Usable))
+	proptest.Holds(t, leavingGetsNoRequests(t, (*target.Target).Usable))
 }
 
 func TestLeavingTargetsNeedTheMark(t *testing.T) {
-	proof.Breaks(t, leavingGetsNoRequests(t, func(x *target.Target, _ time.Time) bool { return x.Listed }))
+	proptest.Violated(t, leavingGetsNoRequests(t, func(x *target.Target, _ time.Time) bool { return x.Listed }))
 }
 
 // neverReverts is the property that the revision in force is always the highest that
@@ -156,11 +156,11 @@
 }
 
 func TestConfigurationNeverReverts(t *testing.T) {
-	proof.Holds(t, neverReverts(t, (*configuration.Configuration).Supersedes))
+	proptest.Holds(t, neverReverts(t, (*configuration.Configuration).Supersedes))
 }
 
 func TestConfigurationNeverRevertsNeedsTheComparison(t *testing.T) {
-	proof.Breaks(t, neverReverts(t, func(_, _ *configuration.Configuration) bool { return true }))
+	proptest.Violated(t, neverReverts(t, func(_, _ *configuration.Configuration) bool { return true }))
 }
 
 // TestServiceLoad checks that the load of a plain service, which reports none, is the
@@ -174,8 +174,8 @@
 	d.update(now, boxesRead{list: []boxes.Box{{Name: "service-1", Role: boxes.RoleService, Pool: "orders", Address: address("service-1")}}})
 	for range 5 {
 		reply := make(chan placementAnswer, 1)
-		d.update(now, placementRequest{route.Ask{Request: "r", Pool: "orders", Attempt: 1}, reply})
-		d.update(now, attemptEnded{route.Ended{Placed: (<-reply).placed}})
+		d.update(now, placementRequest{route.PlacementRequest{Request: "r", Pool: "orders", Attempt: 1}, reply})
+		d.update(now, attemptEnded{route.AttemptResult{Placement: (<-reply).placed}})
 	}
 	x, _ := d.tables.Targets.Lookup("service-1")
 	if x.Load() != 0 || x.InFlight != 0 {
@@ -206,7 +206,7 @@
 			d.tick(now)
 			now = now.Add(time.Minute)
 			reply := make(chan placementAnswer, 1)
-			d.update(now, placementRequest{route.Ask{Request: "r", Model: "m", Attempt: 1}, reply})
+			d.update(now, placementRequest{route.PlacementRequest{Request: "r", Model: "m", Attempt: 1}, reply})
 			if len(reply) > 0 {
 				t.Fatal("placed by state from before the pause")
 			}
@@ -313,10 +313,10 @@
 	admitted := 0
 	for range 10 {
 		reply := make(chan placementAnswer, 1)
-		d.update(now, placementRequest{route.Ask{Request: "r", Account: "a", Model: "m", Attempt: 1, Tokens: 100}, reply})
+		d.update(now, placementRequest{route.PlacementRequest{Request: "r", Account: "a", Model: "m", Attempt: 1, Tokens: 100}, reply})
 		if answer := <-reply; answer.err == nil {
 			admitted++
-			d.update(now, attemptEnded{route.Ended{Placed: answer.placed}})
+			d.update(now, attemptEnded{route.AttemptResult{Placement: answer.placed}})
 		}
 	}
 	if admitted < 7 || admitted > 9 {
@@ -344,9 +344,9 @@
 		t.Errorf("%v are read again, want none", got)
 	}
 	reply := make(chan placementAnswer, 1)
-	d.update(now, placementRequest{route.Ask{Request: "r", Model: "m", Attempt: 1}, reply})
+	d.update(now, placementRequest{route.PlacementRequest{Request: "r", Model: "m", Attempt: 1}, reply})
 	placed := (<-reply).placed
-	got := d.update(now, attemptEnded{route.Ended{Placed: placed, Refused: true}})
+	got := d.update(now, attemptEnded{route.AttemptResult{Placement: placed, Refused: true}})
 	if len(got) != 1 || got[0] != (readLoad{target: placed.Target, address: placed.Address}) {
 		t.Errorf("after a refusal: %v, want a read of %s", got, placed.Target)
 	}
@@ -364,7 +364,7 @@
 	}
 	x, _ := d.tables.Targets.Lookup("engine-0")
 	x.Slots, x.Version = 8, "v1"
-	x.Report(start, 0, 0, 10*time.Second)
+	x.ApplyReport(start, 0, 0, 10*time.Second)
 	later := start.Add(4 * time.Second)
 	other.update(later, peerRequest{d.gossipMessage(later, &d.tables), make(chan peer.Message, 1)})
 	y, _ := other.tables.Targets.Lookup("engine-0")
@@ -385,7 +385,7 @@
 	}
 	place := func(now time.Time) error {
 		reply := make(chan placementAnswer, 1)
-		d.update(now, placementRequest{route.Ask{Request: "r", Model: "m", Attempt: 1}, reply})
+		d.update(now, placementRequest{route.PlacementRequest{Request: "r", Model: "m", Attempt: 1}, reply})
 		return (<-reply).err
 	}
 	if err := place(now); err != nil {
@@ -393,7 +393,7 @@
 	}
 	for i := range 3 {
 		name := fmt.Sprintf("engine-%d", i)
-		d.update(now, signalsHeard{route.Placed{Target: name, Address: address(name)}, notice.Signals{Backoff: 3 * time.Second}})
+		d.update(now, signalsHeard{route.Placement{Target: name, Address: address(name)}, notice.Signals{Backoff: 3 * time.Second}})
 		d.update(now, loadRead{target: name, load: engine.Load{Version: "v1", Slots: 8}})
 	}
 	for _, tt := range []struct {
--- a/versionlog/versionlog.go
+++ b/versionlog/versionlog.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"github.com/thymewind/thymewind/clockbound"
-	"github.com/thymewind/thymewind/naming"
+	"github.com/thymewind/thymewind/versiontime"
 )
 
 // Row is the shared record of a named version.
@@ -30,7 +30,7 @@
 // Log holds the named versions of one model. The zero value is ready; it is not safe for
 // concurrent use.
 type Log struct {
-	naming.Record
+	versiontime.Record
 	// proved and assumed are readings of the common clock from before a version was named.
 	proved, assumed map[int64]time.Duration
 	// written is the newest version in the rows last read or written, writing that in the
@@ -132,7 +132,7 @@
 
 // Trim drops readings of versions that the record no longer holds.
 func (l *Log) Trim() {
-	least := l.Least()
+	least := l.Oldest()
 	old := func(version int64, _ time.Duration) bool { return version < least }
 	maps.DeleteFunc(l.proved, old)
 	maps.DeleteFunc(l.assumed, old)
--- a/naming/versiontime.go
+++ b/versiontime/versiontime.go
@@ -1,4 +1,4 @@
-// Package naming records when versions of a model's weights were announced, and derives
+// Package versiontime records when versions of a model's weights were announced, and derives
 // the oldest version on which a request may start.
 //
 // Each version has its own bound, counted from its announcement. A newer version, a
@@ -9,7 +9,7 @@
 //	r.Prove(5, lastReadWithoutIt)
 //	r.Prove(6, alsoLater)
 //	oldest := r.MinVersion(now, 12*time.Second) // 5, twelve seconds later
-package naming
+package versiontime
 
 import (
 	"cmp"
@@ -21,8 +21,8 @@
 // only those within the bound and the one before them matter.
 const maxVersions = 64
 
-// Naming is one version and the earliest time at which it can have been announced.
-type Naming struct {
+// Entry is one version and the earliest time at which it can have been announced.
+type Entry struct {
 	Version int64
 	At      time.Time
 	// Assumed says that At was not proved by a read that lacked the version.
@@ -33,7 +33,7 @@
 // use. It is not safe for concurrent use.
 type Record struct {
 	// entries is sorted by version, each version once.
-	entries []Naming
+	entries []Entry
 }
 
 // Prove records that a version was not announced yet at a time. The latest proof counts,
@@ -41,11 +41,11 @@
 func (r *Record) Prove(version int64, at time.Time) {
 	i, known := r.find(version)
 	if !known {
-		r.insert(i, Naming{Version: version, At: at})
+		r.insert(i, Entry{Version: version, At: at})
 		return
 	}
 	if n := r.entries[i]; n.Assumed || at.After(n.At) {
-		r.entries[i] = Naming{Version: version, At: at}
+		r.entries[i] = Entry{Version: version, At: at}
 	}
 }
 
@@ -53,7 +53,7 @@
 func (r *Record) Assume(version int64, at time.Time) {
 	i, known := r.find(version)
 	if !known {
-		r.insert(i, Naming{version, at, true})
+		r.insert(i, Entry{version, at, true})
 		return
 	}
 	if n := &r.entries[i]; n.Assumed && at.Before(n.At) {
@@ -62,7 +62,7 @@
 }
 
 // insert adds an entry and drops the oldest version if there are too many.
-func (r *Record) insert(i int, n Naming) {
+func (r *Record) insert(i int, n Entry) {
 	r.entries = slices.Insert(r.entries, i, n)
 	if len(r.entries) > maxVersions {
 		r.entries = slices.Delete(r.entries, 0, 1)
@@ -70,12 +70,12 @@
 }
 
 func (r *Record) find(version int64) (int, bool) {
-	return slices.BinarySearchFunc(r.entries, version, func(n Naming, v int64) int { return cmp.Compare(n.Version, v) })
+	return slices.BinarySearchFunc(r.entries, version, func(n Entry, v int64) int { return cmp.Compare(n.Version, v) })
 }
 
-// Required returns the oldest version on which a request may start: the newest one that
+// MinVersion returns the oldest version on which a request may start: the newest one that
 // can have been announced for within or longer. It is zero if there is none.
-func (r *Record) Required(now time.Time, within time.Duration) int64 {
+func (r *Record) MinVersion(now time.Time, within time.Duration) int64 {
 	for _, n := range slices.Backward(r.entries) {
 		if now.Sub(n.At) >= within {
 			return n.Version
@@ -97,18 +97,18 @@
 }
 
 // Since returns the entries by version, without those that were replaced before a time.
-func (r *Record) Since(before time.Time) []Naming {
+func (r *Record) Since(before time.Time) []Entry {
 	newest := int64(0)
 	for _, n := range r.entries {
 		if n.At.Before(before) {
 			newest = n.Version
 		}
 	}
-	return slices.DeleteFunc(slices.Clone(r.entries), func(n Naming) bool { return n.Version < newest })
+	return slices.DeleteFunc(slices.Clone(r.entries), func(n Entry) bool { return n.Version < newest })
 }
 
-// Least returns the oldest recorded version, or zero if there is none.
-func (r *Record) Least() int64 {
+// Oldest returns the oldest recorded version, or zero if there is none.
+func (r *Record) Oldest() int64 {
 	if len(r.entries) == 0 {
 		return 0
 	}
--- a/weights/weights_test.go
+++ b/weights/weights_test.go
@@ -10,7 +10,7 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"github.com/thymewind/thymewind/internal/proof"
+	"github.com/thymewind/thymewind/internal/proptest"
 	"github.com/thymewind/thymewind/target"
 	"github.com/thymewind/thymewind/weights"
 )
@@ -74,6 +74,6 @@
 	}, gen.IntRange(1, 40), gen.IntRange(120, 160), gen.SliceOfN(4, gen.Bool()))
 }
 
-func TestFewLoadAtOnce(t *testing.T) { proof.Holds(t, fewAtOnce(true)) }
+func TestFewLoadAtOnce(t *testing.T) { proptest.Holds(t, fewAtOnce(true)) }
 
-func TestFewLoadAtOnceNeedsTheOrdersRead(t *testing.T) { proof.Breaks(t, fewAtOnce(false)) }
+func TestFewLoadAtOnceNeedsTheOrdersRead(t *testing.T) { proptest.Violated(t, fewAtOnce(false)) }
