--- a/backlog/herding_test.go
+++ b/backlog/herding_test.go
@@ -99,7 +99,7 @@
 }
 
 // run simulates all requests and returns the share of answers that began late. With
-// reported, hubs use the sums that boxes report instead of the estimator.
+// useReports, hubs use the sums that boxes report instead of the estimator.
 func (h *herd) run(useReports bool) float64 {
 	late, all := 0, 0
 	ticks := [domains]time.Time{}
@@ -184,10 +184,10 @@
 // box reports.
 func TestHerd(t *testing.T) {
 	for seed := range uint64(herdSeeds) {
-		useReports, reckoned := newHerd(seed).run(true), newHerd(seed).run(false)
-		t.Logf("seed %d: late %.3f with reported backlogs, %.3f with the estimator", seed, useReports, reckoned)
-		if reckoned > 0.008 || useReports < 3*reckoned {
-			t.Errorf("seed %d: late %.3f with the estimator, %.3f with reported backlogs", seed, reckoned, useReports)
+		withReports, withEstimator := newHerd(seed).run(true), newHerd(seed).run(false)
+		t.Logf("seed %d: late %.3f with reported backlogs, %.3f with the estimator", seed, withReports, withEstimator)
+		if withEstimator > 0.008 || withReports < 3*withEstimator {
+			t.Errorf("seed %d: late %.3f with the estimator, %.3f with reported backlogs", seed, withEstimator, withReports)
 		}
 	}
 }
--- a/boottime/boottime_test.go
+++ b/boottime/boottime_test.go
@@ -40,9 +40,9 @@
 		name               string
 		awake, asleep, set time.Duration
 		without            bool
-		// measure asks the kernel, as is done now and then.
-		look bool
-		want time.Duration
+		// measure calls Suspended first, which asks the kernel.
+		measure bool
+		want    time.Duration
 	}{
 		{name: "awake", awake: time.Minute, want: time.Minute},
 		{name: "suspended", awake: time.Second, asleep: 4 * time.Second, want: 5 * time.Second},
@@ -51,7 +51,7 @@
 		{name: "wall clock set back", awake: time.Second, set: -2 * time.Second, want: time.Second},
 		{name: "suspended, wall clock set ahead", awake: time.Second, asleep: 4 * time.Second, set: 2 * time.Second, want: 5 * time.Second},
 		{name: "suspended, wall clock set back", awake: time.Second, asleep: 4 * time.Second, set: -2 * time.Second, want: 5 * time.Second},
-		{name: "suspended, wall clock set back by as much", awake: time.Second, asleep: 4 * time.Second, set: -4 * time.Second, look: true, want: 5 * time.Second},
+		{name: "suspended, wall clock set back by as much", awake: time.Second, asleep: 4 * time.Second, set: -4 * time.Second, measure: true, want: 5 * time.Second},
 		{name: "a kernel without that clock", awake: time.Second, asleep: 4 * time.Second, without: true, want: time.Second},
 	}
 	for _, tt := range tests {
@@ -60,7 +60,7 @@
 			c := boottime.Clock{Monotonic: m.monotonic, Boot: m.boot}
 			first := c.Now()
 			m.awake, m.asleep, m.set = tt.awake, tt.asleep, tt.set
-			if tt.look {
+			if tt.measure {
 				c.Suspended()
 			}
 			if got := c.Now().Sub(first); got != tt.want {
--- a/canary/judge_test.go
+++ b/canary/judge_test.go
@@ -10,7 +10,7 @@
 // simulate has some boxes send requests on three routes, a twentieth to the new version,
 // until the judge finds it bad or it gave `most` answers. It returns how many answers the
 // new version gave, how many of them were bad, and whether it was found bad. share
-// returns the new version's share of bad answers on a route after so many answers.
+// returns the new version's share of bad answers on a route after a number of answers.
 func simulate(seed uint64, most int, share func(route, answers int) float64) (answers, bad int, found bool) {
 	const oldBad, boxes, oneIn = 0.02, 20, 20
 	random := rand.New(rand.NewPCG(seed, 7))
@@ -62,17 +62,17 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			plays, sum := 0, 0
+			detected, sum := 0, 0
 			for seed := range uint64(100) {
 				if _, bad, found := simulate(seed, tt.most, tt.share); found {
-					plays++
+					detected++
 					sum += bad
 				}
 			}
-			mean := float64(sum) / float64(max(plays, 1))
-			t.Logf("found in %d of 100 runs, after %.1f bad answers", plays, mean)
-			if plays < tt.least || mean > tt.mostBad {
-				t.Errorf("found in %d of 100 runs, want %d; after %.1f bad answers, want %v", plays, tt.least, mean, tt.mostBad)
+			mean := float64(sum) / float64(max(detected, 1))
+			t.Logf("found in %d of 100 runs, after %.1f bad answers", detected, mean)
+			if detected < tt.least || mean > tt.mostBad {
+				t.Errorf("found in %d of 100 runs, want %d; after %.1f bad answers, want %v", detected, tt.least, mean, tt.mostBad)
 			}
 		})
 	}
--- a/changelog/changelog.go
+++ b/changelog/changelog.go
@@ -105,7 +105,7 @@
 	l.changes = slices.DeleteFunc(l.changes, func(c change[K]) bool { return l.at[c.key] != c.number })
 }
 
-// Since returns what changed after a cursor, at most so many keys. A cursor that is too
+// Since returns what changed after a cursor, at most `most` keys. A cursor that is too
 // old, or of another log, gets a snapshot.
 func (l *Log[K]) Since(c Cursor, most int) Batch[K] {
 	var batch Batch[K]
--- a/changelog/changelog_test.go
+++ b/changelog/changelog_test.go
@@ -71,7 +71,7 @@
 }
 
 // TestFollowers guards against followers that diverge: keys change in any order, and a
-// follower asks now and then, also after removals were dropped.
+// follower gets batches at random times, also after removals were dropped.
 // TestFollowersNeedTheRemovals shows that one that ignores removals diverges.
 func TestFollowers(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(3))
--- a/congestion/congestion.go
+++ b/congestion/congestion.go
@@ -30,7 +30,8 @@
 	// maxShed is the largest share that is shed, so that the remaining answers still measure
 	// the response time.
 	maxShed = 0.7
-	// queued is how many times longer than the fastest ones answers take where they queue.
+	// queued is the ratio of the mean to the fastest response time at which requests count as
+	// queueing.
 	queued = 1.8
 	// minDrift is how much of its distance to the mean the minimum rises in a second, so
 	// that a service that became slower does not count as congested forever.
--- a/congestion/congestion_test.go
+++ b/congestion/congestion_test.go
@@ -53,7 +53,7 @@
 type outcome struct{ inTime, late, lost int }
 
 // simulate runs arrivals at a rate that varies by a quarter.
-func simulate(seed uint64, perSecond float64, refuse bool) outcome {
+func simulate(seed uint64, perSecond float64, shed bool) outcome {
 	random := rand.New(rand.NewPCG(seed, 2))
 	gauges := make([]congestion.Gauge, boxes)
 	var queue events
@@ -95,7 +95,7 @@
 			continue
 		}
 		r, target := e.request, random.IntN(targets)
-		if refuse && gauges[r.box].Shed(time.Duration(goal*1e9), random.Float64()) {
+		if shed && gauges[r.box].Shed(time.Duration(goal*1e9), random.Float64()) {
 			reject(e.at, 0.4+0.4*random.Float64(), r)
 			continue
 		}
--- a/crash/crash.go
+++ b/crash/crash.go
@@ -24,9 +24,9 @@
 	// RememberFor is how long an ended incarnation is remembered, for requests whose end is
 	// reported late: those that wait for a silent target do so for seconds.
 	RememberFor = time.Minute
-	// firstProbe is the delay until a suspect is first probed: its news, at intervals of
-	// 0.4 s at most, and refused connections mostly show its state before. probeInterval is
-	// the pause after that.
+	// firstProbe is the delay until a suspect is first probed: its cache events, at intervals
+	// of 0.4 s at most, or refused connections mostly show its state before. probeInterval is
+	// the pause between further probes.
 	firstProbe    = 250 * time.Millisecond
 	probeInterval = time.Second
 	// maxEntries bounds the requests kept of one incarnation, and the incarnations. An
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -15,7 +15,7 @@
 
 var now = time.Unix(1000, 0)
 
-func TestOver(t *testing.T) {
+func TestOverShare(t *testing.T) {
 	tests := []struct {
 		name     string
 		rates    []float64
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -57,7 +57,7 @@
 	software map[string]map[string]int
 }
 
-// Incarnation identifies one incarnation of a replica: its life between two starts.
+// Incarnation identifies one incarnation of a replica: its run from one start to its end.
 type Incarnation struct {
 	ID string
 	// StartedAt is as in its entry; zero if it was not reported.
@@ -222,7 +222,7 @@
 // change the list.
 func (f *Fleet) Pool(name string) []*Target { return f.pools[name] }
 
-// Len counts the targets.
+// Len returns the number of targets.
 func (f *Fleet) Len() int { return len(f.byID) }
 
 // IDs returns the IDs of all targets, in order. The caller must not change the list.
--- a/fleet/target.go
+++ b/fleet/target.go
@@ -43,7 +43,7 @@
 	// ColdUntil is until when it is slow after its start, by its last report; MaybeColdUntil
 	// is the same for a restart that may have gone unnoticed.
 	ColdUntil, MaybeColdUntil time.Time
-	// FeedLost is set while its news feed is disconnected: it may have restarted.
+	// FeedLost is set while its cache events cannot be read: it may have restarted.
 	FeedLost bool
 	// LapsedAt is when its entry disappeared from the list after an outage of the platform;
 	// zero if the entry is there.
--- a/hop/hop_test.go
+++ b/hop/hop_test.go
@@ -9,7 +9,7 @@
 	"github.com/thymewind/thymewind/hop"
 )
 
-func TestDrop(t *testing.T) {
+func TestStrip(t *testing.T) {
 	tests := []struct {
 		name string
 		in   http.Header
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -115,8 +115,8 @@
 	return true
 }
 
-// LostUntil returns until when a holder may act under the lease of which the restore lost
-// every trace; zero if there was no restore.
+// LostUntil returns until when a holder whose row the restore lost may still act under the
+// lease; zero if there was no restore.
 func (l *Lease) LostUntil() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -234,7 +234,7 @@
 	return trace.Wrap(l.commit(ctx, row{Epoch: current.Epoch, Nonce: l.Nonce()}, at))
 }
 
-// key returns the key of the row that is used after so many restores.
+// key returns the key of the row that is used after a number of restores.
 func (l *Lease) key(restores uint64) string {
 	if restores == 0 {
 		return "lease/" + l.Name
--- a/notice/limit_test.go
+++ b/notice/limit_test.go
@@ -20,7 +20,7 @@
 	tests := []struct {
 		name    string
 		answers []answer
-		named   bool
+		active  bool
 		rate    float64
 	}{
 		{"no limit", []answer{{0, 1, unlimited, false}}, false, 0},
@@ -45,7 +45,7 @@
 				}
 			}
 			reg.Expire(start.Add(time.Second))
-			if got := reg.Limit(plain); got.Active != tt.named || got.PerSecond != tt.rate {
+			if got := reg.Limit(plain); got.Active != tt.active || got.PerSecond != tt.rate {
 				t.Errorf("the limit is %+v", got)
 			}
 		})
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -25,8 +25,9 @@
 	// MaxBackoff bounds the backoff that a target asks for. Observed targets ask for some
 	// seconds; one that names a year must not be lost for that long.
 	MaxBackoff = 5 * time.Minute
-	// retention is how long a leaving target is remembered after it last signalled or was
-	// listed. It is gone within a minute, but a stale list may name it again.
+	// retention is how long a leaving or rate-limited target is remembered after it last
+	// signalled or was listed. One that leaves is gone within a minute, but a stale list may
+	// name it again.
 	retention = time.Hour
 	// maxRecords bounds the targets remembered, at some 200 bytes each: several times the
 	// fleet's targets.
@@ -211,7 +212,7 @@
 	}
 }
 
-// Expire drops records without effect. Call it now and then.
+// Expire drops records without effect. Call it periodically.
 func (reg *Registry) Expire(now time.Time) {
 	if reg.size.Load() == 0 {
 		return
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -156,8 +156,8 @@
 	l.changed = l.changed || len(l.bySum) < before
 }
 
-// evictedPart divides a full list into the part that is evicted at once, an eighth: a sort for
-// each new record would take the event loop a millisecond each time.
+// A full list evicts 1/evictedPart of its records at once: to sort them for each new record
+// would take the event loop a millisecond each time.
 const evictedPart = 8
 
 // of returns the record of a fingerprint. In a full list those with the fewest crashes
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -7,10 +7,10 @@
 //		bucket.Take()
 //	}
 //
-// It guards against a target that is overloaded and names a rate, of which each of many
-// boxes then sends the whole. In any span the boxes together send the rate times the span
-// plus one burst each; so at a low rate only as many boxes get a share as requests come
-// in a second, and two more.
+// It guards against overload of a target that announces a rate: without shares each of
+// many boxes would send at that rate. In any span the boxes together send the rate times
+// the span plus one burst each; so at a low rate only as many boxes get a share as
+// requests come in a second, and two more.
 package quota
 
 import (
@@ -23,7 +23,7 @@
 	// spareBoxes is how many boxes beyond the requests a second get a share, so that a low
 	// rate does not depend on one box.
 	spareBoxes = 2
-	// burstTime is how long a bucket fills up to, with one request as the minimum.
+	// burstTime limits a bucket to the tokens of this time, but to no less than one token.
 	burstTime = 250 * time.Millisecond
 	// minRate is the lowest rate, in requests a second: without any request no box would
 	// learn that the target accepts some again.
--- a/reclaim/reclaim_test.go
+++ b/reclaim/reclaim_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestFetchFor(t *testing.T) {
+func TestFetchTimeout(t *testing.T) {
 	tests := []struct {
 		name      string
 		newest    bool
--- a/retention/retention.go
+++ b/retention/retention.go
@@ -50,7 +50,7 @@
 }
 
 // Observe records a prompt of an account and whether it returned, that is, was there
-// before. Older prompts decay, so that the share follows the account.
+// before. Older prompts decay, so that the share follows changes in the account's use.
 func (p *Policy) Observe(account string, returned bool) {
 	const decay = 0.995
 	if p.counts == nil {
--- a/retryafter/retryafter.go
+++ b/retryafter/retryafter.go
@@ -47,7 +47,7 @@
 	// share of its expected rest: a quarter and the whole differed little; without a span
 	// fewer callers were served.
 	spanShare = 0.5
-	// priorities is how many priorities are told apart; lower ones count as the last.
+	// priorities is how many priorities are distinguished; lower ones count as the last.
 	priorities = 3
 	// weight is the weight of one outage in the moving average of its kind: about the last
 	// five count.
--- a/retryafter/retryafter_test.go
+++ b/retryafter/retryafter_test.go
@@ -83,21 +83,21 @@
 		from time.Duration
 		to   [4]time.Duration // By priority.
 	}{
-		{"memory full", func(u int) func(*retryafter.Estimator) time.Duration {
-			return func(e *retryafter.Estimator) time.Duration { return e.MemoryFull(600*time.Millisecond, u) }
+		{"memory full", func(priority int) func(*retryafter.Estimator) time.Duration {
+			return func(e *retryafter.Estimator) time.Duration { return e.MemoryFull(600*time.Millisecond, priority) }
 		}, 60 * time.Millisecond, [4]time.Duration{100, 140, 180, 180}},
-		{"memory full, a long goal", func(u int) func(*retryafter.Estimator) time.Duration {
-			return func(e *retryafter.Estimator) time.Duration { return e.MemoryFull(1200*time.Millisecond, u) }
+		{"memory full, a long goal", func(priority int) func(*retryafter.Estimator) time.Duration {
+			return func(e *retryafter.Estimator) time.Duration { return e.MemoryFull(1200*time.Millisecond, priority) }
 		}, 120 * time.Millisecond, [4]time.Duration{200, 280, 360, 360}},
-		{"memory full, no goal", func(u int) func(*retryafter.Estimator) time.Duration {
-			return func(e *retryafter.Estimator) time.Duration { return e.MemoryFull(0, u) }
+		{"memory full, no goal", func(priority int) func(*retryafter.Estimator) time.Duration {
+			return func(e *retryafter.Estimator) time.Duration { return e.MemoryFull(0, priority) }
 		}, 60 * time.Millisecond, [4]time.Duration{100, 140, 180, 180}},
-		{"soon", func(u int) func(*retryafter.Estimator) time.Duration {
-			return func(e *retryafter.Estimator) time.Duration { return e.Soon(u) }
+		{"soon", func(priority int) func(*retryafter.Estimator) time.Duration {
+			return func(e *retryafter.Estimator) time.Duration { return e.Soon(priority) }
 		}, 60 * time.Millisecond, [4]time.Duration{100, 140, 180, 180}},
-		{"outage", func(u int) func(*retryafter.Estimator) time.Duration {
+		{"outage", func(priority int) func(*retryafter.Estimator) time.Duration {
 			return func(e *retryafter.Estimator) time.Duration {
-				return e.DuringOutage(start.Add(1200*time.Millisecond), "x", u)
+				return e.DuringOutage(start.Add(1200*time.Millisecond), "x", priority)
 			}
 		}, 1200 * time.Millisecond, [4]time.Duration{1400, 1600, 1800, 1800}},
 	}
--- a/retryafter/simulation_test.go
+++ b/retryafter/simulation_test.go
@@ -274,7 +274,8 @@
 	p.after(time.Duration(c.size*float64(c.runs)), func() { p.used[engine] -= tokens })
 }
 
-// refused schedules the caller's retry as told, after at most a third of the time left.
+// refused schedules the caller's retry after the given wait, or a third of the time left if
+// that is less.
 func (p *simulation) refused(c *caller, wait time.Duration) {
 	left := c.began + c.deadline - p.now
 	if c.attempts >= c.maxAttempts || left < 50*time.Millisecond {
--- a/slowstart/slowstart.go
+++ b/slowstart/slowstart.go
@@ -31,10 +31,10 @@
 	// arrivals, and a quarter of one for differences in request latency; a placement call to
 	// a hub takes at most 100 ms, twice.
 	window = 1250 * time.Millisecond
-	// usable is the share of the limit that is divided. The rest is for boxes that two
-	// others take for the placing one at the same time, while boxes join: two of six hubs
-	// may do so. Over the window that makes 19 requests a second of 32, where a target can
-	// serve 18 for long.
+	// usable is the share of the limit that is divided. The rest is a reserve for the time
+	// while boxes join, when two boxes may act in the place of one hub: this may concern two
+	// of six hubs. Over the window the divided part is 19 of 32 requests a second, where a
+	// target can sustain 18.
 	usable = 0.75
 )
 
--- a/slowstart/slowstart_test.go
+++ b/slowstart/slowstart_test.go
@@ -140,7 +140,7 @@
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	tests := []struct {
 		ms, share int
-		room      bool
+		allowed   bool
 	}{
 		{0, 0, false},
 		{0, 2, true},
@@ -154,11 +154,11 @@
 		{1260, 3, true},
 	}
 	for _, tt := range tests {
-		if room := l.Allow(at(tt.ms), 1, tt.share); room != tt.room {
+		if room := l.Allow(at(tt.ms), 1, tt.share); room != tt.allowed {
 			t.Errorf("after %d ms, share %d: allowed %v", tt.ms, tt.share, room)
 			continue
 		}
-		if tt.room {
+		if tt.allowed {
 			l.Take(at(tt.ms), 1)
 		}
 	}
--- a/throughput/fit.go
+++ b/throughput/fit.go
@@ -7,7 +7,8 @@
 	// 50 ms, and the first ones measured prefilled 112 tokens a millisecond.
 	firstBase  = 50 * time.Millisecond
 	firstToken = time.Millisecond / 112
-	// decay is the weight of a sample after the next one: about the last fifty count.
+	// decay is the factor by which each sample lowers the weight of earlier ones: about the
+	// last fifty count.
 	decay = 0.98
 	// assumed is how many samples the first guess counts as, at each of two points: zero
 	// tokens and assumedAt tokens.
--- a/throughput/throughput.go
+++ b/throughput/throughput.go
@@ -39,8 +39,8 @@
 }
 
 const (
-	// decayTime is how long a transfer counts, so that a source that became slow or
-	// recovered is noticed within some seconds.
+	// decayTime is the time constant of the decay of transfers. It is short, so that a source
+	// that became slow or recovered is noticed within some seconds.
 	decayTime = 2 * time.Second
 	// prior is how much transfer time is assumed to have gone as expected: about two long
 	// transfers, so that a single late answer changes little.
