--- a/fleet/target.go
+++ b/fleet/target.go
@@ -32,7 +32,7 @@
 	// Versions are the known weight versions by model.
 	Versions map[string]int64
 	// StaleVersions are the weight versions, by model, with which it joined the list
-	// although newer ones were named. As nobody knew of it, parts made on these versions may
+	// although newer ones were named. As no box knew of it, parts made on these versions may
 	// be being freed from the stores, so it fetches none. It recomputes shared parts until
 	// it has newer weights, within seconds.
 	StaleVersions map[string]int64
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -134,7 +134,7 @@
 }
 
 // AcquireOrRenew renews the lease, or takes it if its holder let it lapse. It returns the
-// table service's error; a held lease then expires by itself.
+// table service's error; a held lease then expires unless a later call renews it.
 func (l *Lease) AcquireOrRenew(ctx context.Context) error {
 	started := l.Now()
 	current, at, err := l.read(ctx)
--- a/notice/limit.go
+++ b/notice/limit.go
@@ -14,8 +14,8 @@
 	// liftedRetention is how long the end of a limit is remembered, so that an older report
 	// does not restore it.
 	liftedRetention = 30 * time.Second
-	// minChange is the relative change of a rate since the last news that counts as news
-	// again. The boxes' shares may be off by as much.
+	// minChange is the relative change above which a rate is news, compared with the rate
+	// that was news last. The boxes' shares may be off by as much.
 	minChange = 0.2
 )
 
--- a/slowstart/slowstart_test.go
+++ b/slowstart/slowstart_test.go
@@ -154,8 +154,8 @@
 		{1260, 3, true},
 	}
 	for _, tt := range tests {
-		if room := l.Allow(at(tt.ms), 1, tt.share); room != tt.allowed {
-			t.Errorf("after %d ms, share %d: allowed %v", tt.ms, tt.share, room)
+		if allowed := l.Allow(at(tt.ms), 1, tt.share); allowed != tt.allowed {
+			t.Errorf("after %d ms, share %d: allowed %v", tt.ms, tt.share, allowed)
 			continue
 		}
 		if tt.allowed {
