--- a/fleet/target.go
+++ b/fleet/target.go
@@ -32,7 +32,7 @@
 	// Versions are the known weight versions by model.
 	Versions map[string]int64
 	// StaleVersions are the weight versions, by model, with which it joined the list
-	// although newer ones were named. As nobody knew of it, parts made on these versions may
+	// although newer ones were named. As no box knew of it, parts made on these versions may
 	// be being freed from the stores, so it fetches none. It recomputes shared parts until
 	// it has newer weights, within seconds.
 	StaleVersions map[string]int64
@@ -43,7 +43,7 @@
 	// ColdUntil is until when it is slow after its start, by its last report; MaybeColdUntil
 	// is the same for a restart that may have gone unnoticed.
 	ColdUntil, MaybeColdUntil time.Time
-	// FeedLost is set while its news feed is disconnected: it may have restarted.
+	// FeedLost is set while its cache events cannot be read: it may have restarted.
 	FeedLost bool
 	// LapsedAt is when its entry disappeared from the list after an outage of the platform;
 	// zero if the entry is there.
