--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -96,8 +96,9 @@
 	}
 }
 
-// TestRefusalIsSentAtOnce checks every part of a refusal's response.
-func TestRefusalIsSentAtOnce(t *testing.T) {
+// TestRefusalBeforeStream checks the response to a streamed request that is refused before its
+// first text.
+func TestRefusalBeforeStream(t *testing.T) {
 	h := newFront(t, func(relay.Request) (stream.Frame, error) {
 		return stream.Frame{}, refusal.New(refusal.DidNotRun, http.StatusTooManyRequests, "over_limit", "too much").WithRetryAfter(1500 * time.Millisecond)
 	})
--- a/caller/complete.go
+++ b/caller/complete.go
@@ -108,7 +108,7 @@
 	}
 	offset, err := strconv.Atoi(text)
 	if err != nil || offset < 0 {
-		return 0, bad("bad_offset", "the offset must be a number of bytes")
+		return 0, badRequest("bad_offset", "the offset must be a number of bytes")
 	}
 	return offset, nil
 }
--- a/caller/once.go
+++ b/caller/once.go
@@ -31,7 +31,7 @@
 func (c *call) runOnce(ctx context.Context, a ask, request relay.Request, out *completionWriter) error {
 	key := c.r.Header.Get(forward.HeaderKey)
 	if key == "" {
-		return bad("key_missing", "a request marked not repeatable needs an %s header", forward.HeaderKey)
+		return badRequest("key_missing", "a request marked not repeatable needs an %s header", forward.HeaderKey)
 	}
 	p := c.Permits.NewPermit(idempotency.Request{
 		ID: c.id, Account: c.account.Name, Pool: request.Pool, Key: key, Digest: idempotency.Digest(a.body, c.r.URL.Path),
--- a/caller/request.go
+++ b/caller/request.go
@@ -49,7 +49,7 @@
 	Text string `json:"text"`
 }
 
-func bad(code, format string, args ...any) *refusal.Refusal {
+func badRequest(code, format string, args ...any) *refusal.Refusal {
 	return refusal.New(refusal.DidNotRun, http.StatusBadRequest, code, format, args...)
 }
 
@@ -62,17 +62,17 @@
 	case errors.As(err, &tooLarge):
 		return a, refusal.New(refusal.DidNotRun, http.StatusRequestEntityTooLarge, "too_large", "the body has over %d bytes", c.MaxBodyBytes)
 	case err != nil:
-		return a, bad("body_cut", "the body did not arrive whole")
+		return a, badRequest("body_cut", "the body did not arrive whole")
 	}
 	if err := json.Unmarshal(data, &a); err != nil {
-		return a, bad("invalid_json", "the body is not the JSON of a completion: %v", err)
+		return a, badRequest("invalid_json", "the body is not the JSON of a completion: %v", err)
 	}
 	a.body = data
 	if a.N != nil && *a.N != 1 {
-		return a, bad("unsupported", "n must be 1")
+		return a, badRequest("unsupported", "n must be 1")
 	}
 	if n := a.maxTokens(); n < 1 || n > maxMaxTokens {
-		return a, bad("invalid_max_tokens", "max_tokens must be 1 to %d", maxMaxTokens)
+		return a, badRequest("invalid_max_tokens", "max_tokens must be 1 to %d", maxMaxTokens)
 	}
 	m, ok := c.configuration.Models[a.Model]
 	if !ok || !c.poolAllowed(m.Pool) {
@@ -96,16 +96,16 @@
 // the same messages give the same bytes.
 func canonicalPrompt(messages []message) (string, error) {
 	if len(messages) == 0 {
-		return "", bad("messages_missing", "messages must not be empty")
+		return "", badRequest("messages_missing", "messages must not be empty")
 	}
 	var b strings.Builder
 	for i, m := range messages {
 		if m.Role == "" {
-			return "", bad("role_missing", "messages[%d] has no role", i)
+			return "", badRequest("role_missing", "messages[%d] has no role", i)
 		}
 		text, err := contentText(m.Content)
 		if err != nil {
-			return "", bad("invalid_content", "messages[%d].content must be text", i)
+			return "", badRequest("invalid_content", "messages[%d].content must be text", i)
 		}
 		b.WriteString("<|")
 		b.WriteString(m.Role)
@@ -149,7 +149,7 @@
 		}
 	}
 	if text == "" {
-		return "", bad("invalid_prompt", "prompt must be a string that is not empty, or a list of one")
+		return "", badRequest("invalid_prompt", "prompt must be a string that is not empty, or a list of one")
 	}
 	return text, nil
 }
--- a/exchange/cancel_test.go
+++ b/exchange/cancel_test.go
@@ -49,14 +49,14 @@
 // TestAbortDiscardsUnsent abandons a request whose target has not read it yet: bytes still queued
 // on this box never arrive, however late the target reads.
 func TestAbortDiscardsUnsent(t *testing.T) {
-	accepted, given := make(chan struct{}), make(chan struct{})
+	accepted, abandoned := make(chan struct{}), make(chan struct{})
 	read := make(chan error, 1)
 	x := serve(t, func(_ int, conn *net.TCPConn, _ func() *http.Request) {
 		if err := conn.SetReadBuffer(4 << 10); err != nil {
 			t.Error(err)
 		}
 		close(accepted)
-		<-given
+		<-abandoned
 		r, err := http.ReadRequest(bufio.NewReader(conn))
 		if err == nil {
 			_, err = io.Copy(io.Discard, r.Body)
@@ -74,7 +74,7 @@
 	if !errors.Is(err, context.Canceled) {
 		t.Fatalf("err = %v", err)
 	}
-	close(given)
+	close(abandoned)
 	if err := <-read; err == nil {
 		t.Error("the whole request arrived after it was abandoned")
 	}
--- a/exchange/connection.go
+++ b/exchange/connection.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// usable reports whether an idle connection is open and has no unread bytes. Unsolicited bytes,
-// such as a second answer, make it unusable.
+// usable reports whether an idle connection is open, within the target's keep-alive timeout, and
+// without unread bytes. Unsolicited bytes, such as a second answer, make it unusable.
 func (c *connection) usable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -39,7 +39,7 @@
 	// DialTimeout bounds how long connecting may take.
 	DialTimeout time.Duration
 	// IdleTimeout is how long an idle connection is kept, unless its target announces a shorter
-	// keep-alive timeout; it is shorter than any target's own limit.
+	// keep-alive timeout. It should be shorter than any target's own limit.
 	IdleTimeout time.Duration
 	// MaxPerTarget returns the limit of connections to an address; nil or zero means no limit.
 	MaxPerTarget func(at netip.AddrPort) int
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -152,7 +152,7 @@
 			}
 			_, _, err := ask(c, x.at, &exchange.Request{Method: "GET", Path: "/b", Host: "h", Header: header})
 			if err == nil || errors.Is(err, exchange.ErrNotSent) {
-				t.Errorf("err = %v, want one that does not say that nothing was sent", err)
+				t.Errorf("err = %v, want an error other than ErrNotSent", err)
 			}
 			if n := len(x.requests); n != tt.reads {
 				t.Errorf("the target read %d requests, want %d", n, tt.reads)
@@ -246,7 +246,7 @@
 			close(read)
 			_, err = io.ReadAll(answer)
 			if (err != nil) != tt.reset {
-				t.Errorf("err = %v, want one: %v", err, tt.reset)
+				t.Errorf("err = %v, want an error: %v", err, tt.reset)
 			}
 		})
 	}
--- a/peer/hub.go
+++ b/peer/hub.go
@@ -16,10 +16,10 @@
 	// IsolatedAccount names the account if it shares no cached prompt parts with others.
 	IsolatedAccount string `cbor:"4,keyasint,omitempty"`
 	Parts           []Part `cbor:"5,keyasint,omitempty"`
-	// Tokens is the memory that the request takes up.
+	// Tokens is the memory that the request needs, in tokens.
 	Tokens int `cbor:"6,keyasint,omitempty"`
 	// MaxMemoryShare is the share of an engine's memory up to which the request is admitted if it
-	// takes up TypicalTokens, which is typical for its route.
+	// needs TypicalTokens, which is typical for its route.
 	MaxMemoryShare float64  `cbor:"7,keyasint,omitempty"`
 	TypicalTokens  int      `cbor:"9,keyasint,omitempty"`
 	Tried          []string `cbor:"8,keyasint,omitempty"`
@@ -32,8 +32,8 @@
 	// IdleConnections are the targets to which the asking box has an idle connection, each by the
 	// lower half of its ID's hash.
 	IdleConnections []uint32 `cbor:"11,keyasint,omitempty"`
-	// Excluded are the targets that told the asking box, by drain or backoff, to send nothing;
-	// named likewise.
+	// Excluded are the targets that must get no request from the asking box because they are
+	// leaving or asked it for a backoff; named likewise.
 	Excluded []uint32 `cbor:"12,keyasint,omitempty"`
 }
 
@@ -86,8 +86,8 @@
 	ConfigurationVersion int64 `cbor:"1,keyasint"`
 	ProofAgeMS           int64 `cbor:"2,keyasint"`
 	// ListVersion numbers the last change of the hub's list of targets that this answer covers.
-	// With Delta, Entries are those that were added or changed since the version asked with, and
-	// Removed the IDs of those removed. Without Delta, Entries are the next part of a full
+	// With Delta, Entries are those that were added or changed since the version in the request,
+	// and Removed the IDs of those removed. Without Delta, Entries are the next part of a full
 	// snapshot: once it is complete, targets that it did not name are gone. More says that there
 	// is more to fetch; the next request carries ListStartVersion, too.
 	ListVersion      uint64   `cbor:"3,keyasint"`
--- a/peer/link.go
+++ b/peer/link.go
@@ -73,10 +73,10 @@
 		l.dialDone = make(chan struct{})
 		go l.dial(context.WithoutCancel(ctx), l.dialDone)
 	}
-	dialling := l.dialDone
+	dialing := l.dialDone
 	l.mu.Unlock()
 	select {
-	case <-dialling:
+	case <-dialing:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
--- a/peer/message.go
+++ b/peer/message.go
@@ -34,7 +34,7 @@
 	Demand []Demand `cbor:"6,keyasint,omitempty"`
 	// Usage is how much of each pool the sender's requests occupy.
 	Usage []PoolUsage `cbor:"10,keyasint,omitempty"`
-	// TargetLoads are what the sender's own requests take up, by target.
+	// TargetLoads are the resources that the sender's own requests use, by target.
 	TargetLoads []TargetLoad `cbor:"11,keyasint,omitempty"`
 	// ListVersion is the version of the hub's list that the sender has.
 	ListVersion uint64 `cbor:"12,keyasint,omitempty"`
@@ -124,7 +124,7 @@
 	Age int `cbor:"7,keyasint,omitempty"`
 }
 
-// TargetLoad is what one box's requests take up at a target or a store.
+// TargetLoad is the load that one box's requests put on a target or a store.
 type TargetLoad struct {
 	// Target is the hash of the target's ID or of the store's name.
 	Target uint64 `cbor:"1,keyasint"`
@@ -142,7 +142,7 @@
 type PrefillTotal struct {
 	// Target is the hash of the target's ID.
 	Target uint64 `cbor:"1,keyasint"`
-	// Total counts since the box started.
+	// Total counts since the box started; it falls only if the box restarts.
 	Total uint64 `cbor:"2,keyasint"`
 }
 
@@ -161,7 +161,8 @@
 	return TargetLoad{s.Target, s.Tokens - b.Tokens, s.PrefillBacklog - b.PrefillBacklog, s.ExpectedMS - b.ExpectedMS, s.ActualMS - b.ActualMS}
 }
 
-// Leaving tells how long ago a target was said to be leaving, by itself or by the platform's list.
+// Leaving names a target that is leaving. Its age counts from when the target announced that, or
+// from when the platform's list showed it.
 type Leaving struct {
 	Target uint64 `cbor:"1,keyasint"`
 	// Age is in milliseconds.
--- a/peer/node.go
+++ b/peer/node.go
@@ -82,15 +82,15 @@
 	var answers sync.WaitGroup
 	defer answers.Wait()
 	defer cancel()
-	room := make(chan struct{}, maxConcurrent)
+	slots := make(chan struct{}, maxConcurrent)
 	for {
 		m, err := n.readNext(ctx, conn)
 		if err != nil {
 			return // The peer closed the connection, or will dial again.
 		}
-		room <- struct{}{}
+		slots <- struct{}{}
 		answers.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			n.answer(ctx, conn, m)
 		})
 	}
