--- a/entry/admission_test.go
+++ b/entry/admission_test.go
@@ -61,15 +61,15 @@
 // TestAdmissionBySize checks that a long prompt is admitted where its route's typical prompt
 // is, as long as it fits.
 func TestAdmissionBySize(t *testing.T) {
-	const usual = 10000
+	const typical = 10000
 	tests := []struct {
 		name         string
 		taken, asked int
 		admitted     bool
 	}{
-		{"typical, fits", 80000, usual, true},
+		{"typical, fits", 80000, typical, true},
 		{"long, a typical one fits", 80000, 30000, true},
-		{"typical, does not fit", 83000, usual, false},
+		{"typical, does not fit", 83000, typical, false},
 		{"short, a typical one does not fit", 83000, 1000, false},
 		{"long, does not fit", 80000, 40000, false},
 	}
@@ -77,7 +77,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := withMemoryUsed(tt.taken)
 			for range 200 {
-				d.tables.learnTypicalTokens(job("long", usual))
+				d.tables.learnTypicalTokens(job("long", typical))
 			}
 			_, err := d.place(start, &d.tables, deliver.PlacementRequest{Job: job("long", tt.asked)})
 			if (err == nil) != tt.admitted {
--- a/entry/canary.go
+++ b/entry/canary.go
@@ -70,15 +70,15 @@
 		}
 	}
 	for pool, c := range t.canaries {
-		spec, told := asked[pool]
-		lost := m.change.Snapshot && asked != nil && !told
+		spec, present := asked[pool]
+		lost := m.change.Snapshot && asked != nil && !present
 		switch {
-		case told && spec != nil:
+		case present && spec != nil:
 			c.specLostAt = time.Time{}
 		case lost && m.change.Known.Restores > t.operatorKnown.Restores:
 			d.Log.Warn("a restore lost the spec of a canary version; it is kept until the operator can write it again", "pool", pool, "version", c.spec.Version, "for", operatorRewriteGrace)
 			c.specLostAt = now
-		case told || lost && c.specLostAt.IsZero():
+		case present || lost && c.specLostAt.IsZero():
 			d.stopCanary(now, c, "the operator took it back")
 		}
 	}
@@ -171,7 +171,7 @@
 const olderExcludedFor = 30 * time.Second
 
 // receiving reports which of the versions get requests at all.
-func (c *canaryRollout) receiving(now time.Time) (fresh, older bool) {
+func (c *canaryRollout) receiving(now time.Time) (newer, older bool) {
 	switch {
 	case c.state == canary.Completed:
 		return true, now.Sub(c.stateSince) > olderExcludedFor
@@ -189,9 +189,9 @@
 	if c == nil {
 		return d.mayBeUnknownCanary(t, x)
 	}
-	fresh, older := c.receiving(now)
+	newer, older := c.receiving(now)
 	if c.isCanary(x) {
-		return !fresh
+		return !newer
 	}
 	return !older || slices.Contains(c.barred, x.Software)
 }
@@ -216,7 +216,7 @@
 		return []func(*fleet.Target) bool{excluded}
 	}
 	older := func(x *fleet.Target) bool { return c.isCanary(x) || excluded(x) }
-	if fresh, _ := c.receiving(now); !fresh || !c.gate.Allow(ask.Job.Route.Name) {
+	if newer, _ := c.receiving(now); !newer || !c.gate.Allow(ask.Job.Route.Name) {
 		return []func(*fleet.Target) bool{older}
 	}
 	return []func(*fleet.Target) bool{func(x *fleet.Target) bool { return !c.isCanary(x) || excluded(x) }, older}
@@ -241,18 +241,18 @@
 
 // applyHubCanaries applies the canary rollouts in a hub's view.
 func (d *Daemon) applyHubCanaries(now time.Time, t *tables, hub string, list []peer.Canary) {
-	for _, told := range list {
-		c := d.startCanary(now, t, canary.Rollout{Pool: told.Pool, Version: told.Version, Order: told.Order}, hub)
-		if !c.spec.Same(canary.Rollout{Pool: told.Pool, Version: told.Version, Order: told.Order}) {
+	for _, remote := range list {
+		c := d.startCanary(now, t, canary.Rollout{Pool: remote.Pool, Version: remote.Version, Order: remote.Order}, hub)
+		if !c.spec.Same(canary.Rollout{Pool: remote.Pool, Version: remote.Version, Order: remote.Order}) {
 			continue // The hub has not learned of the newer one.
 		}
-		for _, version := range told.Barred {
+		for _, version := range remote.Barred {
 			if !slices.Contains(c.barred, version) {
 				c.barred = append(c.barred, version)
 			}
 		}
-		d.setCanaryState(now, c, canary.State(told.State), hub)
-		if told.Stopped {
+		d.setCanaryState(now, c, canary.State(remote.State), hub)
+		if remote.Stopped {
 			d.stopCanary(now, c, "told by "+hub)
 		}
 	}
--- a/entry/canary_test.go
+++ b/entry/canary_test.go
@@ -88,7 +88,7 @@
 	if w.asked {
 		w.sent++
 	}
-	if fresh := w.targets[place.Target].Software != "v1"; fresh {
+	if onCanary := w.targets[place.Target].Software != "v1"; onCanary {
 		failed, took = w.answerFromCanary(route, took)
 	} else if states := w.canaryReports["orders"]; len(states) > 0 && states[len(states)-1] == canary.Completed {
 		w.olderAfterCompletion++
--- a/entry/canaryrow.go
+++ b/entry/canaryrow.go
@@ -118,7 +118,7 @@
 			effects = append(effects, writeCanary{c.spec.Pool, row, c.revision})
 		}
 	}
-	if stands := c.deadline != 0; stands && !c.reporting && !c.stateReported() {
+	if known := c.deadline != 0; known && !c.reporting && !c.stateReported() {
 		c.reporting = true
 		effects = append(effects, reportCanary{c.spec, c.state})
 	}
--- a/entry/canarysamples.go
+++ b/entry/canarysamples.go
@@ -35,20 +35,20 @@
 	}
 	c := t.canaryOf(x.Pool)
 	route, took := m.Job.Route.Name, now.Sub(m.Place.PlacedAt)
-	before := t.usualAnswerTime(answerTimeKey(m.Job))
-	fresh := c != nil && c.isCanary(x)
-	if !fresh && !m.Failed {
-		defer before.Observe(took)
+	usual := t.usualAnswerTime(answerTimeKey(m.Job))
+	onCanary := c != nil && c.isCanary(x)
+	if !onCanary && !m.Failed {
+		defer usual.Observe(took)
 	}
-	if c == nil || c.state.Ended() || !m.Failed && !before.Known() {
+	if c == nil || c.state.Ended() || !m.Failed && !usual.Known() {
 		return
 	}
-	bad := m.Failed || before.Slow(took)
+	bad := m.Failed || usual.Slow(took)
 	counts := c.ownCounts[route]
 	switch {
-	case fresh && bad:
+	case onCanary && bad:
 		counts.Bad++
-	case fresh:
+	case onCanary:
 		counts.Good++
 	case bad:
 		counts.BaselineBad++
@@ -62,13 +62,13 @@
 
 // usualAnswerTime is how long the older version's answers to similar requests take. It is
 // learned at all times, to be known when a canary rollout begins.
-func (t *tables) usualAnswerTime(alike string) *outlier.Detector {
-	took := t.answerTimes[alike]
-	if took == nil {
-		took = &outlier.Detector{}
-		t.answerTimes[alike] = took
+func (t *tables) usualAnswerTime(key string) *outlier.Detector {
+	detector := t.answerTimes[key]
+	if detector == nil {
+		detector = &outlier.Detector{}
+		t.answerTimes[key] = detector
 	}
-	return took
+	return detector
 }
 
 // stopIfBad stops a canary version as soon as the counts known to this box show that it is bad.
@@ -106,9 +106,9 @@
 		if !others {
 			continue
 		}
-		for _, of := range c.peerCounts {
-			if !of.changedAt.Before(since) {
-				list = append(list, of.sample)
+		for _, received := range c.peerCounts {
+			if !received.changedAt.Before(since) {
+				list = append(list, received.sample)
 			}
 		}
 	}
@@ -141,13 +141,13 @@
 		if c == nil || c.spec.Order != s.Order || s.Box == d.Settings.Name {
 			continue
 		}
-		at := sampleKey{s.Box, s.Route}
-		of := c.peerCounts[at]
-		if of.sample != s {
-			of.changedAt = now
+		key := sampleKey{s.Box, s.Route}
+		received := c.peerCounts[key]
+		if received.sample != s {
+			received.changedAt = now
 		}
-		of.sample, of.receivedAt = s, now
-		c.peerCounts[at] = of
+		received.sample, received.receivedAt = s, now
+		c.peerCounts[key] = received
 		c.judge.Observe(s.Box, s.Route, canary.Counts{Good: s.Good, Bad: s.Bad, BaselineGood: s.BaselineGood, BaselineBad: s.BaselineBad})
 		d.stopIfBad(now, c)
 	}
@@ -157,9 +157,9 @@
 // recent reports.
 func (d *Daemon) baselineInFlight(now time.Time, t *tables, c *canaryRollout) int {
 	n := d.ownCanarySamples(t, c.spec.Pool, c)[0].BaselineInFlight
-	for at, of := range c.peerCounts {
-		if at.route == "" && now.Sub(of.receivedAt) < inFlightTTL {
-			n += of.sample.BaselineInFlight
+	for key, received := range c.peerCounts {
+		if key.route == "" && now.Sub(received.receivedAt) < inFlightTTL {
+			n += received.sample.BaselineInFlight
 		}
 	}
 	return n
--- a/entry/costgrowth_test.go
+++ b/entry/costgrowth_test.go
@@ -53,23 +53,23 @@
 
 // costs returns the means over boxes, per second.
 func (w *emulator) costs(seconds float64) fleetCost {
-	at := fleetCost{boxes: len(w.boxes)}
-	hubs, plain := 0.0, 0.0
+	cost := fleetCost{boxes: len(w.boxes)}
+	hubs, spokes := 0.0, 0.0
 	for _, d := range w.boxes {
 		c := w.cost[d.Settings.Name]
-		at.calls += float64(c.storeCalls) / seconds / float64(len(w.boxes))
+		cost.calls += float64(c.storeCalls) / seconds / float64(len(w.boxes))
 		if d.spoke.Load() {
-			plain++
-			at.spoke += float64(c.bytes) / seconds
+			spokes++
+			cost.spoke += float64(c.bytes) / seconds
 			continue
 		}
 		hubs++
-		at.hub += float64(c.bytes) / seconds
-		at.watched = max(at.watched, float64(c.watched))
+		cost.hub += float64(c.bytes) / seconds
+		cost.watched = max(cost.watched, float64(c.watched))
 	}
-	at.spoke /= plain
-	at.hub /= hubs
-	return at
+	cost.spoke /= spokes
+	cost.hub /= hubs
+	return cost
 }
 
 // growthExponent is the exponent with which a cost grows from one fleet size to another.
@@ -84,9 +84,9 @@
 	t.Parallel()
 	var all []fleetCost
 	for _, boxes := range []int{30, 100, 300} {
-		at := costOfFleet(boxes)
-		t.Logf("%d boxes: %.0f bytes a second sent by a spoke, %.0f by a hub, %.3f calls per box, %.0f sources watched", at.boxes, at.spoke, at.hub, at.calls, at.watched)
-		all = append(all, at)
+		cost := costOfFleet(boxes)
+		t.Logf("%d boxes: %.0f bytes a second sent by a spoke, %.0f by a hub, %.3f calls per box, %.0f sources watched", cost.boxes, cost.spoke, cost.hub, cost.calls, cost.watched)
+		all = append(all, cost)
 	}
 	tests := []struct {
 		what string
@@ -112,14 +112,14 @@
 func BenchmarkFleet(b *testing.B) {
 	for _, boxes := range []int{300, 1000, 2000} {
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
-			var at fleetCost
+			var cost fleetCost
 			for b.Loop() {
-				at = costOfFleet(boxes)
+				cost = costOfFleet(boxes)
 			}
-			b.ReportMetric(at.spoke, "plain-bytes/s")
-			b.ReportMetric(at.hub, "hub-bytes/s")
-			b.ReportMetric(at.calls, "calls/box/s")
-			b.ReportMetric(at.watched, "followed")
+			b.ReportMetric(cost.spoke, "plain-bytes/s")
+			b.ReportMetric(cost.hub, "hub-bytes/s")
+			b.ReportMetric(cost.calls, "calls/box/s")
+			b.ReportMetric(cost.watched, "followed")
 		})
 	}
 }
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -54,18 +54,18 @@
 	if m.Began || m.Verdict == deliver.DidNotRun || m.Verdict == deliver.OtherVersion {
 		t.crashes.Alive(incarnation, m.Place.PlacedAt)
 	}
-	over := false
+	ended := false
 	switch {
 	case m.ConnectionRefused:
 		d.incarnationEnded(now, t, incarnation, "its address refuses connections")
 	case m.Answered:
 		d.clearAnswered(now, t, m.Job)
 	case m.CutOff:
-		over = t.crashes.CutOff(now, incarnation, m.Job.Fingerprint())
+		ended = t.crashes.CutOff(now, incarnation, m.Job.Fingerprint())
 	case m.CallerLeft:
-		over = t.crashes.CallerLeft(now, incarnation, m.Job.Fingerprint())
+		ended = t.crashes.CallerLeft(now, incarnation, m.Job.Fingerprint())
 	}
-	if over {
+	if ended {
 		d.reportCrash(now, t, incarnation, []fingerprint.Sum{m.Job.Fingerprint()}, "known before")
 	}
 }
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -85,7 +85,7 @@
 // TestEndedUnder goes through the ways to find out that a target ended under a request, or did
 // not.
 func TestEndedUnder(t *testing.T) {
-	refusedNews := func(target string) message {
+	eventsRefused := func(target string) message {
 		return cacheEventsRead{source: target, err: fmt.Errorf("dial: %w", syscall.ECONNREFUSED)}
 	}
 	tests := []struct {
@@ -95,7 +95,7 @@
 		want  bool
 	}{
 		{"its address refuses connections", func(x string) []message { return []message{refusesDial(x)} }, true},
-		{"its cache events can't be read, as its address refuses connections", func(x string) []message { return []message{refusedNews(x)} }, true},
+		{"its cache events can't be read, as its address refuses connections", func(x string) []message { return []message{eventsRefused(x)} }, true},
 		{"its cache events can't be read", func(x string) []message { return []message{cacheEventsRead{source: x, err: errors.New("reset")}} }, false},
 		{"the list drops it", func(x string) []message { return []message{targetsRead{start, Targets{Gone: []string{x}}, false}} }, true},
 		{"it leaves and the list drops it", func(x string) []message {
@@ -274,19 +274,19 @@
 	for i := range 2 {
 		d.blameRequest(now, &d.tables, fmt.Sprint("x", i), jobWithBody("same").Fingerprint(), "b2")
 	}
-	gone := 0
+	deleted := 0
 	for i := range 3 * maxCrashRows {
 		now = now.Add(time.Second)
 		d.reportCrash(now, &d.tables, fmt.Sprint("n", i), []fingerprint.Sum{{byte(i)}}, "test")
 		e := d.reportCrashes(now, &d.tables)[0].(writeCrashes)
 		d.update(now, crashesWritten{incarnations: e.incarnations})
-		gone += len(e.tx.Delete)
+		deleted += len(e.tx.Delete)
 		if slices.Contains(e.tx.Delete, "ended/b1/e0") {
 			t.Error("the row of what is refused went before others")
 		}
 	}
-	if n := len(d.tables.reports.byIncarnation); n != maxCrashRows || gone != 2*maxCrashRows+1 {
-		t.Errorf("%d rows stand, %d went", n, gone)
+	if n := len(d.tables.reports.byIncarnation); n != maxCrashRows || deleted != 2*maxCrashRows+1 {
+		t.Errorf("%d rows stand, %d went", n, deleted)
 	}
 	late := d.reportCrashes(now.Add(quarantine.Retention+time.Second), &d.tables)[0].(writeCrashes)
 	if len(late.tx.Delete) != maxCrashRows-1 || slices.Contains(late.tx.Delete, "ended/b1/e0") {
@@ -326,8 +326,8 @@
 	b2.tables.members["b1"] = &member{}
 	b1.update(start, cutOff("e0", "same"))
 	b1.update(start, refusesDial("e0"))
-	told := b1.peerRequest(start, &b1.tables, peer.Message{Kind: peer.KindGossip, From: "b2"})
-	b2.update(start, peerAnswered{"b1", start, told, nil})
+	answer := b1.peerRequest(start, &b1.tables, peer.Message{Kind: peer.KindGossip, From: "b2"})
+	b2.update(start, peerAnswered{"b1", start, answer, nil})
 	if got := b2.tables.quarantine.Crashes(jobWithBody("same").Fingerprint()); got != 1 {
 		t.Errorf("%d targets count, want 1", got)
 	}
@@ -345,9 +345,9 @@
 	finder.update(start, cutOff("a", "bystander"))
 	finder.update(start, refusesDial("a"))
 	hub.update(start, ownRead{OwnRows{Rows: rowsOf(t, finder, start)}, true})
-	told := hub.peerRequest(start, &hub.tables, gossipFrom("box-05"))
-	told.View = nil // Its list has no addresses, so the view would show the same.
-	spoke.update(start, peerAnswered{"box-00", start, told, nil})
+	answer := hub.peerRequest(start, &hub.tables, gossipFrom("box-05"))
+	answer.View = nil // Its list has no addresses, so the view would show the same.
+	spoke.update(start, peerAnswered{"box-00", start, answer, nil})
 	if got := spoke.tables.quarantine.Crashes(jobWithBody("same").Fingerprint()); got != 1 {
 		t.Errorf("%d targets count, want 1", got)
 	}
--- a/entry/crashrow.go
+++ b/entry/crashrow.go
@@ -52,7 +52,7 @@
 // crashReport is one of this box's rows.
 type crashReport struct {
 	fingerprints map[fingerprint.Sum]bool
-	at           time.Time
+	endedAt      time.Time
 	// written means that the row as it is here was written.
 	written bool
 }
@@ -64,7 +64,7 @@
 	}
 	x := r.byIncarnation[incarnation]
 	if x == nil {
-		x = &crashReport{fingerprints: make(map[fingerprint.Sum]bool, len(sums)), at: now}
+		x = &crashReport{fingerprints: make(map[fingerprint.Sum]bool, len(sums)), endedAt: now}
 		r.byIncarnation[incarnation] = x
 	}
 	for _, sum := range sums {
@@ -89,16 +89,16 @@
 		}
 	}
 	slices.SortFunc(incarnations, func(a, b string) int {
-		return cmp.Or(cmp.Compare(weight[a], weight[b]), r.byIncarnation[a].at.Compare(r.byIncarnation[b].at))
+		return cmp.Or(cmp.Compare(weight[a], weight[b]), r.byIncarnation[a].endedAt.Compare(r.byIncarnation[b].endedAt))
 	})
-	many := max(len(incarnations)-maxCrashRows, 0)
-	gone := slices.Clone(incarnations[:many])
-	for _, incarnation := range incarnations[many:] {
-		if now.Sub(r.byIncarnation[incarnation].at) > quarantine.Retention && weight[incarnation] == 0 {
-			gone = append(gone, incarnation)
+	excess := max(len(incarnations)-maxCrashRows, 0)
+	dropped := slices.Clone(incarnations[:excess])
+	for _, incarnation := range incarnations[excess:] {
+		if now.Sub(r.byIncarnation[incarnation].endedAt) > quarantine.Retention && weight[incarnation] == 0 {
+			dropped = append(dropped, incarnation)
 		}
 	}
-	return gone
+	return dropped
 }
 
 // writeCrashes writes and deletes rows of this box.
@@ -146,7 +146,7 @@
 }
 
 func (x *crashReport) encode() []byte {
-	row := crashRow{AtMS: x.at.UnixMilli()}
+	row := crashRow{AtMS: x.endedAt.UnixMilli()}
 	for sum := range x.fingerprints {
 		row.Fingerprints = append(row.Fingerprints, sum.String())
 	}
@@ -204,7 +204,7 @@
 		own := t.reports.byIncarnation[incarnation]
 		own.written = true
 		if at := time.UnixMilli(row.AtMS); at.Before(now) {
-			own.at = at
+			own.endedAt = at
 		}
 	}
 }
@@ -214,14 +214,14 @@
 func (t *tables) recentCrashes(now time.Time) []peer.CrashReport {
 	var list []peer.CrashReport
 	for incarnation, x := range t.reports.byIncarnation {
-		if now.Sub(x.at) > announceFor {
+		if now.Sub(x.endedAt) > announceFor {
 			continue
 		}
-		told := peer.CrashReport{Incarnation: incarnation}
+		report := peer.CrashReport{Incarnation: incarnation}
 		for sum := range x.fingerprints {
-			told.Fingerprints = append(told.Fingerprints, sum)
+			report.Fingerprints = append(report.Fingerprints, sum)
 		}
-		list = append(list, told)
+		list = append(list, report)
 	}
 	for incarnation, at := range t.endedIncarnations {
 		if now.Sub(at) <= announceFor && t.reports.byIncarnation[incarnation] == nil {
@@ -234,10 +234,10 @@
 // receiveQuarantine applies the crashes that another box reported, and the requests that it
 // cleared.
 func (d *Daemon) receiveQuarantine(now time.Time, t *tables, m peer.Message) {
-	for _, told := range m.CrashReports {
-		d.receiveIncarnationEnded(now, t, told.Incarnation, m.From)
-		for _, sum := range told.Fingerprints[:min(len(told.Fingerprints), maxCrashFingerprints)] {
-			d.blameRequest(now, t, told.Incarnation, sum, m.From)
+	for _, report := range m.CrashReports {
+		d.receiveIncarnationEnded(now, t, report.Incarnation, m.From)
+		for _, sum := range report.Fingerprints[:min(len(report.Fingerprints), maxCrashFingerprints)] {
+			d.blameRequest(now, t, report.Incarnation, sum, m.From)
 		}
 	}
 	for _, sum := range m.Lifted {
--- a/entry/free.go
+++ b/entry/free.go
@@ -72,11 +72,11 @@
 			old = append(old, Part{c.Scope, c.Part})
 		}
 	}
-	for some := range slices.Chunk(old, freeBatch) {
+	for batch := range slices.Chunk(old, freeBatch) {
 		if _, _, held := d.lease.Held(); !held {
 			return errLeaseNotHeld
 		}
-		if err := d.Platform.FreeCache(ctx, at, cached.Epoch, e.until, some); err != nil {
+		if err := d.Platform.FreeCache(ctx, at, cached.Epoch, e.until, batch); err != nil {
 			return err
 		}
 	}
--- a/entry/free_test.go
+++ b/entry/free_test.go
@@ -118,7 +118,7 @@
 func TestFetchOfOldParts(t *testing.T) {
 	tests := []struct {
 		name   string
-		wanted int64
+		newest int64
 		proved time.Duration
 		want   time.Duration
 	}{
@@ -131,7 +131,7 @@
 			d := newDaemon("b1")
 			d.startedAt = start
 			d.tables.clockKnown = true
-			d.update(start, operatorRead{start.Add(-tt.proved), Operator{Table: configuration(1), Weights: map[string]int64{"m": tt.wanted}}})
+			d.update(start, operatorRead{start.Add(-tt.proved), Operator{Table: configuration(1), Weights: map[string]int64{"m": tt.newest}}})
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 			place, refused := d.placeModel(start, &d.tables, deliver.PlacementRequest{Job: job("long", 10)})
 			if refused != nil || place.FetchUntil != tt.want {
--- a/entry/gossip.go
+++ b/entry/gossip.go
@@ -39,7 +39,7 @@
 // callPeer exchanges gossip with another box.
 type callPeer struct {
 	name    string
-	at      netip.AddrPort
+	address netip.AddrPort
 	asked   time.Time
 	message peer.Message
 }
@@ -116,7 +116,7 @@
 			continue
 		}
 		m.calling = true
-		call := callPeer{name: name, at: m.address, asked: now, message: message}
+		call := callPeer{name: name, address: m.address, asked: now, message: message}
 		if t.hub == name {
 			call.message.ListVersion, call.message.ListStartVersion, call.message.QuarantineVersion = t.hubList.Number, t.hubList.SnapshotAt, t.hubQuarantineVersion
 		}
@@ -175,7 +175,7 @@
 func (d *Daemon) callPeer(ctx context.Context, e callPeer) peerAnswered {
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
-	answer, err := d.peers.Call(ctx, e.at, e.message)
+	answer, err := d.peers.Call(ctx, e.address, e.message)
 	return peerAnswered{e.name, e.asked, answer, err}
 }
 
--- a/entry/hub_test.go
+++ b/entry/hub_test.go
@@ -211,14 +211,14 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			spoke := largeFleet("box-05")
-			hear := func(hub string, proof time.Duration, list uint64, entries []peer.Entry) {
+			receive := func(hub string, proof time.Duration, list uint64, entries []peer.Entry) {
 				view := &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, ProofAgeMS: proof.Milliseconds(), ListVersion: list, Entries: entries}
 				spoke.update(start, peerAnswered{hub, start, peer.Message{View: view}, nil})
 			}
 			if tt.first {
-				hear("box-01", 0, 7, entries[1:])
+				receive("box-01", 0, 7, entries[1:])
 			}
-			hear("box-00", tt.proof, 3, entries)
+			receive("box-00", tt.proof, 3, entries)
 			if back := spoke.tables.fleet.Target("a") != nil; back != tt.back {
 				t.Errorf("the target is listed: %v", back)
 			}
@@ -312,7 +312,7 @@
 			for ; len(effects) == 1; asks++ {
 				asked := effects[0].(askHub)
 				hub := hubs[asked.hub]
-				answer := hubPlaced{hub: asked.hub, m: asked.m, err: tt.fails[asks]}
+				answer := hubPlaced{hub: asked.hub, request: asked.m, err: tt.fails[asks]}
 				if answer.err == nil {
 					answer.placed = hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &asked.ask}).PlacementResponse
 				}
@@ -511,24 +511,24 @@
 // TestOwnListIsNewer shows that the list of a hub that is cut off does not bring back a target
 // that this box itself read to be gone, whether or not it took a hub's list before.
 func TestOwnListIsNewer(t *testing.T) {
-	for _, heard := range []bool{true, false} {
-		t.Run(fmt.Sprintf("a hub answered before: %v", heard), func(t *testing.T) {
+	for _, answered := range []bool{true, false} {
+		t.Run(fmt.Sprintf("a hub answered before: %v", answered), func(t *testing.T) {
 			spoke := largeFleet("box-05")
 			entries := []peer.Entry{{ID: "a", Pool: "models", Address: "10.1.0.1:1"}}
-			hear := func(at time.Time, proof time.Duration, list uint64) {
+			receive := func(at time.Time, proof time.Duration, list uint64) {
 				view := &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, ProofAgeMS: proof.Milliseconds(), ListVersion: list, Entries: entries}
 				spoke.update(at, peerAnswered{"box-00", at, peer.Message{View: view}, nil})
 			}
-			if heard {
-				hear(start, 0, 3)
+			if answered {
+				receive(start, 0, 3)
 			}
 			later := start.Add(3 * time.Second)
 			spoke.update(later, targetsRead{later, Targets{Gone: []string{"a"}}, false})
-			hear(later.Add(time.Second), 4*time.Second, 4)
+			receive(later.Add(time.Second), 4*time.Second, 4)
 			if spoke.tables.fleet.Target("a") != nil {
 				t.Error("an older list brought back a target that is gone")
 			}
-			hear(later.Add(2*time.Second), 0, 5)
+			receive(later.Add(2*time.Second), 0, 5)
 			if spoke.tables.fleet.Target("a") == nil {
 				t.Error("a target that came back is missing")
 			}
--- a/entry/inuse_test.go
+++ b/entry/inuse_test.go
@@ -126,9 +126,9 @@
 	w.advance(4*time.Second, nil)
 	inUse := len(w.boxes[0].tables.engines("models"))
 	for _, d := range w.boxes {
-		followed := w.cost[d.Settings.Name].watched
-		if !d.spoke.Load() && (followed < inUse || followed > inUse*3/2) {
-			t.Errorf("%s has watched %d engines, %d are in use", d.Settings.Name, followed, inUse)
+		watched := w.cost[d.Settings.Name].watched
+		if !d.spoke.Load() && (watched < inUse || watched > inUse*3/2) {
+			t.Errorf("%s has watched %d engines, %d are in use", d.Settings.Name, watched, inUse)
 		}
 	}
 }
--- a/entry/join_test.go
+++ b/entry/join_test.go
@@ -15,7 +15,7 @@
 	tests := []struct {
 		name   string
 		rows   func(own table.Row) []table.Row
-		falls  bool
+		chosen bool
 		writes []string
 	}{
 		{"the first box", func(table.Row) []table.Row { return nil }, true, []string{"member/box-1", credentialKey}},
@@ -30,7 +30,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var writes []string
 			d := newDaemon("box-1")
-			d.oneIn = func(int) bool { return tt.falls }
+			d.oneIn = func(int) bool { return tt.chosen }
 			d.Platform.Commit = func(_ context.Context, tx table.Transaction) error {
 				writes = append(writes, tx.Put[0].Key)
 				return nil
--- a/entry/loading_test.go
+++ b/entry/loading_test.go
@@ -11,7 +11,7 @@
 // TestLoadingTargetsArePolled has the box that orders loads announce one and then stay silent.
 // The target is polled, and takes work as soon as it is not loading.
 func TestLoadingTargetsArePolled(t *testing.T) {
-	look := start.Add(firstLoadPoll)
+	pollAt := start.Add(firstLoadPoll)
 	tests := []struct {
 		name    string
 		report  Report
@@ -30,18 +30,18 @@
 			d := newDaemon("b1")
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 			d.applyRolloutRow(start, &d.tables, "m", []byte(`{"epoch":1,"version":2,"loading":["a"]}`))
-			if n := len(d.pollLoading(look.Add(-time.Millisecond), &d.tables)); n != 0 {
+			if n := len(d.pollLoading(pollAt.Add(-time.Millisecond), &d.tables)); n != 0 {
 				t.Fatalf("polled %d times before a load can be over", n)
 			}
-			if n := len(d.pollLoading(look, &d.tables)); n != 1 {
+			if n := len(d.pollLoading(pollAt, &d.tables)); n != 1 {
 				t.Fatalf("polled %d times", n)
 			}
-			d.update(look, loadPolled{"a", tt.report, tt.err})
+			d.update(pollAt, loadPolled{"a", tt.report, tt.err})
 			x := d.tables.fleet.Target("a")
-			if x.Loading(look) == tt.takes || x.Versions["m"] != tt.version {
-				t.Errorf("loading %v, version %d", x.Loading(look), x.Versions["m"])
+			if x.Loading(pollAt) == tt.takes || x.Versions["m"] != tt.version {
+				t.Errorf("loading %v, version %d", x.Loading(pollAt), x.Versions["m"])
 			}
-			if again := len(d.pollLoading(look.Add(loadPollInterval), &d.tables)) == 1; again != tt.asked {
+			if again := len(d.pollLoading(pollAt.Add(loadPollInterval), &d.tables)) == 1; again != tt.asked {
 				t.Errorf("polled again %v", again)
 			}
 		})
--- a/entry/peerproof.go
+++ b/entry/peerproof.go
@@ -50,8 +50,8 @@
 // hasPeerProof says that another hub reads the operator's rows and has confirmed recently that
 // this box knows the newest.
 func (d *Daemon) hasPeerProof(now time.Time) bool {
-	wait := time.Duration(d.peerProofMaxAge.Load())
-	return wait > 0 && !d.operatorBehind.Load() && !d.outage.lost() && d.provedAgo(now) < wait
+	maxAge := time.Duration(d.peerProofMaxAge.Load())
+	return maxAge > 0 && !d.operatorBehind.Load() && !d.outage.lost() && d.provedAgo(now) < maxAge
 }
 
 // receiveProof takes another hub's proof if this box knows all that was known there. The
--- a/entry/peerproof_test.go
+++ b/entry/peerproof_test.go
@@ -96,7 +96,7 @@
 		all = append(all, d)
 	}
 	next := make([]time.Time, len(all))
-	play := func(from, to time.Duration, gone string) {
+	advance := func(from, to time.Duration, gone string) {
 		for ms := from; ms < to; ms += 50 * time.Millisecond {
 			now := start.Add(ms)
 			for i, d := range all {
@@ -124,12 +124,12 @@
 			}
 		}
 	}
-	play(0, 10*time.Second, "")
+	advance(0, 10*time.Second, "")
 	if n := reads["box-11"]; n < 30 || reads["box-00"]+reads["box-01"]+reads["box-10"] > 6 {
 		t.Errorf("reads %v", reads)
 	}
 	clear(reads)
-	play(10*time.Second, 20*time.Second, "box-11")
+	advance(10*time.Second, 20*time.Second, "box-11")
 	if n := reads["box-10"]; n < 30 || reads["box-00"]+reads["box-01"] > 6 {
 		t.Errorf("reads %v after the first is gone", reads)
 	}
--- a/entry/place.go
+++ b/entry/place.go
@@ -213,7 +213,7 @@
 	keys := make(map[int64][]directory.Key)
 	w := t.rolloutOf(job.Model)
 	regions := allowedRegions(job)
-	question := affinity.Request{
+	query := affinity.Request{
 		DomainAllowed: func(domain string) bool { return t.inRegions(regions, domain) },
 		Domain:        d.preferredDomain(from.domain), Home: home(job), Tokens: job.PromptTokens + job.MaxOutputTokens, Capacity: job.Pool.Engine.Capacity, Parts: partsOf(job), Model: job.Model, NewestVersion: w.newestVersion, Skip: d.skip(now, t, ask, from.excluded),
 		MinVersion: w.requiredVersion(now, d.bounds.Load().WeightsWithin), Goal: job.Route.Goal, HasIdleConnection: from.hasIdleConnection,
@@ -229,11 +229,11 @@
 	}
 	targets := t.engines(job.Pool.Name)
 	t.presumedLoad = t.presumedOthers(now, targets)
-	choice, ok := d.engines.Choose(now, question, targets)
+	choice, ok := d.engines.Choose(now, query, targets)
 	if !ok {
-		return deliver.Placement{}, d.refuseEngine(now, t, ask, question, targets, from)
+		return deliver.Placement{}, d.refuseEngine(now, t, ask, query, targets, from)
 	}
-	if refused := d.refuseMemoryFull(now, t, choice.Target, question, from.limit); refused != nil {
+	if refused := d.refuseMemoryFull(now, t, choice.Target, query, from.limit); refused != nil {
 		return deliver.Placement{}, refused
 	}
 	d.countCold(now, t, job.Pool, choice.Target)
--- a/entry/placehub.go
+++ b/entry/placehub.go
@@ -27,18 +27,18 @@
 
 // askHub asks a hub for a place.
 type askHub struct {
-	hub string
-	at  netip.AddrPort
-	m   placementRequest
-	ask peer.PlacementRequest
+	hub     string
+	address netip.AddrPort
+	m       placementRequest
+	ask     peer.PlacementRequest
 }
 
 // hubPlaced is the hub's answer.
 type hubPlaced struct {
-	hub    string
-	m      placementRequest
-	placed *peer.PlacementResponse
-	err    error
+	hub     string
+	request placementRequest
+	placed  *peer.PlacementResponse
+	err     error
 }
 
 // placementRequested has a hub place the request, or places it here. A request whose caller
@@ -109,7 +109,7 @@
 	ctx, cancel := context.WithTimeout(ctx, hubPlaceTimeout)
 	defer cancel()
 	defer context.AfterFunc(e.m.ctx, cancel)()
-	answer, err := d.peers.Call(ctx, e.at, peer.Message{Kind: peer.KindPlace, From: d.Settings.Name, PlacementRequest: &e.ask})
+	answer, err := d.peers.Call(ctx, e.address, peer.Message{Kind: peer.KindPlace, From: d.Settings.Name, PlacementRequest: &e.ask})
 	return hubPlaced{e.hub, e.m, answer.PlacementResponse, err}
 }
 
@@ -117,30 +117,30 @@
 // it. Then another hub is asked, or this box places the request alone. A call that ended with
 // its request does not count as a failure of the hub.
 func (d *Daemon) hubPlaced(now time.Time, t *tables, m hubPlaced) []effect {
-	if m.m.ctx.Err() != nil {
-		return d.placementRequested(now, t, m.m)
+	if m.request.ctx.Err() != nil {
+		return d.placementRequested(now, t, m.request)
 	}
 	if m.err != nil || m.placed == nil {
 		d.hubFailed(now, t, m.hub, m.err)
 	} else {
 		t.members[m.hub].misses = 0
 		t.hubHeardAt = now
-		if answer, ok := d.acceptHubPlace(now, t, m.m.ask, m.placed); ok && !otherHubHasQuota(m) {
-			m.m.reply <- answer
+		if answer, ok := d.acceptHubPlace(now, t, m.request.ask, m.placed); ok && !otherHubHasQuota(m) {
+			m.request.reply <- answer
 			return nil
 		}
 		if m.placed.Target != "" {
-			m.m.ask.Attempted = append(slices.Clone(m.m.ask.Attempted), m.placed.Target)
+			m.request.ask.Attempted = append(slices.Clone(m.request.ask.Attempted), m.placed.Target)
 		}
 	}
-	m.m.askedHubs = append(m.m.askedHubs, m.hub)
-	return d.placementRequested(now, t, m.m)
+	m.request.askedHubs = append(m.request.askedHubs, m.hub)
+	return d.placementRequested(now, t, m.request)
 }
 
 // otherHubHasQuota reports whether the hub has used up its share of the rate-limited targets'
 // quotas while another hub, which has a share of its own, can still be asked.
 func otherHubHasQuota(m hubPlaced) bool {
-	return m.placed.Refused == codeLimited && len(m.m.askedHubs)+1 < maxHubsAsked
+	return m.placed.Refused == codeLimited && len(m.request.askedHubs)+1 < maxHubsAsked
 }
 
 func (d *Daemon) hubFailed(now time.Time, t *tables, hub string, err error) {
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -98,15 +98,15 @@
 	if w.now.After(w.from) {
 		w.arrivals[incarnation.ID] = append(w.arrivals[incarnation.ID], w.now)
 	}
-	said := notice.Signals{Unlimited: true}
+	signals := notice.Signals{Unlimited: true}
 	if w.limited[incarnation.ID] {
-		said = notice.Signals{Limited: true, Rate: w.rate}
+		signals = notice.Signals{Limited: true, Rate: w.rate}
 	}
 	asked := w.now
 	w.after(100*time.Millisecond, func() {
 		x.box.update(w.now, answerBegan{answer.place})
 		x.box.attemptEnded(w.now, &x.box.tables, attemptEnded{deliver.AttemptResult{Place: answer.place, Job: job("short", 100), Began: true, Answered: true}})
-		if x.box.observeSignals(asked, incarnation, said, "an answer") {
+		if x.box.observeSignals(asked, incarnation, signals, "an answer") {
 			x.box.update(w.now, signalsHeard{incarnation})
 		}
 	})
@@ -152,9 +152,9 @@
 			w.advance(2*time.Second, nil)
 			w.from = w.now.Add(3 * time.Second)
 			const span = 15
-			pressed := 0
+			requests := 0
 			w.advance(span*time.Second, func() {
-				pressed += 10
+				requests += 10
 				w.sendRequests(10) // 200 a second.
 			})
 			for id := range w.limited {
@@ -165,13 +165,13 @@
 					t.Errorf("%d requests reach %s in 4 s, %d are allowed", most, id, allowed)
 				}
 			}
-			t.Logf("%d of %d served, refused %v", w.served, pressed, w.codes)
-			least := pressed * 95 / 100
+			t.Logf("%d of %d served, refused %v", w.served, requests, w.codes)
+			least := requests * 95 / 100
 			if tt.limited == 8 {
 				least = int(8 * tt.rate * span * 9 / 10)
 			}
 			if w.served < least {
-				t.Errorf("%d requests of %d are served", w.served, pressed)
+				t.Errorf("%d requests of %d are served", w.served, requests)
 			}
 		})
 	}
@@ -274,10 +274,10 @@
 // box.
 func TestLimitGossip(t *testing.T) {
 	tests := []struct {
-		name    string
-		told    []peer.RateLimit
-		limited bool
-		rate    float64
+		name     string
+		received []peer.RateLimit
+		limited  bool
+		rate     float64
 	}{
 		{"a limit", []peer.RateLimit{{Target: "a", Active: true, PerSecond: 3}}, true, 3},
 		{"its end", []peer.RateLimit{{Target: "a", Active: true, PerSecond: 3, AgeMS: 50}, {Target: "a", AgeMS: 20}}, false, 0},
@@ -289,7 +289,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := singleBox()
-			d.peerRequest(start.Add(time.Second), &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", RateLimits: tt.told})
+			d.peerRequest(start.Add(time.Second), &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", RateLimits: tt.received})
 			if x := d.tables.fleet.Target("a"); x.Limited != tt.limited || x.Rate != tt.rate {
 				t.Errorf("limited %v to %v", x.Limited, x.Rate)
 			}
@@ -305,14 +305,14 @@
 	listed := engine("a", 1)
 	listed.StartedAt = start.Add(-time.Minute)
 	d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{listed}}, false})
-	told := peer.RateLimit{Target: "a", StartedMS: start.UnixMilli(), Active: true, PerSecond: 3}
-	d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", RateLimits: []peer.RateLimit{told}})
+	limit := peer.RateLimit{Target: "a", StartedMS: start.UnixMilli(), Active: true, PerSecond: 3}
+	d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", RateLimits: []peer.RateLimit{limit}})
 	sendSignals(d, start, fleet.Incarnation{ID: "a", StartedAt: listed.StartedAt}, signalsBackoff)
 	if got, _ := placedOn(d, start.Add(time.Second)); fmt.Sprint(got) != "[b]" {
 		t.Errorf("placed on %v during the backoff that a asked for", got)
 	}
 	d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{{ID: "a", Pool: "models", Versions: map[string]int64{"m": 1}, StartedAt: start}}}, false})
-	d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", RateLimits: []peer.RateLimit{told}})
+	d.peerRequest(start, &d.tables, peer.Message{Kind: peer.KindGossip, From: "b2", RateLimits: []peer.RateLimit{limit}})
 	if x := d.tables.fleet.Target("a"); !x.Limited {
 		t.Error("the limit is not known once the list has that incarnation")
 	}
--- a/entry/restored_random_test.go
+++ b/entry/restored_random_test.go
@@ -57,12 +57,12 @@
 		o.Known, o.Changed = known, changed
 	})
 	for id, e := range before.listed {
-		if _, stands := w.targets[id]; !stands {
+		if _, exists := w.targets[id]; !exists {
 			w.addTargets(e)
 		}
 	}
 	for id := range w.targets {
-		if _, stands := before.listed[id]; !stands {
+		if _, exists := before.listed[id]; !exists {
 			w.removeTargets(id)
 		}
 	}
--- a/entry/retrybudget_test.go
+++ b/entry/retrybudget_test.go
@@ -73,11 +73,11 @@
 		name  string
 		box   string
 		extra float64
-		// told is the number of boxes and rowless that of boxes without a row, both as reported
+		// boxes is the number of boxes and rowless that of boxes without a row, both as reported
 		// by a hub.
-		told, rowless int
-		hub           string
-		lender        *retryBudgetSource
+		boxes, unlisted int
+		hub             string
+		want            *retryBudgetSource
 	}{
 		{"boxes that know each other", "box-05", 10, 0, 0, "box-00", nil},
 		{"a box has joined, of which only the hub knows", "box-05", 10, 21, 0, "box-00", nil},
@@ -90,11 +90,11 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := largeFleet(tt.box)
 			d.bounds.Load().RetryExtra = tt.extra
-			d.tables.hubBoxes, d.tables.hubUnlisted, d.tables.hub = tt.told, tt.rowless, tt.hub
+			d.tables.hubBoxes, d.tables.hubUnlisted, d.tables.hub = tt.boxes, tt.unlisted, tt.hub
 			d.chooseRetryBudget(start, &d.tables)
 			got := d.retryBudget.Load()
-			if (got == nil) != (tt.lender == nil) || got != nil && *got != *tt.lender {
-				t.Errorf("got %+v, want %+v", got, tt.lender)
+			if (got == nil) != (tt.want == nil) || got != nil && *got != *tt.want {
+				t.Errorf("got %+v, want %+v", got, tt.want)
 			}
 		})
 	}
--- a/entry/signals_test.go
+++ b/entry/signals_test.go
@@ -35,8 +35,8 @@
 }
 
 // sendSignals has a target send signals, as its answers do.
-func sendSignals(d *Daemon, now time.Time, incarnation fleet.Incarnation, said notice.Signals) {
-	d.notices.Observe(now, incarnation, said)
+func sendSignals(d *Daemon, now time.Time, incarnation fleet.Incarnation, signals notice.Signals) {
+	d.notices.Observe(now, incarnation, signals)
 	d.update(now, signalsHeard{incarnation})
 }
 
@@ -158,10 +158,10 @@
 // TestHubMissesSignal has a hub that heard nothing place for a box that was asked for a
 // backoff, and a hub that was itself asked for one place there for others.
 func TestHubMissesSignal(t *testing.T) {
-	for _, said := range []notice.Signals{signalsLeaving, signalsBackoff} {
-		t.Run(fmt.Sprintf("%+v", said), func(t *testing.T) {
+	for _, signals := range []notice.Signals{signalsLeaving, signalsBackoff} {
+		t.Run(fmt.Sprintf("%+v", signals), func(t *testing.T) {
 			d := withEngines(largeFleet("box-05"), "a", "b")
-			sendSignals(d, start, fleet.Incarnation{ID: "a"}, said)
+			sendSignals(d, start, fleet.Incarnation{ID: "a"}, signals)
 			if _, ok := d.acceptHubPlace(start, &d.tables, deliver.PlacementRequest{Job: job("long", 1000)}, &peer.PlacementResponse{Target: "a", Version: 1}); ok {
 				t.Error("the hub's place is accepted")
 			}
@@ -240,10 +240,10 @@
 // ago they were placed.
 func TestAllowBeforeSend(t *testing.T) {
 	tests := []struct {
-		name string
-		life fleet.Incarnation
-		said notice.Signals
-		want error
+		name        string
+		incarnation fleet.Incarnation
+		signals     notice.Signals
+		want        error
 	}{
 		{"nothing", fleet.Incarnation{ID: "a"}, notice.Signals{}, nil},
 		{"it leaves", fleet.Incarnation{ID: "a"}, signalsLeaving, notice.ErrLeaving},
@@ -255,7 +255,7 @@
 			d := withEngines(newDaemon("b1"), "a", "b")
 			asked := errors.New("not asked")
 			d.Platform.Send = func(_ context.Context, s deliver.Attempt) (*deliver.Reply, error) {
-				d.notices.Observe(start, tt.life, tt.said) // While the request waits for its connection.
+				d.notices.Observe(start, tt.incarnation, tt.signals) // While the request waits for its connection.
 				asked = s.Allow()
 				return &deliver.Reply{}, nil
 			}
@@ -272,11 +272,11 @@
 // TestSignalsReachLoop has an answer carry signals of its target. The next request is not
 // placed there, so that no attempt is wasted.
 func TestSignalsReachLoop(t *testing.T) {
-	for _, said := range []notice.Signals{signalsLeaving, signalsBackoff} {
-		t.Run(fmt.Sprintf("%+v", said), func(t *testing.T) {
+	for _, signals := range []notice.Signals{signalsLeaving, signalsBackoff} {
+		t.Run(fmt.Sprintf("%+v", signals), func(t *testing.T) {
 			d := withEngines(newDaemon("b1"), "a", "b")
 			d.Platform.Send = func(context.Context, deliver.Attempt) (*deliver.Reply, error) {
-				return &deliver.Reply{Status: 200, Signals: said}, nil
+				return &deliver.Reply{Status: 200, Signals: signals}, nil
 			}
 			if _, err := d.send(context.Background(), deliver.Attempt{Job: job("long", 1000), Place: deliver.Placement{Target: "a"}}); err != nil {
 				t.Fatal(err)
--- a/entry/silent_test.go
+++ b/entry/silent_test.go
@@ -79,10 +79,10 @@
 // it knows.
 func TestEngineSaysNothing(t *testing.T) {
 	tests := []struct {
-		name     string
-		followed bool
-		after    time.Duration
-		want     bool
+		name    string
+		watched bool
+		after   time.Duration
+		want    bool
 	}{
 		{"watched, silent for a while", true, time.Second, false},
 		{"watched, silent for longer", true, 1300 * time.Millisecond, true},
@@ -93,7 +93,7 @@
 			d := newDaemon("b1")
 			d.update(start, operatorRead{start, Operator{Table: configuration(1)}})
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
-			if tt.followed {
+			if tt.watched {
 				d.tables.watched["a"] = func() {}
 			}
 			d.tables.fleet.Target("a").Sent(start, 0, 0)
--- a/entry/suspended_test.go
+++ b/entry/suspended_test.go
@@ -29,7 +29,7 @@
 		suspendedFor time.Duration
 		fresh        bool
 		held         bool
-		weigh        bool
+		weightsKnown bool
 	}{
 		{"awake", 0, true, true, true},
 		{"for less than any bound", time.Second, true, true, true},
@@ -46,7 +46,7 @@
 			if got := held(); got != tt.held {
 				t.Errorf("the lease is held: %v", got)
 			}
-			if got := !d.weightsStale(d.now()); got != tt.weigh {
+			if got := !d.weightsStale(d.now()); got != tt.weightsKnown {
 				t.Errorf("weights are known: %v", got)
 			}
 			d.noteSuspension(d.now(), &d.tables)
--- a/entry/tcptimeout_test.go
+++ b/entry/tcptimeout_test.go
@@ -9,9 +9,9 @@
 )
 
 // accepted connects a caller to a listener and returns the accepted connection.
-func accepted(t *testing.T, vanished time.Duration) *net.TCPConn {
+func accepted(t *testing.T, userTimeout time.Duration) *net.TCPConn {
 	t.Helper()
-	l, err := listenTCP("127.0.0.1:0", vanished)
+	l, err := listenTCP("127.0.0.1:0", userTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,8 +38,8 @@
 	}
 	began := time.Now()
 	var err error
-	for piece := make([]byte, 1<<20); err == nil; {
-		_, err = conn.Write(piece)
+	for chunk := make([]byte, 1<<20); err == nil; {
+		_, err = conn.Write(chunk)
 	}
 	if took := time.Since(began); took > 30*time.Second {
 		t.Errorf("the write hung for %v: %v", took, err)
--- a/entry/throughput_test.go
+++ b/entry/throughput_test.go
@@ -24,9 +24,9 @@
 	}
 	tests := []struct {
 		name        string
-		see         func(d *Daemon)
+		observe     func(d *Daemon)
 		least, most float64
-		tells       bool
+		reports     bool
 	}{
 		{"nothing was seen", func(*Daemon) {}, 1, 1, false},
 		{"own requests waited", own, 5, 20, true},
@@ -46,13 +46,13 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
-			tt.see(d)
+			tt.observe(d)
 			now := start.Add(took)
 			if got := d.tables.slowdown(now, "large"); got < tt.least || got > tt.most {
 				t.Errorf("slowdown %.1f, want %.1f to %.1f", got, tt.least, tt.most)
 			}
-			if tells := len(d.tables.ownLoads(now)) > 0; tells != tt.tells {
-				t.Errorf("reports it: %v", tells)
+			if reports := len(d.tables.ownLoads(now)) > 0; reports != tt.reports {
+				t.Errorf("reports it: %v", reports)
 			}
 		})
 	}
--- a/entry/tombstone.go
+++ b/entry/tombstone.go
@@ -15,8 +15,8 @@
 	incarnation fleet.Incarnation
 	// leaving says that the target had announced its drain, which is final within an
 	// incarnation.
-	leaving bool
-	at      time.Time
+	leaving   bool
+	removedAt time.Time
 }
 
 // heldEntry is an entry that may be from before its target was removed.
@@ -38,7 +38,7 @@
 // before: the target may still serve, but must get no work.
 func (d *Daemon) holdEntry(now time.Time, t *tables, e fleet.Entry) bool {
 	last, known := t.tombstones[e.ID]
-	if !known || e.StartedAt.After(last.incarnation.StartedAt) || now.Sub(last.at) > tombstoneTTL {
+	if !known || e.StartedAt.After(last.incarnation.StartedAt) || now.Sub(last.removedAt) > tombstoneTTL {
 		return false
 	}
 	held := heldEntry{entry: e, until: now.Add(staleEntryTTL)}
@@ -46,7 +46,7 @@
 		held.until = time.Time{}
 	}
 	t.heldEntries[e.ID] = held
-	d.Log.Warn("target's entry is not taken over, as the target was gone before the table service was restored", "target", e.ID, "gone_for", now.Sub(last.at), "left", last.leaving)
+	d.Log.Warn("target's entry is not taken over, as the target was gone before the table service was restored", "target", e.ID, "gone_for", now.Sub(last.removedAt), "left", last.leaving)
 	return true
 }
 
@@ -61,5 +61,5 @@
 		d.Log.Info("held entry of a target is applied, as the list still has it", "target", id)
 		d.listTarget(now, t, held.entry)
 	}
-	maps.DeleteFunc(t.tombstones, func(_ string, x tombstone) bool { return now.Sub(x.at) > tombstoneTTL })
+	maps.DeleteFunc(t.tombstones, func(_ string, x tombstone) bool { return now.Sub(x.removedAt) > tombstoneTTL })
 }
--- a/entry/trial.go
+++ b/entry/trial.go
@@ -44,8 +44,8 @@
 
 // claimTrial claims a request's trial.
 type claimTrial struct {
-	m   placementRequest
-	sum fingerprint.Sum
+	request placementRequest
+	sum     fingerprint.Sum
 }
 
 // trialClaimed tells whether this request is the trial.
@@ -117,9 +117,9 @@
 
 // trialClaimed places the request if it is the trial, and refuses it otherwise.
 func (d *Daemon) trialClaimed(now time.Time, t *tables, m trialClaimed) []effect {
-	d.Log.Info("request may be tried once more", "request", m.m.ask.Job.ID, "fingerprint", m.sum, "granted", m.granted, "err", m.err)
-	m.m.trial = m.granted
-	return d.placementRequested(now, t, m.m)
+	d.Log.Info("request may be tried once more", "request", m.request.ask.Job.ID, "fingerprint", m.sum, "granted", m.granted, "err", m.err)
+	m.request.trial = m.granted
+	return d.placementRequested(now, t, m.request)
 }
 
 // expireTrials forgets the trials of requests that are not refused any more. Their rows stay,
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -71,8 +71,8 @@
 		t.Error("sent by another box beside its trial")
 	}
 	boxes[0].update(now, attemptEnded{deliver.AttemptResult{Place: placeAt(0, "e1"), Job: jobWithBody("same"), Began: true, Answered: true}})
-	told := boxes[0].peerRequest(now, &boxes[0].tables, gossipFrom("b2"))
-	boxes[1].update(now, peerAnswered{"b2", now, told, nil})
+	answer := boxes[0].peerRequest(now, &boxes[0].tables, gossipFrom("b2"))
+	boxes[1].update(now, peerAnswered{"b2", now, answer, nil})
 	for _, d := range boxes {
 		if code := codeWithTrial(t, d, now, jobWithBody("same")); code != "" {
 			t.Errorf("%s refuses with %q", d.Settings.Name, code)
--- a/entry/view.go
+++ b/entry/view.go
@@ -160,8 +160,8 @@
 // fetchConfiguration reads the configuration from a hub that has a newer one. proof is when
 // that was known to be the newest.
 type fetchConfiguration struct {
-	at    netip.AddrPort
-	proof time.Time
+	address netip.AddrPort
+	proof   time.Time
 }
 
 // configurationFromHub is the result of fetchConfiguration.
@@ -174,7 +174,7 @@
 func (d *Daemon) fetchConfiguration(ctx context.Context, e fetchConfiguration) configurationFromHub {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	answer, err := d.peers.Call(ctx, e.at, peer.Message{Kind: peer.KindConfiguration, From: d.Settings.Name})
+	answer, err := d.peers.Call(ctx, e.address, peer.Message{Kind: peer.KindConfiguration, From: d.Settings.Name})
 	if err != nil || len(answer.Body) == 0 {
 		return configurationFromHub{err: err}
 	}
--- a/entry/weightversions.go
+++ b/entry/weightversions.go
@@ -54,9 +54,9 @@
 		}
 		before := w.newestVersion
 		w.setNewest(now, version)
-		at, told, proved := d.unnamedAt(t, unnamed)
+		at, clock, proved := d.unnamedAt(t, unnamed)
 		if proved {
-			w.versionLog.Prove(version, at, told)
+			w.versionLog.Prove(version, at, clock)
 		} else {
 			w.versionLog.Assume(version, now.Add(-unrecordedAge))
 		}
@@ -72,20 +72,20 @@
 // if the read was held for long enough. The answer to a late read may show changes as old as
 // the answer before. It returns zero if no such time is known.
 func (d *Daemon) readTableClock(now time.Time, t *tables, m operatorRead) time.Duration {
-	before, told := t.lastTableClock, m.change.Clock
-	t.lastTableClock = told
-	if told == 0 {
+	before, clock := t.lastTableClock, m.change.Clock
+	t.lastTableClock = clock
+	if clock == 0 {
 		return 0
 	}
-	if !t.tableClock.Observe(m.asked, now, told) {
-		d.Log.Warn("the table service's clock was reset", "told", told, "before", before)
+	if !t.tableClock.Observe(m.asked, now, clock) {
+		d.Log.Warn("the table service's clock was reset", "told", clock, "before", before)
 		for _, w := range t.weights {
 			w.versionLog.ForgetClock()
 		}
 		return 0
 	}
-	if asked, _ := t.tableClock.Max(m.asked); m.change.Held && before > 0 && told-asked >= minHold {
-		return max(before, told-feedLag)
+	if asked, _ := t.tableClock.Max(m.asked); m.change.Held && before > 0 && clock-asked >= minHold {
+		return max(before, clock-feedLag)
 	}
 	return before
 }
@@ -93,18 +93,18 @@
 // unnamedAt returns a time at which the operator had not yet named what was just read; false if
 // this is the first read. told is such a time on the table service's clock, or zero. The second
 // result is the same time on that clock, or zero if it comes from a later proof by another hub.
-func (d *Daemon) unnamedAt(t *tables, told time.Duration) (time.Time, time.Duration, bool) {
+func (d *Daemon) unnamedAt(t *tables, clock time.Duration) (time.Time, time.Duration, bool) {
 	proved := d.provedAt.Load()
 	if proved == nil {
 		return time.Time{}, 0, false
 	}
-	if seen, ok := t.tableClock.Earliest(told); ok && told > 0 && seen.After(*proved) {
-		return seen, told, true
+	if seen, ok := t.tableClock.Earliest(clock); ok && clock > 0 && seen.After(*proved) {
+		return seen, clock, true
 	}
 	if d.peerProofMaxAge.Load() > 0 {
 		return *proved, 0, true
 	}
-	return *proved, told, true
+	return *proved, clock, true
 }
 
 // setNewest sets a newer version, of which this box learned at a time.
--- a/entry/weightversions_test.go
+++ b/entry/weightversions_test.go
@@ -206,11 +206,11 @@
 	}
 	d.update(now, operatorRead{now, Operator{Weights: map[string]int64{"m": 3}, Clock: 110 * time.Second}})
 	row, written := rowWritten(d, now)
-	var told rolloutRow
-	if err := json.Unmarshal(row.Value, &told); !written || err != nil {
+	var recorded rolloutRow
+	if err := json.Unmarshal(row.Value, &recorded); !written || err != nil {
 		t.Fatalf("written %v, %v", written, err)
 	}
-	newest := told.Namings[len(told.Namings)-1]
+	newest := recorded.Namings[len(recorded.Namings)-1]
 	if newest.Version != 3 || newest.Assumed || newest.AtMS != 110000 {
 		t.Errorf("recorded %+v", newest)
 	}
