--- a/entry/burst_test.go
+++ b/entry/burst_test.go
@@ -115,8 +115,8 @@
 	return total
 }
 
-// TestRetriesOverAllBoxes checks that boxes keep the platform's bound together, each on its
-// own.
+// TestRetriesOverAllBoxes checks that all boxes together stay within the platform's bound,
+// though each decides alone.
 func TestRetriesOverAllBoxes(t *testing.T) {
 	proptest.Holds(t, withinBudget(t, func(d *Daemon) float64 { return d.retryBurst(start, &d.tables) }))
 }
--- a/entry/callerleft_test.go
+++ b/entry/callerleft_test.go
@@ -18,7 +18,7 @@
 	tests := []struct {
 		name string
 		// asks is how many hubs are asked before the caller leaves. The last one's call then
-		// ends in err, or in a place.
+		// ends in err, or in a placement.
 		asks int
 		err  error
 	}{
--- a/entry/canary.go
+++ b/entry/canary.go
@@ -17,9 +17,10 @@
 // targets start beside the older ones. Each box sends the canary version a share of its own
 // requests (package exposure), compares its answers with the older version's, and reports the
 // counts to hubs (canarysamples.go). Every hub judges all counts that it received (package
-// canary), stops sending to a bad version by itself, and has its spokes do the same. Only the
-// stage of the rollout has to be agreed: it is one row in the table service, which is changed
-// by compare-and-swap (canaryrow.go). docs/design/canaries.md compares the alternatives.
+// canary), stops sending to a bad version without asking the others, and has its spokes do the
+// same. Only the stage of the rollout has to be agreed: it is one row in the table service,
+// which is changed by compare-and-swap (canaryrow.go). docs/design/canaries.md compares the
+// alternatives.
 
 // canaryRollout is the rollout of a canary version as this box sees it.
 type canaryRollout struct {
@@ -27,8 +28,8 @@
 	// state, deadline and barred are from the row, revision is the row's.
 	state    canary.State
 	revision revision.Revision
-	// deadline is when the decision is due, on the table service's clock; zero if the row does
-	// not tell.
+	// deadline is when the decision is due, on the table service's clock; zero until the row
+	// was read.
 	deadline time.Duration
 	barred   []string
 	// stopped means that the version gets no requests whatever the row says: this box or its
--- a/entry/canary_test.go
+++ b/entry/canary_test.go
@@ -159,9 +159,9 @@
 			w.answer = tt.answer(w)
 			w.ask("v2")
 			w.advance(rolloutTime, w.serve)
-			t.Logf("%d of %d requests reached the new version, %d bad answers, told %v", w.canarySent, w.sent, w.bad, w.canaryReports["orders"])
+			t.Logf("%d of %d requests reached the new version, %d bad answers, reported %v", w.canarySent, w.sent, w.bad, w.canaryReports["orders"])
 			if w.last() != tt.want {
-				t.Errorf("told %v at the end, want %v", w.canaryReports["orders"], tt.want)
+				t.Errorf("reported %v at the end, want %v", w.canaryReports["orders"], tt.want)
 			}
 			if tt.want == canary.RolledBack && float64(w.canarySent) > 0.1*float64(w.sent)+50 {
 				t.Errorf("a bad version got %d of %d requests", w.canarySent, w.sent)
@@ -230,13 +230,13 @@
 		w.ask("v2")
 		w.advance(time.Duration(after)*time.Second, w.serve)
 		faults[trouble].do(w)
-		w.advance(rolloutTime+time.Second, w.serve) // Asking again starts the time anew.
+		w.advance(rolloutTime+time.Second, w.serve) // Asking again restarts the rollout's time.
 		ok := w.late == 0 && w.olderAfterCompletion == 0 && w.last().Ended()
 		if percent > 0 {
 			ok = ok && float64(w.canarySent) <= 0.1*float64(w.sent)+50 && w.last() == canary.RolledBack
 		}
 		if !ok {
-			t.Logf("seed %d, %d in 100 bad, %s after %d s: %d of %d reached it, %d late, %d to the older one, told %v", seed, percent, faults[trouble].name, after, w.canarySent, w.sent, w.late, w.olderAfterCompletion, w.canaryReports["orders"])
+			t.Logf("seed %d, %d in 100 bad, %s after %d s: %d of %d reached it, %d late, %d to the older one, reported %v", seed, percent, faults[trouble].name, after, w.canarySent, w.sent, w.late, w.olderAfterCompletion, w.canaryReports["orders"])
 		}
 		return ok
 	}, gen.UInt64Range(1, 1000), gen.OneConstOf(0, 20, 50, 100), gen.IntRange(0, len(faults)-1), gen.IntRange(1, 6)))
@@ -277,7 +277,7 @@
 					over = max(over, float64(w.canarySent)-share*float64(w.sent)-extra)
 				}
 			})
-			t.Logf("%d of %d requests reached the new version, told %v", w.canarySent, w.sent, w.canaryReports["orders"])
+			t.Logf("%d of %d requests reached the new version, reported %v", w.canarySent, w.sent, w.canaryReports["orders"])
 			if holds := over <= 0; holds != tt.holds {
 				t.Errorf("%v requests more than the share at the most", over)
 			}
@@ -306,7 +306,7 @@
 			w.ask("v2")
 			w.advance(rolloutTime, w.serve)
 			if float64(w.canarySent) <= 0.1*float64(w.sent)+50 && w.late == 0 && w.last() == canary.RolledBack {
-				t.Errorf("holds without: %d of %d reached it, told %v", w.canarySent, w.sent, w.canaryReports["orders"])
+				t.Errorf("holds without: %d of %d reached it, reported %v", w.canarySent, w.sent, w.canaryReports["orders"])
 			}
 		})
 	}
--- a/entry/canaryrow.go
+++ b/entry/canaryrow.go
@@ -53,7 +53,7 @@
 	revision revision.Revision
 }
 
-// canaryWritten is the result; current is the row as it now stands.
+// canaryWritten is the result; current is the row as read after the write.
 type canaryWritten struct {
 	writeCanary
 	current table.Row
@@ -94,7 +94,7 @@
 }
 
 // markRowLost notes that a restore of the table service lost the row, so that the next write
-// creates it anew, and that such a write is due.
+// creates it again, and that such a write is due.
 func (c *canaryRollout) markRowLost(restores uint64) {
 	c.revision = revision.Revision{Restores: restores}
 	c.rowLost, c.rowReported = true, false
@@ -186,7 +186,7 @@
 	return canaryWritten{e, current, err}
 }
 
-// canaryWritten applies the row as it stands after a write.
+// canaryWritten applies the row as read after a write.
 func (d *Daemon) canaryWritten(now time.Time, t *tables, m canaryWritten) {
 	if c := t.canaryOf(m.pool); c != nil {
 		c.writing = false
--- a/entry/canarysamples.go
+++ b/entry/canarysamples.go
@@ -28,7 +28,8 @@
 	receivedAt, changedAt time.Time
 }
 
-// countCanarySample counts the end of a request in a pool with a canary rollout.
+// countCanarySample counts the end of a request in a pool with a canary rollout, and learns the
+// older version's answer times in any pool.
 func (d *Daemon) countCanarySample(now time.Time, t *tables, x *fleet.Target, m attemptEnded) {
 	if m.CallerLeft || m.Verdict == deliver.OtherVersion || m.Verdict == deliver.OtherReplica {
 		return
@@ -115,7 +116,7 @@
 	return list
 }
 
-// ownCanarySamples lists this box's counts and, under no route, its number of requests in
+// ownCanarySamples lists this box's counts and, under an empty route, its number of requests in
 // flight on the older version.
 func (d *Daemon) ownCanarySamples(t *tables, pool string, c *canaryRollout) []peer.CanarySample {
 	inFlight := peer.CanarySample{Box: d.Settings.Name, Pool: pool, Order: c.spec.Order}
--- a/entry/cold.go
+++ b/entry/cold.go
@@ -16,9 +16,9 @@
 // when boxes join; ranking 200 boxes for each request would take longer than placing it.
 const placersTTL = time.Second
 
-// cold reports whether a target of a pool is cold or may be: because it said so, because its
-// cache events broke off and it may have restarted, or, for a target without cache events,
-// because it was unreachable a moment ago.
+// cold reports whether a target of a pool is cold or may be: because its entry says so, because
+// its domain's evacuation has just ended, because its cache events broke off and it may have
+// restarted, or, for a target without cache events, because it was unreachable a moment ago.
 func cold(now time.Time, pool *routing.Pool, x *fleet.Target) bool {
 	if pool.ColdRate <= 0 {
 		return false
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -19,10 +19,10 @@
 
 // A request may crash each target that begins to run it, and come again, with another ID, at
 // any box. Crashes are therefore counted by the request's fingerprint and over all boxes: each
-// box writes rows that tell which requests ran on targets that ended (crashrow.go), and refuses
+// box writes rows that list which requests ran on targets that ended (crashrow.go), and refuses
 // a request under which quarantine.Threshold targets ended. With 12 targets and a request that
 // reaches two boxes every 5 ms, 6 targets end instead of all: three for each box, before either
-// has heard of the other's (TestCrashingRequest).
+// has learned of the other's (TestCrashingRequest).
 
 // incarnationKey is the ID of a target's incarnation in messages and rows.
 func incarnationKey(incarnation fleet.Incarnation) string {
@@ -81,10 +81,10 @@
 	d.reportCrash(now, t, incarnation, sums, foundBy)
 }
 
-// receiveIncarnationEnded applies another box's report that an incarnation has ended. It bears
-// out this box's own suspicions, and is passed on to boxes that hear from this one only. A box
-// whose caller left does not probe the target and would learn of the end from the list alone,
-// 4 s later.
+// receiveIncarnationEnded applies another box's report that an incarnation has ended. It
+// confirms this box's own suspicions, and is passed on to boxes that hear from this one only. A
+// box whose caller left does not probe the target and would learn of the end from the list
+// alone, 4 s later.
 func (d *Daemon) receiveIncarnationEnded(now time.Time, t *tables, incarnation, from string) {
 	if _, known := t.endedIncarnations[incarnation]; known || len(t.endedIncarnations) >= maxEndedIncarnations {
 		return
@@ -101,7 +101,8 @@
 	maps.DeleteFunc(t.endedIncarnations, func(_ string, at time.Time) bool { return now.Sub(at) > crash.RememberFor })
 }
 
-// reportCrash counts the requests that ran on a target when it ended, and has other boxes told.
+// reportCrash counts the requests that ran on a target when it ended, and has the row for the
+// other boxes written.
 func (d *Daemon) reportCrash(now time.Time, t *tables, incarnation string, sums []fingerprint.Sum, foundBy string) {
 	d.Log.Warn("target ended under requests", "target", incarnation, "requests", len(sums), "found_by", foundBy)
 	for _, sum := range sums {
@@ -154,7 +155,8 @@
 	return p, true
 }
 
-// runProbe probes a target's health, or an engine's report, which engines answer at once.
+// runProbe probes a target's health. Of an engine it reads the report instead, as engines
+// answer that at once.
 func (d *Daemon) runProbe(ctx context.Context, p probe) error {
 	if !p.engine {
 		signals, err := d.Platform.Healthy(ctx, p.at, p.path, p.target)
@@ -198,7 +200,7 @@
 	// incarnation is the target's incarnation at asked, when the probe was decided on.
 	incarnation fleet.Incarnation
 	asked       time.Time
-	// engine means that the report is asked for, suspected that the target may have ended.
+	// engine means that the report is read, suspected that the target may have ended.
 	engine, suspected bool
 }
 
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -42,7 +42,7 @@
 	return j
 }
 
-// placeAt is a place on a target, ms after start.
+// placeAt is a placement on a target, ms after start.
 func placeAt(ms int, target string) deliver.Placement {
 	return deliver.Placement{Target: target, PlacedAt: start.Add(time.Duration(ms) * time.Millisecond)}
 }
@@ -282,15 +282,15 @@
 		d.update(now, crashesWritten{incarnations: e.incarnations})
 		deleted += len(e.tx.Delete)
 		if slices.Contains(e.tx.Delete, "ended/b1/e0") {
-			t.Error("the row of what is refused went before others")
+			t.Error("the row of a refused request was deleted before others")
 		}
 	}
 	if n := len(d.tables.reports.byIncarnation); n != maxCrashRows || deleted != 2*maxCrashRows+1 {
-		t.Errorf("%d rows stand, %d went", n, deleted)
+		t.Errorf("%d rows are kept, %d were deleted", n, deleted)
 	}
 	late := d.reportCrashes(now.Add(quarantine.Retention+time.Second), &d.tables)[0].(writeCrashes)
 	if len(late.tx.Delete) != maxCrashRows-1 || slices.Contains(late.tx.Delete, "ended/b1/e0") {
-		t.Errorf("an hour later %d rows go", len(late.tx.Delete))
+		t.Errorf("an hour later %d rows are deleted", len(late.tx.Delete))
 	}
 }
 
--- a/entry/crashrow.go
+++ b/entry/crashrow.go
@@ -14,7 +14,7 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// crashPrefix begins the keys of the rows that tell which requests ran on a target when it
+// crashPrefix begins the keys of the rows that list which requests ran on a target when it
 // ended; the reporting box and the target's incarnation follow. No other box writes these keys,
 // so no report is lost, whichever boxes can reach each other.
 const crashPrefix = "ended/"
@@ -162,8 +162,8 @@
 	return crashesWritten{e.incarnations, d.Platform.Commit(ctx, e.tx)}
 }
 
-// crashesWritten has rows that were not written, or may not have been, written again. Writing
-// the same row twice does no harm.
+// crashesWritten schedules rows that were not written, or may not have been, to be written
+// again. Writing the same row twice does no harm.
 func (d *Daemon) crashesWritten(now time.Time, t *tables, m crashesWritten) {
 	r := &t.reports
 	r.writing = false
--- a/entry/evacuate.go
+++ b/entry/evacuate.go
@@ -10,8 +10,8 @@
 // revoked. Which domains are evacuated is part of the operator's rows, so spokes apply it with
 // their hub's proof. Requests in flight there run to their end. Cached parts are not fetched
 // from there, as the operator may be about to switch the domain off. Targets there still load
-// weights, to be fit to return. If every domain is evacuated, requests are refused, as the
-// operator asked.
+// weights, so that they can serve when the evacuation ends. If every domain is evacuated,
+// requests are refused, as the operator asked.
 
 // applyEvacuations applies which domains the operator wants evacuated.
 func (d *Daemon) applyEvacuations(now time.Time, t *tables, m operatorRead) {
@@ -37,7 +37,7 @@
 		switch {
 		case m.change.Evacuations[domain] || lost:
 		case m.change.Known.Restores > t.operatorKnown.Restores:
-			d.Log.Warn("a restore lost the ask for an evacuation; it stays until the operator has had the time to ask again", "domain", domain, "for", operatorRewriteGrace)
+			d.Log.Warn("a restore lost an evacuation; it stays until the operator has had the time to write it again", "domain", domain, "for", operatorRewriteGrace)
 			t.lostEvacuations[domain] = now
 		default:
 			d.evacuate(now, t, domain, false, "the operator")
@@ -88,8 +88,8 @@
 	d.metrics.evacuated.Set(float64(len(t.fleet.Evacuated())))
 }
 
-// evacuationsStale says that this box's last proof of the operator's rows is so old that any
-// domain may have been evacuated since. It then sends nothing to targets.
+// evacuationsStale reports whether this box's last proof of the operator's rows is so old that
+// any domain may have been evacuated since. It then sends nothing to targets.
 func (d *Daemon) evacuationsStale(now time.Time) bool {
 	bounds := d.bounds.Load()
 	return bounds.EvacuatedWithin > 0 && d.provedAgo(now) >= bounds.EvacuatedWithin+bounds.Stretch
--- a/entry/evacuate_test.go
+++ b/entry/evacuate_test.go
@@ -90,7 +90,7 @@
 }
 
 // TestEvacuationInView shows that a hub's view contains evacuations, and that a box rejects a
-// hub's place in a domain that it knows to be evacuated.
+// hub's placement in a domain that it knows to be evacuated.
 func TestEvacuationInView(t *testing.T) {
 	d := boxWithThreeDomains()
 	d.tables.fleet.Evacuate("b", true)
@@ -99,7 +99,7 @@
 	}
 	ask := deliver.PlacementRequest{Job: &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{}, Pool: &routing.Pool{Name: "orders"}}}
 	if _, ok := d.acceptHubPlace(start, &d.tables, ask, &peer.PlacementResponse{Target: "i-b"}); ok {
-		t.Error("a place in an evacuated domain is accepted")
+		t.Error("a placement in an evacuated domain is accepted")
 	}
 }
 
--- a/entry/free.go
+++ b/entry/free.go
@@ -80,7 +80,7 @@
 			return err
 		}
 	}
-	d.Log.Info("store cleared of parts made on older weights", "store", at, "model", e.model, "version", e.version, "freed", len(old), "kept", len(cached.Changes))
+	d.Log.Info("store cleared of parts computed with older weights", "store", at, "model", e.model, "version", e.version, "freed", len(old), "kept", len(cached.Changes))
 	return nil
 }
 
@@ -101,7 +101,7 @@
 	if m.err != nil {
 		w.freeAttempts++
 		w.freeRetryAt = now.Add(freeRetryDelay)
-		d.Log.Warn("a store was not cleared of parts made on older weights", "model", m.model, "version", m.version, "tries", w.freeAttempts, "err", m.err)
+		d.Log.Warn("a store was not cleared of parts computed with older weights", "model", m.model, "version", m.version, "tries", w.freeAttempts, "err", m.err)
 		if w.freeAttempts < maxFreeAttempts {
 			return nil
 		}
--- a/entry/gossip.go
+++ b/entry/gossip.go
@@ -15,22 +15,22 @@
 
 // Timing of the gossip in which boxes share the load of their requests at the targets.
 const (
-	// gossipInterval is how often each pair of boxes exchanges loads. A request takes some
-	// seconds.
+	// gossipInterval is how often each pair of boxes exchanges loads. That is short compared
+	// with a request, which takes some seconds.
 	gossipInterval = 150 * time.Millisecond
 	// hubGossipInterval is gossipInterval among hubs, each of which places some 200 requests a
 	// second: those that other hubs do not know of yet compete with theirs for the same
 	// targets.
 	hubGossipInterval = 50 * time.Millisecond
-	// spokeGossipInterval is how often a spoke calls its hub, which some 40 do. Until then the
-	// hub still counts the load of requests that have ended.
+	// spokeGossipInterval is how often a spoke calls its hub, which has some 40 spokes. Until
+	// the next call the hub still counts the load of requests that have ended.
 	spokeGossipInterval = 150 * time.Millisecond
 	// gossipTimeout bounds one call.
 	gossipTimeout = 300 * time.Millisecond
 	// gossipRetryDelay is the pause after a failed call.
 	gossipRetryDelay = time.Second
-	// announceFor is how long boxes announce that a target was replaced: several rounds, as
-	// calls fail.
+	// announceFor is how long boxes announce that a target was replaced or ended, or that a
+	// request was cleared: several rounds, as calls fail.
 	announceFor = 2 * time.Second
 	// peerLoadTTL is how long another box's loads count after it was last received.
 	peerLoadTTL = time.Second
--- a/entry/hub.go
+++ b/entry/hub.go
@@ -40,11 +40,11 @@
 	// the stores itself. Gossip with the next hub takes 0.6 s.
 	hublessAfter = time.Second
 	// maxHubMisses is how many calls in a row a hub may leave unanswered before another is
-	// asked. A single miss may be a pause.
+	// asked. A single miss may be due to a short pause of the hub.
 	maxHubMisses = 2
 )
 
-// usesHubs says that the fleet is large enough to need hubs.
+// usesHubs reports whether the fleet is large enough to need hubs.
 func (t *tables) usesHubs() bool { return len(t.members) > maxMeshBoxes }
 
 // rankedHubs lists the boxes of a domain that are fit to be hubs, the strongest first. The
@@ -91,7 +91,8 @@
 	return names
 }
 
-// hub says whether this box acts as a hub: it watches the sources and reads the table service.
+// hub reports whether this box acts as a hub: it watches the sources and reads the table
+// service. In a fleet without hubs every box does so.
 func (d *Daemon) hub(now time.Time, t *tables) bool {
 	if !t.usesHubs() || now.Sub(t.lastHubRequest) < hubLinger && !t.lastHubRequest.IsZero() {
 		return true
@@ -100,10 +101,10 @@
 	return slices.Contains(first[:min(hubsPerDomain, len(first))], d.Settings.Name)
 }
 
-// surelySpoke says that this box is no hub, whichever boxes are not known yet: more boxes can
-// only lower its rank. A box that joins a large fleet then asks hubs for places at once.
-// Without that it would place requests alone for 3 s, knowing nothing of cached parts, so that
-// all prompts would be prefilled in full.
+// surelySpoke reports whether this box is no hub, whichever boxes are not known yet: more boxes
+// can only lower its rank. A box that joins a large fleet then asks hubs for placements at
+// once. Without that it would place requests alone for 3 s, knowing nothing of cached parts, so
+// that all prompts would be prefilled in full.
 func (d *Daemon) surelySpoke(now time.Time, t *tables) bool {
 	return t.usesHubs() && !d.hub(now, t)
 }
@@ -114,8 +115,8 @@
 	return d.firstHub(t, func(_ string, m *member) bool { return !now.Before(m.retryAt) })
 }
 
-// placementHub returns the hub to ask for a place, or an empty name if none answers. A hub that
-// failed to answer must first answer gossip again, as a request can't wait for it.
+// placementHub returns the hub to ask for a placement, or an empty name if none answers. A hub
+// that failed to answer must first answer gossip again, as a request can't wait for it.
 func (d *Daemon) placementHub(now time.Time, t *tables, asked []string) string {
 	return d.firstHub(t, func(name string, m *member) bool {
 		return !m.unanswered && !now.Before(m.retryAt) && !slices.Contains(asked, name)
@@ -132,7 +133,7 @@
 	return ""
 }
 
-// hubless says that this box is a spoke and that no hub answers.
+// hubless reports whether this box is a spoke and no hub has answered for hublessAfter.
 func (d *Daemon) hubless(now time.Time, t *tables) bool {
 	return d.spoke.Load() && now.Sub(t.hubHeardAt) > hublessAfter
 }
@@ -155,7 +156,7 @@
 	return order
 }
 
-// hasFreshView says whether this box has a hub's view that is recent enough to go without
+// hasFreshView reports whether this box has a hub's view that is recent enough to go without
 // reading the table service.
 func (d *Daemon) hasFreshView(now time.Time) bool {
 	return d.spoke.Load() && d.provedAgo(now) < viewTTL
--- a/entry/hub_test.go
+++ b/entry/hub_test.go
@@ -192,10 +192,10 @@
 
 // TestStaleList guards against a target that is gone coming back. A box asks a hub that is cut
 // off from the table service, after a healthy one reported the target gone; the cut-off hub's
-// list still has it. A box without any list takes what it gets.
+// list still has it. A box without any list applies whatever it receives.
 //
-// In a large fleet a request reached a target 3.2 s after that had announced its drain: a hub
-// was cut off, and boxes took its list as they had given up another hub.
+// Boxes that took the list of a cut-off hub after giving up another one sent a request to a
+// target 3.2 s after its drain was announced.
 func TestStaleList(t *testing.T) {
 	entries := []peer.Entry{{ID: "a", Pool: "models", Address: "10.1.0.1:1"}, {ID: "b", Pool: "models", Address: "10.1.0.2:1"}}
 	tests := []struct {
@@ -272,7 +272,7 @@
 		// fails is the error of each hub's call.
 		fails [2]error
 		code  string
-		// asks is how many hubs are asked, rule the prefix of the place's rule.
+		// asks is how many hubs are asked, rule the prefix of the placement's rule.
 		asks int
 		rule string
 	}{
@@ -387,7 +387,7 @@
 	}
 }
 
-// TestPlacementHub shows that only hubs that answered their last call are asked for places.
+// TestPlacementHub shows that only hubs that answered their last call are asked for placements.
 func TestPlacementHub(t *testing.T) {
 	d := boxWithEngines("box-05")
 	again := start.Add(gossipRetryDelay)
@@ -396,14 +396,14 @@
 		d.hubFailed(start, &d.tables, "box-00", silent)
 	}
 	if got := d.placementHub(again, &d.tables, nil); got != "box-01" {
-		t.Errorf("places are asked of %q", got)
+		t.Errorf("placements are requested from %q", got)
 	}
 	if got := d.viewHub(again, &d.tables); got != "box-00" {
 		t.Errorf("gossip goes to %q", got)
 	}
 	d.update(again, peerAnswered{name: "box-00", asked: again})
 	if got := d.placementHub(again, &d.tables, nil); got != "box-00" {
-		t.Errorf("places are asked of %q after it answered", got)
+		t.Errorf("placements are requested from %q after it answered", got)
 	}
 }
 
@@ -420,7 +420,7 @@
 	}
 }
 
-// TestMalformedPlacement rejects a hub's place with malformed addresses.
+// TestMalformedPlacement rejects a hub's placement with malformed addresses.
 func TestMalformedPlacement(t *testing.T) {
 	tests := []struct {
 		name string
--- a/entry/inuse.go
+++ b/entry/inuse.go
@@ -41,7 +41,8 @@
 	members []*fleet.Target
 	since   map[string]time.Time
 	// lastSize is the pool's last number of engines, startedAt when it first had any, grewAt
-	// when it last grew. watched is true once the engines in use of a large pool are watched.
+	// when it last grew by more than one in stableGrowth. watched is true once the engines in
+	// use of a large pool are watched.
 	lastSize          int
 	startedAt, grewAt time.Time
 	watched           bool
--- a/entry/join.go
+++ b/entry/join.go
@@ -48,8 +48,8 @@
 	return table.Row{Key: memberPrefix + d.Settings.Name, Value: value}
 }
 
-// join writes this box's row unless it is among rows as it is, and the credential if there is
-// none yet and this box is chosen to write it.
+// join writes this box's row unless rows contain it unchanged, and the credential if there is
+// none yet and this box is chosen at random to write it.
 func (d *Daemon) join(ctx context.Context, rows []table.Row) {
 	own := d.ownRow()
 	if !hasRow(rows, own) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// hasRow says that rows contain own with the same value.
+// hasRow reports whether rows contain own with the same value.
 func hasRow(rows []table.Row, own table.Row) bool {
 	return slices.ContainsFunc(rows, func(r table.Row) bool { return r.Key == own.Key && bytes.Equal(r.Value, own.Value) })
 }
@@ -77,7 +77,7 @@
 	}
 }
 
-// hasCredential says that rows contain the boxes' credential.
+// hasCredential reports whether rows contain the boxes' credential.
 func hasCredential(rows []table.Row) bool {
 	return slices.ContainsFunc(rows, func(r table.Row) bool { return r.Key == credentialKey })
 }
--- a/entry/list.go
+++ b/entry/list.go
@@ -120,7 +120,7 @@
 }
 
 // forgetTarget drops which parts a target caches and the load that this box's requests have
-// there, and stops watching it. Watching starts anew if the target is listed.
+// there, and stops watching it. Watching starts again if the target is listed.
 func (t *tables) forgetTarget(id string) {
 	t.directory.Forget(id)
 	delete(t.loading, id)
--- a/entry/listbehind.go
+++ b/entry/listbehind.go
@@ -11,11 +11,11 @@
 
 // A hub's target list has no proof with an age as the configuration has: a held read that
 // returns nothing for 3 s looks the same whether the hub is healthy or cut off, and shorter
-// holds would cost calls at every hub. So hubs tell each other the newest change of the list
-// that they have read. A hub that has not read a reported change within the time of a healthy
-// read cancels its held read and reads at once. If that brings nothing, it is cut off from the
-// table service, though other hubs prove its configuration: it reports its list as behind, and
-// its spokes move to the next hub.
+// holds would cost calls at every hub. So hubs report to each other the newest change of the
+// list that they have read. A hub that has not read a reported change within the time of a
+// healthy read cancels its held read and reads at once. If that brings nothing, it is cut off
+// from the table service, though other hubs prove its configuration: it reports its list as
+// behind, and its spokes move to the next hub.
 
 const (
 	// behindReadAfter is the delay between another hub's report and the immediate read. A
@@ -37,8 +37,8 @@
 	}
 }
 
-// listBehind says that this box's list has lacked a change that another hub reported for too
-// long.
+// listBehind reports whether this box's list has lacked a change that another hub reported for
+// too long.
 func (t *tables) listBehind(now time.Time) bool {
 	return !t.listBehindSince.IsZero() && now.Sub(t.listBehindSince) >= behindAfter
 }
@@ -73,7 +73,7 @@
 	mu sync.Mutex
 	// cancel ends the read in flight.
 	cancel context.CancelFunc
-	// interrupting says that another hub has read a later change and no read was answered
+	// interrupting means that another hub has read a later change and no read was answered
 	// since.
 	interrupting bool
 }
@@ -105,7 +105,7 @@
 	}
 }
 
-// interrupted says that reads are not held.
+// interrupted reports whether reads are not held.
 func (l *listReads) interrupted() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/load.go
+++ b/entry/load.go
@@ -59,8 +59,8 @@
 }
 
 // load is what all boxes' requests use at a target: memory, and the prompt tokens that it has
-// yet to prefill. A box that hears no other assumes that each of them loads the targets as much
-// as itself, spread over all targets.
+// yet to prefill. A box that receives no other's loads assumes that each of them loads the
+// targets as much as itself, spread over all targets.
 func (d *Daemon) load(now time.Time, t *tables, x *fleet.Target) (tokens, prefill int) {
 	target := placement.Hash(x.ID)
 	prefill = t.prefillBacklog.PrefillBacklog(now, target) + t.overdue.Tokens(now, target)
--- a/entry/load_test.go
+++ b/entry/load_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestLoadEndsWithTarget has a target leave the list, be replaced, or restart under its ID
-// while a request of this box runs there. Its load is reported no more, and that of the next
+// while a request of this box runs there. Its load is no longer reported, and that of the next
 // incarnation starts at zero.
 func TestLoadEndsWithTarget(t *testing.T) {
 	born := start.Add(-time.Hour)
--- a/entry/loading.go
+++ b/entry/loading.go
@@ -46,7 +46,7 @@
 		if now.Before(due) {
 			continue
 		}
-		t.loading[id] = x.LoadingUntil // Until the answer is there.
+		t.loading[id] = x.LoadingUntil // No further poll while the answer is outstanding.
 		effects = append(effects, pollLoaded{id, x.Address, x.Incarnation()})
 	}
 	return effects
@@ -65,7 +65,7 @@
 	}
 	delete(t.loading, m.target)
 	if !x.StartedAt.IsZero() && !m.report.StartedAt.IsZero() && !m.report.StartedAt.Equal(x.StartedAt) {
-		return // The report is from another incarnation; the list tells which one is the later.
+		return // The report is from another incarnation; the list shows which one is the later.
 	}
 	for model, version := range m.report.Versions {
 		x.Versions[model] = max(x.Versions[model], version)
--- a/entry/order.go
+++ b/entry/order.go
@@ -17,8 +17,8 @@
 
 const (
 	// maxUnreachablePolls is how many polls in a row may fail to reach a target before another
-	// target takes its place among those that load. A process that crashed is back after some
-	// seconds under another ID, while a lost packet costs one poll.
+	// target takes its slot among the concurrent loads. A process that crashed is back after
+	// some seconds under another ID, while a lost packet costs one poll.
 	maxUnreachablePolls = 3
 	// orderRetryDelay is how long a target that did not load waits for its next order, so that
 	// others come first.
@@ -80,8 +80,8 @@
 	return err
 }
 
-// orderEnded frees the order's place among those that load. A target that was replaced must not
-// hold it until maxLoadTime is over: with two places the rollout would run at half speed for
+// orderEnded frees the order's slot among the concurrent loads. A target that was replaced must
+// not hold it until maxLoadTime is over: with two slots the rollout would run at half speed for
 // that time.
 func (d *Daemon) orderEnded(now time.Time, t *tables, m orderEnded) []effect {
 	w := t.rolloutOf(m.model)
@@ -127,10 +127,10 @@
 }
 
 // excludeUntil keeps requests from a target until a time, or until it has loaded if that is
-// later: a request turned away at the start of a load says less than the order. Ending the load
-// early would have each box that met such a refusal send work there every 0.3 s in vain.
-// Keeping it, together with polling the loading targets (pollLoading), reduced the requests
-// turned away by 99 engines in two rollouts from 508 to 175.
+// later: a refusal at the start of a load says less than the order. Ending the load early would
+// have each box that met such a refusal send a request there every 0.3 s, only to be refused
+// again. Keeping it, together with polling the loading targets (pollLoading), reduced the
+// requests turned away by 99 engines in two rollouts from 508 to 175.
 func excludeUntil(x *fleet.Target, until time.Time) {
 	if x.LoadingUntil.Before(until) {
 		x.LoadingUntil = until
--- a/entry/peerproof.go
+++ b/entry/peerproof.go
@@ -11,7 +11,7 @@
 // Each hub needs a proof, at most a second old, that it knows the newest of what the operator
 // wrote. One hub, the last by name, reads for all; the others call it each 50 ms anyway. Its
 // answer carries the newest change that it knows and the age of its proof. A hub that has read
-// up to that change takes the proof as its own. A hub reads itself when it hears of a later
+// up to that change takes the proof as its own. A hub reads itself when it learns of a later
 // change or when no proof comes. Reads are billed, and all of them would learn the same.
 
 const (
@@ -47,8 +47,8 @@
 	return min(peerProofBase+time.Duration(before-1)*peerProofStep, peerProofLimit)
 }
 
-// hasPeerProof says that another hub reads the operator's rows and has confirmed recently that
-// this box knows the newest.
+// hasPeerProof reports whether another hub reads the operator's rows and has confirmed recently
+// that this box knows the newest.
 func (d *Daemon) hasPeerProof(now time.Time) bool {
 	maxAge := time.Duration(d.peerProofMaxAge.Load())
 	return maxAge > 0 && !d.operatorBehind.Load() && !d.outage.lost() && d.provedAgo(now) < maxAge
--- a/entry/place.go
+++ b/entry/place.go
@@ -25,7 +25,7 @@
 	expectedTTL = 1500 * time.Millisecond
 )
 
-// askPlace asks the loop for a place. In a large fleet the loop asks hubs first.
+// askPlace asks the loop for a placement. In a large fleet the loop asks hubs first.
 func (d *Daemon) askPlace(ctx context.Context, ask deliver.PlacementRequest) (deliver.Placement, error) {
 	reply := make(chan placementAnswer, 1)
 	select {
@@ -60,7 +60,7 @@
 const silenceTTL = 3 * time.Second
 
 // looksDead reports whether a target is gone, unreachable or silent, or had a connection that
-// was found silent within silenceFor.
+// was found silent within silenceTTL.
 func (d *Daemon) looksDead(now time.Time, t *tables, id string) bool {
 	x := t.fleet.Target(id)
 	if x == nil || x.Ejected(now) || d.isSilent(now, t, x) {
--- a/entry/placehub.go
+++ b/entry/placehub.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// hubPlaceTimeout bounds a hub's call for a place. The hub takes about 1 ms, and a weak box some
-	// 10 ms to read the answer.
+	// hubPlaceTimeout bounds the call to a hub for a placement. The hub takes about 1 ms, and a
+	// weak box some 10 ms to read the answer.
 	hubPlaceTimeout = 100 * time.Millisecond
 	// maxHubsAsked is how many hubs are asked to place a request before this box places it alone.
 	// Alone it knows of no cached part, so the engine prefills the whole prompt: for 12,000
@@ -25,7 +25,7 @@
 	maxHubsAsked = 2
 )
 
-// askHub asks a hub for a place.
+// askHub asks a hub for a placement.
 type askHub struct {
 	hub     string
 	address netip.AddrPort
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// placeRemotely hands a model request to a hub, if this box is a spoke, and any request for
-// which only rate-limited targets are left.
+// placeRemotely hands a request to a hub, if this box is a spoke and the request is for a model
+// or has only rate-limited targets left.
 func (d *Daemon) placeRemotely(now time.Time, t *tables, m placementRequest) ([]effect, bool) {
 	if !d.spoke.Load() || m.ask.Job.Pool.Engine == nil && !t.onlyLimited(now, m.ask) || len(m.askedHubs) >= maxHubsAsked || d.weightsStale(now) {
 		return nil, false
@@ -113,9 +113,9 @@
 	return hubPlaced{e.hub, e.m, answer.PlacementResponse, err}
 }
 
-// hubPlaced passes on the place that the hub chose, unless this box knows of a reason against
-// it. Then another hub is asked, or this box places the request alone. A call that ended with
-// its request does not count as a failure of the hub.
+// hubPlaced passes on the placement that the hub chose, unless this box knows of a reason
+// against it. Then another hub is asked, or this box places the request alone. A call that
+// ended with its request does not count as a failure of the hub.
 func (d *Daemon) hubPlaced(now time.Time, t *tables, m hubPlaced) []effect {
 	if m.request.ctx.Err() != nil {
 		return d.placementRequested(now, t, m.request)
@@ -156,8 +156,8 @@
 	d.Log.Warn("hub does not answer", "hub", hub, "err", err)
 }
 
-// acceptHubPlace converts a hub's answer to a place, unless this box knows of a reason against
-// the target.
+// acceptHubPlace converts a hub's answer to a placement, unless this box knows of a reason
+// against the target.
 func (d *Daemon) acceptHubPlace(now time.Time, t *tables, request deliver.PlacementRequest, p *peer.PlacementResponse) (placementAnswer, bool) {
 	job := request.Job
 	if p.Refused == codeBackoff {
@@ -182,7 +182,7 @@
 	}
 	fetch, save, err := transferAddresses(p)
 	if err != nil {
-		d.Log.Error("place chosen by a hub is invalid", "request", job.ID, "target", p.Target, "err", err)
+		d.Log.Error("placement chosen by a hub is invalid", "request", job.ID, "target", p.Target, "err", err)
 		return placementAnswer{}, false
 	}
 	place := deliver.Placement{
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -43,7 +43,7 @@
 	d.liftQuarantine(now, t, job.Fingerprint(), "request "+job.ID)
 }
 
-// liftQuarantine removes a request from quarantine and has other boxes told.
+// liftQuarantine removes a request from quarantine and has gossip report that to other boxes.
 func (d *Daemon) liftQuarantine(now time.Time, t *tables, sum fingerprint.Sum, from string) {
 	refused := t.quarantine.Crashes(sum) >= quarantine.Threshold
 	if !t.quarantine.Answered(now, sum) {
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -14,10 +14,10 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// A target under overload names a rate limit in requests a second for all boxes together. Boxes
-// tell each other the limit and divide it by package quota. In a fleet with hubs the hubs share
-// the whole limit, as they place the requests for the other boxes. A request takes a token
-// where it is placed, and that is checked again right before it is sent.
+// An overloaded target names a rate limit in requests a second for all boxes together. Boxes
+// gossip the limit and divide it by package quota. In a fleet with hubs the hubs share the
+// whole limit, as they place the requests for the other boxes. A request takes a token where it
+// is placed, and that is checked again right before it is sent.
 
 const (
 	// grantTTL is how long a placed request may be sent on the token taken for it. Sent any
@@ -128,7 +128,7 @@
 			continue
 		}
 		if t.fleet.Incarnation(x.Incarnation) == nil {
-			continue // What this box hears itself refers to the incarnation in its list.
+			continue // Recording a later incarnation would discard the signals of the listed one.
 		}
 		if d.notices.SetLimit(now, x) {
 			d.logLimit(x, m.From)
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -44,7 +44,7 @@
 	rate float64
 	// limited are the targets that do so.
 	limited map[string]bool
-	// pending are the requests that wait for their place.
+	// pending are the requests that wait for their placement.
 	pending []pendingRequest
 	// arrivals is when requests reached each target; those after from are checked.
 	arrivals map[string][]time.Time
@@ -54,7 +54,7 @@
 	turn     int
 }
 
-// pendingRequest is a request that waits for its place.
+// pendingRequest is a request that waits for its placement.
 type pendingRequest struct {
 	box   *Daemon
 	reply chan placementAnswer
@@ -297,9 +297,9 @@
 	}
 }
 
-// TestLimitOfUnlistedIncarnation guards against a limit told of a target's next incarnation,
-// not yet in this box's list, that makes what the target said to this box count as an earlier
-// incarnation's.
+// TestLimitOfUnlistedIncarnation guards against a gossiped limit of a target's next
+// incarnation, which this box's list does not have yet: it must not discard the signals that
+// the listed incarnation sent to this box.
 func TestLimitOfUnlistedIncarnation(t *testing.T) {
 	d := singleBox()
 	listed := engine("a", 1)
--- a/entry/refuse.go
+++ b/entry/refuse.go
@@ -11,7 +11,7 @@
 )
 
 // refuseImpossible returns why no target can run a request under this configuration, or nil.
-// Refusing it as crowded would have its caller come back in vain.
+// Refusing it as crowded would have its caller return only to be refused again.
 func (d *Daemon) refuseImpossible(t *tables, job *deliver.Job) *refusal.Refusal {
 	if refused := d.refuseRegion(t, job); refused != nil {
 		return refused
--- a/entry/refuse_test.go
+++ b/entry/refuse_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestMinAnswerTimeLearned checks which outcomes teach how quickly similar requests can be
-// served, and that refusals are counted by their code.
+// TestMinAnswerTimeLearned checks from which outcomes the minimum answer time is learned, and
+// that refusals are counted by their code.
 func TestMinAnswerTimeLearned(t *testing.T) {
 	took := 100 * time.Millisecond
 	tests := []struct {
--- a/entry/region.go
+++ b/entry/region.go
@@ -23,7 +23,7 @@
 	return routing.AllowedRegions(job.Route, job.Account)
 }
 
-// inRegions says whether a failure domain lies in one of the regions.
+// inRegions reports whether a failure domain lies in one of the regions.
 func (t *tables) inRegions(regions routing.Regions, domain string) bool {
 	return !regions.Limited() || regions.Allow(t.regions[domain])
 }
--- a/entry/region_test.go
+++ b/entry/region_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestRegionsByHub has a hub place a limited request, and a box reject a place by a hub that
-// does not know of regions.
+// TestRegionsByHub has a hub place a limited request, and a box reject a placement by a hub
+// that does not know of regions.
 func TestRegionsByHub(t *testing.T) {
 	hub, spoke := twoRegions("box-00"), twoRegions("box-05")
 	j := limitedJob("models", routing.Regions{"south"}, nil)
@@ -113,7 +113,7 @@
 		t.Errorf("the hub places on %+v", got)
 	}
 	if _, ok := spoke.acceptHubPlace(start, &spoke.tables, deliver.PlacementRequest{Job: j}, &peer.PlacementResponse{Target: "e-a", Version: 1}); ok {
-		t.Error("a place in another region is accepted")
+		t.Error("a placement in another region is accepted")
 	}
 }
 
--- a/entry/restored.go
+++ b/entry/restored.go
@@ -24,17 +24,17 @@
 	maxRewrittenProofAge = time.Second
 )
 
-// provesNewest says whether a read proves that the configuration in force is the newest.
+// provesNewest reports whether a read proves that the configuration in force is the newest.
 func (d *Daemon) provesNewest(now time.Time, t *tables, m operatorRead) bool {
 	older, pending := d.rowsOlder(now, t, m), t.rewritePending(now, m)
 	d.outage.setOlder(older || pending)
 	return !older && !pending
 }
 
-// rewritePending says whether the operator's rows, as read by a box that has just started, may
-// lack what the operator has yet to write again after a restore: the box has nothing to compare
-// them with. That ends once the operator writes, another box confirms it, or startRewriteGrace
-// is over.
+// rewritePending reports whether the operator's rows, as read by a box that has just started,
+// may lack what the operator has yet to write again after a restore: the box has nothing to
+// compare them with. That ends once the operator writes, another box confirms it, or
+// startRewriteGrace is over.
 func (t *tables) rewritePending(now time.Time, m operatorRead) bool {
 	switch {
 	case m.change.Known.Restores == 0:
@@ -64,7 +64,7 @@
 	d.Log.Info("the operator has written its rows again, as another box confirms", "box", m.From, "proved_there", time.Duration(m.ProofAgeMS)*time.Millisecond, "configuration", d.version())
 }
 
-// rowsOlder says whether the operator's rows are older than the configuration in force, as a
+// rowsOlder reports whether the operator's rows are older than the configuration in force, as a
 // restore lost them and they are not written again yet. A read without changes then proves
 // nothing. If they stay older for longer than operatorRewriteGrace, they count as the newest.
 func (d *Daemon) rowsOlder(now time.Time, t *tables, m operatorRead) bool {
--- a/entry/restored_canary_test.go
+++ b/entry/restored_canary_test.go
@@ -10,8 +10,8 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// TestCanaryAfterRestore guards against a canary rollout that starts anew, or rejects its
-// version by its own older row, after a restore lost the row and the spec was written again.
+// TestCanaryAfterRestore guards against a canary rollout that restarts, or rejects its version
+// by its own older row, after a restore lost the row and the spec was written again.
 func TestCanaryAfterRestore(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
@@ -42,7 +42,7 @@
 			w.restore(min(w.version-lost+5, w.version-1), copied)
 			w.advance(rolloutTime-tt.restored+6*time.Second, w.serve)
 			if w.last() != tt.want {
-				t.Errorf("told %v, want %v at the end", w.canaryReports["orders"], tt.want)
+				t.Errorf("reported %v, want %v at the end", w.canaryReports["orders"], tt.want)
 			}
 			if tt.percent > 0 && float64(w.canarySent) > 0.1*float64(w.sent)+50 {
 				t.Errorf("a bad version got %d of %d requests", w.canarySent, w.sent)
--- a/entry/restored_random_test.go
+++ b/entry/restored_random_test.go
@@ -93,7 +93,7 @@
 }
 
 // reverted describes the first connected box whose state is older than the last change, or
-// returns an empty text.
+// returns an empty string.
 func (w *emulator) reverted() string {
 	for _, d := range w.boxes {
 		name, f := d.Settings.Name, d.tables.fleet
--- a/entry/restored_rows_test.go
+++ b/entry/restored_rows_test.go
@@ -82,7 +82,7 @@
 		name     string
 		restores uint64
 		row      *table.Row
-		// waits says that no order is given when the lease is acquired.
+		// waits means that no order is given when the lease is acquired.
 		waits bool
 	}{
 		{"never restored", 0, nil, false},
--- a/entry/restored_test.go
+++ b/entry/restored_test.go
@@ -75,7 +75,7 @@
 	tests := []struct {
 		name     string
 		reported revision.Revision
-		// proved says that the message proves the configuration, behind that this box reads
+		// proved means that the message proves the configuration, behind that this box reads
 		// again.
 		proved, behind bool
 	}{
@@ -149,7 +149,7 @@
 		copied Operator
 		then   *Operator
 		after  time.Duration
-		// proved says that the configuration counts as the newest, evacuated that the domain
+		// proved means that the configuration counts as the newest, evacuated that the domain
 		// gets nothing.
 		proved, evacuated bool
 	}{
--- a/entry/retryafter.go
+++ b/entry/retryafter.go
@@ -62,7 +62,7 @@
 func (d *Daemon) notePlacement(now time.Time, ask deliver.PlacementRequest, refused *refusal.Refusal) {
 	pool := ask.Job.Pool.Name
 	switch {
-	case refused != nil && refused.Code == codeBackoff: // Neither case applies: the end of a backoff is known by itself.
+	case refused != nil && refused.Code == codeBackoff: // Neither case applies: the end of a backoff is known.
 	case refused == nil || refused.Code != "no_target" && refused.Code != "old_weights":
 		if lasted := d.retryEstimator.Ended(now, noTarget+pool); lasted > 0 {
 			d.Log.Info("pool has usable targets again", "pool", pool, "without_for", lasted)
--- a/entry/retryafter_test.go
+++ b/entry/retryafter_test.go
@@ -12,7 +12,7 @@
 )
 
 // boxWithClock is a box with a clock that the test sets and random draws of zero, so that it
-// gives the shortest times to come back.
+// gives the shortest retry-after times.
 func boxWithClock(now *time.Time) *Daemon {
 	d := newDaemon("b1")
 	d.now = func() time.Time { return *now }
@@ -23,7 +23,7 @@
 
 const soonest = 60 * time.Millisecond
 
-// TestRetryAfterByCause checks when refused callers are told to return.
+// TestRetryAfterByCause checks the retry-after time by the cause of the refusal.
 func TestRetryAfterByCause(t *testing.T) {
 	tests := []struct {
 		name, code string
@@ -73,7 +73,7 @@
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}}, false})
 			d.acceptHubPlace(start, &d.tables, deliver.PlacementRequest{Job: job("short", 10)}, &peer.PlacementResponse{Target: "a"})
 		}, 700 * time.Millisecond, soonest},
-		{"no target told by a hub", "no_target", func(d *Daemon) {
+		{"no target, as a hub reports", "no_target", func(d *Daemon) {
 			d.acceptHubPlace(start, &d.tables, deliver.PlacementRequest{Job: job("short", 10)}, &peer.PlacementResponse{Refused: "no_target"})
 		}, 700 * time.Millisecond, 700 * time.Millisecond},
 	}
@@ -99,7 +99,7 @@
 	d.retryAfter("stale", job("short", 10))
 }
 
-// placeOne asks for a place.
+// placeOne asks for a placement.
 func placeOne(d *Daemon, now time.Time, tried ...string) error {
 	_, err := d.place(now, &d.tables, deliver.PlacementRequest{Job: job("short", 10), Attempted: tried})
 	return err
@@ -120,7 +120,7 @@
 	}
 }
 
-// TestGossipsWhetherStale checks that a box tells others whether it refuses callers.
+// TestGossipsWhetherStale checks that a box reports to others whether it refuses callers.
 func TestGossipsWhetherStale(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -151,7 +151,7 @@
 	}
 }
 
-// TestRefusalHasRetryAfter checks that a refusal carries the time to come back.
+// TestRefusalHasRetryAfter checks that a refusal carries a retry-after time.
 func TestRefusalHasRetryAfter(t *testing.T) {
 	now := start
 	d := boxWithClock(&now)
--- a/entry/retrybudget.go
+++ b/entry/retrybudget.go
@@ -21,16 +21,16 @@
 	retryCallTimeout = 50 * time.Millisecond
 )
 
-// retryBudgetSource says who keeps this box's retries.
+// retryBudgetSource is where this box's retry budget is kept.
 type retryBudgetSource struct {
-	// local is true if this box is a hub and keeps them itself; hub is the hub to ask
-	// otherwise.
+	// local is true if this box is a hub and keeps it itself; hub is the hub to ask otherwise.
 	local bool
 	hub   netip.AddrPort
 }
 
-// chooseRetryBudget notes who keeps this box's retries. That is nobody unless there are more
-// boxes than may save up one retry each, and a hub.
+// chooseRetryBudget sets where this box's retry budget is kept. Each box keeps its own if all
+// are listed, if there are no more of them than may save up one retry each, or if no hub
+// answers.
 func (d *Daemon) chooseRetryBudget(now time.Time, t *tables) {
 	all := d.bounds.Load().RetryExtra * retryUtilization
 	hub := t.members[t.hub]
--- a/entry/retrybudget_test.go
+++ b/entry/retrybudget_test.go
@@ -67,7 +67,7 @@
 	return false
 }
 
-// TestRetryBudgetSource checks who keeps a box's retries.
+// TestRetryBudgetSource checks where a box's retry budget is kept.
 func TestRetryBudgetSource(t *testing.T) {
 	tests := []struct {
 		name  string
--- a/entry/rolloutrow.go
+++ b/entry/rolloutrow.go
@@ -15,8 +15,8 @@
 // rolloutPrefix begins the keys of the rows that hold a rollout's state.
 const rolloutPrefix = "rollout/"
 
-// rolloutRow is what the holder of the lease tells the other boxes. It is written before any
-// order that it names is sent.
+// rolloutRow is what the holder of the lease announces to the other boxes. It is written before
+// any order that it names is sent.
 type rolloutRow struct {
 	// Epoch is the lease's; a row with a lower epoch than one already read is stale.
 	Epoch   uint64 `json:"epoch"`
--- a/entry/signals.go
+++ b/entry/signals.go
@@ -12,11 +12,11 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// What a target signals of itself in an answer, that it leaves, wants a backoff or has a rate
-// limit, binds this box and comes before the list of targets tells it; while the table service
-// is away the list tells nothing. It is therefore recorded where the answer is read, before any
-// of it is passed on, and checked right before a request is sent, whichever box placed it and
-// however long ago.
+// In its answers a target signals that it is leaving, wants a backoff or has a rate limit. This
+// binds the box, and it comes earlier than the target list, which shows nothing while the table
+// service is away. Signals are therefore recorded where the answer is read, before any of it is
+// passed on, and checked right before a request is sent, whichever box placed it and however
+// long ago.
 
 // Labels of the targets' signals.
 const (
@@ -28,7 +28,7 @@
 // codeBackoff is the refusal's code where all targets asked for a backoff.
 const codeBackoff = "backoff"
 
-// signalsHeard tells the loop that a target's signals changed; they are in the registry.
+// signalsHeard reports to the loop that a target's signals changed; they are in Daemon.notices.
 type signalsHeard struct{ incarnation fleet.Incarnation }
 
 // incarnationOf is the incarnation on which a request was placed.
@@ -134,9 +134,9 @@
 	}
 }
 
-// applySignals applies the recorded signals to a listed target, also if a stale list adds it
-// again. That the list once showed it as leaving is recorded as well. It reports whether the
-// target is leaving and was not before.
+// applySignals applies the recorded signals to a listed target, so that they hold even if a
+// stale list adds the target again. If the list shows it as leaving, that is recorded as well.
+// It reports whether the target is leaving and was not before.
 func (d *Daemon) applySignals(now time.Time, x *fleet.Target) bool {
 	before := x.Leaving
 	d.notices.Observe(now, x.Incarnation(), notice.Signals{Leaving: x.Leaving})
--- a/entry/signals_test.go
+++ b/entry/signals_test.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// TestHubMissesSignal has a hub that heard nothing place for a box that was asked for a
+// TestHubMissesSignal has a hub that received no signal place for a box that was asked for a
 // backoff, and a hub that was itself asked for one place there for others.
 func TestHubMissesSignal(t *testing.T) {
 	for _, signals := range []notice.Signals{signalsLeaving, signalsBackoff} {
@@ -163,13 +163,13 @@
 			d := withEngines(largeFleet("box-05"), "a", "b")
 			sendSignals(d, start, fleet.Incarnation{ID: "a"}, signals)
 			if _, ok := d.acceptHubPlace(start, &d.tables, deliver.PlacementRequest{Job: job("long", 1000)}, &peer.PlacementResponse{Target: "a", Version: 1}); ok {
-				t.Error("the hub's place is accepted")
+				t.Error("the hub's placement is accepted")
 			}
 			reply := make(chan placementAnswer, 1)
 			effects := d.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: job("long", 1000)}, reply: reply})
 			ask := effects[0].(askHub).ask
 			if want := shortID(d.tables.fleet.Target("a")); len(ask.Excluded) != 1 || ask.Excluded[0] != want {
-				t.Fatalf("told the hub of %v, want %v", ask.Excluded, want)
+				t.Fatalf("reported %v to the hub, want %v", ask.Excluded, want)
 			}
 			hub := withEngines(largeFleet("box-00"), "a", "b")
 			hub.tables.hubWarm = true
@@ -187,7 +187,7 @@
 }
 
 // TestAllExcludedAtHub has a hub know only targets that the asking box named as excluded. The
-// box refuses for its own reason, or asks on if it knows of another target.
+// box refuses for its own reason, or asks another hub if it knows of another target.
 func TestAllExcludedAtHub(t *testing.T) {
 	tests := []struct {
 		name   string
--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -19,7 +19,7 @@
 func TestStartReads(t *testing.T) {
 	tests := []struct {
 		name string
-		// unreachable says that other boxes can't call this one, configured that there is a
+		// unreachable means that other boxes can't call this one, configured that there is a
 		// configuration.
 		unreachable, configured bool
 		// role is when the box learns its role, hub whether that is a hub, hubAnswers when a hub
--- a/entry/suspended.go
+++ b/entry/suspended.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// minLoggedSuspension is the shortest suspension of the machine that is logged: shorter ones
-// change nothing that is trusted.
+// minLoggedSuspension is the shortest suspension of the machine that is logged. Shorter ones
+// hardly age a proof, as proofs are trusted for seconds.
 const minLoggedSuspension = 100 * time.Millisecond
 
 // noteSuspension logs that the machine was suspended. All ages include that time anyway; the
--- a/entry/tombstone.go
+++ b/entry/tombstone.go
@@ -13,7 +13,7 @@
 // tombstone records a target that was removed from the list.
 type tombstone struct {
 	incarnation fleet.Incarnation
-	// leaving says that the target had announced its drain, which is final within an
+	// leaving means that the target had announced its drain, which is final within an
 	// incarnation.
 	leaving   bool
 	removedAt time.Time
--- a/entry/trial.go
+++ b/entry/trial.go
@@ -25,7 +25,7 @@
 	// answers in flight elsewhere have come and lost targets are back. A trial may cost the
 	// requests that run on a target, some 20.
 	firstTrialDelay = 10 * time.Second
-	// nextTrialDelay is the delay from there to the second trial.
+	// nextTrialDelay is the delay from the first trial to the second.
 	nextTrialDelay = 10 * time.Minute
 	// claimTimeout bounds the two calls of a claim, as the caller waits for them.
 	claimTimeout = time.Second
@@ -48,7 +48,7 @@
 	sum     fingerprint.Sum
 }
 
-// trialClaimed tells whether this request is the trial.
+// trialClaimed is the result; granted means that this request is the trial.
 type trialClaimed struct {
 	claimTrial
 	granted bool
--- a/entry/unlisted.go
+++ b/entry/unlisted.go
@@ -13,7 +13,8 @@
 
 // In a fleet with enough boxes fit to be hubs, the other boxes write no row: nobody needs their
 // address, and rows of all boxes that all boxes read grow with the square of the fleet. Hubs
-// learn of these boxes by their gossip, exchange the counts and tell their spokes the total.
+// learn of these boxes by their gossip, exchange the counts and report the total to their
+// spokes.
 
 const (
 	// minListedBoxes is how many boxes fit to be hubs must have rows for a weaker box to go
@@ -68,11 +69,11 @@
 	return true
 }
 
-// weak says that this box may be too weak to be a hub.
+// weak reports whether this box may be too weak to be a hub.
 func (d *Daemon) weak() bool { return d.Settings.Box.Share < weakCores }
 
-// rowUnneeded says that, by the rows of the others, the fleet is large and this box can be no
-// hub in it.
+// rowUnneeded reports whether, by the rows of the others, the fleet is large and this box can
+// be no hub in it.
 func (d *Daemon) rowUnneeded(rows []table.Row) bool {
 	fit, ofDomain := 0, 0
 	for _, row := range rows {
@@ -156,7 +157,7 @@
 	return max(t.unlistedMet+t.unlistedElsewhere(now), t.hubUnlisted)
 }
 
-// hasUnlisted says that unlisted boxes share the work, so that no box knows all names. A
+// hasUnlisted reports whether unlisted boxes share the work, so that no box knows all names. A
 // box that has just joined and whose row this one has not read is not unlisted.
 func (t *tables) hasUnlisted(now time.Time) bool { return t.unlistedTotal(now) > 0 }
 
--- a/entry/unlisted_test.go
+++ b/entry/unlisted_test.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// burstWithinTotal says that the retry bursts of unlisted boxes stay within the fleet's total,
+// burstWithinTotal holds if the retry bursts of unlisted boxes stay within the fleet's total,
 // for any names and number of boxes and counts that are slightly wrong.
 func burstWithinTotal(burst func(name string, boxes int, all float64) float64) gopter.Prop {
 	const all = 1040 * retryUtilization
@@ -190,8 +190,8 @@
 	}
 }
 
-// TestUnlistedWatchNoRows has an unlisted box hear a hub soon after it knows its role. It reads
-// the rows twice, to learn that it needs none, and does not watch them.
+// TestUnlistedWatchNoRows has an unlisted box receive a hub's view soon after it knows its
+// role. It reads the rows twice, to learn that it needs none, and does not watch them.
 func TestUnlistedWatchNoRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newStartingFleet(t, 60, 45)
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -178,9 +178,9 @@
 type outage struct {
 	mu   sync.Mutex
 	down bool
-	// downSinceRead says that an outage happened since the target list was last read.
+	// downSinceRead means that an outage happened since the target list was last read.
 	downSinceRead bool
-	// older says that the operator's rows may be older than the newest configuration.
+	// older means that the operator's rows may be older than the newest configuration.
 	older bool
 	// restores is the highest count of restores that a read reported, restoresKnown whether any
 	// did.
@@ -196,7 +196,7 @@
 	o.ctx, o.cancel = context.WithCancel(ctx)
 }
 
-// lost says that the table service does not answer.
+// lost reports whether the table service does not answer.
 func (o *outage) lost() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -239,7 +239,7 @@
 	return o.ctx
 }
 
-// takeDownSinceRead says whether an outage happened since the last call.
+// takeDownSinceRead reports whether an outage happened since the last call.
 func (o *outage) takeDownSinceRead() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -274,12 +274,12 @@
 	}
 }
 
-// awaitsHub says that the table service need not be read yet, as a hub may send what the box
-// needs. A spoke waits for within after it took its role; a box that knows neither its role nor
-// a configuration waits for roleTimeout after it started. When all boxes of a fleet of 1,000
-// start at once, each would otherwise read the configuration and 10,000 entries to use some
-// hundred of them. A box that joins a running fleet finds a configuration and so waits only as
-// a spoke.
+// awaitsHub reports whether the table service need not be read yet, as a hub may send what the
+// box needs. A spoke waits for within after it took its role; a box that knows neither its role
+// nor a configuration waits for roleTimeout after it started. When all boxes of a fleet of
+// 1,000 start at once, each would otherwise read the configuration and 10,000 entries to use
+// some hundred of them. A box that joins a running fleet finds a configuration and so waits
+// only as a spoke.
 func (d *Daemon) awaitsHub(now time.Time, within time.Duration) bool {
 	if !d.Settings.Peers.IsValid() {
 		return false // No box can reach it.
--- a/entry/weightbound_test.go
+++ b/entry/weightbound_test.go
@@ -11,9 +11,9 @@
 
 // TestEachVersionHasItsBound names two versions one after the other and checks on which weights
 // a request may begin. It guards against a third version that restarts the bound of the second.
-// That happened with one time for the newest naming only: a request began on weights 12.4 s
-// after a newer version was named, with a bound of 12 s, as a still newer version had come
-// 6.6 s after that one while engines crashed and came back with the old weights.
+// With a single time for the newest naming, a request began on weights 12.4 s after a newer
+// version was named, with a bound of 12 s: a still newer version was named 6.6 s after that
+// one, while engines crashed and came back with the old weights.
 func TestEachVersionHasItsBound(t *testing.T) {
 	const between = 6600 * time.Millisecond
 	tests := []struct {
--- a/entry/weights.go
+++ b/entry/weights.go
@@ -11,7 +11,7 @@
 
 // Parameters of weight rollouts.
 const (
-	// maxLoadTime is the maximum time for which a target is taken to be loading. A load takes
+	// maxLoadTime is the maximum time for which a target is assumed to be loading. A load takes
 	// 1.3 s once the target's running requests have ended.
 	maxLoadTime = 6 * time.Second
 	// loadPollInterval is the interval at which a loading target is polled.
@@ -22,7 +22,7 @@
 	// leaseRetryInterval is the interval at which a box without the lease tries to get it while
 	// there is work to do.
 	leaseRetryInterval = 300 * time.Millisecond
-	// leaseRetryJitter is the jitter of that interval.
+	// leaseRetryJitter is the jitter of that interval, so that the boxes' attempts are spread.
 	leaseRetryJitter = 200 * time.Millisecond
 	// concurrentLoads targets, or concurrentLoadShare of all if that is more, load at the same
 	// time. More would slow each load down and crowd the other engines. The platform's pools of
--- a/entry/weights_test.go
+++ b/entry/weights_test.go
@@ -137,8 +137,8 @@
 }
 
 // TestOrderToReplacedTarget has an order meet another replica at the target's address. The
-// target is gone for good, so its place among those that load is free for the next one at once
-// and not after maxLoadTime.
+// target is gone for good, so its slot among the concurrent loads is free for the next one at
+// once and not after maxLoadTime.
 func TestOrderToReplacedTarget(t *testing.T) {
 	d := newDaemon("b1")
 	d.now = func() time.Time { return start }
@@ -172,9 +172,9 @@
 	}
 }
 
-// TestOrderToUnreachableTarget checks that an unreachable engine holds its place among those
-// that load for a few polls only. Otherwise an outage of one engine would stop the rollout for
-// 6 s at each attempt.
+// TestOrderToUnreachableTarget checks that an unreachable engine holds its slot among the
+// concurrent loads for a few polls only. Otherwise an outage of one engine would stop the
+// rollout for 6 s at each attempt.
 func TestOrderToUnreachableTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDaemon("b1")
--- a/entry/weightversions.go
+++ b/entry/weightversions.go
@@ -9,7 +9,7 @@
 )
 
 // A request may begin on replaced weights only within a bound after the newer version was
-// named. The bound counts for each version by itself, and every box keeps it on its own. The
+// named. The bound applies to each version separately, and each box enforces it alone. The
 // times survive restarts of boxes: a time at which each version had not been named yet is
 // written to the rollout's row, on the table service's clock.
 const (
@@ -32,8 +32,8 @@
 	// named if there is no record. A record is written some 0.5 s after a naming, 2.9 s if the
 	// lease's holder ends then.
 	unrecordedAge = 4 * time.Second
-	// reportBounds is for how many bounds other boxes are told of a naming. After one bound it
-	// can only be the lowest version allowed.
+	// reportBounds is for how many bounds a naming is reported to other boxes. After one bound
+	// it can only be the lowest version allowed.
 	reportBounds = 2
 	// staleBounds is for how many bounds a box goes on without a proof of which weights are the
 	// newest. Nothing can be named while the table service is away, and an outage may last
@@ -91,8 +91,9 @@
 }
 
 // unnamedAt returns a time at which the operator had not yet named what was just read; false if
-// this is the first read. told is such a time on the table service's clock, or zero. The second
-// result is the same time on that clock, or zero if it comes from a later proof by another hub.
+// this is the first read. clock is such a time on the table service's clock, or zero. The
+// second result is the same time on that clock, or zero if it comes from a later proof by
+// another hub.
 func (d *Daemon) unnamedAt(t *tables, clock time.Duration) (time.Time, time.Duration, bool) {
 	proved := d.provedAt.Load()
 	if proved == nil {
