--- a/entry/free.go
+++ b/entry/free.go
@@ -72,15 +72,15 @@
 			old = append(old, Part{c.Scope, c.Part})
 		}
 	}
-	for some := range slices.Chunk(old, freeBatch) {
+	for batch := range slices.Chunk(old, freeBatch) {
 		if _, _, held := d.lease.Held(); !held {
 			return errLeaseNotHeld
 		}
-		if err := d.Platform.FreeCache(ctx, at, cached.Epoch, e.until, some); err != nil {
+		if err := d.Platform.FreeCache(ctx, at, cached.Epoch, e.until, batch); err != nil {
 			return err
 		}
 	}
-	d.Log.Info("store cleared of parts made on older weights", "store", at, "model", e.model, "version", e.version, "freed", len(old), "kept", len(cached.Changes))
+	d.Log.Info("store cleared of parts computed with older weights", "store", at, "model", e.model, "version", e.version, "freed", len(old), "kept", len(cached.Changes))
 	return nil
 }
 
@@ -101,7 +101,7 @@
 	if m.err != nil {
 		w.freeAttempts++
 		w.freeRetryAt = now.Add(freeRetryDelay)
-		d.Log.Warn("a store was not cleared of parts made on older weights", "model", m.model, "version", m.version, "tries", w.freeAttempts, "err", m.err)
+		d.Log.Warn("a store was not cleared of parts computed with older weights", "model", m.model, "version", m.version, "tries", w.freeAttempts, "err", m.err)
 		if w.freeAttempts < maxFreeAttempts {
 			return nil
 		}
--- a/entry/gossip.go
+++ b/entry/gossip.go
@@ -15,22 +15,22 @@
 
 // Timing of the gossip in which boxes share the load of their requests at the targets.
 const (
-	// gossipInterval is how often each pair of boxes exchanges loads. A request takes some
-	// seconds.
+	// gossipInterval is how often each pair of boxes exchanges loads. That is short compared
+	// with a request, which takes some seconds.
 	gossipInterval = 150 * time.Millisecond
 	// hubGossipInterval is gossipInterval among hubs, each of which places some 200 requests a
 	// second: those that other hubs do not know of yet compete with theirs for the same
 	// targets.
 	hubGossipInterval = 50 * time.Millisecond
-	// spokeGossipInterval is how often a spoke calls its hub, which some 40 do. Until then the
-	// hub still counts the load of requests that have ended.
+	// spokeGossipInterval is how often a spoke calls its hub, which has some 40 spokes. Until
+	// the next call the hub still counts the load of requests that have ended.
 	spokeGossipInterval = 150 * time.Millisecond
 	// gossipTimeout bounds one call.
 	gossipTimeout = 300 * time.Millisecond
 	// gossipRetryDelay is the pause after a failed call.
 	gossipRetryDelay = time.Second
-	// announceFor is how long boxes announce that a target was replaced: several rounds, as
-	// calls fail.
+	// announceFor is how long boxes announce that a target was replaced or ended, or that a
+	// request was cleared: several rounds, as calls fail.
 	announceFor = 2 * time.Second
 	// peerLoadTTL is how long another box's loads count after it was last received.
 	peerLoadTTL = time.Second
@@ -39,7 +39,7 @@
 // callPeer exchanges gossip with another box.
 type callPeer struct {
 	name    string
-	at      netip.AddrPort
+	address netip.AddrPort
 	asked   time.Time
 	message peer.Message
 }
@@ -116,7 +116,7 @@
 			continue
 		}
 		m.calling = true
-		call := callPeer{name: name, at: m.address, asked: now, message: message}
+		call := callPeer{name: name, address: m.address, asked: now, message: message}
 		if t.hub == name {
 			call.message.ListVersion, call.message.ListStartVersion, call.message.QuarantineVersion = t.hubList.Number, t.hubList.SnapshotAt, t.hubQuarantineVersion
 		}
@@ -175,7 +175,7 @@
 func (d *Daemon) callPeer(ctx context.Context, e callPeer) peerAnswered {
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
-	answer, err := d.peers.Call(ctx, e.at, e.message)
+	answer, err := d.peers.Call(ctx, e.address, e.message)
 	return peerAnswered{e.name, e.asked, answer, err}
 }
 
--- a/entry/hub_test.go
+++ b/entry/hub_test.go
@@ -192,10 +192,10 @@
 
 // TestStaleList guards against a target that is gone coming back. A box asks a hub that is cut
 // off from the table service, after a healthy one reported the target gone; the cut-off hub's
-// list still has it. A box without any list takes what it gets.
+// list still has it. A box without any list applies whatever it receives.
 //
-// In a large fleet a request reached a target 3.2 s after that had announced its drain: a hub
-// was cut off, and boxes took its list as they had given up another hub.
+// Boxes that took the list of a cut-off hub after giving up another one sent a request to a
+// target 3.2 s after its drain was announced.
 func TestStaleList(t *testing.T) {
 	entries := []peer.Entry{{ID: "a", Pool: "models", Address: "10.1.0.1:1"}, {ID: "b", Pool: "models", Address: "10.1.0.2:1"}}
 	tests := []struct {
@@ -211,14 +211,14 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			spoke := largeFleet("box-05")
-			hear := func(hub string, proof time.Duration, list uint64, entries []peer.Entry) {
+			receive := func(hub string, proof time.Duration, list uint64, entries []peer.Entry) {
 				view := &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, ProofAgeMS: proof.Milliseconds(), ListVersion: list, Entries: entries}
 				spoke.update(start, peerAnswered{hub, start, peer.Message{View: view}, nil})
 			}
 			if tt.first {
-				hear("box-01", 0, 7, entries[1:])
+				receive("box-01", 0, 7, entries[1:])
 			}
-			hear("box-00", tt.proof, 3, entries)
+			receive("box-00", tt.proof, 3, entries)
 			if back := spoke.tables.fleet.Target("a") != nil; back != tt.back {
 				t.Errorf("the target is listed: %v", back)
 			}
@@ -272,7 +272,7 @@
 		// fails is the error of each hub's call.
 		fails [2]error
 		code  string
-		// asks is how many hubs are asked, rule the prefix of the place's rule.
+		// asks is how many hubs are asked, rule the prefix of the placement's rule.
 		asks int
 		rule string
 	}{
@@ -312,7 +312,7 @@
 			for ; len(effects) == 1; asks++ {
 				asked := effects[0].(askHub)
 				hub := hubs[asked.hub]
-				answer := hubPlaced{hub: asked.hub, m: asked.m, err: tt.fails[asks]}
+				answer := hubPlaced{hub: asked.hub, request: asked.m, err: tt.fails[asks]}
 				if answer.err == nil {
 					answer.placed = hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &asked.ask}).PlacementResponse
 				}
@@ -387,7 +387,7 @@
 	}
 }
 
-// TestPlacementHub shows that only hubs that answered their last call are asked for places.
+// TestPlacementHub shows that only hubs that answered their last call are asked for placements.
 func TestPlacementHub(t *testing.T) {
 	d := boxWithEngines("box-05")
 	again := start.Add(gossipRetryDelay)
@@ -396,14 +396,14 @@
 		d.hubFailed(start, &d.tables, "box-00", silent)
 	}
 	if got := d.placementHub(again, &d.tables, nil); got != "box-01" {
-		t.Errorf("places are asked of %q", got)
+		t.Errorf("placements are requested from %q", got)
 	}
 	if got := d.viewHub(again, &d.tables); got != "box-00" {
 		t.Errorf("gossip goes to %q", got)
 	}
 	d.update(again, peerAnswered{name: "box-00", asked: again})
 	if got := d.placementHub(again, &d.tables, nil); got != "box-00" {
-		t.Errorf("places are asked of %q after it answered", got)
+		t.Errorf("placements are requested from %q after it answered", got)
 	}
 }
 
@@ -420,7 +420,7 @@
 	}
 }
 
-// TestMalformedPlacement rejects a hub's place with malformed addresses.
+// TestMalformedPlacement rejects a hub's placement with malformed addresses.
 func TestMalformedPlacement(t *testing.T) {
 	tests := []struct {
 		name string
@@ -511,24 +511,24 @@
 // TestOwnListIsNewer shows that the list of a hub that is cut off does not bring back a target
 // that this box itself read to be gone, whether or not it took a hub's list before.
 func TestOwnListIsNewer(t *testing.T) {
-	for _, heard := range []bool{true, false} {
-		t.Run(fmt.Sprintf("a hub answered before: %v", heard), func(t *testing.T) {
+	for _, answered := range []bool{true, false} {
+		t.Run(fmt.Sprintf("a hub answered before: %v", answered), func(t *testing.T) {
 			spoke := largeFleet("box-05")
 			entries := []peer.Entry{{ID: "a", Pool: "models", Address: "10.1.0.1:1"}}
-			hear := func(at time.Time, proof time.Duration, list uint64) {
+			receive := func(at time.Time, proof time.Duration, list uint64) {
 				view := &peer.View{WeightVersions: map[string][]peer.WeightVersion{}, ProofAgeMS: proof.Milliseconds(), ListVersion: list, Entries: entries}
 				spoke.update(at, peerAnswered{"box-00", at, peer.Message{View: view}, nil})
 			}
-			if heard {
-				hear(start, 0, 3)
+			if answered {
+				receive(start, 0, 3)
 			}
 			later := start.Add(3 * time.Second)
 			spoke.update(later, targetsRead{later, Targets{Gone: []string{"a"}}, false})
-			hear(later.Add(time.Second), 4*time.Second, 4)
+			receive(later.Add(time.Second), 4*time.Second, 4)
 			if spoke.tables.fleet.Target("a") != nil {
 				t.Error("an older list brought back a target that is gone")
 			}
-			hear(later.Add(2*time.Second), 0, 5)
+			receive(later.Add(2*time.Second), 0, 5)
 			if spoke.tables.fleet.Target("a") == nil {
 				t.Error("a target that came back is missing")
 			}
--- a/entry/place.go
+++ b/entry/place.go
@@ -25,7 +25,7 @@
 	expectedTTL = 1500 * time.Millisecond
 )
 
-// askPlace asks the loop for a place. In a large fleet the loop asks hubs first.
+// askPlace asks the loop for a placement. In a large fleet the loop asks hubs first.
 func (d *Daemon) askPlace(ctx context.Context, ask deliver.PlacementRequest) (deliver.Placement, error) {
 	reply := make(chan placementAnswer, 1)
 	select {
@@ -60,7 +60,7 @@
 const silenceTTL = 3 * time.Second
 
 // looksDead reports whether a target is gone, unreachable or silent, or had a connection that
-// was found silent within silenceFor.
+// was found silent within silenceTTL.
 func (d *Daemon) looksDead(now time.Time, t *tables, id string) bool {
 	x := t.fleet.Target(id)
 	if x == nil || x.Ejected(now) || d.isSilent(now, t, x) {
@@ -213,7 +213,7 @@
 	keys := make(map[int64][]directory.Key)
 	w := t.rolloutOf(job.Model)
 	regions := allowedRegions(job)
-	question := affinity.Request{
+	query := affinity.Request{
 		DomainAllowed: func(domain string) bool { return t.inRegions(regions, domain) },
 		Domain:        d.preferredDomain(from.domain), Home: home(job), Tokens: job.PromptTokens + job.MaxOutputTokens, Capacity: job.Pool.Engine.Capacity, Parts: partsOf(job), Model: job.Model, NewestVersion: w.newestVersion, Skip: d.skip(now, t, ask, from.excluded),
 		MinVersion: w.requiredVersion(now, d.bounds.Load().WeightsWithin), Goal: job.Route.Goal, HasIdleConnection: from.hasIdleConnection,
@@ -229,11 +229,11 @@
 	}
 	targets := t.engines(job.Pool.Name)
 	t.presumedLoad = t.presumedOthers(now, targets)
-	choice, ok := d.engines.Choose(now, question, targets)
+	choice, ok := d.engines.Choose(now, query, targets)
 	if !ok {
-		return deliver.Placement{}, d.refuseEngine(now, t, ask, question, targets, from)
+		return deliver.Placement{}, d.refuseEngine(now, t, ask, query, targets, from)
 	}
-	if refused := d.refuseMemoryFull(now, t, choice.Target, question, from.limit); refused != nil {
+	if refused := d.refuseMemoryFull(now, t, choice.Target, query, from.limit); refused != nil {
 		return deliver.Placement{}, refused
 	}
 	d.countCold(now, t, job.Pool, choice.Target)
--- a/entry/placehub.go
+++ b/entry/placehub.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// hubPlaceTimeout bounds a hub's call for a place. The hub takes about 1 ms, and a weak box some
-	// 10 ms to read the answer.
+	// hubPlaceTimeout bounds the call to a hub for a placement. The hub takes about 1 ms, and a
+	// weak box some 10 ms to read the answer.
 	hubPlaceTimeout = 100 * time.Millisecond
 	// maxHubsAsked is how many hubs are asked to place a request before this box places it alone.
 	// Alone it knows of no cached part, so the engine prefills the whole prompt: for 12,000
@@ -25,20 +25,20 @@
 	maxHubsAsked = 2
 )
 
-// askHub asks a hub for a place.
+// askHub asks a hub for a placement.
 type askHub struct {
-	hub string
-	at  netip.AddrPort
-	m   placementRequest
-	ask peer.PlacementRequest
+	hub     string
+	address netip.AddrPort
+	m       placementRequest
+	ask     peer.PlacementRequest
 }
 
 // hubPlaced is the hub's answer.
 type hubPlaced struct {
-	hub    string
-	m      placementRequest
-	placed *peer.PlacementResponse
-	err    error
+	hub     string
+	request placementRequest
+	placed  *peer.PlacementResponse
+	err     error
 }
 
 // placementRequested has a hub place the request, or places it here. A request whose caller
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// placeRemotely hands a model request to a hub, if this box is a spoke, and any request for
-// which only rate-limited targets are left.
+// placeRemotely hands a request to a hub, if this box is a spoke and the request is for a model
+// or has only rate-limited targets left.
 func (d *Daemon) placeRemotely(now time.Time, t *tables, m placementRequest) ([]effect, bool) {
 	if !d.spoke.Load() || m.ask.Job.Pool.Engine == nil && !t.onlyLimited(now, m.ask) || len(m.askedHubs) >= maxHubsAsked || d.weightsStale(now) {
 		return nil, false
@@ -109,38 +109,38 @@
 	ctx, cancel := context.WithTimeout(ctx, hubPlaceTimeout)
 	defer cancel()
 	defer context.AfterFunc(e.m.ctx, cancel)()
-	answer, err := d.peers.Call(ctx, e.at, peer.Message{Kind: peer.KindPlace, From: d.Settings.Name, PlacementRequest: &e.ask})
+	answer, err := d.peers.Call(ctx, e.address, peer.Message{Kind: peer.KindPlace, From: d.Settings.Name, PlacementRequest: &e.ask})
 	return hubPlaced{e.hub, e.m, answer.PlacementResponse, err}
 }
 
-// hubPlaced passes on the place that the hub chose, unless this box knows of a reason against
-// it. Then another hub is asked, or this box places the request alone. A call that ended with
-// its request does not count as a failure of the hub.
+// hubPlaced passes on the placement that the hub chose, unless this box knows of a reason
+// against it. Then another hub is asked, or this box places the request alone. A call that
+// ended with its request does not count as a failure of the hub.
 func (d *Daemon) hubPlaced(now time.Time, t *tables, m hubPlaced) []effect {
-	if m.m.ctx.Err() != nil {
-		return d.placementRequested(now, t, m.m)
+	if m.request.ctx.Err() != nil {
+		return d.placementRequested(now, t, m.request)
 	}
 	if m.err != nil || m.placed == nil {
 		d.hubFailed(now, t, m.hub, m.err)
 	} else {
 		t.members[m.hub].misses = 0
 		t.hubHeardAt = now
-		if answer, ok := d.acceptHubPlace(now, t, m.m.ask, m.placed); ok && !otherHubHasQuota(m) {
-			m.m.reply <- answer
+		if answer, ok := d.acceptHubPlace(now, t, m.request.ask, m.placed); ok && !otherHubHasQuota(m) {
+			m.request.reply <- answer
 			return nil
 		}
 		if m.placed.Target != "" {
-			m.m.ask.Attempted = append(slices.Clone(m.m.ask.Attempted), m.placed.Target)
+			m.request.ask.Attempted = append(slices.Clone(m.request.ask.Attempted), m.placed.Target)
 		}
 	}
-	m.m.askedHubs = append(m.m.askedHubs, m.hub)
-	return d.placementRequested(now, t, m.m)
+	m.request.askedHubs = append(m.request.askedHubs, m.hub)
+	return d.placementRequested(now, t, m.request)
 }
 
 // otherHubHasQuota reports whether the hub has used up its share of the rate-limited targets'
 // quotas while another hub, which has a share of its own, can still be asked.
 func otherHubHasQuota(m hubPlaced) bool {
-	return m.placed.Refused == codeLimited && len(m.m.askedHubs)+1 < maxHubsAsked
+	return m.placed.Refused == codeLimited && len(m.request.askedHubs)+1 < maxHubsAsked
 }
 
 func (d *Daemon) hubFailed(now time.Time, t *tables, hub string, err error) {
@@ -156,8 +156,8 @@
 	d.Log.Warn("hub does not answer", "hub", hub, "err", err)
 }
 
-// acceptHubPlace converts a hub's answer to a place, unless this box knows of a reason against
-// the target.
+// acceptHubPlace converts a hub's answer to a placement, unless this box knows of a reason
+// against the target.
 func (d *Daemon) acceptHubPlace(now time.Time, t *tables, request deliver.PlacementRequest, p *peer.PlacementResponse) (placementAnswer, bool) {
 	job := request.Job
 	if p.Refused == codeBackoff {
@@ -182,7 +182,7 @@
 	}
 	fetch, save, err := transferAddresses(p)
 	if err != nil {
-		d.Log.Error("place chosen by a hub is invalid", "request", job.ID, "target", p.Target, "err", err)
+		d.Log.Error("placement chosen by a hub is invalid", "request", job.ID, "target", p.Target, "err", err)
 		return placementAnswer{}, false
 	}
 	place := deliver.Placement{
--- a/entry/trial.go
+++ b/entry/trial.go
@@ -25,7 +25,7 @@
 	// answers in flight elsewhere have come and lost targets are back. A trial may cost the
 	// requests that run on a target, some 20.
 	firstTrialDelay = 10 * time.Second
-	// nextTrialDelay is the delay from there to the second trial.
+	// nextTrialDelay is the delay from the first trial to the second.
 	nextTrialDelay = 10 * time.Minute
 	// claimTimeout bounds the two calls of a claim, as the caller waits for them.
 	claimTimeout = time.Second
@@ -44,11 +44,11 @@
 
 // claimTrial claims a request's trial.
 type claimTrial struct {
-	m   placementRequest
-	sum fingerprint.Sum
+	request placementRequest
+	sum     fingerprint.Sum
 }
 
-// trialClaimed tells whether this request is the trial.
+// trialClaimed is the result; granted means that this request is the trial.
 type trialClaimed struct {
 	claimTrial
 	granted bool
@@ -117,9 +117,9 @@
 
 // trialClaimed places the request if it is the trial, and refuses it otherwise.
 func (d *Daemon) trialClaimed(now time.Time, t *tables, m trialClaimed) []effect {
-	d.Log.Info("request may be tried once more", "request", m.m.ask.Job.ID, "fingerprint", m.sum, "granted", m.granted, "err", m.err)
-	m.m.trial = m.granted
-	return d.placementRequested(now, t, m.m)
+	d.Log.Info("request may be tried once more", "request", m.request.ask.Job.ID, "fingerprint", m.sum, "granted", m.granted, "err", m.err)
+	m.request.trial = m.granted
+	return d.placementRequested(now, t, m.request)
 }
 
 // expireTrials forgets the trials of requests that are not refused any more. Their rows stay,
