--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -40,7 +40,7 @@
 	// oldWeightsCost is the cost of running on weights older than the newest.
 	oldWeightsCost = 80 * time.Millisecond
 	// lateCost is the cost of a first event after the goal: callers value such an answer at
-	// a fifth, which is as much as prefilling 4,000 tokens again. It rises from lateFrom of
+	// a fifth of one in time, a loss as large as prefilling 4,000 tokens again. It rises from lateFrom of
 	// the goal on, as predictions miss by some tenths of the goal.
 	lateCost = 200 * time.Millisecond
 	lateFrom = 0.5
@@ -51,7 +51,7 @@
 	memoryCost    = 100 * time.Millisecond
 	overfullCost  = 2 * time.Second
 	overfullShare = 0.85
-	// engineTransferDelay is the least delay of a transfer from another engine.
+	// engineTransferDelay is the minimum delay of a transfer from another engine.
 	engineTransferDelay = 2 * time.Millisecond
 	// SilenceTimeout is how long an engine with requests may send nothing. Its events are
 	// polled all the time, and it answers that within a second.
@@ -155,7 +155,7 @@
 
 	// Load returns the memory that requests of all boxes use at an engine, and the prompt
 	// tokens that wait there for prefill.
-	Load func(now time.Time, t *fleet.Target) (tokens, unread int)
+	Load func(now time.Time, t *fleet.Target) (tokens, backlog int)
 }
 
 // candidate is one engine and its cost.
--- a/affinity/affinity_test.go
+++ b/affinity/affinity_test.go
@@ -157,7 +157,7 @@
 		name        string
 		change      func(x *fixture)
 		fetch, save [3]string
-		unread      int
+		prefill     int
 	}{
 		{"first time: all is prefilled, shared parts are saved", func(*fixture) {}, [3]string{}, [3]string{"quick", "large", ""}, 10500},
 		{"cached in stores", func(x *fixture) { x.caches("quick", 1, 0); x.caches("large", 1, 1) }, [3]string{"quick", "large", ""}, [3]string{}, 2000},
@@ -192,8 +192,8 @@
 					t.Errorf("part %d is saved to %q, want %q", i, name, tt.save[i])
 				}
 			}
-			if got.PrefillTokens != tt.unread {
-				t.Errorf("%d tokens to prefill, want %d", got.PrefillTokens, tt.unread)
+			if got.PrefillTokens != tt.prefill {
+				t.Errorf("%d tokens to prefill, want %d", got.PrefillTokens, tt.prefill)
 			}
 		})
 	}
--- a/affinity/connections_test.go
+++ b/affinity/connections_test.go
@@ -14,10 +14,10 @@
 // spread simulates 20 s of a hub that places requests for many boxes, each of which sends a
 // few requests a second to a few engines: connections stay open for 4 s of idling, as the
 // platform's targets allow, each pair of box and engine is used every 2 s on average, and
-// engines prefill for four tenths of the time. It returns how many connections were opened
+// engines are busy with prefill for four tenths of the time. It returns how many connections were opened
 // and the requests of the busiest engine relative to the mean.
-func spread(preferred bool) (made int, busiest float64) {
-	const boxes, engines, perSecond, rests = 24, 20, 240, 4 * time.Second
+func spread(preferred bool) (opened int, busiest float64) {
+	const boxes, engines, perSecond, idleTimeout = 24, 20, 240, 4 * time.Second
 	random := rand.New(rand.NewPCG(3, 4))
 	chooser := affinity.Chooser{
 		Directory: directory.New(), Stores: func() []*affinity.Source { return nil },
@@ -46,11 +46,11 @@
 			Keys: func(int64) []directory.Key { return []directory.Key{key(1, 2*n), key(1, 2*n+1)} },
 		}
 		if preferred {
-			ask.HasIdleConnection = func(x *fleet.Target) bool { return now.Sub(used[pair{box, x.ID}]) < rests }
+			ask.HasIdleConnection = func(x *fleet.Target) bool { return now.Sub(used[pair{box, x.ID}]) < idleTimeout }
 		}
 		choice, _ := chooser.Choose(now, ask, targets)
-		if at, linked := used[pair{box, choice.Target.ID}]; !linked || now.Sub(at) >= rests {
-			made++
+		if at, linked := used[pair{box, choice.Target.ID}]; !linked || now.Sub(at) >= idleTimeout {
+			opened++
 		}
 		used[pair{box, choice.Target.ID}] = now
 		choice.Target.PrefillBacklog += choice.PrefillTokens
@@ -60,7 +60,7 @@
 	for _, n := range got {
 		most = max(most, n)
 	}
-	return made, float64(most) * engines / (20 * perSecond)
+	return opened, float64(most) * engines / (20 * perSecond)
 }
 
 // TestFewerConnections shows that the preference for engines with an idle connection saves
--- a/affinity/plan.go
+++ b/affinity/plan.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// minSaveTokens is the smallest part that is worth storing. Even short ones count, as the
+// minSaveTokens is the size of the smallest part that is worth storing. It is low, as the
 // parts after a missing one have to be prefilled as well.
 const minSaveTokens = 64
 
@@ -95,7 +95,7 @@
 }
 
 // maxShortPart is the longest part, in tokens, that goes where the transfer is fastest.
-// Longer ones go where most room is left, as they fill a small store.
+// Longer ones go where the most room is left, as they would fill a small store.
 const maxShortPart = 2048
 
 // storeFor returns the best store with room for a part, or nil if a store has it already
--- a/affinity/search.go
+++ b/affinity/search.go
@@ -30,7 +30,7 @@
 	parts   []holders
 }
 
-// holders are those that have one part complete.
+// holders are the stores and engines that have one part complete.
 type holders struct {
 	stores, engines []holder
 }
@@ -90,11 +90,11 @@
 	one.prefillBacklog = backlog
 	one.full = s.ask.Full != nil && s.ask.Full(running)
 	wait := time.Duration(backlog) * s.tokenTime
-	var moves time.Duration
-	one.available, moves = s.availableParts(l, t, one.cached)
+	var transfers time.Duration
+	one.available, transfers = s.availableParts(l, t, one.cached)
 	prefill, recompute := s.prefillCost(l, one.available)
-	one.cost = wait + moves + prefill + recompute
-	one.cost += lateness(s.firstEventBase+wait+moves+prefill, s.ask.Goal)
+	one.cost = wait + transfers + prefill + recompute
+	one.cost += lateness(s.firstEventBase+wait+transfers+prefill, s.ask.Goal)
 	one.cost += memoryPressure(running+s.ask.Tokens, s.ask.Capacity)
 	if t.Domain != s.ask.Domain {
 		one.cost += otherDomainCost
@@ -149,25 +149,26 @@
 // best returns the store or other engine that delivers a part soonest, if that is sooner
 // than prefilling it. Engines may evict parts at any time, stores don't, so stores come
 // first.
-func (h holders) best(tokens int, read time.Duration, t *fleet.Target) (*holder, time.Duration) {
-	least := time.Duration(tokens) * (read + recomputeTokenCost)
-	if from, took := fastest(h.stores, tokens, t, least); from != nil {
+func (h holders) best(tokens int, prefill time.Duration, t *fleet.Target) (*holder, time.Duration) {
+	limit := time.Duration(tokens) * (prefill + recomputeTokenCost)
+	if from, took := fastest(h.stores, tokens, t, limit); from != nil {
 		return from, took
 	}
-	return fastest(h.engines, tokens, t, least)
+	return fastest(h.engines, tokens, t, limit)
 }
 
-// fastest returns the holder that delivers a part soonest, if that takes less than least.
-func fastest(list []holder, tokens int, t *fleet.Target, least time.Duration) (*holder, time.Duration) {
+// fastest returns the holder that delivers a part soonest and the time that this takes, if that
+// is below the given time.
+func fastest(list []holder, tokens int, t *fleet.Target, shortest time.Duration) (*holder, time.Duration) {
 	var best *holder
 	for i := range list {
 		h := &list[i]
 		if h.Name == t.ID {
 			continue
 		}
-		if took := time.Duration(float64(h.transferTime(tokens, t)) * h.slowdown); took < least {
-			best, least = h, took
+		if took := time.Duration(float64(h.transferTime(tokens, t)) * h.slowdown); took < shortest {
+			best, shortest = h, took
 		}
 	}
-	return best, least
+	return best, shortest
 }
--- a/charge/charge_test.go
+++ b/charge/charge_test.go
@@ -97,7 +97,7 @@
 		l.Add(fmt.Sprint(i), stream.Usage{})
 	}
 	if lost != 3 || l.Pending() != 2 {
-		t.Errorf("lost %d, waiting %d, want 3 and 2", lost, l.Pending())
+		t.Errorf("lost %d, pending %d, want 3 and 2", lost, l.Pending())
 	}
 }
 
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -44,10 +44,10 @@
 }
 
 // attempt makes one caller's attempt at one daemon.
-func (h *history) attempt(book *claim.Store, digest string, action int) {
+func (h *history) attempt(store *claim.Store, digest string, action int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	held, err := book.Take(ctx, claim.Claim{Account: "a", Key: "k", Digest: digest, Request: "r"})
+	held, err := store.Take(ctx, claim.Claim{Account: "a", Key: "k", Digest: digest, Request: "r"})
 	if err != nil {
 		return // Refused before anything was sent.
 	}
@@ -58,11 +58,11 @@
 			time.Sleep(45 * time.Second) // A daemon that is suspended while it holds the claim.
 		}
 		h.run()
-		_ = book.Finish(background, held, claim.Answer{Status: 201})
+		_ = store.Finish(background, held, claim.Answer{Status: 201})
 	case diesAfter:
 		h.run()
 	case releases:
-		_ = book.Release(background, held)
+		_ = store.Release(background, held)
 	}
 }
 
@@ -78,11 +78,11 @@
 	synctest.Test(t, func(*testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		rows := &fake.Table{Fault: (&fake.Script{Kinds: faults}).Draw}
-		books := make([]*claim.Store, daemons)
+		stores := make([]*claim.Store, daemons)
 		var nonce int
 		var mu sync.Mutex
-		for i := range books {
-			books[i] = &claim.Store{
+		for i := range stores {
+			stores[i] = &claim.Store{
 				Commit: c.commit(rows), Read: rows.Read, Now: time.Now, Box: fmt.Sprint(i),
 				Timeout: 2 * time.Second, OrphanTTL: 30 * time.Second,
 				Nonce: func() string {
@@ -92,14 +92,14 @@
 					return fmt.Sprint(nonce)
 				},
 			}
-			go books[i].Run(ctx)
+			go stores[i].Run(ctx)
 		}
 		var callers sync.WaitGroup
 		for i, action := range tries {
 			callers.Go(func() {
 				// Callers without an answer retry at any daemon.
 				time.Sleep(time.Duration(i/3) * 10 * time.Second)
-				h.attempt(books[i%daemons], "same body", action%actions)
+				h.attempt(stores[i%daemons], "same body", action%actions)
 			})
 		}
 		callers.Wait()
--- a/claim/store.go
+++ b/claim/store.go
@@ -161,8 +161,8 @@
 }
 
 // Release deletes a claim if its nonce still matches. Call it only if nothing can
-// have been sent. If it fails, the key stays taken until the orphan's row is
-// deleted.
+// have been sent. If it fails, the key stays taken until the row is deleted as an
+// orphan's.
 func (b *Store) Release(ctx context.Context, c Claim) error {
 	err := b.replace(ctx, c, nil)
 	if err != nil {
--- a/configuration/rows.go
+++ b/configuration/rows.go
@@ -204,8 +204,8 @@
 }
 
 // Refuse stores a refused change in the audit log.
-func (r *Rows) Refuse(ctx context.Context, change Change, why string) error {
-	change.Refused = why
+func (r *Rows) Refuse(ctx context.Context, change Change, reason string) error {
+	change.Refused = reason
 	value, err := json.Marshal(change)
 	if err != nil {
 		return trace.Wrap(err)
--- a/deliver/admit.go
+++ b/deliver/admit.go
@@ -55,8 +55,8 @@
 	return job, s.refuseShortDeadline(job)
 }
 
-// refuseShortDeadline refuses a call whose deadline is shorter than any like it was
-// answered in lately, or returns nil. That saves the caller the wait and a target the
+// refuseShortDeadline refuses a call whose deadline is shorter than the time in which any
+// similar one was answered lately, or returns nil. That saves the caller the wait and a target the
 // work. Resumed streams are exempt, as they need less time than whole ones.
 func (s *Server) refuseShortDeadline(job *Job) *refusal.Refusal {
 	if s.MinAnswerTime == nil || job.LastEventID != "" {
--- a/deliver/caller_left_test.go
+++ b/deliver/caller_left_test.go
@@ -21,9 +21,9 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// TestCallerLeaves has the caller disconnect at each stage of a request. Its places and
-// retries are returned, nothing more is sent, and a caller that has closed only one
-// direction of its connection gets a truthful answer.
+// TestCallerLeaves has the caller disconnect at each stage of a request. Its placements are
+// released and its unused retries refunded, nothing more is sent, and a caller that has closed
+// only one direction of its connection is told correctly whether the request ran.
 func TestCallerLeaves(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -167,7 +167,7 @@
 	// during is the attempt, from 1, or 0 for before the body was read.
 	during int
 	// closed says that only the connection shows the disconnect, untold that nothing does.
-	closed, untold bool
+	closed, undetected bool
 }
 
 // serve runs the caller's request until it ends. It returns the refusal, if there was
@@ -180,8 +180,8 @@
 	var left time.Time
 	leave := func() {
 		left, before = time.Now(), x.sent
-		gone.Store(!l.untold)
-		if !l.closed && !l.untold {
+		gone.Store(!l.undetected)
+		if !l.closed && !l.undetected {
 			cancel()
 		}
 	}
@@ -211,9 +211,9 @@
 }
 
 // releasesAll is the property, for any behaviour of the targets and any moment at which
-// the caller leaves, that nothing more is sent, that each place is returned, that only
+// the caller leaves, that nothing more is sent, that each placement is released, that only
 // retries that left this box are paid for, and that a request that may have run is not
-// said not to have run.
+// reported as not run.
 func releasesAll(t *testing.T, mutate func(*deliver.Server, *leavingCaller)) gopter.Prop {
 	return prop.ForAll(func(repeatable, stream, resumable, closed bool, attempts, during int, script []int) bool {
 		good := true
@@ -241,7 +241,7 @@
 
 // TestReleaseNeedsDisconnect has neither the context nor the connection report it.
 func TestReleaseNeedsDisconnect(t *testing.T) {
-	proptest.Violated(t, releasesAll(t, func(_ *deliver.Server, l *leavingCaller) { l.untold = true }))
+	proptest.Violated(t, releasesAll(t, func(_ *deliver.Server, l *leavingCaller) { l.undetected = true }))
 }
 
 // TestReleaseNeedsRefund does not refund a retry that was never made.
--- a/deliver/deliver.go
+++ b/deliver/deliver.go
@@ -172,7 +172,7 @@
 	Header http.Header
 	// Verdict says whether the request may have run.
 	Verdict int
-	// Signals are what the target says of itself, set if the answer is the placed target's.
+	// Signals are the target's own signals, set if the answer is the placed target's.
 	Signals notice.Signals
 	// Version is the target's weight version, if it told.
 	Version int64
--- a/deliver/deliver_test.go
+++ b/deliver/deliver_test.go
@@ -173,7 +173,7 @@
 const wholeStream = "id: 1\n\nid: 2\n\nid: 3\n\nid: 4\n\n"
 
 // invariants is the property, for any behaviour of the targets, that a request that is
-// not repeatable runs once at most; that one that is said not to have run has not; that
+// not repeatable runs once at most; that one that is reported as not run has not run; that
 // the limit of attempts holds; that a stream has each event once and in order; that each
 // attempt is accounted for; and that the final answer arrives before the deadline.
 func invariants(t *testing.T, mutate func(*deliver.Server)) gopter.Prop {
--- a/deliver/gap.go
+++ b/deliver/gap.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// gapTimeout is the gap after which a stream's target is checked.
+// gapTimeout is the gap between events after which the stream's target is checked with Suspect.
 func (x *run) gapTimeout() time.Duration {
 	if x.job.Route.GapGoal == 0 {
 		return maxSilence
--- a/deliver/reap.go
+++ b/deliver/reap.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// deadline is a time by the daemon's clock at which an action is due. A timer usually
-// performs it first.
+// deadline is a time by the daemon's clock at which an action is due. Usually a timer performs
+// the action first; Reap does if the timer stood still while the machine was suspended.
 type deadline struct {
 	at atomic.Pointer[deadlineAction]
 }
@@ -102,8 +102,8 @@
 }
 
 // callerLeft says whether the caller disconnected. It asks the connection as well, as the
-// context reports a close only some time after the body was read: a box that was behind
-// by 0.6 s always passed on requests whose callers had disconnected before.
+// context reports a close only some time after the body was read: without this, a box that
+// lagged by 0.6 s passed on every request whose caller had disconnected before.
 func (x *run) callerLeft() bool {
 	x.callerGone = x.callerGone || x.caller.Err() != nil || (x.outcome.Call.Disconnected != nil && x.outcome.Call.Disconnected())
 	return x.callerGone
--- a/deliver/run.go
+++ b/deliver/run.go
@@ -25,7 +25,8 @@
 	silenceFactor = 3
 	minSilence    = 400 * time.Millisecond
 	maxSilence    = 1500 * time.Millisecond
-	// minTimeLeft is the time left below which another attempt makes no sense.
+	// minTimeLeft is the time left below which no other attempt is made, as it could not be
+	// answered in time.
 	minTimeLeft = 20 * time.Millisecond
 )
 
@@ -225,7 +226,7 @@
 	return nil, errRetry
 }
 
-// ownFault says that an attempt failed for a reason on this box's side.
+// ownFault says that this box, not the target, is the reason why an attempt failed.
 func ownFault(err error) bool {
 	own := []error{exchange.ErrConnectionLimit, exchange.ErrLate, errWeightsExpired, notice.ErrLeaving, notice.ErrBackoff, notice.ErrLimited}
 	return slices.ContainsFunc(own, func(reason error) bool { return errors.Is(err, reason) })
@@ -279,7 +280,8 @@
 	return refusal.New(refusal.Unknown, http.StatusBadGateway, "no_answer", "the request was sent but no answer came: %v", err), nil
 }
 
-// refuse makes a refusal truthful: a request that may have run is not said not to have run.
+// refuse corrects the outcome of a refusal: a request that may have run must not be reported
+// as not run.
 func (x *run) refuse(r *refusal.Refusal) *refusal.Refusal {
 	if x.headWritten {
 		refused, _ := x.abort(r.Code)
--- a/deliver/short_deadline_test.go
+++ b/deliver/short_deadline_test.go
@@ -13,8 +13,8 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// TestShortDeadline shows that a call whose deadline is shorter than any like it took is
-// refused before its body is read, and that no other is.
+// TestShortDeadline shows that a call whose deadline is shorter than the time that any similar
+// one took is refused before its body is read, and that no other call is.
 func TestShortDeadline(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -27,9 +27,9 @@
 	}{
 		{"time enough", true, 100 * time.Millisecond, time.Second, 0, "", false},
 		{"the caller sets no timeout", true, 100 * time.Millisecond, 0, 0, "", false},
-		{"shorter than any took", true, 100 * time.Millisecond, 80 * time.Millisecond, 0, "", true},
-		{"less time is left than any took", true, 100 * time.Millisecond, time.Second, 950 * time.Millisecond, "", true},
-		{"any took longer than the route's timeout", true, 4 * time.Second, time.Minute, 0, "", true},
+		{"timeout shorter than any similar call took", true, 100 * time.Millisecond, 80 * time.Millisecond, 0, "", true},
+		{"less time left than any similar call took", true, 100 * time.Millisecond, time.Second, 950 * time.Millisecond, "", true},
+		{"every similar call took longer than the route's timeout", true, 4 * time.Second, time.Minute, 0, "", true},
 		{"answer times unknown", false, 100 * time.Millisecond, 80 * time.Millisecond, 0, "", false},
 		{"resumes a stream", true, 100 * time.Millisecond, 80 * time.Millisecond, 0, "2", false},
 	}
@@ -41,10 +41,10 @@
 			now := time.Unix(1000, 0)
 			s.Now = func() time.Time { return now }
 			s.Place = func(context.Context, deliver.PlacementRequest) (deliver.Placement, error) {
-				return deliver.Placement{}, refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "placed", "got as far as that")
+				return deliver.Placement{}, refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "placed", "reached placement")
 			}
-			var told deliver.Outcome
-			s.RecordOutcome = func(o deliver.Outcome) { told = o }
+			var recorded deliver.Outcome
+			s.RecordOutcome = func(o deliver.Outcome) { recorded = o }
 			body := strings.NewReader("body")
 			call := deliver.Call{ID: "r", Path: "/x", Host: "h", Body: body, Timeout: tt.timeout, LastEventID: tt.after, Received: now.Add(-tt.late)}
 			err := s.Serve(context.Background(), httptest.NewRecorder(), &call)
@@ -52,8 +52,8 @@
 			if !errors.As(err, &refused) || refused.Outcome != refusal.DidNotRun || (refused.Code == "no_time") != tt.refused {
 				t.Fatalf("refused %+v", refused)
 			}
-			if told.RefusalCode != refused.Code || told.RetryAfter != refused.RetryAfter {
-				t.Errorf("outcome has %q, %v", told.RefusalCode, told.RetryAfter)
+			if recorded.RefusalCode != refused.Code || recorded.RetryAfter != refused.RetryAfter {
+				t.Errorf("outcome has %q, %v", recorded.RefusalCode, recorded.RetryAfter)
 			}
 			if unread := body.Len() > 0; unread != tt.refused || x.sent > 0 {
 				t.Errorf("body left unread: %v; %d attempts", unread, x.sent)
--- a/deliver/silent_test.go
+++ b/deliver/silent_test.go
@@ -49,7 +49,7 @@
 		resumable bool
 		attempts  int
 		suspect   bool
-		pause     time.Duration
+		gapGoal   time.Duration
 		sent      int
 		took      time.Duration
 	}{
@@ -63,7 +63,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := route(false, true, tt.resumable, tt.attempts)
-				r.Timeout, r.GapGoal = 10*time.Second, tt.pause
+				r.Timeout, r.GapGoal = 10*time.Second, tt.gapGoal
 				x := &targets{}
 				s := x.server(r)
 				s.Suspect = func(context.Context, string) bool { return tt.suspect }
@@ -113,7 +113,7 @@
 	tests := []struct {
 		name   string
 		stream bool
-		pause  time.Duration // Before the answer's head, or within the stream.
+		delay  time.Duration // Before the answer's head, or within the stream.
 	}{
 		{"a repeatable answer", false, 1200 * time.Millisecond},
 		{"a resumable stream", true, longGap},
@@ -126,12 +126,12 @@
 				s := (&targets{}).server(r)
 				s.Spend = func(string) bool { return false }
 				s.Send = func(ctx context.Context, _ deliver.Attempt) (*deliver.Reply, error) {
-					late := &contextBody{ctx, &delayed{tt.pause, strings.NewReader("id: 2\n\n")}}
+					late := &contextBody{ctx, &delayed{tt.delay, strings.NewReader("id: 2\n\n")}}
 					if tt.stream {
 						return streamReply(io.MultiReader(strings.NewReader("id: 1\n\n"), late)), nil
 					}
 					select {
-					case <-time.After(tt.pause):
+					case <-time.After(tt.delay):
 						return reply(http.StatusOK, deliver.MayHaveRun, strings.NewReader("whole")), nil
 					case <-ctx.Done():
 						return nil, ctx.Err()
--- a/deliver/suspended_test.go
+++ b/deliver/suspended_test.go
@@ -16,8 +16,8 @@
 // target's weights has passed.
 func TestSuspended(t *testing.T) {
 	const (
-		route15 = 15 * time.Second // The route's timeout, of which a second has passed.
-		look    = 200 * time.Millisecond
+		route15      = 15 * time.Second // The route's timeout, of which a second has passed.
+		reapInterval = 200 * time.Millisecond
 	)
 	tests := []struct {
 		name    string
@@ -27,8 +27,8 @@
 		took    time.Duration
 	}{
 		{"for less than the time left", 5 * time.Second, 0, http.StatusGatewayTimeout, route15 - 5*time.Second},
-		{"for longer than the time left", 20 * time.Second, 0, http.StatusGatewayTimeout, time.Second + look},
-		{"past the deadline to begin", 5 * time.Second, 3 * time.Second, http.StatusBadGateway, time.Second + look},
+		{"for longer than the time left", 20 * time.Second, 0, http.StatusGatewayTimeout, time.Second + reapInterval},
+		{"past the deadline to begin", 5 * time.Second, 3 * time.Second, http.StatusBadGateway, time.Second + reapInterval},
 		{"not past the deadline to begin", time.Second, 3 * time.Second, http.StatusBadGateway, 2 * time.Second},
 	}
 	for _, tt := range tests {
@@ -61,7 +61,7 @@
 						select {
 						case <-done:
 							return
-						case <-time.After(look):
+						case <-time.After(reapInterval):
 							s.Reap()
 						}
 					}
@@ -72,8 +72,8 @@
 				if got.refused == nil || got.refused.Status != tt.status {
 					t.Fatalf("refused %+v, want %d", got.refused, tt.status)
 				}
-				if over := took - tt.took; over < 0 || over > look {
-					t.Errorf("took %v awake, want %v and at most one look more", took, tt.took)
+				if over := took - tt.took; over < 0 || over > reapInterval {
+					t.Errorf("took %v awake, want %v and at most one reap interval more", took, tt.took)
 				}
 			})
 		})
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -105,7 +105,7 @@
 	x := targets[choice.Index]
 	x.InFlight++
 	if p.Kind == pool.KindModel {
-		// Services report no load that would reset these.
+		// Plain services report no load, which would reset what RecordSent counts.
 		x.RecordSent(now, scaled(now, b.prefillTime, x))
 		b.recordUse(now, ask, p, tokens)
 	}
@@ -188,7 +188,8 @@
 	hitDiscount = 0.6
 )
 
-// The wait behind one request: on a plain service, and for a slot.
+// serviceWait is the assumed wait for each request in flight on a plain service, assumedRun
+// the assumed time that a run occupies an engine's slot.
 const (
 	serviceWait = 10 * time.Millisecond
 	assumedRun  = 2 * time.Second
--- a/dispatch/quota.go
+++ b/dispatch/quota.go
@@ -49,12 +49,12 @@
 	}
 }
 
-// Resumed counts that a run's answer is read again from a target. It can't be delayed, as
-// the run goes on meanwhile, so later requests are.
+// Resumed counts a resume of a run's answer against the target's quota. A resume can't be
+// delayed, as the run goes on meanwhile; requests after it are.
 func (b *Scheduler) Resumed(now time.Time, x *target.Target) { b.takeQuota(now, x) }
 
-// refuseNoTarget refuses a request that no target takes. The code says whether that is
-// because the targets' rate limits are used up.
+// refuseNoTarget returns the refusal of a request that no target takes. Its code tells whether
+// the reason is that the targets' rate limits are used up.
 func (b *Scheduler) refuseNoTarget(now time.Time, ask route.PlacementRequest, p pool.Pool) *refusal.Refusal {
 	spent := func(x *target.Target) bool {
 		return x.Usable(now) && !slices.Contains(ask.Exclude, x.Name) && !b.withinQuota(now, x)
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -3,7 +3,9 @@
 // and does no input or output, so that the daemon and the benchmark tool run the same
 // code.
 //
-//	b := dispatch.Scheduler{Configuration: c, Choose: chooser.Choose, ...}
+//	b := dispatch.Scheduler{Choose: chooser.Choose, ...}
+//	b.Init()
+//	b.Configuration = c
 //	placed, err := b.Place(now, ask)
 //	...
 //	export := b.Ended(now, ended)
@@ -37,7 +39,7 @@
 // StoreBackoff is how long a store box gets no work after it failed.
 const StoreBackoff = 2 * time.Second
 
-// Scheduler holds the state for decisions. Set the exported function fields before Start;
+// Scheduler holds the state for decisions. Set the exported function fields before Init;
 // it is not safe for concurrent use.
 type Scheduler struct {
 	Configuration *configuration.Configuration
@@ -76,7 +78,8 @@
 	quotas map[uint64]*quota.Bucket
 	// demand counts what each account asked for recently, refused or not.
 	demand fair.Meter
-	// now is the time of the current placement, at the same on the targets' scale.
+	// now is the time of the current placement, at the same time as target.SinceStart
+	// returns it.
 	now time.Time
 	at  time.Duration
 	// prefillTime is the predicted prefill time of the prompt being placed.
@@ -177,15 +180,15 @@
 // Fail puts a target into backoff, for longer with each failure in a row.
 func (b *Scheduler) Fail(now time.Time, x *target.Target) {
 	const (
-		first   = 500 * time.Millisecond
-		longest = 8 * time.Second
-		doubled = 10
+		initialBackoff = 500 * time.Millisecond
+		maxBackoff     = 8 * time.Second
+		maxDoublings   = 10
 	)
 	if x.Failures == 0 {
 		b.OnFailing(x.Name)
 	}
 	x.Failures++
-	x.AvoidUntil = now.Add(min(first<<min(x.Failures-1, doubled), longest))
+	x.AvoidUntil = now.Add(min(initialBackoff<<min(x.Failures-1, maxDoublings), maxBackoff))
 }
 
 // cacheStatsOf returns a pool's statistics and creates them on first use.
--- a/engine/client.go
+++ b/engine/client.go
@@ -34,13 +34,13 @@
 // SignalsOf returns the signals in the headers of an answer by a target, an engine or a plain
 // service.
 func SignalsOf(response *http.Response) notice.Signals {
-	said := notice.Signals{Leaving: response.Header.Get(HeaderLeaving) != ""}
+	signals := notice.Signals{Leaving: response.Header.Get(HeaderLeaving) != ""}
 	if response.StatusCode == http.StatusServiceUnavailable {
-		said.Backoff = notice.ParseRetryAfter(response.Header.Get("Retry-After"))
+		signals.Backoff = notice.ParseRetryAfter(response.Header.Get("Retry-After"))
 	}
-	said.Rate, said.Limited = notice.ParseRate(response.Header.Get(HeaderLimit))
-	said.Unlimited = !said.Limited
-	return said
+	signals.Rate, signals.Limited = notice.ParseRate(response.Header.Get(HeaderLimit))
+	signals.Unlimited = !signals.Limited
+	return signals
 }
 
 // maxFrameBytes bounds one line of a stream.
@@ -48,7 +48,7 @@
 
 // Client calls engines. Set the exported fields before first use.
 type Client struct {
-	// HTTP sends the calls. Its transport must not retry by itself.
+	// HTTP sends the calls. Its transport must not retry any.
 	HTTP *http.Client
 }
 
@@ -158,7 +158,7 @@
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	request = request.WithContext(ctx)
-	// Without GetBody the transport can't resend the body by itself.
+	// Without GetBody the transport can't resend the body.
 	request.GetBody = nil
 	response, err := c.HTTP.Do(request)
 	if err != nil && !connected.Load() {
--- a/entry/ablation.go
+++ b/entry/ablation.go
@@ -18,7 +18,7 @@
 	// typicalTokens is the typical memory of a job's requests.
 	typicalTokens func(t *tables, job *deliver.Job) int
 	// reservedShare is the share of memory that requests of the lowest priority leave free while
-	// answers are late, fillLeast the share up to which they are admitted otherwise.
+	// answers are late, maxShareLowPriority the share up to which they are admitted otherwise.
 	reservedShare       func(g *headroom.Gauge) float64
 	maxShareLowPriority float64
 	// applyUsage applies what another box reports of its requests' load.
@@ -48,7 +48,7 @@
 	}
 }
 
-// ablate switches off the mechanisms that the settings name. It is the only place that does.
+// ablate switches off the mechanisms that the settings name. Nothing else does.
 func (d *Daemon) ablate() {
 	off := func(mechanism string) bool { return slices.Contains(d.Settings.Without, mechanism) }
 	if off(settings.Saves) {
--- a/entry/ablation_test.go
+++ b/entry/ablation_test.go
@@ -59,8 +59,8 @@
 		}},
 		{settings.Quarantine, func(d *Daemon) bool {
 			sum := jobWithBody("same").Fingerprint()
-			for _, life := range []string{"a", "b", "c"} {
-				d.tables.quarantine.Ended(start, sum, life)
+			for _, incarnation := range []string{"a", "b", "c"} {
+				d.tables.quarantine.Ended(start, sum, incarnation)
 			}
 			return d.quarantined(start, &d.tables, sum)
 		}},
--- a/entry/build.go
+++ b/entry/build.go
@@ -27,12 +27,13 @@
 )
 
 const (
-	// messageBuffer is how many messages may wait for the loop before senders block.
+	// messageBuffer is how many messages may be queued for the loop before senders block.
 	messageBuffer = 1024
 	// proofMargin is subtracted from the bound after which keys are not trusted, for the
 	// time between the check and the start of the target's work.
 	proofMargin = 700 * time.Millisecond
-	// answerMargin is the same for this box's own answers, which need no target.
+	// answerMargin is the same for this box's own answers, for which no target has to start
+	// work first.
 	answerMargin = 100 * time.Millisecond
 	// answerLogRate limits the log lines for complete answers a second; a line costs about
 	// 10 us.
@@ -43,7 +44,7 @@
 	// leaseTTL and leaseMargin are short, as nobody gives orders until a successor has
 	// taken the lease, which takes 2.4 s. A renewal takes up to 0.3 s when the table service
 	// is slow. Orders of two holders to the same target are kept further apart; see
-	// holdOff.
+	// barRecentlyOrdered.
 	leaseTTL    = 2 * time.Second
 	leaseMargin = 400 * time.Millisecond
 )
@@ -139,8 +140,8 @@
 	}
 }
 
-// shownCredential returns the credential for other boxes: nothing, which they refuse, until
-// it was read.
+// shownCredential returns the credential that authenticates this box to others. Until it was
+// read, that is the empty string, which they refuse.
 func (d *Daemon) shownCredential() string {
 	if credential := d.credential.Load(); credential != nil {
 		return *credential
@@ -167,14 +168,14 @@
 	}
 }
 
-// keysFresh says that no key can have been revoked for so long that it must not be
-// honoured any more.
+// keysFresh says that API keys may be trusted: no key in the configuration in force can have
+// been revoked for so long that it must not be honoured any more.
 func (d *Daemon) keysFresh(now time.Time) bool {
 	return d.provedWithin(now, d.bounds.Load().RevokedWithin, proofMargin)
 }
 
-// configurationFresh says that nothing missing from the configuration in force can have
-// been configured for so long that it must be applied.
+// configurationFresh says that the configuration in force includes everything that was
+// configured long enough ago to be mandatory.
 func (d *Daemon) configurationFresh(now time.Time) bool {
 	return d.provedWithin(now, d.bounds.Load().AppliedWithin, answerMargin)
 }
--- a/entry/effect.go
+++ b/entry/effect.go
@@ -19,13 +19,13 @@
 	ctx  context.Context
 	name string
 	at   netip.AddrPort
-	// hold is how long the source may hold a call, every the least time between two
+	// hold is how long the source may hold a call, interval the least time between two
 	// calls.
 	hold, interval time.Duration
 }
 
 // stepLease acquires or renews the rollout's lease, and reads what the previous holder
-// wrote if this box has not done so in the current epoch.
+// wrote. known is the last epoch in which this box read that; it does so once an epoch.
 type stepLease struct{ known uint64 }
 
 // freeParts clears stores of a model's parts below a version.
@@ -113,7 +113,7 @@
 }
 
 // writeRow puts one row unconditionally: only the holder of the rollout's lease writes it, and
-// readers take it for a hint.
+// readers treat it as a hint.
 func (d *Daemon) writeRow(ctx context.Context, row table.Row) error {
 	return d.Platform.Commit(ctx, table.Transaction{Put: []table.Row{row}})
 }
--- a/entry/emulator_test.go
+++ b/entry/emulator_test.go
@@ -21,20 +21,21 @@
 
 // Behaviour of the emulated fleet.
 const (
-	// networkDelay is the one-way delay between two boxes, storeAnswer the table service's response time.
+	// networkDelay is the one-way delay between two boxes, tableServiceDelay the response
+	// time of the table service.
 	networkDelay      = time.Millisecond
 	tableServiceDelay = 5 * time.Millisecond
 	// emulatorStep is the step of virtual time.
 	emulatorStep = 50 * time.Millisecond
 	// hubShare is the share of a core of the boxes eligible as hubs, of which each
-	// domain has strongEach; the others have weakShare.
+	// domain has strongPerDomain; the others have weakShare.
 	hubShare        = 0.8
 	weakShare       = 0.192
 	strongPerDomain = 2
 )
 
-// emulator is a fleet in one process and in virtual time: the boxes' own loops, tables and
-// messages, without network. Effects are carried out between boxes with a delay.
+// emulator runs a fleet in one process and in virtual time: the boxes' real systems, tables
+// and messages, without a network. Effects between boxes are performed with a delay.
 type emulator struct {
 	now     time.Time
 	boxes   []*Daemon
@@ -43,8 +44,8 @@
 	rows    *fake.Table
 	// lastRows are the rows as last sent to their readers.
 	lastRows []table.Row
-	// tableServiceDown are boxes that the table service does not answer, dead those that
-	// answer nobody.
+	// tableServiceDown are the boxes that get no answer from the table service, dead those
+	// that are down.
 	tableServiceDown, dead map[string]bool
 	// operator is the content of the operator's rows.
 	operator Operator
@@ -120,11 +121,11 @@
 
 // recordCanary records a report to the operator; a final state is not taken back.
 func (w *emulator) recordCanary(pool string, state canary.State) {
-	told := w.canaryReports[pool]
-	if len(told) > 0 && told[len(told)-1].Ended() && !state.Ended() {
+	reports := w.canaryReports[pool]
+	if len(reports) > 0 && reports[len(reports)-1].Ended() && !state.Ended() {
 		return
 	}
-	w.canaryReports[pool] = append(told, state)
+	w.canaryReports[pool] = append(reports, state)
 }
 
 // join tells a box of all others and of the platform's state.
--- a/entry/hub_bench_test.go
+++ b/entry/hub_bench_test.go
@@ -65,16 +65,16 @@
 	}
 }
 
-// BenchmarkTargetHints measures what naming targets costs a request that a hub places: those
-// to which its box has idle connections (here all), and those that are excluded.
+// BenchmarkTargetHints measures how long it takes to name targets in a placement request to a
+// hub: those to which the box has idle connections (here all), and those that are excluded.
 func BenchmarkTargetHints(b *testing.B) {
 	for _, n := range targetCounts {
-		for _, closed := range []int{0, n / 10} {
+		for _, excluded := range []int{0, n / 10} {
 			d := hubWithTargets(n)
-			for i := range closed {
+			for i := range excluded {
 				sendSignals(d, start, fleet.Incarnation{ID: fmt.Sprintf("i-%010x", i)}, signalsLeaving)
 			}
-			b.Run(fmt.Sprintf("%d of %d", closed, n), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%d of %d", excluded, n), func(b *testing.B) {
 				for b.Loop() {
 					d.targetHints(start, d.tables.fleet.Pool("models"))
 				}
--- a/entry/listen.go
+++ b/entry/listen.go
@@ -22,8 +22,7 @@
 	idleTimeout   = 60 * time.Second
 	// maxHeaderBytes limits a head until a configuration sets its limit.
 	maxHeaderBytes = 64 << 10
-	// shutdownMargin is how long before the platform would kill the process it exits by
-	// itself.
+	// shutdownMargin is how much earlier the process exits than the platform would kill it.
 	shutdownMargin = 600 * time.Millisecond
 )
 
@@ -83,8 +82,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// drain stops in order: it reports not ready at once, serves on until that was noticed, and
-// closes each connection after its next answer.
+// drain stops in order: it reports not ready at once, still serves new connections until the
+// platform has noticed that, and closes each connection after its next answer.
 func (d *Daemon) drain(servers []*http.Server) {
 	d.stopping.Store(true)
 	bounds := d.bounds.Load()
--- a/entry/message.go
+++ b/entry/message.go
@@ -44,7 +44,7 @@
 // answerBegan reports that the head of an answer arrived.
 type answerBegan struct{ place deliver.Placement }
 
-// attemptEnded reports how an attempt went.
+// attemptEnded reports the result of an attempt.
 type attemptEnded struct{ deliver.AttemptResult }
 
 // operatorRead, targetsRead and ownRead are answers of the table service, with the time at
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -98,11 +98,11 @@
 func (d *Daemon) countTables(t *tables) {
 	d.metrics.targets.Set(float64(t.fleet.Len()))
 	d.metrics.cold.Set(float64(t.coldTargets(d.now(), d.current.Load())))
-	kept := 0
+	cached := 0
 	for name := range t.watched {
-		kept += t.directory.Len(name)
+		cached += t.directory.Len(name)
 	}
-	d.metrics.cachedParts.Set(float64(kept))
+	d.metrics.cachedParts.Set(float64(cached))
 	d.metrics.boxes.Set(float64(t.boxCount(d.now())))
 	d.countQuarantined(t)
 }
--- a/entry/platform.go
+++ b/entry/platform.go
@@ -52,11 +52,11 @@
 	Healthy func(ctx context.Context, at netip.AddrPort, path, id string) (notice.Signals, error)
 }
 
-// ErrUnhealthy says that the replica meant answers, and that it is not healthy.
+// ErrUnhealthy says that the intended replica answered and reports that it is not healthy.
 var ErrUnhealthy = errors.New("the replica reports that it is unhealthy")
 
-// ErrReplaced says that the address belongs to another replica than the one meant, which is
-// gone for good.
+// ErrReplaced says that the address belongs to another replica than the intended one, which
+// is gone for good.
 var ErrReplaced = errors.New("another replica has the address")
 
 // Operator is what the operator wrote.
@@ -82,10 +82,11 @@
 	// Clock is the table service's steady clock when it made the answer, or zero if it did
 	// not tell.
 	Clock time.Duration
-	// Held says that the service held that read until there was a change.
+	// Held says that the service held the read until there was a change.
 	Held bool
-	// Asked is when the answered read was sent; it may have been sent again, not held. If
-	// unset, it is when the read was asked for.
+	// Asked is when the read that was answered was sent. That can be later than the caller's
+	// request for it, as a read may be repeated without a hold. If unset, the time of the
+	// caller's request counts.
 	Asked time.Time
 }
 
@@ -126,7 +127,8 @@
 	StartedAt time.Time
 	// Clock is the time on the targets' common clock, or zero.
 	Clock time.Duration
-	// Signals are what the source says of itself, also set beside an error.
+	// Signals are the source's own signals, such as that it is leaving; they are also set
+	// along with an error.
 	Signals notice.Signals
 }
 
@@ -139,7 +141,7 @@
 
 // Report is what an engine reports of itself.
 type Report struct {
-	// Signals are also set beside an error.
+	// Signals are also set along with an error.
 	Signals notice.Signals
 	// Busy says that an order is being carried out.
 	Busy bool
--- a/entry/settings/mechanisms.go
+++ b/entry/settings/mechanisms.go
@@ -8,7 +8,7 @@
 
 // Mechanisms that Without may name.
 const (
-	// Saves has engines save what they prefilled to stores.
+	// Saves has engines save prompt parts to stores.
 	Saves = "saves"
 	// StoreFetches and EngineFetches have engines fetch cached parts from stores and engines.
 	StoreFetches  = "store-fetches"
--- a/entry/settings/settings.go
+++ b/entry/settings/settings.go
@@ -79,7 +79,7 @@
 	RetryShare  float64       `yaml:"retry_share"`
 	RetryExtra  float64       `yaml:"retry_extra"`
 	RetryWindow time.Duration `yaml:"retry_window"`
-	// Takeover is the least time between the orders of two holders of a lease.
+	// Takeover is the minimum time between the orders of two holders of a lease.
 	Takeover time.Duration `yaml:"takeover"`
 	// WeightsWithin is how long after a version was named requests may still begin on an
 	// older one.
@@ -147,12 +147,12 @@
 }
 
 func (s *Settings) checkBox(d *document.Document) {
-	const leastMemory, leastDescriptors = 32, 64
-	if s.Box.MemoryMB < leastMemory {
-		d.Add("box.memory_mb", "must be at least %d", leastMemory)
+	const minMemory, minDescriptors = 32, 64
+	if s.Box.MemoryMB < minMemory {
+		d.Add("box.memory_mb", "must be at least %d", minMemory)
 	}
-	if s.Box.Descriptors < leastDescriptors {
-		d.Add("box.descriptors", "must be at least %d", leastDescriptors)
+	if s.Box.Descriptors < minDescriptors {
+		d.Add("box.descriptors", "must be at least %d", minDescriptors)
 	}
 	if s.Box.Share <= 0 {
 		d.Add("box.share", "must be above 0")
@@ -160,21 +160,21 @@
 }
 
 func (s *Settings) checkBounds(d *document.Document) {
-	const longest = time.Hour
-	d.CheckWithin("bounds.stop", s.Bounds.Stop, time.Second, longest)
-	d.CheckWithin("bounds.notice", s.Bounds.Notice, 0, longest)
-	d.CheckWithin("bounds.drain", s.Bounds.Drain, 0, longest)
-	d.CheckWithin("bounds.revoked_within", s.Bounds.RevokedWithin, 0, longest)
-	d.CheckWithin("bounds.retry_window", s.Bounds.RetryWindow, time.Second, longest)
-	d.CheckWithin("bounds.takeover", s.Bounds.Takeover, 0, longest)
-	d.CheckWithin("bounds.applied_within", s.Bounds.AppliedWithin, 0, longest)
-	d.CheckWithin("bounds.weights_within", s.Bounds.WeightsWithin, 0, longest)
-	d.CheckWithin("bounds.evacuated_within", s.Bounds.EvacuatedWithin, 0, longest)
-	d.CheckWithin("bounds.taken_back_within", s.Bounds.TakenBackWithin, 0, longest)
+	const maxBound = time.Hour
+	d.CheckWithin("bounds.stop", s.Bounds.Stop, time.Second, maxBound)
+	d.CheckWithin("bounds.notice", s.Bounds.Notice, 0, maxBound)
+	d.CheckWithin("bounds.drain", s.Bounds.Drain, 0, maxBound)
+	d.CheckWithin("bounds.revoked_within", s.Bounds.RevokedWithin, 0, maxBound)
+	d.CheckWithin("bounds.retry_window", s.Bounds.RetryWindow, time.Second, maxBound)
+	d.CheckWithin("bounds.takeover", s.Bounds.Takeover, 0, maxBound)
+	d.CheckWithin("bounds.applied_within", s.Bounds.AppliedWithin, 0, maxBound)
+	d.CheckWithin("bounds.weights_within", s.Bounds.WeightsWithin, 0, maxBound)
+	d.CheckWithin("bounds.evacuated_within", s.Bounds.EvacuatedWithin, 0, maxBound)
+	d.CheckWithin("bounds.taken_back_within", s.Bounds.TakenBackWithin, 0, maxBound)
 	if s.Bounds.TriedShare < 0 || s.Bounds.TriedShare > 1 || s.Bounds.TriedExtra < 0 {
 		d.Add("bounds.tried_share", "must be between 0 and 1, and tried_extra must not be negative")
 	}
-	d.CheckWithin("bounds.stretch", s.Bounds.Stretch, 0, longest)
+	d.CheckWithin("bounds.stretch", s.Bounds.Stretch, 0, maxBound)
 	if s.Bounds.ColdFactor < 0 || s.Bounds.ColdExtra < 0 {
 		d.Add("bounds.cold_factor", "cold_factor and cold_extra must not be negative")
 	}
--- a/entry/systems.go
+++ b/entry/systems.go
@@ -8,7 +8,7 @@
 	"github.com/thymewind/thymewind/leastrequest"
 )
 
-// tick is how often the systems run. Nothing that they do is more urgent.
+// tick is how often the systems run. Nothing that they do needs to happen sooner.
 const tick = 100 * time.Millisecond
 
 // system runs over the tables each tick and returns effects.
--- a/entry/tables.go
+++ b/entry/tables.go
@@ -39,7 +39,7 @@
 	// Gossip each tick covers only these, so its cost depends on the work in flight, not on
 	// the number of targets.
 	targetsInUse map[string]*fleet.Target
-	// watched are the sources whose cache events are read, with the function that ends it.
+	// watched are the sources whose cache events are read, with the function that stops that.
 	watched map[string]context.CancelFunc
 	// loading are the targets that load weights by another box's order, with the time at
 	// which each is next asked whether it has done so.
@@ -106,7 +106,7 @@
 	readEpoch uint64
 	// listVersion changes with the list of targets; zero until it was read.
 	listVersion uint64
-	// changes numbers the changes of what this box tells its spokes; nil until the list was
+	// changes numbers the changes of what this box sends its spokes; nil until the list was
 	// read.
 	changes *changelog.Log[string]
 	// inUse are the engines in use, by pool, as of list version refreshedList.
@@ -128,7 +128,7 @@
 	// list; zero if none is. listBehindLogged says that this was logged.
 	listBehindSince  time.Time
 	listBehindLogged bool
-	// hub is the hub that this box's list is from, hubList how far it was received. hubSeen
+	// hub is the hub that this box's list is from, hubList how far it was received. hubListed
 	// are the targets received since a snapshot began; nil once it is complete.
 	hub       string
 	hubList   changelog.Cursor
@@ -220,9 +220,10 @@
 	// ordered marks the targets with an order of this box in flight.
 	ordered map[string]bool
 	// orderedAt is when this box last gave targets an order, barredUntil until when it must
-	// not, as another box did.
+	// give them none, as another box did.
 	orderedAt, barredUntil map[string]time.Time
-	// allBarredUntil is until when it must order none, as it can't know which another box did.
+	// allBarredUntil is until when it must give no target an order, as it can't know which
+	// ones another box ordered.
 	allBarredUntil time.Time
 	// epoch is the lease's epoch in the row last read.
 	epoch uint64
@@ -257,8 +258,8 @@
 	limitsDue time.Time
 	// heardAt is when it last called or answered this one, or when its row was read.
 	heardAt time.Time
-	// calling says that gossip with it is in flight, failed that it did not answer the last
-	// gossip, or too many placement requests since.
+	// calling says that gossip with it is in flight, unanswered that it did not answer the
+	// last gossip, or too many placement requests since.
 	calling, unanswered bool
 	// misses counts unanswered placement requests in a row.
 	misses int
--- a/entry/update.go
+++ b/entry/update.go
@@ -161,7 +161,7 @@
 		x.Heard(now)
 		return
 	}
-	if !m.suspected { // A busy target may leave the probe of a suspect unanswered.
+	if !m.suspected { // A suspect that is only busy may leave its probe unanswered.
 		x.Fail(now)
 	}
 }
--- a/entry/update_test.go
+++ b/entry/update_test.go
@@ -24,7 +24,8 @@
 // rev is a revision of a table service that was never restored.
 func rev(number uint64) revision.Revision { return revision.Revision{Number: number} }
 
-// newDaemon is a daemon whose loop the test runs itself, at times it sets.
+// newDaemon returns a daemon without a running loop: tests call update and the systems
+// directly, with times of their choice.
 func newDaemon(name string) *Daemon {
 	rows := &fake.Table{}
 	d := &Daemon{
@@ -163,8 +164,8 @@
 	d := newDaemon("b1")
 	d.tables.watched["s"] = func() {}
 	key := directory.KeyOf("m@1", "p")
-	told := CacheEvents{Epoch: 1, Changes: []CacheEvent{{Cached: true, Scope: "m@1", Part: "p", Tokens: 9}}, Clock: time.Hour}
-	d.update(start, cacheEventsRead{source: "s", events: told})
+	events := CacheEvents{Epoch: 1, Changes: []CacheEvent{{Cached: true, Scope: "m@1", Part: "p", Tokens: 9}}, Clock: time.Hour}
+	d.update(start, cacheEventsRead{source: "s", events: events})
 	if !d.tables.directory.Has("s", key) || !d.tables.clockKnown {
 		t.Fatal("the events were not applied")
 	}
--- a/exposure/gate.go
+++ b/exposure/gate.go
@@ -1,7 +1,7 @@
 // Package exposure limits how many requests go to something that may be bad, such as a
 // canary, to a share of those that one box sends. As each box keeps to the share of its own
-// requests, all boxes together do, whichever of them can reach each other, restart or join:
-// a box that forgets what it sent also forgets the allowance that this earned.
+// requests, all boxes together do, even if boxes can't reach each other, restart or join: a
+// box that loses its counts also loses the allowance that they had earned.
 //
 //	g := exposure.New(0.1)
 //	if g.Allow("orders") { ...; g.Record("orders", true) } else { ...; g.Record("orders", false) }
--- a/exposure/gate_test.go
+++ b/exposure/gate_test.go
@@ -40,8 +40,8 @@
 	properties := gopter.NewProperties(parameters)
 	properties.Property("within the share", prop.ForAll(func(seed uint64, percent int) bool {
 		share := float64(percent) / 100
-		all, tried := playBoxes(seed, share, (*exposure.Gate).Allow)
-		return float64(tried) <= share*float64(all)
+		all, exposed := playBoxes(seed, share, (*exposure.Gate).Allow)
+		return float64(exposed) <= share*float64(all)
 	}, gen.UInt64(), gen.IntRange(1, 50)))
 	properties.TestingRun(t)
 }
@@ -49,20 +49,20 @@
 func TestShareOverBoxesNeedsCount(t *testing.T) {
 	const share = 0.01
 	first := make(map[*exposure.Gate]bool)
-	all, tried := playBoxes(1, share, func(g *exposure.Gate, route string) bool {
+	all, exposed := playBoxes(1, share, func(g *exposure.Gate, route string) bool {
 		ahead := !first[g]
 		first[g] = true
 		return ahead || g.Allow(route)
 	})
-	if float64(tried) <= share*float64(all) {
-		t.Errorf("%d of %d are exposed, within the share, though each start exposes one in advance", tried, all)
+	if float64(exposed) <= share*float64(all) {
+		t.Errorf("%d of %d are exposed, within the share, though each start exposes one in advance", exposed, all)
 	}
 }
 
 // TestQuietRouteIsExposed has a quiet route get its share beside a busy one.
 func TestQuietRouteIsExposed(t *testing.T) {
 	g := exposure.New(0.1)
-	tried := make(map[string]int)
+	exposed := make(map[string]int)
 	for i := range 4000 {
 		route := "busy"
 		if i%20 == 0 {
@@ -71,10 +71,10 @@
 		take := g.Allow(route)
 		g.Record(route, take)
 		if take {
-			tried[route]++
+			exposed[route]++
 		}
 	}
-	if tried["quiet"] < 10 || tried["busy"] < 200 {
-		t.Errorf("exposed %v", tried)
+	if exposed["quiet"] < 10 || exposed["busy"] < 200 {
+		t.Errorf("exposed %v", exposed)
 	}
 }
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -4,7 +4,7 @@
 // A request marked not repeatable runs at most once for each client account and
 // key: it is placed first, then claimed, and only then sent.
 //
-//	f := forward.Forwarder{Place: loop.place, Permits: &office, ...}
+//	f := forward.Forwarder{Place: loop.place, Permits: &guard, ...}
 //	f.Serve(w, r, forward.Call{Account: "menu-app", Pool: "orders", Path: "/orders"})
 package forward
 
@@ -72,8 +72,8 @@
 	RetryAfter func() time.Duration
 }
 
-// Sender sends each request on a new connection, so that the HTTP transport never
-// resends one by itself. Set Dial before first use.
+// Sender sends each request on a new connection, as the HTTP transport may resend a
+// request when a reused connection fails. Set Dial before first use.
 type Sender struct {
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -32,7 +32,7 @@
 	"github.com/thymewind/thymewind/route"
 )
 
-// Behaviors of the fake target in one attempt.
+// Behaviours of the fake target in one attempt.
 const (
 	unreachable = iota
 	runsThenSilent
@@ -103,16 +103,16 @@
 	return x
 }
 
-func comeBack() time.Duration { return time.Second }
+func retryAfter() time.Duration { return time.Second }
 
 // forwarder returns a Forwarder with real claims over a fake table service.
 func forwarder(ctx context.Context, rows *fake.Table, placing *fake.Script, send send) *forward.Forwarder {
 	n := 0
-	book := &claim.Store{
+	store := &claim.Store{
 		Commit: rows.Commit, Read: rows.Read, Now: time.Now, Box: "b", Timeout: 2 * time.Second, OrphanTTL: 30 * time.Second,
 		Nonce: func() string { n++; return fmt.Sprint(n) },
 	}
-	go book.Run(ctx)
+	go store.Run(ctx)
 	return &forward.Forwarder{
 		Place: func(context.Context, route.PlacementRequest) (route.Placement, error) {
 			if placing.Draw() != fake.None {
@@ -121,10 +121,10 @@
 			return route.Placement{Target: "t"}, nil
 		},
 		Permits: &idempotency.Guard{
-			Lookup: book.Lookup, Take: book.Take, Release: book.Release, Finish: book.Finish,
-			Record: func(decision.Record) {}, Timeout: 2 * time.Second, RetryAfter: comeBack,
+			Lookup: store.Lookup, Take: store.Take, Release: store.Release, Finish: store.Finish,
+			Record: func(decision.Record) {}, Timeout: 2 * time.Second, RetryAfter: retryAfter,
 		},
-		OnEnded: func(route.AttemptResult) {}, OnSignals: func(route.Placement, notice.Signals) {}, Allow: func(route.Placement) error { return nil }, Send: send, Retry: func(string) bool { return true }, MaxAttempts: 3, RetryAfter: comeBack,
+		OnEnded: func(route.AttemptResult) {}, OnSignals: func(route.Placement, notice.Signals) {}, Allow: func(route.Placement) error { return nil }, Send: send, Retry: func(string) bool { return true }, MaxAttempts: 3, RetryAfter: retryAfter,
 	}
 }
 
@@ -135,14 +135,14 @@
 
 // outcomeIsTrue checks that a call refused as did-not-run did not run, and that a
 // marked one runs at most once over all its retries.
-func outcomeIsTrue(t *testing.T, seam func(send) send) gopter.Prop {
+func outcomeIsTrue(t *testing.T, wrap func(send) send) gopter.Prop {
 	return prop.ForAll(func(marked bool, method string, sends, faults, places []int) bool {
 		ok := true
 		synctest.Test(t, func(*testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			x := &target{script: fake.Script{Kinds: sends}}
 			rows := &fake.Table{Fault: (&fake.Script{Kinds: faults}).Draw}
-			f := forwarder(ctx, rows, &fake.Script{Kinds: places}, seam(x.send))
+			f := forwarder(ctx, rows, &fake.Script{Kinds: places}, wrap(x.send))
 			key := ""
 			if marked {
 				key = "k"
@@ -309,11 +309,11 @@
 			f := forwarder(t.Context(), &fake.Table{}, &fake.Script{}, func(*http.Request, netip.AddrPort, time.Duration) (*http.Response, bool, error) {
 				return &http.Response{StatusCode: tt.status, Header: tt.header, Body: io.NopCloser(body)}, true, nil
 			})
-			f.OnSignals = func(_ route.Placement, said notice.Signals) {
+			f.OnSignals = func(_ route.Placement, signals notice.Signals) {
 				if body.read > 0 {
 					t.Error("signals arrived after the answer's first bytes")
 				}
-				got = append(got, said)
+				got = append(got, signals)
 			}
 			serve(f, http.MethodGet, "")
 			if len(got) != 1 || got[0] != tt.want {
--- a/leastrequest/leastrequest.go
+++ b/leastrequest/leastrequest.go
@@ -25,7 +25,7 @@
 	ejectedCost = 200.0
 )
 
-// Chooser chooses by what this box knows.
+// Chooser chooses by this box's own view of the targets.
 type Chooser struct {
 	// Domain is this box's failure domain.
 	Domain string
--- a/minlatency/minlatency.go
+++ b/minlatency/minlatency.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// windowLength: a sample counts for one to two windows. Engines that became faster take
-	// effect at once, slower ones after the second window.
+	// windowLength is the length of a window. A sample counts for one to two windows:
+	// engines that became faster lower the minimum at once, slower ones raise it after the
+	// second window.
 	windowLength = 15 * time.Second
-	// MinSamples is how many requests are needed within that. If times are distributed as
-	// those of services are, 3 in 1,000 requests are faster than margin times the minimum of
-	// so many.
+	// MinSamples is how many samples are needed. If times are distributed like those of
+	// services, 3 in 1,000 requests are faster than margin times the minimum of this many.
 	MinSamples = 50
 	// margin is the share of the minimum that Min returns, as no request was proved to need
 	// the whole of it.
--- a/minlatency/minlatency_test.go
+++ b/minlatency/minlatency_test.go
@@ -69,7 +69,7 @@
 	draw := func() time.Duration {
 		return time.Duration(30 * math.Exp(0.5*rng.NormFloat64()) * float64(time.Millisecond))
 	}
-	wronged, all := 0, 0
+	refused, all := 0, 0
 	for range 300 {
 		var r minlatency.Tracker
 		for range minlatency.MinSamples {
@@ -79,12 +79,12 @@
 		for range 1000 {
 			all++
 			if draw() < least {
-				wronged++
+				refused++
 			}
 		}
 	}
-	t.Logf("%d of %d", wronged, all)
-	if share := float64(wronged) / float64(all); share > 0.004 {
+	t.Logf("%d of %d", refused, all)
+	if share := float64(refused) / float64(all); share > 0.004 {
 		t.Errorf("%.4f of the requests would have been answered in less than the minimum", share)
 	}
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -107,7 +107,7 @@
 // rank finds the best-ranked target of all, and of those within the slack.
 func (c *Chooser) rank(ask Request, targets []*target.Target, choice *Choice) {
 	var best, home uint64
-	longest := choice.MinWait + ask.Slack
+	maxWait := choice.MinWait + ask.Slack
 	for i, wait := range c.waits {
 		if wait == ineligible {
 			continue
@@ -116,7 +116,7 @@
 		if choice.Home < 0 || weight > home {
 			choice.Home, home = i, weight
 		}
-		if wait <= longest && (choice.Index < 0 || weight > best) {
+		if wait <= maxWait && (choice.Index < 0 || weight > best) {
 			choice.Index, choice.Wait, best = i, wait, weight
 		}
 	}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// herd returns that ratio after every box has placed some requests on its own copy of the
-// same lagged report.
+// herd returns the load of the most loaded target relative to the mean, after every box has
+// placed some requests by its own copy of the same lagged report.
 func herd(b *testing.B, boxes, perBox int, least bool) float64 {
 	const n = 600
 	load := make([]int, n)
@@ -175,7 +175,7 @@
 	return float64(most) * n / float64(sum)
 }
 
-// first is plain least load: the first of the least loaded.
+// first chooses by least load alone: the first of the least loaded targets.
 func first(all []*target.Target) int {
 	best := 0
 	for i, x := range all {
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -38,7 +38,7 @@
 	// FirstTokenMillis is the pool's goal for the time to first token, or to the
 	// start of a service's answer. An attempt whose target is silent for three times
 	// as long is abandoned. Zero means a bound of 10 s for models and the request's
-	// own time-out for services.
+	// own timeout for services.
 	FirstTokenMillis int `json:"first_token_ms,omitempty"`
 	// Concurrency bounds the requests in flight on one target. At least 1.
 	Concurrency int `json:"concurrency"`
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -29,7 +29,7 @@
 	MaxTokens int
 	// Once forbids a retry after an attempt that may have started.
 	Once bool
-	// Permit, if set, is called once, right before the first send. Its error ends
+	// Acquire, if set, is called once, right before the first send. Its error ends
 	// the request and is returned unchanged. Abandon is called after it if
 	// nothing can have been sent.
 	Acquire func(ctx context.Context) error
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -259,7 +259,7 @@
 }
 
 // TestSilentEngineIsAbandoned lets the first engine go silent before or within its
-// answer. A second engine must finish the answer after the time-out.
+// answer. A second engine must finish the answer after the timeout.
 func TestSilentEngineIsAbandoned(t *testing.T) {
 	tests := []struct {
 		name string
@@ -317,7 +317,7 @@
 }
 
 // TestSlowCallerIsNotASilentEngine lets a caller read slowly. Time spent in writes
-// to the caller must not count against the engine's time-out.
+// to the caller must not count against the engine's timeout.
 func TestSlowCallerIsNotASilentEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &engines{queued: make(map[string]bool), versions: make(map[string]string)}
@@ -358,8 +358,8 @@
 // signals must arrive before any text is written.
 func TestSignals(t *testing.T) {
 	tests := []struct {
-		name string
-		said notice.Signals
+		name    string
+		signals notice.Signals
 	}{
 		{"nothing", notice.Signals{}},
 		{"engine is leaving", notice.Signals{Leaving: true}},
@@ -375,15 +375,15 @@
 				},
 				Generate: func(ctx context.Context, at netip.AddrPort, run engine.Run) (*engine.Frames, error) {
 					frames, err := e.generate(ctx, at, run)
-					frames.Signals = tt.said
+					frames.Signals = tt.signals
 					return frames, err
 				},
 				Resume: e.resume, Cancel: e.cancel, Accept: (*stream.Checker).Accept, OnEnded: func(route.AttemptResult) {},
-				OnSignals: func(_ route.Placement, said notice.Signals) {
+				OnSignals: func(_ route.Placement, signals notice.Signals) {
 					if passed > 0 {
 						t.Error("signals arrived after the answer's first text")
 					}
-					got = append(got, said)
+					got = append(got, signals)
 				},
 				Allow: allowAll, Retry: func(string) bool { return true }, Now: time.Now, MaxAttempts: 1, MaxResumes: 1, StallTimeout: time.Minute,
 				RetryAfter: func() time.Duration { return time.Second },
@@ -391,8 +391,8 @@
 			_, err := r.Run(t.Context(), relay.Request{
 				ID: "r", OnFirstText: func(route.Placement) {}, Write: func(string, int) error { passed++; return nil },
 			})
-			if err != nil || len(got) != 1 || got[0] != tt.said {
-				t.Errorf("signals %+v, want %+v, %v", got, tt.said, err)
+			if err != nil || len(got) != 1 || got[0] != tt.signals {
+				t.Errorf("signals %+v, want %+v, %v", got, tt.signals, err)
 			}
 		})
 	}
--- a/relay/run.go
+++ b/relay/run.go
@@ -25,8 +25,7 @@
 	// text is the answer so far, which a further attempt continues.
 	text strings.Builder
 	// announced is the attempt last reported to the caller through OnFirstText or
-	// OnMoved;
-	// 0 before the answer begins.
+	// OnMoved; 0 before the answer begins.
 	announced int
 	// mayRun is set before the first byte is sent to an engine and reset only
 	// if nothing was sent or the engine confirms that the run did not start.
@@ -41,9 +40,8 @@
 }
 
 // Run runs a request until its answer is complete or no further attempt is
-// possible. The error is a *refusal.Refusal; one of Request.Acquire is
-// returned unchanged.
-// Final errors are not delayed.
+// possible. The error is a *refusal.Refusal, returned as soon as it is certain;
+// one of Request.Acquire is returned unchanged.
 func (r *Relay) Run(ctx context.Context, request Request) (stream.Frame, error) {
 	j := &job{Relay: r, request: request}
 	j.checker.Request = request.ID
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -6,7 +6,7 @@
 	"github.com/thymewind/thymewind/report"
 )
 
-func TestWhere(t *testing.T) {
+func TestFilter(t *testing.T) {
 	tests := []struct {
 		column, sign, value string
 		left                int
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestLeast(t *testing.T) {
+func TestMinVersion(t *testing.T) {
 	tests := []struct {
 		name     string
 		replicas []rollout.Replica
@@ -55,7 +55,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if got := rollout.MinVersion(tt.replicas); got != tt.want {
-				t.Errorf("Least = %d, want %d", got, tt.want)
+				t.Errorf("MinVersion = %d, want %d", got, tt.want)
 			}
 		})
 	}
--- a/route/route.go
+++ b/route/route.go
@@ -78,8 +78,8 @@
 	PrefixKnown bool
 	// CachedPieces is the number of the prompt's pieces that the store box holds.
 	CachedPieces int
-	// PlacedAt is when the request was placed. Granted says that the target has a rate limit and that
-	// this request is within this box's quota.
+	// PlacedAt is when the request was placed. QuotaGranted says that the target has a rate
+	// limit and that this request is within this box's quota.
 	PlacedAt     time.Time
 	QuotaGranted bool
 	// FirstToken bounds the wait for the first text.
@@ -104,7 +104,7 @@
 	// Failed says that the target broke off its answer or was unreachable.
 	Failed bool
 	// CutOff says that the request may have run and got no complete answer, and that the caller
-	// was not the cause. Dead says that the target's address refuses connections.
+	// was not the cause. ConnectionRefused says that the target's address refuses connections.
 	CutOff, ConnectionRefused bool
 	// Refused says that the target, or this box for the target, refused before the start.
 	Refused bool
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -110,7 +110,7 @@
 	Megabits float64
 	// TransferDelay is how long each transfer waits before it begins.
 	TransferDelay time.Duration
-	// Managed stores evict nothing by themselves.
+	// Managed stores evict nothing on their own.
 	Managed     bool
 	MaxWatchers int
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -40,7 +40,7 @@
 	TLS TLS `yaml:"tls"`
 	// Limits bound callers' requests and the decision records.
 	Limits Limits `yaml:"limits"`
-	// Timing sets the daemon's intervals and time-outs.
+	// Timing sets the daemon's intervals and timeouts.
 	Timing Timing `yaml:"timing"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `yaml:"log_level"`
@@ -77,7 +77,7 @@
 	Records int `yaml:"records"`
 }
 
-// Timing sets the daemon's intervals and time-outs.
+// Timing sets the daemon's intervals and timeouts.
 type Timing struct {
 	// Tick is the interval of the event loop's periodic work.
 	Tick time.Duration `yaml:"tick"`
@@ -92,7 +92,7 @@
 	// Notice is for how long a stopping daemon still accepts requests, until the load
 	// balancer has noticed that it is not ready.
 	Notice time.Duration `yaml:"notice"`
-	// Request is the time-out of a request without a deadline of its own.
+	// Request is the timeout of a request without a deadline of its own.
 	Request time.Duration `yaml:"request"`
 }
 
--- a/table/client.go
+++ b/table/client.go
@@ -17,12 +17,12 @@
 type Client struct {
 	// Base is the service's URL without a trailing slash.
 	Base string
-	// HTTP sends the calls. Its transport must not retry by itself.
+	// HTTP sends the calls. Its transport must not retry any.
 	HTTP *http.Client
 }
 
 // Commit applies a transaction. It fails with trace.CompareFailed when a
-// condition does not hold, with ErrLost when the outcome is unknown, and with
+// condition does not hold, with ErrOutcomeUnknown when the outcome is unknown, and with
 // trace.ConnectionProblem or trace.LimitExceeded when nothing was applied.
 func (c *Client) Commit(ctx context.Context, tx Transaction) error {
 	var conflict struct {
@@ -126,7 +126,7 @@
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	request = request.WithContext(ctx)
-	// Without GetBody the transport can't resend the body by itself.
+	// Without GetBody the transport can't resend the body.
 	request.GetBody = nil
 	if request.Body != nil {
 		request.Body = io.NopCloser(request.Body)
--- a/target/target.go
+++ b/target/target.go
@@ -64,7 +64,7 @@
 
 // ID identifies a target at an address among peers. The chance that two of a few
 // thousand targets share an ID is about 10^-12. The worst effect is that one is
-// taken for the other until its own report arrives.
+// mistaken for the other until its own report arrives.
 func ID(name string, address netip.AddrPort) uint64 {
 	return xxhash.Sum64String(name + "@" + address.String())
 }
--- a/target/target_test.go
+++ b/target/target_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestSlownessDecays(t *testing.T) {
+func TestSlowdownDecays(t *testing.T) {
 	x := &target.Target{}
 	if x.Slowdown(start) != 1 {
 		t.Error("a target without samples counts as slow")
@@ -53,9 +53,9 @@
 		x.ObservePrefill(start, 5)
 	}
 	if got := x.Slowdown(start); got < 4.9 || got > 5 {
-		t.Errorf("Slowness = %v, want 5", got)
+		t.Errorf("Slowdown = %v, want 5", got)
 	}
 	if got := x.Slowdown(start.Add(30 * time.Second)); got < 2.9 || got > 3.1 {
-		t.Errorf("Slowness after its half-life = %v, want 3", got)
+		t.Errorf("Slowdown after its half-life = %v, want 3", got)
 	}
 }
--- a/versiontime/versiontime.go
+++ b/versiontime/versiontime.go
@@ -8,7 +8,7 @@
 //	var r versiontime.Record
 //	r.Prove(5, lastReadWithoutIt)
 //	r.Prove(6, alsoLater)
-//	oldest := r.MinVersion(now, 12*time.Second) // 5, twelve seconds later
+//	oldest := r.MinVersion(now, 12*time.Second) // 5, if now is 12 s after lastReadWithoutIt
 package versiontime
 
 import (
--- a/versiontime/versiontime_test.go
+++ b/versiontime/versiontime_test.go
@@ -13,9 +13,9 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// TestRequired checks on which versions requests may start, with a bound of 12 s after each
+// TestMinVersion checks on which versions requests may start, with a bound of 12 s after each
 // announcement.
-func TestRequired(t *testing.T) {
+func TestMinVersion(t *testing.T) {
 	tests := []struct {
 		name   string
 		events func(r *versiontime.Record)
@@ -45,7 +45,7 @@
 			var r versiontime.Record
 			tt.events(&r)
 			if got := r.MinVersion(at(tt.now), 12*time.Second); got != tt.want {
-				t.Errorf("Required = %d, want %d", got, tt.want)
+				t.Errorf("MinVersion = %d, want %d", got, tt.want)
 			}
 		})
 	}
--- a/workingset/set.go
+++ b/workingset/set.go
@@ -62,7 +62,7 @@
 }
 
 // Members returns the targets in use, sorted by ID: the first open ones in the order of
-// their IDs' hashes. The next one replaces a target that is not open, until it opens again.
+// their IDs' hashes. While a target is not open, the next one in that order replaces it.
 func (s *Set) Members(targets []*fleet.Target, open func(*fleet.Target) bool) []*fleet.Target {
 	if len(targets) <= s.Size() {
 		return targets
