--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -40,8 +40,8 @@
 	// oldWeightsCost is the cost of running on weights older than the newest.
 	oldWeightsCost = 80 * time.Millisecond
 	// lateCost is the cost of a first event after the goal: callers value such an answer at
-	// a fifth of one in time, a loss as large as prefilling 4,000 tokens again. It rises from lateFrom of
-	// the goal on, as predictions miss by some tenths of the goal.
+	// a fifth of one in time, a loss as large as prefilling 4,000 tokens again. It rises from
+	// lateFrom of the goal on, as predictions miss by some tenths of the goal.
 	lateCost = 200 * time.Millisecond
 	lateFrom = 0.5
 	// failureCost is the cost of a target that failed recently.
--- a/claim/orphan.go
+++ b/claim/orphan.go
@@ -6,8 +6,8 @@
 	"github.com/thymewind/thymewind/table"
 )
 
-// deleteOrphans deletes the rows of orphans and returns the orphans to look for
-// again.
+// deleteOrphans deletes the rows of orphans that have appeared and returns the
+// orphans to look for again.
 func (b *Store) deleteOrphans(ctx context.Context, orphans []*write) []*write {
 	ctx, cancel := context.WithTimeout(ctx, b.Timeout)
 	defer cancel()
--- a/deliver/deliver.go
+++ b/deliver/deliver.go
@@ -104,7 +104,8 @@
 // Placement is the target that a request is sent to, and how.
 type Placement struct {
 	Target string
-	// StartedAt is when the chosen incarnation of the target started, if the target told.
+	// StartedAt is when the chosen incarnation of the target started; zero if the target does
+	// not report it.
 	StartedAt time.Time
 	Address   netip.AddrPort
 	// Version is the weight version that the target must have; zero for none.
@@ -135,7 +136,7 @@
 	PrefillBacklog int
 	Transfers      []throughput.Transfer
 	// Kept, Fetched and Saved are the prompt tokens that the target was expected to have
-	// cached, was told to fetch, and was told to save.
+	// cached, and those that it was to fetch and to save.
 	Kept, Fetched, Saved int
 	// Rule names the placement rule that chose the target.
 	Rule string
@@ -174,7 +175,7 @@
 	Verdict int
 	// Signals are the target's own signals, set if the answer is the placed target's.
 	Signals notice.Signals
-	// Version is the target's weight version, if it told.
+	// Version is the target's weight version; zero if it does not report one.
 	Version int64
 	// Length is the body's length in bytes, or -1.
 	Length int64
@@ -184,7 +185,7 @@
 	Close  func()
 }
 
-// AttemptResult reports how one attempt went.
+// AttemptResult is the result of one attempt.
 type AttemptResult struct {
 	Place Placement
 	Job   *Job
--- a/deliver/reap.go
+++ b/deliver/reap.go
@@ -101,7 +101,7 @@
 	delete(s.running, x)
 }
 
-// callerLeft says whether the caller disconnected. It asks the connection as well, as the
+// callerLeft says whether the caller disconnected. It checks the connection as well, as the
 // context reports a close only some time after the body was read: without this, a box that
 // lagged by 0.6 s passed on every request whose caller had disconnected before.
 func (x *run) callerLeft() bool {
@@ -109,7 +109,7 @@
 	return x.callerGone
 }
 
-// disconnected tells a disconnect from a body that arrived too late: the server ends the
+// disconnected distinguishes a disconnect from a body that arrived too late: the server ends the
 // context for both, but the latter's caller still gets an answer.
 func (x *run) disconnected() bool {
 	return x.outcome.Call.Disconnected == nil || x.outcome.Call.Disconnected()
--- a/dispatch/ended.go
+++ b/dispatch/ended.go
@@ -12,7 +12,7 @@
 	"github.com/thymewind/thymewind/target"
 )
 
-// Ended releases what Place counted and learns from how the attempt went. It returns true
+// Ended releases what Place counted and learns from the attempt's result. It returns true
 // if the prompt's cache should be exported to its store box.
 func (b *Scheduler) Ended(now time.Time, e route.AttemptResult) (export bool) {
 	b.Gate.Release(e.Placement.Account, e.Placement.Pool)
@@ -35,8 +35,8 @@
 	return false
 }
 
-// ApplySignals applies what a target says of itself in an answer as soon as its head has
-// arrived: the answer itself may last for minutes.
+// ApplySignals applies a target's signals in an answer. Call it as soon as the answer's head
+// has arrived, as the answer itself may last for minutes.
 func (b *Scheduler) ApplySignals(now time.Time, placed route.Placement, signals notice.Signals) {
 	x, known := b.Targets.Lookup(placed.Target)
 	if !known || x.Address != placed.Address {
--- a/dispatch/fairness.go
+++ b/dispatch/fairness.go
@@ -63,13 +63,13 @@
 	return max(equal, capacity-others-float64(unreported)*equal)
 }
 
-// Demand is how many requests an account has in flight or asked for recently, within the
-// window over which demand decays.
+// Demand is how many requests an account has in flight plus how many it made recently, within
+// the window over which demand decays.
 func (b *Scheduler) Demand(now time.Time, account string) int {
 	return b.Gate.AccountInFlight(account) + int(math.Ceil(b.demand.Rate(now, account)*fairWindow.Seconds()))
 }
 
-// Active lists the accounts that asked for something recently.
+// Active lists the accounts with recent requests.
 func (b *Scheduler) Active() []string { return b.demand.Accounts() }
 
 // Used is how many engines and slots this box's requests in a pool keep busy.
@@ -109,7 +109,7 @@
 	return perToken * float64(tokens)
 }
 
-// floods says whether an account asks for more than a given part of the pool while others
+// floods says whether an account requests more than a given part of the pool while others
 // use it.
 func (c *cacheStats) floods(now time.Time, account string, part float64) bool {
 	return c.offered.Rate(now, account) > part && len(c.offered.Accounts()) > 1
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -76,7 +76,7 @@
 
 	// quotas hold what this box may send to targets with rate limits, by target ID.
 	quotas map[uint64]*quota.Bucket
-	// demand counts what each account asked for recently, refused or not.
+	// demand counts each account's recent requests, including refused ones.
 	demand fair.Meter
 	// now is the time of the current placement, at the same time as target.SinceStart
 	// returns it.
@@ -102,7 +102,7 @@
 	hitShare float64
 	// prefill and slots measure the accounts' usage of engines, in engine-seconds.
 	prefill, slots fair.Meter
-	// offered measures what accounts ask for, refused or not.
+	// offered measures the load of all requests of accounts, including refused ones.
 	offered fair.Meter
 	// meanRun is a moving mean of the time that a run occupies a slot, in seconds.
 	meanRun float64
@@ -151,7 +151,7 @@
 	return capacity, load
 }
 
-// LeavingFor is how long a target gets no new work after it, or the list, last said that
+// LeavingFor is how long a target gets no new work after it, or the list, last reported that
 // it is leaving. It is longer than the list can lag.
 const LeavingFor = 2 * time.Minute
 
--- a/entry/emulator_test.go
+++ b/entry/emulator_test.go
@@ -128,7 +128,7 @@
 	w.canaryReports[pool] = append(reports, state)
 }
 
-// join tells a box of all others and of the platform's state.
+// join gives a box the addresses of all others and the platform's state.
 func (w *emulator) join(d *Daemon) {
 	for i, other := range w.boxes {
 		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i / 250), byte(i % 250)}), 1)
--- a/entry/platform.go
+++ b/entry/platform.go
@@ -44,10 +44,10 @@
 	// FreeCache frees parts of a store in the given epoch, until a time on the targets'
 	// clock.
 	FreeCache func(ctx context.Context, at netip.AddrPort, epoch uint64, until time.Duration, parts []Part) error
-	// Report asks an engine for its own state, Order tells it to load weights.
+	// Report reads an engine's report of its own state, Order orders it to load weights.
 	Report func(ctx context.Context, at netip.AddrPort) (Report, error)
 	Order  func(ctx context.Context, at netip.AddrPort, o rollout.Order) (notice.Signals, error)
-	// Healthy asks whether the given replica is healthy. It fails with ErrReplaced if
+	// Healthy probes whether the given replica is healthy. It fails with ErrReplaced if
 	// another one answers, and with ErrUnhealthy if the replica says that it is not.
 	Healthy func(ctx context.Context, at netip.AddrPort, path, id string) (notice.Signals, error)
 }
@@ -80,7 +80,7 @@
 	// none; Known is the revision up to which all changes are known.
 	Changed, Known revision.Revision
 	// Clock is the table service's steady clock when it made the answer, or zero if it did
-	// not tell.
+	// not report it.
 	Clock time.Duration
 	// Held says that the service held the read until there was a change.
 	Held bool
@@ -123,7 +123,7 @@
 	Changes []CacheEvent
 	// Partial are the parts that a list shows as incomplete.
 	Partial []CacheEvent
-	// StartedAt is when the source's incarnation started; zero if it does not tell.
+	// StartedAt is when the source's incarnation started; zero if it does not report it.
 	StartedAt time.Time
 	// Clock is the time on the targets' common clock, or zero.
 	Clock time.Duration
@@ -145,7 +145,7 @@
 	Signals notice.Signals
 	// Busy says that an order is being carried out.
 	Busy bool
-	// StartedAt is when its incarnation started; zero if it does not tell.
+	// StartedAt is when its incarnation started; zero if it does not report it.
 	StartedAt time.Time
 	// OrdersTaken counts the orders taken since the engine started.
 	OrdersTaken uint64
--- a/entry/update.go
+++ b/entry/update.go
@@ -109,7 +109,7 @@
 	return d.reconcileSources(now, t)
 }
 
-// attemptEnded learns from how an attempt went.
+// attemptEnded learns from the result of an attempt.
 func (d *Daemon) attemptEnded(now time.Time, t *tables, m attemptEnded) {
 	t.overdue.Done(placement.Hash(m.Place.Target), m.Place.PlacedAt)
 	d.recordLiveness(now, t, m)
--- a/entry/update_test.go
+++ b/entry/update_test.go
@@ -180,7 +180,7 @@
 }
 
 // TestReplaced covers the ways to find out that another replica has a target's address. The
-// target is removed for good, and other boxes are told.
+// target is removed for good, and that is reported to other boxes.
 func TestReplaced(t *testing.T) {
 	tests := []struct {
 		name string
--- a/minlatency/minlatency.go
+++ b/minlatency/minlatency.go
@@ -19,8 +19,8 @@
 	// MinSamples is how many samples are needed. If times are distributed like those of
 	// services, 3 in 1,000 requests are faster than margin times the minimum of this many.
 	MinSamples = 50
-	// margin is the share of the minimum that Min returns, as no request was proved to need
-	// the whole of it.
+	// margin is the share of the observed minimum that Min returns, as a request may be
+	// answered faster than any observed one.
 	margin = 0.7
 )
 
--- a/table/table.go
+++ b/table/table.go
@@ -34,7 +34,7 @@
 	// Revision is set by the service and grows with each write of any row.
 	Revision uint64 `json:"revision,omitempty"`
 	// Restores is the number of restores of the service from an older copy at the time of the
-	// read, also for an absent row; zero if the service does not tell. Revisions with
+	// read, also for an absent row; zero if the service does not report it. Revisions with
 	// different counts can't be compared.
 	Restores uint64 `json:"-"`
 }
--- a/target/queue.go
+++ b/target/queue.go
@@ -3,7 +3,7 @@
 import "time"
 
 // started is the origin of the queue's times. Durations compare faster than times,
-// which matters as each placement looks at every target.
+// which matters as each placement evaluates every target.
 var started = time.Now()
 
 // SinceStart returns a time as the duration that WaitAt takes.
