--- a/affinity/connections_test.go
+++ b/affinity/connections_test.go
@@ -14,8 +14,8 @@
 // spread simulates 20 s of a hub that places requests for many boxes, each of which sends a
 // few requests a second to a few engines: connections stay open for 4 s of idling, as the
 // platform's targets allow, each pair of box and engine is used every 2 s on average, and
-// engines are busy with prefill for four tenths of the time. It returns how many connections were opened
-// and the requests of the busiest engine relative to the mean.
+// engines are busy with prefill for four tenths of the time. It returns how many connections
+// were opened and the requests of the busiest engine relative to the mean.
 func spread(preferred bool) (opened int, busiest float64) {
 	const boxes, engines, perSecond, idleTimeout = 24, 20, 240, 4 * time.Second
 	random := rand.New(rand.NewPCG(3, 4))
