--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -3,7 +3,9 @@
 // and does no input or output, so that the daemon and the benchmark tool run the same
 // code.
 //
-//	b := dispatch.Scheduler{Configuration: c, Choose: chooser.Choose, ...}
+//	b := dispatch.Scheduler{Choose: chooser.Choose, ...}
+//	b.Init()
+//	b.Configuration = c
 //	placed, err := b.Place(now, ask)
 //	...
 //	export := b.Ended(now, ended)
@@ -37,7 +39,7 @@
 // StoreBackoff is how long a store box gets no work after it failed.
 const StoreBackoff = 2 * time.Second
 
-// Scheduler holds the state for decisions. Set the exported function fields before Start;
+// Scheduler holds the state for decisions. Set the exported function fields before Init;
 // it is not safe for concurrent use.
 type Scheduler struct {
 	Configuration *configuration.Configuration
@@ -74,9 +76,10 @@
 
 	// quotas hold what this box may send to targets with rate limits, by target ID.
 	quotas map[uint64]*quota.Bucket
-	// demand counts what each account asked for recently, refused or not.
+	// demand counts each account's recent requests, including refused ones.
 	demand fair.Meter
-	// now is the time of the current placement, at the same on the targets' scale.
+	// now is the time of the current placement, at the same time as target.SinceStart
+	// returns it.
 	now time.Time
 	at  time.Duration
 	// prefillTime is the predicted prefill time of the prompt being placed.
@@ -99,7 +102,7 @@
 	hitShare float64
 	// prefill and slots measure the accounts' usage of engines, in engine-seconds.
 	prefill, slots fair.Meter
-	// offered measures what accounts ask for, refused or not.
+	// offered measures the load of all requests of accounts, including refused ones.
 	offered fair.Meter
 	// meanRun is a moving mean of the time that a run occupies a slot, in seconds.
 	meanRun float64
@@ -148,7 +151,7 @@
 	return capacity, load
 }
 
-// LeavingFor is how long a target gets no new work after it, or the list, last said that
+// LeavingFor is how long a target gets no new work after it, or the list, last reported that
 // it is leaving. It is longer than the list can lag.
 const LeavingFor = 2 * time.Minute
 
@@ -177,15 +180,15 @@
 // Fail puts a target into backoff, for longer with each failure in a row.
 func (b *Scheduler) Fail(now time.Time, x *target.Target) {
 	const (
-		first   = 500 * time.Millisecond
-		longest = 8 * time.Second
-		doubled = 10
+		initialBackoff = 500 * time.Millisecond
+		maxBackoff     = 8 * time.Second
+		maxDoublings   = 10
 	)
 	if x.Failures == 0 {
 		b.OnFailing(x.Name)
 	}
 	x.Failures++
-	x.AvoidUntil = now.Add(min(first<<min(x.Failures-1, doubled), longest))
+	x.AvoidUntil = now.Add(min(initialBackoff<<min(x.Failures-1, maxDoublings), maxBackoff))
 }
 
 // cacheStatsOf returns a pool's statistics and creates them on first use.
--- a/entry/platform.go
+++ b/entry/platform.go
@@ -44,19 +44,19 @@
 	// FreeCache frees parts of a store in the given epoch, until a time on the targets'
 	// clock.
 	FreeCache func(ctx context.Context, at netip.AddrPort, epoch uint64, until time.Duration, parts []Part) error
-	// Report asks an engine for its own state, Order tells it to load weights.
+	// Report reads an engine's report of its own state, Order orders it to load weights.
 	Report func(ctx context.Context, at netip.AddrPort) (Report, error)
 	Order  func(ctx context.Context, at netip.AddrPort, o rollout.Order) (notice.Signals, error)
-	// Healthy asks whether the given replica is healthy. It fails with ErrReplaced if
+	// Healthy probes whether the given replica is healthy. It fails with ErrReplaced if
 	// another one answers, and with ErrUnhealthy if the replica says that it is not.
 	Healthy func(ctx context.Context, at netip.AddrPort, path, id string) (notice.Signals, error)
 }
 
-// ErrUnhealthy says that the replica meant answers, and that it is not healthy.
+// ErrUnhealthy says that the intended replica answered and reports that it is not healthy.
 var ErrUnhealthy = errors.New("the replica reports that it is unhealthy")
 
-// ErrReplaced says that the address belongs to another replica than the one meant, which is
-// gone for good.
+// ErrReplaced says that the address belongs to another replica than the intended one, which
+// is gone for good.
 var ErrReplaced = errors.New("another replica has the address")
 
 // Operator is what the operator wrote.
@@ -80,12 +80,13 @@
 	// none; Known is the revision up to which all changes are known.
 	Changed, Known revision.Revision
 	// Clock is the table service's steady clock when it made the answer, or zero if it did
-	// not tell.
+	// not report it.
 	Clock time.Duration
-	// Held says that the service held that read until there was a change.
+	// Held says that the service held the read until there was a change.
 	Held bool
-	// Asked is when the answered read was sent; it may have been sent again, not held. If
-	// unset, it is when the read was asked for.
+	// Asked is when the read that was answered was sent. That can be later than the caller's
+	// request for it, as a read may be repeated without a hold. If unset, the time of the
+	// caller's request counts.
 	Asked time.Time
 }
 
@@ -122,11 +123,12 @@
 	Changes []CacheEvent
 	// Partial are the parts that a list shows as incomplete.
 	Partial []CacheEvent
-	// StartedAt is when the source's incarnation started; zero if it does not tell.
+	// StartedAt is when the source's incarnation started; zero if it does not report it.
 	StartedAt time.Time
 	// Clock is the time on the targets' common clock, or zero.
 	Clock time.Duration
-	// Signals are what the source says of itself, also set beside an error.
+	// Signals are the source's own signals, such as that it is leaving; they are also set
+	// along with an error.
 	Signals notice.Signals
 }
 
@@ -139,11 +141,11 @@
 
 // Report is what an engine reports of itself.
 type Report struct {
-	// Signals are also set beside an error.
+	// Signals are also set along with an error.
 	Signals notice.Signals
 	// Busy says that an order is being carried out.
 	Busy bool
-	// StartedAt is when its incarnation started; zero if it does not tell.
+	// StartedAt is when its incarnation started; zero if it does not report it.
 	StartedAt time.Time
 	// OrdersTaken counts the orders taken since the engine started.
 	OrdersTaken uint64
--- a/entry/update.go
+++ b/entry/update.go
@@ -109,7 +109,7 @@
 	return d.reconcileSources(now, t)
 }
 
-// attemptEnded learns from how an attempt went.
+// attemptEnded learns from the result of an attempt.
 func (d *Daemon) attemptEnded(now time.Time, t *tables, m attemptEnded) {
 	t.overdue.Done(placement.Hash(m.Place.Target), m.Place.PlacedAt)
 	d.recordLiveness(now, t, m)
@@ -161,7 +161,7 @@
 		x.Heard(now)
 		return
 	}
-	if !m.suspected { // A busy target may leave the probe of a suspect unanswered.
+	if !m.suspected { // A suspect that is only busy may leave its probe unanswered.
 		x.Fail(now)
 	}
 }
