--- a/cmd/thymefront/watch.go
+++ b/cmd/thymefront/watch.go
@@ -13,8 +13,8 @@
 	"github.com/thymewind/thymewind/entry/settings"
 )
 
-// settingsPollInterval is how often the settings file is compared with its last contents, as it
-// may change without a signal.
+// settingsPollInterval is how often the settings file is compared with its last contents,
+// as it may change without a signal.
 const settingsPollInterval = 2 * time.Second
 
 // watch reads the settings file again on SIGHUP and when it has changed, and sends the
--- a/cmd/thymefront/watch_test.go
+++ b/cmd/thymefront/watch_test.go
@@ -57,6 +57,6 @@
 
 func TestMissingSettingsFile(t *testing.T) {
 	if _, err := readSettings(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a file that is not there was read")
+		t.Error("a missing file was read")
 	}
 }
--- a/cmd/thymeload/chat.go
+++ b/cmd/thymeload/chat.go
@@ -83,7 +83,7 @@
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		if response.StatusCode == http.StatusGone || response.StatusCode == http.StatusForbidden {
-			*a = answer{} // The run is gone with its engine; start anew.
+			*a = answer{} // The run is gone with its engine; start over.
 		}
 		return 0, response.StatusCode
 	}
@@ -108,7 +108,7 @@
 			continue
 		}
 		if strings.Contains(data, `"code":"not_resumable"`) {
-			*a = answer{} // The run is gone with its engine; start anew.
+			*a = answer{} // The run is gone with its engine; start over.
 			return first
 		}
 		if data == "[DONE]" {
--- a/daemon.go
+++ b/daemon.go
@@ -38,8 +38,8 @@
 	tables  tables
 	records decision.Ring
 	metrics metricSet
-	// messages carries events to the loop. Its buffer is messageQueueSize; a
-	// sender blocks while it is full.
+	// messages carries events to the loop. A sender blocks while its buffer of
+	// messageQueueSize is full, which bounds how far the loop can fall behind.
 	messages chan message
 	// current is the configuration in force, for readers outside the loop.
 	current atomic.Pointer[configuration.Configuration]
--- a/daemon_test.go
+++ b/daemon_test.go
@@ -279,7 +279,7 @@
 }
 
 // TestResumeOfCancelledRun cancels a run before its caller resumes it. The caller is
-// told that the run is gone and has to be requested anew.
+// told that the run is gone and has to be requested again.
 func TestResumeOfCancelledRun(t *testing.T) {
 	f := newFleet(t, 1, nil)
 	response, _, _ := f.stream(0, "a long story", 100)
--- a/duty.go
+++ b/duty.go
@@ -36,8 +36,8 @@
 // duty is one lease with the state that its holder needs.
 type duty struct {
 	lease *lease.Lease
-	// epoch is the last epoch held. A higher one means that the lease was acquired
-	// anew, so the orders have to be read again.
+	// epoch is the last epoch held. A higher one means that the lease was lost and
+	// acquired again, so the orders have to be read again.
 	epoch uint64
 	// heldSince is when this epoch was first seen to be held.
 	heldSince time.Time
--- a/examples/demo/main.go
+++ b/examples/demo/main.go
@@ -50,7 +50,7 @@
 		return "", err
 	}
 	if !strings.HasSuffix(data, "data: [DONE]\n\n") {
-		return "", trace.Errorf("the answer is not whole: %s", data)
+		return "", trace.Errorf("the answer is incomplete: %s", data)
 	}
 	fmt.Printf("streamed %d bytes, whole; request %s; placed by rule %q\n",
 		len(data), response.Header.Get("X-Request-Id"), response.Header.Get("Thymewind-Rule"))
--- a/gossip.go
+++ b/gossip.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// receiveGossip applies a peer's state. On a higher revision it reads the
-// configuration again.
+// receiveGossip applies a peer's state. A higher revision is not adopted; it only has
+// the configuration read again.
 func (d *Daemon) receiveGossip(now time.Time, t *tables, m peer.Message) []effect {
 	if p, known := t.peers.Lookup(m.From); known {
 		p.heardAt = now
@@ -171,7 +171,7 @@
 	x.Slots, x.Version, x.Loading = l.Slots, l.Version, l.Loading
 	busy := time.Duration(l.Queued) * time.Millisecond
 	if busy > 0 {
-		busy += now.Sub(at) // The queue is given as of now, but the report is older.
+		busy += now.Sub(at) // Queued counts from now, but ApplyReport from the report's time.
 	}
 	x.ApplyReport(at, l.Running, l.Waiting, busy)
 }
--- a/internal/fake/table.go
+++ b/internal/fake/table.go
@@ -1,7 +1,7 @@
 // Package fake provides fakes for tests.
 //
 //	t := fake.Table{Fault: func() fake.Kind { return fake.AnswerLost }}
-//	book := claim.Book{Commit: t.Commit, Read: t.Read}
+//	claims := claim.Store{Commit: t.Commit, Read: t.Read}
 package fake
 
 import (
--- a/internal/loopback/proxy.go
+++ b/internal/loopback/proxy.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// NumModes of a proxy.
+// The modes of a proxy.
 const (
 	// Passes forwards all bytes.
 	Passes = iota
@@ -172,7 +172,7 @@
 	both.Wait()
 }
 
-// copy forwards the bytes of one direction; back is set for those from upstream.
+// copy forwards the bytes of one direction. back is set for the direction from upstream.
 func (p *Proxy) copy(l *link, to, from net.Conn, back bool) {
 	buffer := make([]byte, 16<<10)
 	for {
--- a/internal/measure/deployment.go
+++ b/internal/measure/deployment.go
@@ -21,8 +21,9 @@
 	// enginePieces bounds an engine's prefix cache.
 	enginePieces = 60
 	// memoryRate and diskRate are the rates of a store box's links, in bytes a second.
-	memoryRate     = 4e9
-	diskRate       = 1e9
+	memoryRate = 4e9
+	diskRate   = 1e9
+	// storeMemory and storeDisk are the sizes of a store box's tiers, in pieces.
 	storeMemory    = 200
 	storeDisk      = 900
 	reportInterval = 500 * time.Millisecond
--- a/internal/proptest/proof.go
+++ b/internal/proptest/proof.go
@@ -1,8 +1,8 @@
 // Package proptest runs property tests with a fixed seed. Each has a counterpart in which
 // the safeguard under test is removed and the property must be violated.
 //
-//	proptest.Holds(t, property(control))
-//	proptest.Violated(t, property(removed))
+//	proptest.Holds(t, property(withSafeguard))
+//	proptest.Violated(t, property(withoutSafeguard))
 package proptest
 
 import (
--- a/quarantine.go
+++ b/quarantine.go
@@ -19,7 +19,7 @@
 // A model request may crash every engine that runs it, and be repeated at any box. Crashes are
 // counted by the request's fingerprint, which covers its account and contents, and spread by
 // gossip. Each box announces a crash for announceFor after it learnt of it, so that the report
-// reaches all boxes and then dies out.
+// reaches all boxes and then stops circulating.
 
 const (
 	// announceFor is how long a box gossips that an engine ended under requests, or that a
@@ -74,8 +74,8 @@
 	return placed, err
 }
 
-// quarantineRetryAfter is the Retry-After of quarantined requests, which an earlier retry
-// would not help.
+// quarantineRetryAfter is the Retry-After of quarantined requests, for which an earlier retry
+// gains nothing.
 const quarantineRetryAfter = time.Minute
 
 // recordLiveness learns from an attempt's end whether its engine crashed under it, or whether it
@@ -168,8 +168,8 @@
 	}
 }
 
-// expireCrashes drops expired state. Reports are kept for longer than they are gossiped, as a
-// box that forgot one would announce it anew and keep it alive.
+// expireCrashes drops expired state. Reports are kept for longer than they are gossiped: a box
+// that had dropped one would announce it again, and it would circulate for ever.
 func (d *Daemon) expireCrashes(now time.Time, t *tables) []effect {
 	const retention = 4 * announceFor
 	k := &t.crashes
--- a/request.go
+++ b/request.go
@@ -133,7 +133,7 @@
 }
 
 // notResumable returns the refusal that tells a caller that its run is gone and has to
-// be requested anew.
+// be requested again.
 func notResumable(err error) error {
 	return refusal.New(refusal.Unknown, http.StatusGone, "not_resumable", "the target has the run no more: %v", trace.Unwrap(err))
 }
--- a/systems.go
+++ b/systems.go
@@ -19,7 +19,7 @@
 	pendingFlush         = "the charges"
 	pendingApply         = "the batches"
 	pendingDuty          = "the duty "
-	pendingEviction      = "the room of "
+	pendingEviction      = "the eviction of "
 )
 
 // watchersPerTarget is how many boxes read each target's load.
--- a/update_test.go
+++ b/update_test.go
@@ -184,7 +184,7 @@
 }
 
 // TestRefreshBeforePlacingAfterPause has a daemon that was paused get a request before
-// any news. A target that it knows began to leave during the pause.
+// it has read anything again. A target that it knows began to leave during the pause.
 func TestRefreshBeforePlacingAfterPause(t *testing.T) {
 	tests := []struct {
 		name string
