--- a/internal/measure/engine.go
+++ b/internal/measure/engine.go
@@ -35,12 +35,12 @@
 	active  map[*request]bool
 }
 
-func newEngine(w *simulation, i int) *engine {
+func newEngine(sim *simulation, i int) *engine {
 	// Only a size that is not positive is an error.
 	cache, _ := simplelru.NewLRU[prefix.Key, struct{}](enginePieces, nil)
 	return &engine{
-		simulation: w, name: fmt.Sprintf("engine-%d", i), address: addressOf(1, i),
-		domain: fmt.Sprintf("zone-%d", i%w.Deployment.Domains), cache: cache, speed: 1, active: make(map[*request]bool),
+		simulation: sim, name: fmt.Sprintf("engine-%d", i), address: addressOf(1, i),
+		domain: fmt.Sprintf("zone-%d", i%sim.Deployment.Domains), cache: cache, speed: 1, active: make(map[*request]bool),
 	}
 }
 
--- a/internal/measure/fault.go
+++ b/internal/measure/fault.go
@@ -22,36 +22,36 @@
 }
 
 // injectFault makes the scenario's fault occur.
-func (w *simulation) injectFault() {
-	switch w.Fault {
+func (sim *simulation) injectFault() {
+	switch sim.Fault {
 	case FaultStoreDead:
-		w.stores[0].dead = true
+		sim.stores[0].dead = true
 	case FaultStoreFull:
-		w.stores[0].size = [2]int{storeMemory / 10, storeDisk / 10}
+		sim.stores[0].size = [2]int{storeMemory / 10, storeDisk / 10}
 	case FaultLink:
-		for _, s := range w.stores {
+		for _, s := range sim.stores {
 			s.rate = [2]float64{memoryRate / 10, diskRate / 10}
 		}
 	case FaultDomain:
-		for _, e := range w.engines {
-			if e.domain == w.engines[0].domain {
+		for _, e := range sim.engines {
+			if e.domain == sim.engines[0].domain {
 				e.fail()
 			}
 		}
 	case FaultSlow:
-		w.engines[0].speed = 0.2
+		sim.engines[0].speed = 0.2
 	case FaultListLags:
-		w.engines[0].leaving = true
-		w.after(laggingListDelay, w.engines[0].fail)
+		sim.engines[0].leaving = true
+		sim.after(laggingListDelay, sim.engines[0].fail)
 	case FaultFlood:
-		w.traffic.floodRate = 3 * w.Deployment.Rate
+		sim.traffic.floodRate = 3 * sim.Deployment.Rate
 	}
 	// FaultTableDown changes nothing, as no simulated decision reads the table service.
 }
 
 // listDelay returns how long the list still names an engine that has failed.
-func (w *simulation) listDelay(usual time.Duration) time.Duration {
-	if w.Fault == FaultListLags {
+func (sim *simulation) listDelay(usual time.Duration) time.Duration {
+	if sim.Fault == FaultListLags {
 		return laggingListDelay
 	}
 	return usual
--- a/internal/measure/figures.go
+++ b/internal/measure/figures.go
@@ -46,8 +46,8 @@
 }
 
 // finish computes the figures from the counts.
-func (w *simulation) finish() {
-	f := w.figures
+func (sim *simulation) finish() {
+	f := sim.figures
 	f.Requests, f.Refused, f.Retried = f.requests, f.refused, f.retried
 	if f.first != nil {
 		f.P50 = float64(f.first.ValueAtPercentile(50)) / 1000
@@ -57,8 +57,8 @@
 	if f.prompt > 0 {
 		f.RecomputedShare = float64(f.computed) / float64(f.prompt)
 	}
-	all := w.Deployment.duration().Seconds() * float64(len(w.stores))
-	for _, s := range w.stores {
+	all := sim.Deployment.duration().Seconds() * float64(len(sim.stores))
+	for _, s := range sim.stores {
 		f.MemoryBusy += s.busy[0].Seconds() / all
 		f.DiskBusy += s.busy[1].Seconds() / all
 	}
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -65,7 +65,7 @@
 }
 
 // chooseUsable returns a chooser that picks one of the usable targets with a function.
-func chooseUsable(of func(usable []int, home uint64, all []*target.Target) int) chooseFunc {
+func chooseUsable(choose func(usable []int, home uint64, all []*target.Target) int) chooseFunc {
 	return func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error) {
 		var choice placement.Choice
 		var usable []int
@@ -77,7 +77,7 @@
 		if len(usable) == 0 {
 			return choice, trace.NotFound("no target")
 		}
-		choice.Index = of(usable, ask.Home, targets)
+		choice.Index = choose(usable, ask.Home, targets)
 		choice.Home = choice.Index
 		choice.Usable = len(usable)
 		return choice, nil
--- a/internal/measure/simulation.go
+++ b/internal/measure/simulation.go
@@ -75,16 +75,16 @@
 }
 
 // after schedules an action.
-func (w *simulation) after(d time.Duration, do func()) {
-	w.sequence++
-	heap.Push(&w.events, event{w.now.Add(d), w.sequence, do})
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.sequence++
+	heap.Push(&sim.events, event{sim.now.Add(d), sim.sequence, do})
 }
 
 // every repeats an action at an interval, first after one interval.
-func (w *simulation) every(d time.Duration, do func()) {
-	w.after(d, func() {
+func (sim *simulation) every(d time.Duration, do func()) {
+	sim.after(d, func() {
 		do()
-		w.every(d, do)
+		sim.every(d, do)
 	})
 }
 
@@ -94,49 +94,49 @@
 // Run simulates a scenario and returns its figures. It is deterministic: the same
 // scenario gives the same figures.
 func Run(s Scenario) Figures {
-	w := &simulation{Scenario: s, random: rand.New(rand.NewPCG(s.Seed, 0)), now: time.Unix(0, 0), figures: &Figures{}}
-	w.end = w.now.Add(s.Deployment.duration())
-	w.startScheduler()
+	sim := &simulation{Scenario: s, random: rand.New(rand.NewPCG(s.Seed, 0)), now: time.Unix(0, 0), figures: &Figures{}}
+	sim.end = sim.now.Add(s.Deployment.duration())
+	sim.startScheduler()
 	for i := range s.Deployment.Replicas {
-		w.engines = append(w.engines, newEngine(w, i))
+		sim.engines = append(sim.engines, newEngine(sim, i))
 	}
 	for i := range s.Deployment.StoreBoxes {
-		w.stores = append(w.stores, newStore(w, i))
+		sim.stores = append(sim.stores, newStore(sim, i))
 	}
-	w.updateList()
-	w.every(time.Second, w.updateList)
-	w.every(reportInterval, w.reportLoads)
-	w.every(2*time.Second, w.evict)
-	w.traffic = newTraffic(w)
-	w.after(s.Deployment.duration()/3, w.injectFault)
-	w.after(0, w.traffic.next)
-	for len(w.events) > 0 {
-		e := heap.Pop(&w.events).(event)
-		if e.at.After(w.end) {
+	sim.updateList()
+	sim.every(time.Second, sim.updateList)
+	sim.every(reportInterval, sim.reportLoads)
+	sim.every(2*time.Second, sim.evict)
+	sim.traffic = newTraffic(sim)
+	sim.after(s.Deployment.duration()/3, sim.injectFault)
+	sim.after(0, sim.traffic.next)
+	for len(sim.events) > 0 {
+		e := heap.Pop(&sim.events).(event)
+		if e.at.After(sim.end) {
 			break
 		}
-		w.now = e.at
+		sim.now = e.at
 		e.do()
 	}
-	w.finish()
-	return *w.figures
+	sim.finish()
+	return *sim.figures
 }
 
-func (w *simulation) startScheduler() {
-	chooser := &placement.Chooser{Usable: (*target.Target).Usable, Wait: w.scheduler.Wait}
-	w.scheduler = dispatch.Scheduler{
-		Choose: w.Policy.chooser(chooser, w.random), Scope: prefix.Scope, Keep: w.Policy.keepFunc(),
+func (sim *simulation) startScheduler() {
+	chooser := &placement.Chooser{Usable: (*target.Target).Usable, Wait: sim.scheduler.Wait}
+	sim.scheduler = dispatch.Scheduler{
+		Choose: sim.Policy.chooser(chooser, sim.random), Scope: prefix.Scope, Keep: sim.Policy.keepFunc(),
 		Boxes: func() int { return 1 }, Others: func(string) dispatch.Usage { return dispatch.Usage{} }, Limit: func(_ string, limit int) int { return limit },
 		Jitter: func(d time.Duration) time.Duration { return d }, Record: func(decision.Record) {},
 		OnFailing: func(string) {}, OnLeaving: func(_, _ string) {},
 	}
-	w.scheduler.Init()
-	w.scheduler.Configuration = &configuration.Configuration{
+	sim.scheduler.Init()
+	sim.scheduler.Configuration = &configuration.Configuration{
 		Revision: 1,
-		Accounts: w.Deployment.accounts(),
+		Accounts: sim.Deployment.accounts(),
 		Pools: map[string]pool.Pool{poolName: {
 			Name: poolName, Kind: pool.KindModel, Weights: "v1", PieceBytes: pieceTokens * dispatch.BytesPerToken,
-			Stores: true, Concurrency: 2 * slots, Policy: w.Deployment.Weights,
+			Stores: true, Concurrency: 2 * slots, Policy: sim.Deployment.Weights,
 		}},
 		Models: map[string]model.Model{poolName: {Name: poolName, Pool: poolName}},
 	}
@@ -144,39 +144,39 @@
 
 // updateList applies the platform's list, which lags: an engine that has failed is
 // listed for listDelay longer.
-func (w *simulation) updateList() {
+func (sim *simulation) updateList() {
 	const lag = 5 * time.Second
-	for _, e := range w.engines {
-		x, known := w.scheduler.Targets.Lookup(e.name)
+	for _, e := range sim.engines {
+		x, known := sim.scheduler.Targets.Lookup(e.name)
 		if !known {
 			x = &target.Target{
 				Name: e.name, Hash: placement.Hash(e.name), Pool: poolName, Domain: e.domain,
 				Version: "v1", Slots: slots, Address: e.address,
 			}
-			w.scheduler.Targets.Put(e.name, x)
+			sim.scheduler.Targets.Put(e.name, x)
 		}
-		x.Listed = e.deadAt.IsZero() || w.now.Sub(e.deadAt) < w.listDelay(lag)
+		x.Listed = e.deadAt.IsZero() || sim.now.Sub(e.deadAt) < sim.listDelay(lag)
 	}
-	for _, s := range w.stores {
-		w.scheduler.Stores.Put(s.name, boxes.Box{Name: s.name, Address: s.address})
+	for _, s := range sim.stores {
+		sim.scheduler.Stores.Put(s.name, boxes.Box{Name: s.name, Address: s.address})
 	}
-	w.scheduler.GroupByPool()
+	sim.scheduler.GroupByPool()
 }
 
 // reportLoads delivers every engine's load report after reportLag.
-func (w *simulation) reportLoads() {
-	for _, e := range w.engines {
+func (sim *simulation) reportLoads() {
+	for _, e := range sim.engines {
 		running, waiting, queued, dead := e.running, len(e.waiting), e.queued, e.dead
-		w.after(reportLag, func() {
-			x, known := w.scheduler.Targets.Lookup(e.name)
+		sim.after(reportLag, func() {
+			x, known := sim.scheduler.Targets.Lookup(e.name)
 			if !known {
 				return
 			}
 			if dead {
-				w.scheduler.Fail(w.now, x)
+				sim.scheduler.Fail(sim.now, x)
 				return
 			}
-			w.scheduler.Report(w.now, x, running, waiting, queued, 0)
+			sim.scheduler.Report(sim.now, x, running, waiting, queued, 0)
 		})
 	}
 }
--- a/internal/measure/store.go
+++ b/internal/measure/store.go
@@ -34,9 +34,9 @@
 	dead      bool
 }
 
-func newStore(w *simulation, i int) *store {
+func newStore(sim *simulation, i int) *store {
 	s := &store{
-		simulation: w, name: fmt.Sprintf("store-%d", i), address: addressOf(2, i),
+		simulation: sim, name: fmt.Sprintf("store-%d", i), address: addressOf(2, i),
 		rows: make(map[string]kvcache.Manifest), tiers: make(map[string]int),
 		size: [2]int{storeMemory, storeDisk}, rate: [2]float64{memoryRate, diskRate}, reportedRate: [2]float64{memoryRate, diskRate},
 	}
@@ -134,16 +134,16 @@
 }
 
 // evict drops what is least worth keeping from stores that are nearly full.
-func (w *simulation) evict() {
-	const least = 0.1
-	for _, s := range w.stores {
+func (sim *simulation) evict() {
+	const minFreeShare = 0.1
+	for _, s := range sim.stores {
 		size := s.size[0] + s.size[1]
-		room := size - len(s.rows)
-		if s.dead || float64(room) >= least*float64(size) {
+		free := size - len(s.rows)
+		if s.dead || float64(free) >= minFreeShare*float64(size) {
 			continue
 		}
 		all := slices.SortedFunc(maps.Values(s.rows), func(a, b kvcache.Manifest) int { return cmp.Compare(a.Key, b.Key) })
-		for _, key := range w.Policy.evict(w.now, all, int(2*least*float64(size)-float64(room))*pieceKV) {
+		for _, key := range sim.Policy.evict(sim.now, all, int(2*minFreeShare*float64(size)-float64(free))*pieceKV) {
 			delete(s.tiers, key)
 			delete(s.rows, key)
 			s.memory.Remove(key)
--- a/internal/measure/traffic.go
+++ b/internal/measure/traffic.go
@@ -62,12 +62,12 @@
 	floodRate float64
 }
 
-func newTraffic(w *simulation) *traffic {
-	t := &traffic{simulation: w}
+func newTraffic(sim *simulation) *traffic {
+	t := &traffic{simulation: sim}
 	sizes := rand.New(rand.NewPCG(99, 0)) // A fixed seed, so that the prompts are the same in all runs.
 	sum := 0.0
-	for i := range w.Deployment.Prompts {
-		d := w.Deployment
+	for i := range sim.Deployment.Prompts {
+		d := sim.Deployment
 		t.prompts = append(t.prompts, t.newPrompt(fmt.Sprint(i), i%d.Accounts, d.MinPieces+sizes.IntN(d.MaxPieces-d.MinPieces+1)))
 		sum += 1 / math.Pow(float64(i+1), 0.6)
 		t.weights = append(t.weights, sum)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -232,9 +232,9 @@
 	var keys []prefix.Key
 	tokens := 0
 	for _, run := range e.runs {
-		if run.ask.Request == order.Request && run.ask.Scope == order.Scope {
+		if run.spec.Request == order.Request && run.spec.Scope == order.Scope {
 			keys = run.keys
-			tokens = run.ask.PieceBytes / bytesPerToken
+			tokens = run.spec.PieceBytes / bytesPerToken
 		}
 	}
 	e.mu.Unlock()
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -21,7 +21,7 @@
 
 // run is one generation. Its fields are guarded by Engine.mu.
 type run struct {
-	ask     api.Run
+	spec    api.Run
 	keys    []prefix.Key
 	usage   stream.Usage
 	text    string
@@ -41,8 +41,8 @@
 func runKey(request string, attempt int) string { return fmt.Sprintf("%s/%d", request, attempt) }
 
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request) {
-	var ask api.Run
-	if err := json.NewDecoder(r.Body).Decode(&ask); err != nil {
+	var spec api.Run
+	if err := json.NewDecoder(r.Body).Decode(&spec); err != nil {
 		e.refuse(w, http.StatusBadRequest, err.Error())
 		return
 	}
@@ -53,7 +53,7 @@
 		e.mu.Unlock()
 		e.refuse(w, http.StatusServiceUnavailable, "leaving")
 		return
-	case e.loading || ask.Version != e.version:
+	case e.loading || spec.Version != e.version:
 		e.mu.Unlock()
 		e.refuse(w, http.StatusConflict, "another weight version is loaded")
 		return
@@ -62,15 +62,15 @@
 		e.refuse(w, http.StatusTooManyRequests, "too many runs wait")
 		return
 	}
-	x := &run{ask: ask, changed: make(chan struct{}), usedAt: time.Now()}
-	x.keys = prefix.Chain(scopeOf(ask.Scope), []byte(ask.Prompt), max(ask.PieceBytes, 1))
-	e.runs[runKey(ask.Request, ask.Attempt)] = x
+	x := &run{spec: spec, changed: make(chan struct{}), usedAt: time.Now()}
+	x.keys = prefix.Chain(scopeOf(spec.Scope), []byte(spec.Prompt), max(spec.PieceBytes, 1))
+	e.runs[runKey(spec.Request, spec.Attempt)] = x
 	e.queue = append(e.queue, x)
-	e.queued += len(ask.Prompt) / bytesPerToken
-	slices.SortStableFunc(e.queue, func(a, b *run) int { return a.ask.Priority - b.ask.Priority })
+	e.queued += len(spec.Prompt) / bytesPerToken
+	slices.SortStableFunc(e.queue, func(a, b *run) int { return a.spec.Priority - b.spec.Priority })
 	e.mu.Unlock()
 	e.admit()
-	e.stream(w, r, x, len(ask.Generated), state.Crossed)
+	e.stream(w, r, x, len(spec.Generated), state.Crossed)
 }
 
 // scopeOf derives a seed for the chain of prefix keys from a scope's text.
@@ -93,7 +93,7 @@
 		e.queue = e.queue[1:]
 		x.started = true
 		e.running++
-		e.startedRuns = append(e.startedRuns, StartedRun{x.ask.Request, x.ask.Attempt, x.ask.Version, x.ask.Scope})
+		e.startedRuns = append(e.startedRuns, StartedRun{x.spec.Request, x.spec.Attempt, x.spec.Version, x.spec.Scope})
 		go e.serve(x)
 	}
 }
@@ -110,10 +110,10 @@
 		e.mu.Unlock()
 	}()
 	e.prefill(x)
-	tokens := x.ask.MaxTokens
-	text := Answer(x.ask.Prompt, tokens)
+	tokens := x.spec.MaxTokens
+	text := Answer(x.spec.Prompt, tokens)
 	step := max(len(text)/max(tokens, 1), 1)
-	for at := len(x.ask.Generated); at < len(text); {
+	for at := len(x.spec.Generated); at < len(text); {
 		time.Sleep(e.Decode)
 		end := min(at+step, len(text))
 		e.mu.Lock()
@@ -131,7 +131,7 @@
 }
 
 func (e *Engine) prefill(x *run) {
-	piece := x.ask.PieceBytes / bytesPerToken
+	piece := x.spec.PieceBytes / bytesPerToken
 	e.mu.Lock()
 	reused := 0
 	for reused < len(x.keys) && e.cache.Contains(x.keys[reused].String()) {
@@ -141,17 +141,17 @@
 	e.mu.Unlock()
 	imported := 0
 	began := time.Now()
-	if x.ask.Import != nil && len(x.ask.Import.Run) > reused {
+	if x.spec.Import != nil && len(x.spec.Import.Run) > reused {
 		imported = e.importPieces(x, reused)
 	}
 	importing := time.Since(began)
-	total := (len(x.ask.Prompt) + bytesPerToken - 1) / bytesPerToken
+	total := (len(x.spec.Prompt) + bytesPerToken - 1) / bytesPerToken
 	left := total - (reused+imported)*piece
 	computing := time.Duration(float64(left) / (e.Prefill * e.Fault.Scale()) * float64(time.Second))
 	time.Sleep(computing)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.queued -= len(x.ask.Prompt) / bytesPerToken
+	e.queued -= len(x.spec.Prompt) / bytesPerToken
 	for _, key := range x.keys {
 		if !e.cache.Contains(key.String()) {
 			e.recordEvent(true, key.String())
@@ -166,7 +166,7 @@
 // importPieces fetches the pieces after the reused ones. It checks each piece's digest and
 // contents against the prompt, and uses all of them or none.
 func (e *Engine) importPieces(x *run, reused int) int {
-	run := x.ask.Import.Run
+	run := x.spec.Import.Run
 	if len(run) > len(x.keys) {
 		return 0
 	}
@@ -175,10 +175,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	for i, m := range run[reused:] {
-		if kvcache.Check(m, x.ask.Scope, m.Key, reused+i) != nil {
+		if kvcache.Check(m, x.spec.Scope, m.Key, reused+i) != nil {
 			return 0
 		}
-		data, err := e.store.Piece(ctx, x.ask.Import.Store, m.Piece)
+		data, err := e.store.Piece(ctx, x.spec.Import.Store, m.Piece)
 		if err != nil || !bytes.Equal(data, e.kvCache(x.keys[reused+i])) {
 			return 0
 		}
@@ -187,37 +187,37 @@
 }
 
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
-	var ask struct {
+	var body struct {
 		Request string `json:"request"`
 		Attempt int    `json:"attempt"`
 		Offset  int    `json:"offset"`
 	}
-	if err := json.NewDecoder(r.Body).Decode(&ask); err != nil {
+	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
-	x, ok := e.runs[runKey(ask.Request, ask.Attempt)]
+	x, ok := e.runs[runKey(body.Request, body.Attempt)]
 	e.mu.Unlock()
-	if !ok || ask.Offset < len(x.ask.Generated) {
+	if !ok || body.Offset < len(x.spec.Generated) {
 		http.NotFound(w, r)
 		return
 	}
-	e.stream(w, r, x, ask.Offset, 0)
+	e.stream(w, r, x, body.Offset, 0)
 }
 
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
-	var ask struct {
+	var body struct {
 		Request string `json:"request"`
 		Attempt int    `json:"attempt"`
 	}
-	if err := json.NewDecoder(r.Body).Decode(&ask); err != nil {
+	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	x, ok := e.runs[runKey(ask.Request, ask.Attempt)]
+	x, ok := e.runs[runKey(body.Request, body.Attempt)]
 	if !ok {
 		// The run may still arrive, or may have run before a restart.
 		http.NotFound(w, r)
@@ -227,7 +227,7 @@
 	x.cancelled = true
 	if !started {
 		x.done, x.failed = true, true
-		e.queued -= len(x.ask.Prompt) / bytesPerToken
+		e.queued -= len(x.spec.Prompt) / bytesPerToken
 		e.queue = slices.DeleteFunc(e.queue, func(q *run) bool { return q == x })
 		x.notify()
 	}
@@ -240,9 +240,9 @@
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, x *run, offset int, crossed float64) {
 	out := json.NewEncoder(w)
 	flush := http.NewResponseController(w)
-	base := stream.Frame{Request: x.ask.Request, Attempt: x.ask.Attempt}
+	base := stream.Frame{Request: x.spec.Request, Attempt: x.spec.Attempt}
 	first := base
-	first.Kind, first.Version, first.Scope = stream.KindStart, x.ask.Version, x.ask.Scope
+	first.Kind, first.Version, first.Scope = stream.KindStart, x.spec.Version, x.spec.Scope
 	_ = out.Encode(first)
 	_ = flush.Flush()
 	if fault.Occurs(crossed) {
@@ -254,7 +254,7 @@
 		x.usedAt = time.Now()
 		text, done, failed, usage, changed := x.text, x.done, x.failed, x.usage, x.changed
 		e.mu.Unlock()
-		begin := len(x.ask.Generated)
+		begin := len(x.spec.Generated)
 		if offset < begin+len(text) {
 			piece := base
 			piece.Kind, piece.Offset, piece.Text = stream.KindPiece, offset, text[offset-begin:]
--- a/quarantine_test.go
+++ b/quarantine_test.go
@@ -60,10 +60,10 @@
 
 // crashEngines repeats a request, which ends each engine that it is placed on, until it is
 // quarantined or the given number of engines has ended. It returns how many ended.
-func crashEngines(t *testing.T, d *Daemon, now time.Time, prompt string, most int) int {
+func crashEngines(t *testing.T, d *Daemon, now time.Time, prompt string, maxEngines int) int {
 	t.Helper()
 	dead := make(map[string]bool)
-	for len(dead) < most {
+	for len(dead) < maxEngines {
 		placed, code := placeFor(d, now, modelRequest(prompt, 1))
 		if code == "quarantined" {
 			break
--- a/request.go
+++ b/request.go
@@ -70,10 +70,10 @@
 }
 
 // reportSignals records a target's signals and passes them to the loop if they change anything.
-func (d *Daemon) reportSignals(placed route.Placement, said notice.Signals) {
-	limited := d.notices.ObserveLimit(d.now(), placed.PlacedAt, notice.IncarnationAt(placed.Target, placed.Address), said)
-	if limited || said.Leaving || said.Backoff > 0 {
-		_ = d.send(context.Background(), signalsHeard{placed, said})
+func (d *Daemon) reportSignals(placed route.Placement, signals notice.Signals) {
+	limited := d.notices.ObserveLimit(d.now(), placed.PlacedAt, notice.IncarnationAt(placed.Target, placed.Address), signals)
+	if limited || signals.Leaving || signals.Backoff > 0 {
+		_ = d.send(context.Background(), signalsHeard{placed, signals})
 	}
 }
 
--- a/update_test.go
+++ b/update_test.go
@@ -62,9 +62,9 @@
 	notListed
 	reportsLive
 	reportsLeaving
-	peerSays
+	peerReportsLeaving
 	answersLeaving
-	placementAsked
+	placementRequested
 	eventKinds
 )
 
@@ -111,12 +111,12 @@
 		d.update(now, boxesRead{list: list})
 	case reportsLive, reportsLeaving:
 		d.update(now, loadRead{target: name, load: engine.Load{Version: "v1", Slots: 8, Leaving: event == reportsLeaving}})
-	case peerSays:
-		said := peer.Message{Kind: peer.KindGossip, From: "entry-2", Leaving: []peer.Leaving{{Target: target.ID(name, address(name))}}}
-		d.update(now, peerRequest{said, make(chan peer.Message, 1)})
+	case peerReportsLeaving:
+		gossip := peer.Message{Kind: peer.KindGossip, From: "entry-2", Leaving: []peer.Leaving{{Target: target.ID(name, address(name))}}}
+		d.update(now, peerRequest{gossip, make(chan peer.Message, 1)})
 	case answersLeaving:
 		d.update(now, signalsHeard{route.Placement{Pool: "menu", Target: name, Address: address(name)}, notice.Signals{Leaving: true}})
-	case placementAsked:
+	case placementRequested:
 		reply := make(chan placementAnswer, 1)
 		d.update(now, placementRequest{route.PlacementRequest{Request: "r", Model: "m", Attempt: 1}, reply})
 		answer := <-reply
