--- a/cmd/thymeload/chat.go
+++ b/cmd/thymeload/chat.go
@@ -30,7 +30,7 @@
 	want := standin.Answer(prompt, w.tokens)
 	var a answer
 	for attempt := 0; attempt < maxAttempts && !a.complete; attempt++ {
-		first, status := w.ask(prompt, &a)
+		first, status := w.sendChat(prompt, &a)
 		if first > 0 && attempt == 0 {
 			w.figures.recordFirstToken(first)
 		}
@@ -58,8 +58,8 @@
 	return menu[:w.promptBytes] + fmt.Sprint(" what is left, question ", w.random.IntN(1000))
 }
 
-// ask begins or resumes an answer and returns the time to its first text.
-func (w *worker) ask(prompt string, a *answer) (first time.Duration, status int) {
+// sendChat starts or resumes an answer and returns the time to its first text.
+func (w *worker) sendChat(prompt string, a *answer) (first time.Duration, status int) {
 	call := sling.New().Base(w.daemon()).Set("Authorization", "Bearer "+w.key)
 	if a.token != "" {
 		call = call.Post("/v1/resume").Set("Thymewind-Resume", a.token).Set("Last-Event-ID", fmt.Sprint(len(a.text)))
--- a/cmd/thymeload/figures.go
+++ b/cmd/thymeload/figures.go
@@ -18,7 +18,7 @@
 	requests, complete int
 	retried            map[int]int
 	wrongAnswers       int
-	// orders holds the last outcome that the caller of each key was told.
+	// orders holds the last outcome known to the caller of each key.
 	orders    map[string]string
 	unchecked int
 }
--- a/cmd/thymeload/order.go
+++ b/cmd/thymeload/order.go
@@ -29,7 +29,7 @@
 		outcome = reported
 		w.figures.recordRetry(status)
 		if reported == "unknown" && status == http.StatusConflict {
-			break // It may have run; further attempts would not tell.
+			break // It may have run; further attempts would not show whether it did.
 		}
 		time.Sleep(time.Duration(100+w.random.IntN(400)) * time.Millisecond)
 	}
@@ -55,7 +55,7 @@
 	return response.StatusCode, response.Header.Get("Thymewind-Outcome"), string(data)
 }
 
-// checkOrders compares the outcomes that callers were told with what the services ran.
+// checkOrders compares the outcomes known to callers with what the services ran.
 func (l *load) checkOrders() {
 	ran := make(map[string]int)
 	for _, at := range l.services {
--- a/daemon_test.go
+++ b/daemon_test.go
@@ -278,8 +278,8 @@
 	}
 }
 
-// TestResumeOfCancelledRun cancels a run before its caller resumes it. The caller is
-// told that the run is gone and has to be requested again.
+// TestResumeOfCancelledRun cancels a run before its caller resumes it. The caller
+// learns that the run is gone and has to be requested again.
 func TestResumeOfCancelledRun(t *testing.T) {
 	f := newFleet(t, 1, nil)
 	response, _, _ := f.stream(0, "a long story", 100)
@@ -327,7 +327,7 @@
 
 // TestNotRepeatableModelRequests sends one request that is marked not repeatable many
 // times, with one key, to two daemons at once. It runs once; all callers get its answer
-// or are told that it may be running.
+// or learn that it may be running.
 func TestNotRepeatableModelRequests(t *testing.T) {
 	f := newFleet(t, 2, nil)
 	body := `{"model":"menu-assistant","prompt":"may I use track 7 in a film","max_tokens":20}`
--- a/gossip.go
+++ b/gossip.go
@@ -14,7 +14,7 @@
 // Limits on the contents of a gossip message, which bound its size too.
 const (
 	// gossipFanOut is how many peers a periodic message goes to, newRevisionFanOut
-	// how many are told of a new revision at once.
+	// how many get one at once when a new revision is in force.
 	gossipFanOut      = 1
 	newRevisionFanOut = 3
 	// maxBusyLoads bounds the load reports of busy targets, maxOtherLoads those of
@@ -68,7 +68,7 @@
 	return effects
 }
 
-// gossipMessage returns what this box tells its peers: the load reports of busy
+// gossipMessage returns this box's state for its peers: the load reports of busy
 // targets and, in turn, of some others, the leaving targets, its demand of accounts
 // with limits, its usage of pools, crash reports and targets' rate limits.
 func (d *Daemon) gossipMessage(now time.Time, t *tables) peer.Message {
