--- a/duty.go
+++ b/duty.go
@@ -36,8 +36,8 @@
 // duty is one lease with the state that its holder needs.
 type duty struct {
 	lease *lease.Lease
-	// epoch is the last epoch held. A higher one means that the lease was lost and
-	// acquired again, so the orders have to be read again.
+	// epoch is the last epoch under which the lease was seen to be held, or 0 if reading
+	// the orders failed since. Under another epoch the orders have to be read again.
 	epoch uint64
 	// heldSince is when this epoch was first seen to be held.
 	heldSince time.Time
