--- a/gossip.go
+++ b/gossip.go
@@ -14,7 +14,7 @@
 // Limits on the contents of a gossip message, which bound its size too.
 const (
 	// gossipFanOut is how many peers a periodic message goes to, newRevisionFanOut
-	// how many are told of a new revision at once.
+	// how many get one at once when a new revision is in force.
 	gossipFanOut      = 1
 	newRevisionFanOut = 3
 	// maxBusyLoads bounds the load reports of busy targets, maxOtherLoads those of
@@ -68,7 +68,7 @@
 	return effects
 }
 
-// gossipMessage returns what this box tells its peers: the load reports of busy
+// gossipMessage returns this box's state for its peers: the load reports of busy
 // targets and, in turn, of some others, the leaving targets, its demand of accounts
 // with limits, its usage of pools, crash reports and targets' rate limits.
 func (d *Daemon) gossipMessage(now time.Time, t *tables) peer.Message {
@@ -136,8 +136,8 @@
 	}
 }
 
-// receiveGossip applies a peer's state. On a higher revision it reads the
-// configuration again.
+// receiveGossip applies a peer's state. A higher revision is not adopted; it only has
+// the configuration read again.
 func (d *Daemon) receiveGossip(now time.Time, t *tables, m peer.Message) []effect {
 	if p, known := t.peers.Lookup(m.From); known {
 		p.heardAt = now
@@ -171,7 +171,7 @@
 	x.Slots, x.Version, x.Loading = l.Slots, l.Version, l.Loading
 	busy := time.Duration(l.Queued) * time.Millisecond
 	if busy > 0 {
-		busy += now.Sub(at) // The queue is given as of now, but the report is older.
+		busy += now.Sub(at) // Queued counts from now, but ApplyReport from the report's time.
 	}
 	x.ApplyReport(at, l.Running, l.Waiting, busy)
 }
