--- a/deliver/deliver.go
+++ b/deliver/deliver.go
@@ -137,7 +137,7 @@
 	Transfers      []throughput.Transfer
 	// Kept, Fetched and Saved are the prompt tokens that the target was expected to have
 	// cached, and those that it was to fetch and to save.
-	Kept, Fetched, Saved int
+	CachedTokens, FetchedTokens, SavedTokens int
 	// Rule names the placement rule that chose the target.
 	Rule string
 }
--- a/entry/callerleft_test.go
+++ b/entry/callerleft_test.go
@@ -36,7 +36,7 @@
 			var m message = placementRequest{ctx: ctx, ask: deliver.PlacementRequest{Job: job("long", 1000)}, reply: reply}
 			for i := range tt.asks {
 				asked := spoke.update(start, m)[0].(askHub)
-				answer := hubPlaced{hub: asked.hub, request: asked.m, err: errors.New("no answer")}
+				answer := hubPlaced{hub: asked.hub, request: asked.request, err: errors.New("no answer")}
 				if i == tt.asks-1 {
 					answer.err = tt.err
 				}
@@ -74,7 +74,7 @@
 	spoke := largeFleet("box-05")
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	ask := askHub{address: netip.MustParseAddrPort(silent.Addr().String()), m: placementRequest{ctx: ctx}}
+	ask := askHub{address: netip.MustParseAddrPort(silent.Addr().String()), request: placementRequest{ctx: ctx}}
 	if got := spoke.askHub(context.Background(), ask); !errors.Is(got.err, context.Canceled) {
 		t.Errorf("err = %v", got.err)
 	}
--- a/entry/canarysamples.go
+++ b/entry/canarysamples.go
@@ -88,10 +88,10 @@
 	if d.spoke.Load() {
 		return d.canarySamples(t, now, false)
 	}
-	if now.Before(m.seenDue) {
+	if now.Before(m.canarySamplesDue) {
 		return nil
 	}
-	m.seenDue = now.Add(canaryGossipEvery)
+	m.canarySamplesDue = now.Add(canaryGossipEvery)
 	return d.canarySamples(t, now.Add(-2*canaryGossipEvery), true)
 }
 
--- a/entry/costgrowth_test.go
+++ b/entry/costgrowth_test.go
@@ -57,7 +57,7 @@
 	hubs, spokes := 0.0, 0.0
 	for _, d := range w.boxes {
 		c := w.cost[d.Settings.Name]
-		cost.calls += float64(c.storeCalls) / seconds / float64(len(w.boxes))
+		cost.calls += float64(c.tableServiceCalls) / seconds / float64(len(w.boxes))
 		if d.spoke.Load() {
 			spokes++
 			cost.spoke += float64(c.bytes) / seconds
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -144,7 +144,7 @@
 		return probe{}, false
 	}
 	pool := table.Pools[x.Pool]
-	p := probe{target: x.ID, path: pool.HealthPath, at: x.Address, incarnation: x.Incarnation(), engine: pool.Engine != nil, suspected: true, asked: now}
+	p := probe{target: x.ID, path: pool.HealthPath, address: x.Address, incarnation: x.Incarnation(), engine: pool.Engine != nil, suspected: true, asked: now}
 	if p.engine {
 		return p, true
 	}
@@ -159,11 +159,11 @@
 // answer that at once.
 func (d *Daemon) runProbe(ctx context.Context, p probe) error {
 	if !p.engine {
-		signals, err := d.Platform.Healthy(ctx, p.at, p.path, p.target)
+		signals, err := d.Platform.Healthy(ctx, p.address, p.path, p.target)
 		d.recordSignals(p.asked, p.incarnation, signals, "its health")
 		return err
 	}
-	report, err := d.Platform.Report(ctx, p.at)
+	report, err := d.Platform.Report(ctx, p.address)
 	d.signalsFromReport(p.asked, p.incarnation, report)
 	if err == nil && !p.incarnation.StartedAt.IsZero() && report.StartedAt.After(p.incarnation.StartedAt) {
 		return ErrReplaced
@@ -196,7 +196,7 @@
 // probe asks a target for its health.
 type probe struct {
 	target, path string
-	at           netip.AddrPort
+	address      netip.AddrPort
 	// incarnation is the target's incarnation at asked, when the probe was decided on.
 	incarnation fleet.Incarnation
 	asked       time.Time
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -97,11 +97,11 @@
 		{"its address refuses connections", func(x string) []message { return []message{refusesDial(x)} }, true},
 		{"its cache events can't be read, as its address refuses connections", func(x string) []message { return []message{eventsRefused(x)} }, true},
 		{"its cache events can't be read", func(x string) []message { return []message{cacheEventsRead{source: x, err: errors.New("reset")}} }, false},
-		{"the list drops it", func(x string) []message { return []message{targetsRead{start, Targets{Gone: []string{x}}, false}} }, true},
+		{"the list drops it", func(x string) []message { return []message{targetsRead{start, Targets{Removed: []string{x}}, false}} }, true},
 		{"it leaves and the list drops it", func(x string) []message {
 			leaving := engine(x, 1)
 			leaving.Leaving = true
-			return []message{targetsRead{start, Targets{Listed: []fleet.Entry{leaving}}, false}, targetsRead{start, Targets{Gone: []string{x}}, false}}
+			return []message{targetsRead{start, Targets{Listed: []fleet.Entry{leaving}}, false}, targetsRead{start, Targets{Removed: []string{x}}, false}}
 		}, false},
 		{"its address is another's", func(x string) []message { return []message{probed{probe{target: x}, ErrReplaced}} }, true},
 		{"another box found it replaced", func(x string) []message {
--- a/entry/effect.go
+++ b/entry/effect.go
@@ -16,9 +16,9 @@
 
 // watchSource watches a source's cache events until ctx ends.
 type watchSource struct {
-	ctx  context.Context
-	name string
-	at   netip.AddrPort
+	ctx     context.Context
+	name    string
+	address netip.AddrPort
 	// hold is how long the source may hold a call, interval the least time between two
 	// calls.
 	hold, interval time.Duration
@@ -45,8 +45,8 @@
 
 // sendOrder brings one target to a version.
 type sendOrder struct {
-	order rollout.Order
-	at    netip.AddrPort
+	order   rollout.Order
+	address netip.AddrPort
 	// incarnation is the target's incarnation when the order was decided.
 	incarnation fleet.Incarnation
 }
@@ -79,7 +79,7 @@
 		d.postContext(ctx, d.callPeer(ctx, e))
 	case pollLoaded:
 		asked := d.now()
-		report, err := d.Platform.Report(ctx, e.at)
+		report, err := d.Platform.Report(ctx, e.address)
 		d.signalsFromReport(asked, e.incarnation, report)
 		d.postContext(ctx, loadPolled{e.target, report, err})
 	case probe:
--- a/entry/emulator_test.go
+++ b/entry/emulator_test.go
@@ -60,7 +60,7 @@
 
 // emulatorCost counts what one box did.
 type emulatorCost struct {
-	messages, bytes, storeCalls, watched int
+	messages, bytes, tableServiceCalls, watched int
 }
 
 // pending is an event in flight.
@@ -99,16 +99,16 @@
 	d.credential.Store(&credential)
 	d.Platform.Commit = func(ctx context.Context, tx table.Transaction) error { return w.commit(ctx, d, tx) }
 	d.Platform.Read = func(ctx context.Context, key string) (table.Row, error) {
-		w.cost[name].storeCalls++
+		w.cost[name].tableServiceCalls++
 		return w.rows.Read(ctx, key)
 	}
 	d.Platform.OwnRows = func(ctx context.Context, _ revision.Revision, _ time.Duration) (OwnRows, error) {
-		w.cost[name].storeCalls++
+		w.cost[name].tableServiceCalls++
 		rows, err := w.rows.ListAll(ctx, "")
 		return OwnRows{Snapshot: true, Rows: rows, Known: w.revision()}, err
 	}
 	d.Platform.ReportCanary = func(_ context.Context, ask canary.Rollout, state canary.State) error {
-		w.cost[name].storeCalls++
+		w.cost[name].tableServiceCalls++
 		w.recordCanary(ask.Pool, state)
 		return nil
 	}
@@ -159,7 +159,7 @@
 
 // commit changes rows.
 func (w *emulator) commit(ctx context.Context, from *Daemon, tx table.Transaction) error {
-	w.cost[from.Settings.Name].storeCalls++
+	w.cost[from.Settings.Name].tableServiceCalls++
 	w.version++
 	return w.rows.Commit(ctx, tx)
 }
@@ -194,7 +194,7 @@
 	for _, id := range ids {
 		delete(w.targets, id)
 	}
-	w.notifyListReaders(Targets{Gone: ids, Known: w.revision(), Changed: w.revision()})
+	w.notifyListReaders(Targets{Removed: ids, Known: w.revision(), Changed: w.revision()})
 }
 
 func (w *emulator) notifyListReaders(change Targets) {
@@ -280,7 +280,7 @@
 // tick runs a box's systems and reads the operator's rows if that is due.
 func (w *emulator) tick(d *Daemon) {
 	if w.now.Sub(start)%hubHold == 0 && !w.tableServiceDown[d.Settings.Name] && !d.hasFreshView(w.now) && !d.hasPeerProof(w.now) {
-		w.cost[d.Settings.Name].storeCalls++
+		w.cost[d.Settings.Name].tableServiceCalls++
 		read := w.operator
 		read.Known = w.revision()
 		read.Clock = time.Hour + w.now.Sub(start)
@@ -302,7 +302,7 @@
 		case askHub:
 			m := peer.Message{Kind: peer.KindPlace, From: d.Settings.Name, PlacementRequest: &e.ask}
 			w.call(d, e.hub, m, func(answer peer.Message, err error) {
-				w.perform(d, d.update(w.now, hubPlaced{e.hub, e.m, answer.PlacementResponse, err}))
+				w.perform(d, d.update(w.now, hubPlaced{e.hub, e.request, answer.PlacementResponse, err}))
 			})
 		case fetchConfiguration:
 			w.after(2*networkDelay, func() {
--- a/entry/free_test.go
+++ b/entry/free_test.go
@@ -31,10 +31,10 @@
 		{"late enough", func(*Daemon, time.Time) {}, later, true},
 		{"an engine with older weights went without notice", func(d *Daemon, now time.Time) {
 			d.update(now, targetsRead{now, Targets{Listed: []fleet.Entry{engine("c", 1)}}, false})
-			d.update(now, targetsRead{now, Targets{Gone: []string{"c"}}, false})
+			d.update(now, targetsRead{now, Targets{Removed: []string{"c"}}, false})
 		}, later, false},
 		{"an engine with the newer weights went without notice", func(d *Daemon, now time.Time) {
-			d.update(now, targetsRead{now, Targets{Gone: []string{"b"}}, false})
+			d.update(now, targetsRead{now, Targets{Removed: []string{"b"}}, false})
 		}, later, true},
 		{"the store came back meanwhile", func(d *Daemon, now time.Time) { d.update(now, tableServiceBack{}) }, later, false},
 		{"the store is away", func(d *Daemon, now time.Time) { d.update(now, tableServiceLost{errors.New("away")}) }, later, false},
@@ -169,8 +169,8 @@
 			d.reconcileSources(start.Add(hublessAfter+time.Millisecond), &d.tables)
 			d.update(start, cacheEventsRead{source: "s", events: CacheEvents{Epoch: 1, Changes: []CacheEvent{{Cached: true, Scope: "m@1", Part: "p", Tokens: 500}}}})
 			place, refused := d.placeModel(start, &d.tables, deliver.PlacementRequest{Job: prompt})
-			if refused != nil || place.Fetched != tt.fetched || (place.Fetch != nil) != (tt.fetched > 0) {
-				t.Errorf("fetched %d by %v, refused %v, want %d", place.Fetched, place.Fetch, refused, tt.fetched)
+			if refused != nil || place.FetchedTokens != tt.fetched || (place.Fetch != nil) != (tt.fetched > 0) {
+				t.Errorf("fetched %d by %v, refused %v, want %d", place.FetchedTokens, place.Fetch, refused, tt.fetched)
 			}
 		})
 	}
--- a/entry/hub_test.go
+++ b/entry/hub_test.go
@@ -158,7 +158,7 @@
 	if again.View.Entries != nil {
 		t.Error("an unchanged list is sent again")
 	}
-	hub.update(later, targetsRead{later, Targets{Gone: []string{"a"}}, false})
+	hub.update(later, targetsRead{later, Targets{Removed: []string{"a"}}, false})
 	last := hub.peerRequest(later, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05", ListVersion: spoke.tables.hubList.Number})
 	spoke.update(later, peerAnswered{"box-00", later, last, nil})
 	if spoke.tables.fleet.Target("a") != nil {
@@ -283,7 +283,7 @@
 			}
 		}, [2]error{}, "crowded", 1, ""},
 		{"only this box knows that the hub's engine is leaving", func(hub, _, spoke *Daemon) {
-			hub.update(start, targetsRead{start, Targets{Gone: []string{"b"}}, false})
+			hub.update(start, targetsRead{start, Targets{Removed: []string{"b"}}, false})
 			spoke.tables.fleet.Target("a").Leaving = true
 		}, [2]error{}, "", 2, "hub, "},
 		{"only this box knows that all engines are leaving", func(_, _, spoke *Daemon) {
@@ -312,7 +312,7 @@
 			for ; len(effects) == 1; asks++ {
 				asked := effects[0].(askHub)
 				hub := hubs[asked.hub]
-				answer := hubPlaced{hub: asked.hub, request: asked.m, err: tt.fails[asks]}
+				answer := hubPlaced{hub: asked.hub, request: asked.request, err: tt.fails[asks]}
 				if answer.err == nil {
 					answer.placed = hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &asked.ask}).PlacementResponse
 				}
@@ -359,7 +359,7 @@
 	}
 	d.update(late, cacheEventsRead{source: "s", events: CacheEvents{Epoch: 1, Changes: []CacheEvent{{Cached: true, Scope: "m@1", Part: "p", Tokens: 500}}}})
 	place, refused := d.placeModel(late, &d.tables, deliver.PlacementRequest{Job: prompt})
-	if refused != nil || place.Fetched != 500 {
+	if refused != nil || place.FetchedTokens != 500 {
 		t.Errorf("place %+v, refused %v", place, refused)
 	}
 	d.update(late, peerAnswered{"box-00", late, peer.Message{View: &peer.View{ConfigurationVersion: 1}}, nil})
@@ -367,7 +367,7 @@
 		t.Errorf("effects %v, watched %v", effects, d.tables.watched)
 	}
 	d.update(late, cacheEventsRead{source: "s", events: CacheEvents{Epoch: 1}})
-	if place, _ := d.placeModel(late, &d.tables, deliver.PlacementRequest{Job: prompt}); place.Fetched != 0 {
+	if place, _ := d.placeModel(late, &d.tables, deliver.PlacementRequest{Job: prompt}); place.FetchedTokens != 0 {
 		t.Error("a store is used that is no longer watched")
 	}
 }
@@ -447,7 +447,7 @@
 // report it, and what they report once.
 func TestHubCountsOwnPlacements(t *testing.T) {
 	hub := boxWithEngines("box-00")
-	hub.update(start, targetsRead{start, Targets{Gone: []string{"b"}}, false})
+	hub.update(start, targetsRead{start, Targets{Removed: []string{"b"}}, false})
 	tokens := func() int {
 		n, _ := hub.load(start, &hub.tables, hub.tables.fleet.Target("a"))
 		return n
@@ -523,7 +523,7 @@
 				receive(start, 0, 3)
 			}
 			later := start.Add(3 * time.Second)
-			spoke.update(later, targetsRead{later, Targets{Gone: []string{"a"}}, false})
+			spoke.update(later, targetsRead{later, Targets{Removed: []string{"a"}}, false})
 			receive(later.Add(time.Second), 4*time.Second, 4)
 			if spoke.tables.fleet.Target("a") != nil {
 				t.Error("an older list brought back a target that is gone")
--- a/entry/list.go
+++ b/entry/list.go
@@ -37,7 +37,7 @@
 		delete(t.heldEntries, e.ID)
 		d.listTarget(now, t, e)
 	}
-	gone := m.change.Gone
+	gone := m.change.Removed
 	if m.change.Snapshot {
 		for _, id := range t.fleet.IDs() {
 			if !seen[id] {
@@ -47,7 +47,7 @@
 	}
 	for _, id := range gone {
 		delete(t.heldEntries, id)
-		d.unlist(now, t, id, m.away || restored)
+		d.unlist(now, t, id, m.afterOutage || restored)
 	}
 	d.refreshInUse(now, t)
 	return d.reconcileSources(now, t)
--- a/entry/listbehind_test.go
+++ b/entry/listbehind_test.go
@@ -197,12 +197,12 @@
 	}
 	knows := func(d *Daemon) bool { return d.tables.fleet.Target("a") != nil }
 	gossip(start, x.spoke, x.second)
-	read(time.Second, x.second, Targets{Gone: []string{"a"}}, false)
+	read(time.Second, x.second, Targets{Removed: []string{"a"}}, false)
 	gossip(start.Add(time.Second), x.spoke, x.second)
 	if knows(x.spoke) {
 		t.Fatal("the spoke does not know that the target is gone")
 	}
-	read(2*time.Second, x.cut, Targets{Gone: []string{"a"}}, true)
+	read(2*time.Second, x.cut, Targets{Removed: []string{"a"}}, true)
 	gossip(start.Add(2*time.Second), x.spoke, x.cut)
 	if x.spoke.tables.hub != "box-00" {
 		t.Fatalf("the spoke uses %q", x.spoke.tables.hub)
--- a/entry/load_test.go
+++ b/entry/load_test.go
@@ -17,7 +17,7 @@
 		name string
 		goes func(d *Daemon)
 	}{
-		{"gone", func(d *Daemon) { d.update(start, targetsRead{start, Targets{Gone: []string{"a"}}, false}) }},
+		{"gone", func(d *Daemon) { d.update(start, targetsRead{start, Targets{Removed: []string{"a"}}, false}) }},
 		{"replaced", func(d *Daemon) {
 			d.dropReplaced(start, &d.tables, fleet.Incarnation{ID: "a", StartedAt: born}, "a test")
 		}},
--- a/entry/loading.go
+++ b/entry/loading.go
@@ -20,8 +20,8 @@
 
 // pollLoaded polls a target for whether it has loaded.
 type pollLoaded struct {
-	target string
-	at     netip.AddrPort
+	target  string
+	address netip.AddrPort
 	// incarnation is the target's incarnation when it was polled.
 	incarnation fleet.Incarnation
 }
--- a/entry/message.go
+++ b/entry/message.go
@@ -57,8 +57,8 @@
 type targetsRead struct {
 	asked  time.Time
 	change Targets
-	// away says that the service could not be read just before.
-	away bool
+	// afterOutage says that the service could not be read just before.
+	afterOutage bool
 }
 
 // ownRead is the content of the system's own rows. Settled says that they name all boxes
--- a/entry/order.go
+++ b/entry/order.go
@@ -36,7 +36,7 @@
 	unreachable := 0
 	for {
 		asked := d.now()
-		report, err := d.Platform.Report(ctx, e.at)
+		report, err := d.Platform.Report(ctx, e.address)
 		d.signalsFromReport(asked, e.incarnation, report)
 		if err == nil && report.Versions[e.order.Model] >= e.order.Version {
 			return nil
@@ -75,7 +75,7 @@
 	defer cancel()
 	e.order.Until = until
 	asked := d.now()
-	signals, err := d.Platform.Order(ctx, e.at, e.order)
+	signals, err := d.Platform.Order(ctx, e.address, e.order)
 	d.recordSignals(asked, e.incarnation, signals, "an order")
 	return err
 }
--- a/entry/outcome.go
+++ b/entry/outcome.go
@@ -45,7 +45,7 @@
 		fields = append(fields, "ended_after", o.Teardown)
 	}
 	if o.Job != nil && len(o.Job.Parts) > 0 {
-		fields = append(fields, "tokens", o.Job.PromptTokens, "kept", o.Place.Kept, "fetched", o.Place.Fetched, "unread", o.Place.PrefillTokens, "saved", o.Place.Saved, "version", o.Place.Version, "newest", o.Place.NewestVersion, "replaced_for", o.Place.ReplacedFor)
+		fields = append(fields, "tokens", o.Job.PromptTokens, "kept", o.Place.CachedTokens, "fetched", o.Place.FetchedTokens, "unread", o.Place.PrefillTokens, "saved", o.Place.SavedTokens, "version", o.Place.Version, "newest", o.Place.NewestVersion, "replaced_for", o.Place.ReplacedFor)
 	}
 	d.Log.Info("request", fields...)
 }
--- a/entry/place.go
+++ b/entry/place.go
@@ -251,12 +251,12 @@
 	for i, p := range job.Parts {
 		switch {
 		case i < choice.CachedParts:
-			place.Kept += p.Tokens
+			place.CachedTokens += p.Tokens
 		case choice.Fetch != nil && choice.Fetch[i] != nil:
-			place.Fetched += p.Tokens
+			place.FetchedTokens += p.Tokens
 		}
 		if choice.Save != nil && choice.Save[i] != nil {
-			place.Saved += p.Tokens
+			place.SavedTokens += p.Tokens
 		}
 	}
 	expectCached(now, t, job.Parts, choice)
--- a/entry/placehub.go
+++ b/entry/placehub.go
@@ -29,7 +29,7 @@
 type askHub struct {
 	hub     string
 	address netip.AddrPort
-	m       placementRequest
+	request placementRequest
 	ask     peer.PlacementRequest
 }
 
@@ -108,9 +108,9 @@
 func (d *Daemon) askHub(ctx context.Context, e askHub) hubPlaced {
 	ctx, cancel := context.WithTimeout(ctx, hubPlaceTimeout)
 	defer cancel()
-	defer context.AfterFunc(e.m.ctx, cancel)()
+	defer context.AfterFunc(e.request.ctx, cancel)()
 	answer, err := d.peers.Call(ctx, e.address, peer.Message{Kind: peer.KindPlace, From: d.Settings.Name, PlacementRequest: &e.ask})
-	return hubPlaced{e.hub, e.m, answer.PlacementResponse, err}
+	return hubPlaced{e.hub, e.request, answer.PlacementResponse, err}
 }
 
 // hubPlaced passes on the placement that the hub chose, unless this box knows of a reason
@@ -188,7 +188,7 @@
 	place := deliver.Placement{
 		Target: x.ID, StartedAt: x.StartedAt, Address: x.Address, Version: p.Version, Scope: scope(p.Version, job), PrefillTokens: p.PrefillTokens,
 		Tokens: job.PromptTokens + job.MaxOutputTokens, Fetch: fetch, Save: save, FetchUntil: time.Duration(p.UntilMS) * time.Millisecond,
-		Kept: p.CachedTokens, Fetched: p.FetchedTokens, Saved: p.SavedTokens, Rule: "hub, " + p.Rule,
+		CachedTokens: p.CachedTokens, FetchedTokens: p.FetchedTokens, SavedTokens: p.SavedTokens, Rule: "hub, " + p.Rule,
 		PlacedAt: now, PrefillBacklog: p.PrefillBacklog, QuotaGranted: p.QuotaGranted,
 		NewestVersion: w.newestVersion, ReplacedFor: w.replacedFor(now, p.Version), BeginBy: w.beginBy(p.Version, within),
 	}
--- a/entry/placepeer.go
+++ b/entry/placepeer.go
@@ -64,7 +64,7 @@
 	return &peer.PlacementResponse{
 		Entry:  t.recentEntry(now, place.Target),
 		Target: place.Target, Version: place.Version, Fetch: formatAddresses(place.Fetch), Save: formatAddresses(place.Save),
-		UntilMS: place.FetchUntil.Milliseconds(), CachedTokens: place.Kept, FetchedTokens: place.Fetched, SavedTokens: place.Saved,
+		UntilMS: place.FetchUntil.Milliseconds(), CachedTokens: place.CachedTokens, FetchedTokens: place.FetchedTokens, SavedTokens: place.SavedTokens,
 		PrefillTokens: place.PrefillTokens, Rule: place.Rule, PrefillBacklog: place.PrefillBacklog, Transfers: transfers, QuotaGranted: place.QuotaGranted,
 	}
 }
--- a/entry/platform.go
+++ b/entry/platform.go
@@ -95,7 +95,7 @@
 	// Snapshot says that Listed holds all targets; otherwise only changes.
 	Snapshot bool
 	Listed   []fleet.Entry
-	Gone     []string
+	Removed  []string
 	// Changed and Known are as in Operator.
 	Changed, Known revision.Revision
 	// Unusable holds, by key, why entries that no target wrote can't be used. Such an entry
--- a/entry/prefill_test.go
+++ b/entry/prefill_test.go
@@ -60,7 +60,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			hub := boxWithEngines("box-00")
 			hub.tables.hubWarm = true
-			hub.update(start, targetsRead{start, Targets{Gone: []string{"b"}}, false})
+			hub.update(start, targetsRead{start, Targets{Removed: []string{"b"}}, false})
 			hub.tables.receiveLoads(start, "box-05", nil)
 			hub.tables.fleet.Target("a").Domain = hub.Settings.Domain
 			tt.happen(hub)
--- a/entry/restored_targets_test.go
+++ b/entry/restored_targets_test.go
@@ -31,10 +31,10 @@
 		{"its entry is lost and not written again", Targets{}, Targets{}, nil, fleet.LapseGrace, false},
 		{"its entry is lost and written again", Targets{}, Targets{}, &listed, time.Hour, true},
 		{"it leaves, and is listed as before", Targets{Listed: []fleet.Entry{leaving}}, listed, nil, time.Hour, false},
-		{"it was gone, and is listed again", Targets{Gone: []string{"a"}}, listed, nil, 0, false},
-		{"it was gone, and the list keeps it", Targets{Gone: []string{"a"}}, listed, nil, staleEntryTTL + time.Second, true},
-		{"it was gone, and goes again", Targets{Gone: []string{"a"}}, listed, &Targets{Gone: []string{"a"}}, time.Hour, false},
-		{"it was gone, and writes its entry again", Targets{Gone: []string{"a"}}, listed, &listed, 0, true},
+		{"it was gone, and is listed again", Targets{Removed: []string{"a"}}, listed, nil, 0, false},
+		{"it was gone, and the list keeps it", Targets{Removed: []string{"a"}}, listed, nil, staleEntryTTL + time.Second, true},
+		{"it was gone, and goes again", Targets{Removed: []string{"a"}}, listed, &Targets{Removed: []string{"a"}}, time.Hour, false},
+		{"it was gone, and writes its entry again", Targets{Removed: []string{"a"}}, listed, &listed, 0, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -67,7 +67,7 @@
 	leaving.Leaving = true
 	reads := []Targets{
 		{Snapshot: true, Listed: []fleet.Entry{leaving}, Known: rev(50)},
-		{Gone: []string{"a"}, Known: rev(60)},
+		{Removed: []string{"a"}, Known: rev(60)},
 		{Snapshot: true, Listed: []fleet.Entry{engine("a", 1)}, Known: revision.Revision{Restores: 1, Number: 40}},
 	}
 	for _, read := range reads {
--- a/entry/signals_test.go
+++ b/entry/signals_test.go
@@ -77,19 +77,19 @@
 		}, 2500 * time.Millisecond, "[b]"},
 		{"it leaves, goes from the list, and a stale list has it", func(d *Daemon) {
 			sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsLeaving)
-			d.update(start, targetsRead{start, Targets{Gone: []string{"a"}}, false})
+			d.update(start, targetsRead{start, Targets{Removed: []string{"a"}}, false})
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{engine("a", 1)}}, false})
 		}, 0, "[b]"},
 		{"the list says that it leaves, it goes, and a stale list has it as ready", func(d *Daemon) {
 			gone := engine("a", 1)
 			gone.Leaving = true
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{gone}}, false})
-			d.update(start, targetsRead{start, Targets{Gone: []string{"a"}}, false})
+			d.update(start, targetsRead{start, Targets{Removed: []string{"a"}}, false})
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{engine("a", 1)}}, false})
 		}, 0, "[b]"},
 		{"it asks for a backoff, and a list adds it again", func(d *Daemon) {
 			sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff)
-			d.update(start, targetsRead{start, Targets{Gone: []string{"a"}}, false})
+			d.update(start, targetsRead{start, Targets{Removed: []string{"a"}}, false})
 			d.update(start, targetsRead{start, Targets{Listed: []fleet.Entry{engine("a", 1)}}, false})
 		}, time.Second, "[b]"},
 		{"it left, and a later incarnation has its ID", func(d *Daemon) {
--- a/entry/sources.go
+++ b/entry/sources.go
@@ -121,7 +121,7 @@
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		t.watched[name] = stop
-		effect := watchSource{ctx: ctx, name: name, at: at, hold: eventsHold, interval: eventsInterval}
+		effect := watchSource{ctx: ctx, name: name, address: at, hold: eventsHold, interval: eventsInterval}
 		if hubless {
 			effect.hold, effect.interval = 0, hublessInterval
 		}
@@ -140,9 +140,9 @@
 	for ctx.Err() == nil {
 		began := d.now()
 		m := cacheEventsRead{source: e.name, asked: began}
-		m.events, m.err = d.Platform.CacheEvents(ctx, e.at, since, e.hold)
+		m.events, m.err = d.Platform.CacheEvents(ctx, e.address, since, e.hold)
 		if m.err == nil && m.events.Gap && since > 0 {
-			m.events, m.err = d.Platform.ListCache(ctx, e.at)
+			m.events, m.err = d.Platform.ListCache(ctx, e.address)
 			m.listed = true
 		}
 		if ctx.Err() != nil {
--- a/entry/tables.go
+++ b/entry/tables.go
@@ -271,8 +271,8 @@
 	// unlistedMet is how many boxes without a row it met, as of countedAt.
 	unlistedMet int
 	countedAt   time.Time
-	// seenDue is when a hub next sends it the boxes' samples of canary versions.
-	seenDue time.Time
+	// canarySamplesDue is when a hub next sends it the boxes' samples of canary versions.
+	canarySamplesDue time.Time
 }
 
 func newTables() tables {
--- a/entry/update_test.go
+++ b/entry/update_test.go
@@ -114,7 +114,7 @@
 		d.update(start.Add(after), targetsRead{start.Add(after), change, away})
 	}
 	read(0, false, Targets{Snapshot: true, Listed: []fleet.Entry{engine("a", 1), engine("b", 1)}})
-	read(time.Second, false, Targets{Gone: []string{"a"}})
+	read(time.Second, false, Targets{Removed: []string{"a"}})
 	if f.Target("a") != nil {
 		t.Error("a target removed while the table service answered is still listed")
 	}
