--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -5,7 +5,7 @@
 // asking each other.
 //
 //	c := affinity.Chooser{Directory: d, PrefillPerToken: prefill, Slowdown: slowdown, ...}
-//	choice, ok := c.Choose(now, ask, fleet.Pool("menu"))
+//	choice, ok := c.Choose(now, request, fleet.Pool("menu"))
 package affinity
 
 import (
--- a/crash/crash_test.go
+++ b/crash/crash_test.go
@@ -64,7 +64,7 @@
 }
 
 // TestSuspects counts the targets that may have crashed under a request: those that cut
-// it off and were not heard from since.
+// it off and have not answered since.
 func TestSuspects(t *testing.T) {
 	tracker := crash.Tracker{}
 	sum := fingerprint.Sum{1}
--- a/deliver/caller_left_test.go
+++ b/deliver/caller_left_test.go
@@ -166,7 +166,7 @@
 type leavingCaller struct {
 	// during is the attempt, from 1, or 0 for before the body was read.
 	during int
-	// closed says that only the connection shows the disconnect, untold that nothing does.
+	// closed says that only the connection shows the disconnect, undetected that nothing does.
 	closed, undetected bool
 }
 
--- a/deliver/deliver.go
+++ b/deliver/deliver.go
@@ -135,8 +135,8 @@
 	PlacedAt       time.Time
 	PrefillBacklog int
 	Transfers      []throughput.Transfer
-	// Kept, Fetched and Saved are the prompt tokens that the target was expected to have
-	// cached, and those that it was to fetch and to save.
+	// CachedTokens, FetchedTokens and SavedTokens are the prompt tokens that the target was
+	// expected to have cached, and those that it was to fetch and to save.
 	CachedTokens, FetchedTokens, SavedTokens int
 	// Rule names the placement rule that chose the target.
 	Rule string
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -6,7 +6,7 @@
 //	b := dispatch.Scheduler{Choose: chooser.Choose, ...}
 //	b.Init()
 //	b.Configuration = c
-//	placed, err := b.Place(now, ask)
+//	placed, err := b.Place(now, request)
 //	...
 //	export := b.Ended(now, ended)
 package dispatch
--- a/entry/canary.go
+++ b/entry/canary.go
@@ -13,7 +13,7 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// The operator may ask for a pool's requests to move to another version of its software, whose
+// The operator may request that a pool's requests move to another version of its software, whose
 // targets start beside the older ones. Each box sends the canary version a share of its own
 // requests (package exposure), compares its answers with the older version's, and reports the
 // counts to hubs (canarysamples.go). Every hub judges all counts that it received (package
@@ -62,7 +62,7 @@
 // canaryOf returns the canary rollout in a pool, or nil.
 func (t *tables) canaryOf(pool string) *canaryRollout { return t.canaries[pool] }
 
-// applyCanaryAsks applies the rollouts that the operator asks for.
+// applyCanarySpecs applies the rollouts that the operator requests.
 func (d *Daemon) applyCanaryAsks(now time.Time, t *tables, m operatorRead) {
 	asked := m.change.Canaries
 	for _, pool := range slices.Sorted(maps.Keys(asked)) {
--- a/entry/canary_test.go
+++ b/entry/canary_test.go
@@ -26,7 +26,7 @@
 	// answer returns how the new version answers, given how many answers it has given so far.
 	answer func(route string, given int) (failed bool, slower float64)
 	// sent and canarySent count the requests that reached the service and the new version since
-	// the rollout was asked for. bad counts the new version's bad answers, fiftiethBad is when
+	// the rollout was requested. bad counts the new version's bad answers, fiftiethBad is when
 	// the fiftieth of them came, and late counts the requests that reached it after the
 	// platform's bound for that.
 	sent, canarySent, bad, late int
@@ -53,7 +53,7 @@
 	return w
 }
 
-// ask has the operator ask for a version, whose targets start a second later.
+// requestRollout has the operator request a version, whose targets start a second later.
 func (w *canaryFleet) ask(version string) {
 	w.writeOperator(func(o *Operator) {
 		o.Canaries = map[string]*canary.Rollout{"orders": {Pool: "orders", Version: version, Order: w.version, Timeout: rolloutTime}}
@@ -192,7 +192,7 @@
 			return []fake.Kind{fake.None, fake.AnswerLost, fake.RequestLost, fake.Late}[w.random.IntN(4)]
 		}
 	}},
-	{"asked for again", func(w *canaryFleet) { w.ask("v2") }},
+	{"requested again", func(w *canaryFleet) { w.ask("v2") }},
 	{"an older target goes", func(w *canaryFleet) { w.removeTargets("old-0") }},
 }
 
--- a/entry/canaryrow.go
+++ b/entry/canaryrow.go
@@ -149,7 +149,7 @@
 }
 
 // afterTrying is the state by the time left. A version not shown to be no worse by the deadline
-// is rolled back: the older one serves, and the operator may ask again.
+// is rolled back: the older one serves, and the operator may request it again.
 func (c *canaryRollout) afterTrying(clock time.Duration) canary.State {
 	left := c.deadline - clock
 	switch {
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -82,7 +82,7 @@
 }
 
 // receiveIncarnationEnded applies another box's report that an incarnation has ended. It
-// confirms this box's own suspicions, and is passed on to boxes that hear from this one only. A
+// confirms this box's own suspicions, and is passed on to boxes that receive from this one only. A
 // box whose caller left does not probe the target and would learn of the end from the list
 // alone, 4 s later.
 func (d *Daemon) receiveIncarnationEnded(now time.Time, t *tables, incarnation, from string) {
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -47,7 +47,7 @@
 	// newest; both are for readers outside the loop.
 	current  atomic.Pointer[routing.Table]
 	provedAt atomic.Pointer[time.Time]
-	// otherReadyAt is when another box last said that it can admit callers.
+	// otherReadyAt is when another box last reported that it can admit callers.
 	otherReadyAt atomic.Pointer[time.Time]
 	// bounds are the platform's as last read.
 	bounds atomic.Pointer[settings.Bounds]
--- a/entry/evacuate.go
+++ b/entry/evacuate.go
@@ -30,7 +30,7 @@
 }
 
 // revokeMissing revokes the evacuations that a snapshot lacks, except those that a restore
-// lost: they stay until the operator has had the time to ask again.
+// lost: they stay until the operator has had the time to request them again.
 func (d *Daemon) revokeMissing(now time.Time, t *tables, m operatorRead) {
 	for _, domain := range t.fleet.Evacuated() {
 		_, lost := t.lostEvacuations[domain]
--- a/entry/free_test.go
+++ b/entry/free_test.go
@@ -143,18 +143,18 @@
 
 // TestNoFetchByLateEngine has an engine join with older weights while the stores are cleared of
 // parts computed with them. Nobody waits for its fetches, so none is ordered. An engine listed
-// before the naming delays the clearing, and fetches.
+// before the newer version was named delays the clearing, and fetches.
 func TestNoFetchByLateEngine(t *testing.T) {
 	tests := []struct {
 		name    string
 		steps   func(d *Daemon)
 		fetched int
 	}{
-		{"listed before the naming", func(d *Daemon) { listEngine(d, 1); nameVersion(d, 2) }, 500},
+		{"listed before the version was named", func(d *Daemon) { listEngine(d, 1); nameVersion(d, 2) }, 500},
 		{"joined with older weights", func(d *Daemon) { nameVersion(d, 2); listEngine(d, 1) }, 0},
 		{"left and joined again with older weights", func(d *Daemon) { listEngine(d, 1); nameVersion(d, 2); listNoEngine(d); listEngine(d, 1) }, 0},
 		{"joined with the newest weights", func(d *Daemon) { nameVersion(d, 1); listEngine(d, 1) }, 500},
-		{"joined with older weights and loaded, before the next naming", func(d *Daemon) {
+		{"joined with older weights and loaded, before the next version was named", func(d *Daemon) {
 			nameVersion(d, 1)
 			listEngine(d, 0)
 			listEngine(d, 1)
--- a/entry/placepeer.go
+++ b/entry/placepeer.go
@@ -15,8 +15,8 @@
 
 // This file is the hub's side of placing; placehub.go is the side of the boxes that ask it.
 
-// warmShare is the share of the sources of cached parts that a hub must have heard from at
-// least once before it places requests for others.
+// warmShare is the share of the sources of cached parts of which a hub must have received cache
+// events at least once before it places requests for others.
 const warmShare = 0.8
 
 // placeForPeer places another box's request by what this box knows. It returns nil if it knows
@@ -89,8 +89,8 @@
 	return ""
 }
 
-// knowsCache reports whether most sources of cached parts have been heard from since this box
-// began to watch them. It stays true when sources end later.
+// knowsCache reports whether this box has received cache events of most sources of cached parts
+// since it began to watch them. It stays true when sources end later.
 func (d *Daemon) knowsCache(t *tables) bool {
 	if t.hubWarm {
 		return true
--- a/entry/platform.go
+++ b/entry/platform.go
@@ -69,10 +69,10 @@
 	Raw []byte
 	// Weights are the newest versions by model, as far as they changed.
 	Weights map[string]int64
-	// Evacuations are the failure domains whose evacuation was asked for, or false where
+	// Evacuations are the failure domains whose evacuation was requested, or false where
 	// that was taken back; all of them if Snapshot is set, otherwise those that changed.
 	Evacuations map[string]bool
-	// Canaries are the canary versions asked for, by pool, or nil where one was taken back;
+	// Canaries are the canary versions requested, by pool, or nil where one was taken back;
 	// all of them if Snapshot is set, otherwise those that changed.
 	Canaries map[string]*canary.Rollout
 	Snapshot bool
--- a/entry/restored_canary_test.go
+++ b/entry/restored_canary_test.go
@@ -18,7 +18,7 @@
 		name    string
 		percent int
 		// copied and restored are when the copy is taken and when the table service comes back
-		// from it, after the rollout was asked for.
+		// from it, after the rollout was requested.
 		copied, restored time.Duration
 		want             canary.State
 	}{
@@ -75,8 +75,8 @@
 		stopped bool
 	}{
 		{"not yet", nil, operatorRewriteGrace - time.Millisecond, false},
-		{"asked again", map[string]*canary.Rollout{"orders": &again}, time.Minute, false},
-		{"not asked again", nil, operatorRewriteGrace, true},
+		{"requested again", map[string]*canary.Rollout{"orders": &again}, time.Minute, false},
+		{"not requested again", nil, operatorRewriteGrace, true},
 		{"taken back", map[string]*canary.Rollout{"orders": nil}, 0, true},
 	}
 	for _, tt := range tests {
--- a/entry/restored_test.go
+++ b/entry/restored_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// TestNoRollbackAfterRestore guards against undoing what the operator asked for while a
+// TestNoRollbackAfterRestore guards against undoing what the operator requested while a
 // restored table service has older rows than the boxes know.
 func TestNoRollbackAfterRestore(t *testing.T) {
 	copied := revision.Revision{Restores: 1, Number: 40}
@@ -160,7 +160,7 @@
 		{"older and written again", Operator{Table: configuration(6), Evacuations: asked}, &Operator{Table: configuration(7)}, time.Second, true, true},
 		{"older for longer than the grace", Operator{Table: configuration(6), Evacuations: asked}, &Operator{}, operatorRewriteGrace, true, true},
 		{"an evacuation is lost", Operator{Table: configuration(7), Evacuations: none}, nil, 0, true, true},
-		{"an evacuation is lost and asked for again", Operator{Table: configuration(7), Evacuations: none}, &Operator{Evacuations: asked}, time.Minute, true, true},
+		{"an evacuation is lost and requested again", Operator{Table: configuration(7), Evacuations: none}, &Operator{Evacuations: asked}, time.Minute, true, true},
 		{"an evacuation is lost, and a snapshot is read again", Operator{Table: configuration(7), Evacuations: none}, &Operator{Snapshot: true, Evacuations: none}, time.Second, true, true},
 		{"an evacuation is lost for good", Operator{Table: configuration(7), Evacuations: none}, nil, operatorRewriteGrace, true, false},
 		{"an evacuation is lost and revoked", Operator{Table: configuration(7), Evacuations: none}, &Operator{Evacuations: map[string]bool{"a": false}}, 0, true, false},
--- a/entry/retrybudget.go
+++ b/entry/retrybudget.go
@@ -11,11 +11,11 @@
 // In a fleet with more boxes than retries that may be saved up, hubs keep the retry budget.
 // Boxes send with their gossip what their requests earned, and ask for a retry when they need
 // one. Shares below one retry a box would leave most requests without a retry while the fleet
-// has many. Of the boxes that hear no hub, a random few may save up one (sampledBurst).
+// has many. Of the boxes that no hub answers, a random few may save up one (sampledBurst).
 
 const (
 	// hubRetryShare is the share of the fleet's saved-up retries that all hubs hold together;
-	// sampledShare is that of boxes that hear no hub.
+	// sampledShare is that of boxes that no hub answers.
 	hubRetryShare = 0.45
 	// retryCallTimeout bounds the call for a retry, as the request waits for it.
 	retryCallTimeout = 50 * time.Millisecond
--- a/entry/retrybudget_test.go
+++ b/entry/retrybudget_test.go
@@ -73,8 +73,8 @@
 		name  string
 		box   string
 		extra float64
-		// boxes is the number of boxes and rowless that of boxes without a row, both as reported
-		// by a hub.
+		// boxes is the number of boxes and unlisted that of boxes without a row, both as
+		// reported by a hub.
 		boxes, unlisted int
 		hub             string
 		want            *retryBudgetSource
@@ -84,7 +84,7 @@
 		{"few enough for one each", "box-05", 100, 30, 10, "box-00", nil},
 		{"more than that", "box-05", 10, 30, 10, "box-00", &retryBudgetSource{hub: netip.MustParseAddrPort("10.0.0.1:1")}},
 		{"a hub", "box-00", 10, 30, 10, "", &retryBudgetSource{local: true}},
-		{"no hub was heard", "box-05", 10, 30, 10, "", nil},
+		{"no hub has answered", "box-05", 10, 30, 10, "", nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/entry/settings/mechanisms.go
+++ b/entry/settings/mechanisms.go
@@ -31,7 +31,7 @@
 	Freeing = "freeing"
 	// Loads counts the load of other boxes' requests.
 	Loads = "loads"
-	// Hurry tries another target when one that does not answer looks dead.
+	// Hurry sends a request to another target when one that does not answer is suspect.
 	Hurry = "hurry"
 	// Quarantine refuses requests under which targets ended.
 	Quarantine = "quarantine"
--- a/entry/settings/settings.go
+++ b/entry/settings/settings.go
@@ -84,7 +84,7 @@
 	// WeightsWithin is how long after a version was named requests may still begin on an
 	// older one.
 	WeightsWithin time.Duration `yaml:"weights_within"`
-	// EvacuatedWithin is how long after a domain's evacuation was asked for requests may
+	// EvacuatedWithin is how long after a domain's evacuation was requested requests may
 	// still reach its targets; zero if domains are never evacuated.
 	EvacuatedWithin time.Duration `yaml:"evacuated_within"`
 	// ColdFactor and ColdExtra limit, over all boxes, the requests that a cold target gets
--- a/entry/tables.go
+++ b/entry/tables.go
@@ -77,7 +77,7 @@
 	// slowLogged marks the stores that were logged as slow.
 	slowLogged map[string]bool
 	// presumedLoad is the presumed load of other boxes' requests at each engine if none of them
-	// is heard, as of the last placement.
+	// reports its load, as of the last placement.
 	presumedLoad peer.TargetLoad
 	// silences is when connections to targets were last found silent, by address.
 	silences map[netip.AddrPort]time.Time
@@ -137,9 +137,10 @@
 	hubHeardAt time.Time
 	// watchesHubless says that the watched sources are those of a box without hubs.
 	watchesHubless bool
-	// hubWarm says that this box, as a hub, has heard of most sources since it watches them.
+	// hubWarm says that this box, as a hub, has received cache events of most sources since it
+	// watches them.
 	hubWarm bool
-	// lastHubRequest is when another box last asked this one for a placement.
+	// lastHubRequest is when another box last requested a placement of this one.
 	lastHubRequest time.Time
 	// loadingConfiguration says that the configuration is being read from a hub.
 	loadingConfiguration bool
@@ -158,7 +159,7 @@
 	// evacuatedAt is the time of the evacuations that the fleet has; an older view of a hub
 	// changes nothing.
 	evacuatedAt time.Time
-	// lostEvacuations are the domains whose evacuation the operator asked for before a
+	// lostEvacuations are the domains whose evacuation the operator requested before a
 	// restore of the table service and not since, with the time at which that was read.
 	lostEvacuations map[string]time.Time
 	// olderSince is since when the operator's rows are older than the configuration in
@@ -265,7 +266,7 @@
 	misses int
 	// retryAt is when a box that did not answer is called again.
 	retryAt time.Time
-	// unlisted says that it has no row; metAt is when it was last heard.
+	// unlisted says that it has no row; metAt is when it last sent a message.
 	unlisted bool
 	metAt    time.Time
 	// unlistedMet is how many boxes without a row it met, as of countedAt.
--- a/entry/weightbound_test.go
+++ b/entry/weightbound_test.go
@@ -11,7 +11,7 @@
 
 // TestEachVersionHasItsBound names two versions one after the other and checks on which weights
 // a request may begin. It guards against a third version that restarts the bound of the second.
-// With a single time for the newest naming, a request began on weights 12.4 s after a newer
+// With a single time, that of the newest version, a request began on weights 12.4 s after a newer
 // version was named, with a bound of 12 s: a still newer version was named 6.6 s after that
 // one, while engines crashed and came back with the old weights.
 func TestEachVersionHasItsBound(t *testing.T) {
--- a/entry/weightversions.go
+++ b/entry/weightversions.go
@@ -25,14 +25,14 @@
 	feedLag = 500 * time.Millisecond
 	// minHold is how long a read must have been held, on the service's clock, for its answer to
 	// show that the change came meanwhile: feedLag, and as much for the request's way. Without
-	// it each naming would be dated by the answer before, up to 1.5 s too early, which would
+	// it each new version would be dated by the answer before, up to 1.5 s too early, which would
 	// shorten the time for which engines with older weights may serve.
 	minHold = 2 * feedLag
 	// unrecordedAge is how long before this box first read a version it is assumed to have been
-	// named if there is no record. A record is written some 0.5 s after a naming, 2.9 s if the
-	// lease's holder ends then.
+	// named if there is no record. A record is written some 0.5 s after the operator names a
+	// version, 2.9 s if the lease's holder ends then.
 	unrecordedAge = 4 * time.Second
-	// reportBounds is for how many bounds a naming is reported to other boxes. After one bound
+	// reportBounds is for how many bounds a version is reported to other boxes. After one bound
 	// it can only be the lowest version allowed.
 	reportBounds = 2
 	// staleBounds is for how many bounds a box goes on without a proof of which weights are the
@@ -157,7 +157,7 @@
 	return within > 0 && d.provedAgo(now) >= staleBounds*within
 }
 
-// versionsSnapshot lists a model's namings for a box that uses this one's view.
+// versionsSnapshot lists a model's recent weight versions for a box that uses this one's view.
 func (w *modelRollout) versionsSnapshot(now time.Time, within time.Duration) []peer.WeightVersion {
 	var list []peer.WeightVersion
 	for _, n := range w.versionLog.Since(now.Add(-reportBounds * within)) {
@@ -166,8 +166,8 @@
 	return list
 }
 
-// applyHubVersions applies a hub's namings. Their ages count from when they were asked for, as
-// the answer was made later.
+// applyHubVersions applies a hub's weight versions. Their ages count from when they were
+// requested, as the answer was made later.
 func (d *Daemon) applyHubVersions(now time.Time, t *tables, hub string, asked time.Time, v *peer.View) {
 	for _, model := range slices.Sorted(maps.Keys(v.WeightVersions)) {
 		w := t.rolloutOf(model)
--- a/entry/weightversions_test.go
+++ b/entry/weightversions_test.go
@@ -47,10 +47,10 @@
 	return table.Row{}, false
 }
 
-// TestRestartedBoxKnowsNaming starts a box 4 s after a naming. It takes the time of the naming
-// from the rollout's row, whichever is read first. Without a row it assumes that the naming is
-// a little older than its own first read.
-func TestRestartedBoxKnowsNaming(t *testing.T) {
+// TestRestartedBoxKnowsVersionTime starts a box 4 s after a version was named. It takes the time
+// of that from the rollout's row, whichever is read first. Without a row it assumes that the
+// version was named a little before its own first read.
+func TestRestartedBoxKnowsVersionTime(t *testing.T) {
 	holder, now := leaderWithTwoVersions(t, engine("a", 1))
 	row, written := rowWritten(holder, now)
 	if !written {
@@ -60,7 +60,7 @@
 	operator := func(at time.Time) message {
 		return operatorRead{at, Operator{Table: configuration(1), Weights: map[string]int64{"m": 2}, Clock: 114 * time.Second}}
 	}
-	// The holder's proof is half a second older than the naming.
+	// The holder's proof is from half a second before the version was named.
 	recorded := 10*time.Second - feedLag + bound - overdueMargin
 	assumed := 14*time.Second - unrecordedAge + bound - overdueMargin
 	tests := []struct {
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestLateRead names a version right after an answer. If the next read was late, the naming may
+// TestLateRead names a version right after an answer. If the next read was late, the version may
 // be as old as the answer before; only a read that was held shows more.
 func TestLateRead(t *testing.T) {
 	const gap = 4 * time.Second
@@ -95,7 +95,7 @@
 		name string
 		took time.Duration
 		held bool
-		most time.Duration // How old the naming can be.
+		most time.Duration // How long ago the version can have been named.
 	}{
 		{"answered at once after a gap", 0, true, gap},
 		{"held for a moment after a gap", minHold / 2, true, gap},
@@ -116,7 +116,7 @@
 }
 
 // TestClockReset checks that times on the table service's clock are not used after that clock
-// was reset, and that the namings are then recorded again.
+// was reset, and that the versions are then recorded again.
 func TestClockReset(t *testing.T) {
 	d, now := leaderWithTwoVersions(t, engine("a", 1))
 	if _, written := rowWritten(d, now); !written {
@@ -127,10 +127,10 @@
 	d.update(now, operatorRead{now, Operator{Clock: time.Second}})
 	w := d.tables.rolloutOf("m")
 	if age := w.age(now, 2); age < 5*time.Second {
-		t.Errorf("the naming is %v old, want over 5 s", age)
+		t.Errorf("the version was named %v ago, want over 5 s", age)
 	}
 	if !w.versionLog.Missing(2, &d.tables.tableClock) {
-		t.Error("the naming is not recorded again")
+		t.Error("the version is not recorded again")
 	}
 }
 
@@ -195,9 +195,9 @@
 	}
 }
 
-// TestNamingIsRecordedWithoutOrders checks that a naming is recorded even if no engine can be
+// TestVersionIsRecordedWithoutOrders checks that a version is recorded even if no engine can be
 // ordered yet, and only once.
-func TestNamingIsRecordedWithoutOrders(t *testing.T) {
+func TestVersionIsRecordedWithoutOrders(t *testing.T) {
 	d, now := leaderWithTwoVersions(t, engine("a", 1), engine("b", 1), engine("c", 1))
 	row, _ := rowWritten(d, now)
 	d.update(now, announced{"m", nil})
@@ -220,9 +220,9 @@
 	}
 }
 
-// TestNamingsInHubView checks that a box that uses a hub's view keeps the same bound, counted
+// TestWeightVersionsInHubView checks that a box that uses a hub's view keeps the same bound, counted
 // from when it asked.
-func TestNamingsInHubView(t *testing.T) {
+func TestWeightVersionsInHubView(t *testing.T) {
 	hub, spoke := largeFleet("box-00"), largeFleet("box-05")
 	hub.update(start, operatorRead{start, Operator{Table: configuration(1), Weights: map[string]int64{"m": 1}}})
 	hub.update(start, operatorRead{start, Operator{Weights: map[string]int64{"m": 2}}})
@@ -240,7 +240,7 @@
 	}
 }
 
-// TestHubsPlaceOnOldWeights has a hub that lacks a naming place a request. The box that sends
+// TestHubsPlaceOnOldWeights has a hub that lacks the newest version place a request. The box that sends
 // it keeps the bound.
 func TestHubsPlaceOnOldWeights(t *testing.T) {
 	tests := []struct {
--- a/fleet/target.go
+++ b/fleet/target.go
@@ -15,7 +15,7 @@
 	Domain    string
 	Pool      string
 	Slots     int
-	// Software is the version of its software, ListedAt when this box first heard of it.
+	// Software is the version of its software, ListedAt when this box first learned of it.
 	Software string
 	ListedAt time.Time
 	// Leaving is set once the list or the target itself says so, and never reset.
@@ -187,8 +187,8 @@
 	return now.Before(t.ColdUntil) || now.Before(t.MaybeColdUntil) || t.FeedLost
 }
 
-// Recovering reports whether the target could not be reached, and has not been heard from
-// again for as long as a restarted one stays cold.
+// Recovering reports whether the target could not be reached, and nothing was received from it
+// since, or only for less time than a restarted one stays cold.
 func (t *Target) Recovering(now time.Time, cold time.Duration) bool {
 	return !t.failedAt.IsZero() && (t.recoveredAt.IsZero() || now.Sub(t.recoveredAt) < cold)
 }
--- a/peer/message.go
+++ b/peer/message.go
@@ -93,7 +93,7 @@
 	Error string `cbor:"9,keyasint,omitempty"`
 }
 
-// Incarnation is one life of a target between two starts.
+// Incarnation identifies a target between one of its starts and the next.
 type Incarnation struct {
 	ID string `cbor:"1,keyasint"`
 	// StartedMS is when it began, in Unix milliseconds; zero if unknown.
--- a/reclaim/reclaim.go
+++ b/reclaim/reclaim.go
@@ -55,7 +55,7 @@
 	// have older weights.
 	incompleteAt time.Time
 	// versions are the named versions from floor on, in rising order, with when each was
-	// first heard of.
+	// first known.
 	versions []namedVersion
 }
 
@@ -101,7 +101,7 @@
 	if now.Before(t.incompleteAt.Add(relistTime + propagation + shortFetch)) {
 		return 0
 	}
-	// Boxes that had not heard of newer weights used the longer time-out.
+	// Boxes that did not know of newer weights used the longer time-out.
 	if now.Before(named.Add(maxProofAge + longFetch)) {
 		return 0
 	}
--- a/reclaim/reclaim_test.go
+++ b/reclaim/reclaim_test.go
@@ -43,7 +43,7 @@
 }
 
 // TestFastRollout has all engines on a version right after it was named, when boxes that
-// had not heard of it placed fetches with the longer time-out.
+// did not know of it placed fetches with the longer time-out.
 func TestFastRollout(t *testing.T) {
 	var w Tracker
 	w.SetFloor(start, 1)
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestAddVersionOnce checks that a version counts from when it was first heard of.
+// TestAddVersionOnce checks that a version counts from when it was first known.
 func TestAddVersionOnce(t *testing.T) {
 	var w Tracker
 	w.AddVersion(start, 2)
