--- a/build.go
+++ b/build.go
@@ -114,7 +114,7 @@
 	b.Jitter = d.jitter
 	b.Record = d.records.Add
 	b.OnFailing = func(name string) { d.Log.Warn("target fails", "target", name) }
-	b.OnLeaving = func(name, heard string) { d.Log.Info("target is leaving", "target", name, "heard", heard) }
+	b.OnLeaving = func(name, source string) { d.Log.Info("target is leaving", "target", name, "heard", source) }
 	b.Init()
 }
 
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -73,7 +73,7 @@
 }
 
 // runs plays one generated history and returns how often the key ran.
-func runs(t *testing.T, c control, daemons int, faults, tries []int) int {
+func runs(t *testing.T, c control, daemons int, faults, steps []int) int {
 	h := &history{}
 	synctest.Test(t, func(*testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -95,7 +95,7 @@
 			go stores[i].Run(ctx)
 		}
 		var callers sync.WaitGroup
-		for i, action := range tries {
+		for i, action := range steps {
 			callers.Go(func() {
 				// Callers without an answer retry at any daemon.
 				time.Sleep(time.Duration(i/3) * 10 * time.Second)
@@ -111,8 +111,8 @@
 }
 
 func atMostOnce(t *testing.T, c control) gopter.Prop {
-	return prop.ForAll(func(daemons int, faults, tries []int) bool {
-		return runs(t, c, daemons, faults, tries) <= 1
+	return prop.ForAll(func(daemons int, faults, steps []int) bool {
+		return runs(t, c, daemons, faults, steps) <= 1
 	}, gen.IntRange(1, 4), gen.SliceOfN(9, gen.IntRange(0, int(fake.NumKinds)-1)), gen.SliceOfN(12, gen.IntRange(0, actions-1)))
 }
 
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -72,7 +72,7 @@
 	Record func(decision.Record)
 	// OnFailing and OnLeaving are called when a target begins to fail or to leave.
 	OnFailing func(name string)
-	OnLeaving func(name, heard string)
+	OnLeaving func(name, source string)
 
 	// quotas hold what this box may send to targets with rate limits, by target ID.
 	quotas map[uint64]*quota.Bucket
--- a/entry/admission_test.go
+++ b/entry/admission_test.go
@@ -63,9 +63,9 @@
 func TestAdmissionBySize(t *testing.T) {
 	const typical = 10000
 	tests := []struct {
-		name         string
-		taken, asked int
-		admitted     bool
+		name          string
+		taken, tokens int
+		admitted      bool
 	}{
 		{"typical, fits", 80000, typical, true},
 		{"long, a typical one fits", 80000, 30000, true},
@@ -79,7 +79,7 @@
 			for range 200 {
 				d.tables.learnTypicalTokens(job("long", typical))
 			}
-			_, err := d.place(start, &d.tables, deliver.PlacementRequest{Job: job("long", tt.asked)})
+			_, err := d.place(start, &d.tables, deliver.PlacementRequest{Job: job("long", tt.tokens)})
 			if (err == nil) != tt.admitted {
 				t.Errorf("admitted: %v (%v)", err == nil, err)
 			}
--- a/entry/burst_test.go
+++ b/entry/burst_test.go
@@ -92,12 +92,12 @@
 	for _, n := range history {
 		p := phaseOf(n)
 		for range p.steps {
-			asked, again := 0, 0
+			sent, again := 0, 0
 			for i := range fleet {
 				a, r := act(&fleet[i], p.action)
-				asked, again = asked+a, again+r
+				sent, again = sent+a, again+r
 			}
-			requests, retried = append(requests, asked), append(retried, again)
+			requests, retried = append(requests, sent), append(retried, again)
 			from := max(0, len(requests)-window)
 			if float64(sum(retried[from:])) > retryRatio*float64(sum(requests[from:]))+retryExtra {
 				return false
--- a/entry/callerleft_test.go
+++ b/entry/callerleft_test.go
@@ -17,10 +17,10 @@
 func TestCallerLeftUnplaced(t *testing.T) {
 	tests := []struct {
 		name string
-		// asks is how many hubs are asked before the caller leaves. The last one's call then
+		// calls is how many hubs are asked before the caller leaves. The last one's call then
 		// ends in err, or in a placement.
-		asks int
-		err  error
+		calls int
+		err   error
 	}{
 		{"before the loop received the request", 0, nil},
 		{"while a hub was asked, which then placed", 1, nil},
@@ -34,14 +34,14 @@
 			defer cancel()
 			reply := make(chan placementAnswer, 1)
 			var m message = placementRequest{ctx: ctx, ask: deliver.PlacementRequest{Job: job("long", 1000)}, reply: reply}
-			for i := range tt.asks {
-				asked := spoke.update(start, m)[0].(askHub)
-				answer := hubPlaced{hub: asked.hub, request: asked.request, err: errors.New("no answer")}
-				if i == tt.asks-1 {
+			for i := range tt.calls {
+				call := spoke.update(start, m)[0].(askHub)
+				answer := hubPlaced{hub: call.hub, request: call.request, err: errors.New("no answer")}
+				if i == tt.calls-1 {
 					answer.err = tt.err
 				}
 				if answer.err == nil {
-					answer.placed = hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &asked.ask}).PlacementResponse
+					answer.placed = hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &call.ask}).PlacementResponse
 				}
 				m = answer
 			}
@@ -57,7 +57,7 @@
 					t.Errorf("counted at %q: %+v", id, x)
 				}
 			}
-			if last := fmt.Sprintf("box-%02d", max(tt.asks-1, 0)); spoke.tables.members[last].misses != 0 {
+			if last := fmt.Sprintf("box-%02d", max(tt.calls-1, 0)); spoke.tables.members[last].misses != 0 {
 				t.Errorf("a miss was counted for %s", last)
 			}
 		})
--- a/entry/canary.go
+++ b/entry/canary.go
@@ -63,16 +63,16 @@
 func (t *tables) canaryOf(pool string) *canaryRollout { return t.canaries[pool] }
 
 // applyCanarySpecs applies the rollouts that the operator requests.
-func (d *Daemon) applyCanaryAsks(now time.Time, t *tables, m operatorRead) {
-	asked := m.change.Canaries
-	for _, pool := range slices.Sorted(maps.Keys(asked)) {
-		if spec := asked[pool]; spec != nil {
+func (d *Daemon) applyCanarySpecs(now time.Time, t *tables, m operatorRead) {
+	specs := m.change.Canaries
+	for _, pool := range slices.Sorted(maps.Keys(specs)) {
+		if spec := specs[pool]; spec != nil {
 			d.startCanary(now, t, *spec, "the operator")
 		}
 	}
 	for pool, c := range t.canaries {
-		spec, present := asked[pool]
-		lost := m.change.Snapshot && asked != nil && !present
+		spec, present := specs[pool]
+		lost := m.change.Snapshot && specs != nil && !present
 		switch {
 		case present && spec != nil:
 			c.specLostAt = time.Time{}
--- a/entry/canary_test.go
+++ b/entry/canary_test.go
@@ -33,7 +33,7 @@
 	fiftiethBad                 time.Time
 	// olderAfterCompletion counts requests that reached the older version after completion.
 	olderAfterCompletion int
-	asked                bool
+	requested            bool
 }
 
 // rolloutTime is the rollout's time, as in the platform's own example.
@@ -54,11 +54,11 @@
 }
 
 // requestRollout has the operator request a version, whose targets start a second later.
-func (w *canaryFleet) ask(version string) {
+func (w *canaryFleet) requestRollout(version string) {
 	w.writeOperator(func(o *Operator) {
 		o.Canaries = map[string]*canary.Rollout{"orders": {Pool: "orders", Version: version, Order: w.version, Timeout: rolloutTime}}
 	})
-	w.asked = true
+	w.requested = true
 	w.after(time.Second, func() {
 		for i := range 5 {
 			w.addTargets(serviceAt(fmt.Sprintf("%s-%d", version, i), version, 10+i))
@@ -85,7 +85,7 @@
 	}
 	took := time.Duration((40 + w.random.Float64()*40) * float64(time.Millisecond))
 	failed := w.random.IntN(50) == 0
-	if w.asked {
+	if w.requested {
 		w.sent++
 	}
 	if onCanary := w.targets[place.Target].Software != "v1"; onCanary {
@@ -157,7 +157,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			w := newCanaryFleet(1, 70)
 			w.answer = tt.answer(w)
-			w.ask("v2")
+			w.requestRollout("v2")
 			w.advance(rolloutTime, w.serve)
 			t.Logf("%d of %d requests reached the new version, %d bad answers, reported %v", w.canarySent, w.sent, w.bad, w.canaryReports["orders"])
 			if w.last() != tt.want {
@@ -192,7 +192,7 @@
 			return []fake.Kind{fake.None, fake.AnswerLost, fake.RequestLost, fake.Late}[w.random.IntN(4)]
 		}
 	}},
-	{"requested again", func(w *canaryFleet) { w.ask("v2") }},
+	{"requested again", func(w *canaryFleet) { w.requestRollout("v2") }},
 	{"an older target goes", func(w *canaryFleet) { w.removeTargets("old-0") }},
 }
 
@@ -227,7 +227,7 @@
 	properties.Property("within its bounds", prop.ForAll(func(seed uint64, percent, trouble, after int) bool {
 		w := newCanaryFleet(seed, 70)
 		w.answer = w.badAnswers(percent, seed%2 == 0, int(seed%50), "")
-		w.ask("v2")
+		w.requestRollout("v2")
 		w.advance(time.Duration(after)*time.Second, w.serve)
 		faults[trouble].do(w)
 		w.advance(rolloutTime+time.Second, w.serve) // Asking again restarts the rollout's time.
@@ -269,7 +269,7 @@
 				d.bounds.Store(&d.Settings.Bounds)
 			}
 			w.answer = w.badAnswers(tt.percent, tt.percent == 20, 0, "")
-			w.ask("v2")
+			w.requestRollout("v2")
 			over := 0.0
 			w.advance(rolloutTime, func() {
 				w.serve()
@@ -303,7 +303,7 @@
 				tt.take(d)
 			}
 			w.answer = w.badAnswers(tt.bad, false, 0, "")
-			w.ask("v2")
+			w.requestRollout("v2")
 			w.advance(rolloutTime, w.serve)
 			if float64(w.canarySent) <= 0.1*float64(w.sent)+50 && w.late == 0 && w.last() == canary.RolledBack {
 				t.Errorf("holds without: %d of %d reached it, reported %v", w.canarySent, w.sent, w.canaryReports["orders"])
--- a/entry/cold_test.go
+++ b/entry/cold_test.go
@@ -101,7 +101,7 @@
 
 // TestCold lists what makes an engine cold, and which boxes may send to a cold one.
 func TestCold(t *testing.T) {
-	told := errors.New("reset")
+	reset := errors.New("reset")
 	tests := []struct {
 		name string
 		box  string
@@ -125,12 +125,12 @@
 		{"a box that does not know the others", "box-00", func(d *Daemon) { d.tables.membersKnown = false }, 0, 0},
 		{"cache events that broke off", "box-00", func(d *Daemon) {
 			d.tables.watched["i-00"] = func() {}
-			d.cacheEventsRead(start.Add(time.Second), &d.tables, cacheEventsRead{source: "i-00", err: told})
+			d.cacheEventsRead(start.Add(time.Second), &d.tables, cacheEventsRead{source: "i-00", err: reset})
 		}, 9 * time.Second, 6},
 		{"cache events that go on", "box-00", func(d *Daemon) {
 			d.tables.watched["i-00"] = func() {}
 			d.cacheEventsRead(start.Add(time.Second), &d.tables, cacheEventsRead{source: "i-00", events: CacheEvents{Epoch: 1}})
-			d.cacheEventsRead(start.Add(time.Second), &d.tables, cacheEventsRead{source: "i-00", err: told})
+			d.cacheEventsRead(start.Add(time.Second), &d.tables, cacheEventsRead{source: "i-00", err: reset})
 			d.cacheEventsRead(start.Add(2*time.Second), &d.tables, cacheEventsRead{source: "i-00", events: CacheEvents{Epoch: 1}})
 		}, 9 * time.Second, 40},
 		{"an evacuation that is over", "box-00", func(d *Daemon) {
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -144,7 +144,7 @@
 		return probe{}, false
 	}
 	pool := table.Pools[x.Pool]
-	p := probe{target: x.ID, path: pool.HealthPath, address: x.Address, incarnation: x.Incarnation(), engine: pool.Engine != nil, suspected: true, asked: now}
+	p := probe{target: x.ID, path: pool.HealthPath, address: x.Address, incarnation: x.Incarnation(), engine: pool.Engine != nil, suspected: true, decidedAt: now}
 	if p.engine {
 		return p, true
 	}
@@ -160,11 +160,11 @@
 func (d *Daemon) runProbe(ctx context.Context, p probe) error {
 	if !p.engine {
 		signals, err := d.Platform.Healthy(ctx, p.address, p.path, p.target)
-		d.recordSignals(p.asked, p.incarnation, signals, "its health")
+		d.recordSignals(p.decidedAt, p.incarnation, signals, "its health")
 		return err
 	}
 	report, err := d.Platform.Report(ctx, p.address)
-	d.signalsFromReport(p.asked, p.incarnation, report)
+	d.signalsFromReport(p.decidedAt, p.incarnation, report)
 	if err == nil && !p.incarnation.StartedAt.IsZero() && report.StartedAt.After(p.incarnation.StartedAt) {
 		return ErrReplaced
 	}
@@ -176,7 +176,7 @@
 	incarnation := incarnationKey(m.incarnation)
 	switch {
 	case m.err == nil || errors.Is(m.err, ErrUnhealthy):
-		t.crashes.Alive(incarnation, m.asked)
+		t.crashes.Alive(incarnation, m.decidedAt)
 	case errors.Is(m.err, syscall.ECONNREFUSED):
 		d.incarnationEnded(now, t, incarnation, "its address refuses connections")
 	}
@@ -187,7 +187,7 @@
 func (d *Daemon) livenessFromEvents(now time.Time, t *tables, x *fleet.Target, m cacheEventsRead) {
 	switch {
 	case m.err == nil:
-		t.crashes.Alive(incarnationKey(x.Incarnation()), m.asked)
+		t.crashes.Alive(incarnationKey(x.Incarnation()), m.requestedAt)
 	case errors.Is(m.err, syscall.ECONNREFUSED):
 		d.incarnationEnded(now, t, incarnationKey(x.Incarnation()), "its news")
 	}
@@ -197,9 +197,9 @@
 type probe struct {
 	target, path string
 	address      netip.AddrPort
-	// incarnation is the target's incarnation at asked, when the probe was decided on.
+	// incarnation is the target's incarnation at decidedAt, when the probe was decided on.
 	incarnation fleet.Incarnation
-	asked       time.Time
+	decidedAt   time.Time
 	// engine means that the report is read, suspected that the target may have ended.
 	engine, suspected bool
 }
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -108,18 +108,18 @@
 			return []message{peerAnswered{name: "b2", answer: peer.Message{EndedIncarnations: []peer.Incarnation{{ID: x}}}}}
 		}, true},
 		{"asked for its health, it refuses connections", func(x string) []message {
-			return []message{probed{probe{target: x, incarnation: fleet.Incarnation{ID: x}, asked: start.Add(time.Second)}, syscall.ECONNREFUSED}}
+			return []message{probed{probe{target: x, incarnation: fleet.Incarnation{ID: x}, decidedAt: start.Add(time.Second)}, syscall.ECONNREFUSED}}
 		}, true},
 		{"asked for its health, it says that it is unhealthy, and then ends", func(x string) []message {
-			return []message{probed{probe{target: x, incarnation: fleet.Incarnation{ID: x}, asked: start.Add(time.Second)}, ErrUnhealthy}, refusesDial(x)}
+			return []message{probed{probe{target: x, incarnation: fleet.Incarnation{ID: x}, decidedAt: start.Add(time.Second)}, ErrUnhealthy}, refusesDial(x)}
 		}, false},
 		{"it answers what was sent later, and then ends", func(x string) []message { return []message{answersAt(1, x), refusesDial(x)} }, false},
 		{"it answers what was sent before, and then ends", func(x string) []message { return []message{answersAt(-1, x), refusesDial(x)} }, true},
 		{"it sends cache events that were asked for later, and then ends", func(x string) []message {
-			return []message{cacheEventsRead{source: x, asked: start.Add(time.Millisecond)}, refusesDial(x)}
+			return []message{cacheEventsRead{source: x, requestedAt: start.Add(time.Millisecond)}, refusesDial(x)}
 		}, false},
 		{"it sends cache events that were asked for before, and then ends", func(x string) []message {
-			return []message{cacheEventsRead{source: x, asked: start.Add(-time.Millisecond)}, refusesDial(x)}
+			return []message{cacheEventsRead{source: x, requestedAt: start.Add(-time.Millisecond)}, refusesDial(x)}
 		}, true},
 	}
 	for _, tt := range tests {
@@ -395,9 +395,9 @@
 
 // TestIncarnationKey checks that two incarnations of one target have different IDs.
 func TestIncarnationKey(t *testing.T) {
-	plain, born := fleet.Incarnation{ID: "i-7f"}, fleet.Incarnation{ID: "i-7f", StartedAt: start}
-	if incarnationKey(plain) == incarnationKey(born) || incarnationTarget(incarnationKey(plain)) != "i-7f" || incarnationTarget(incarnationKey(born)) != "i-7f" || strings.Contains(incarnationKey(plain), incarnationMark) {
-		t.Errorf("%q and %q", incarnationKey(plain), incarnationKey(born))
+	plain, started := fleet.Incarnation{ID: "i-7f"}, fleet.Incarnation{ID: "i-7f", StartedAt: start}
+	if incarnationKey(plain) == incarnationKey(started) || incarnationTarget(incarnationKey(plain)) != "i-7f" || incarnationTarget(incarnationKey(started)) != "i-7f" || strings.Contains(incarnationKey(plain), incarnationMark) {
+		t.Errorf("%q and %q", incarnationKey(plain), incarnationKey(started))
 	}
 }
 
--- a/entry/effect.go
+++ b/entry/effect.go
@@ -78,9 +78,9 @@
 	case callPeer:
 		d.postContext(ctx, d.callPeer(ctx, e))
 	case pollLoaded:
-		asked := d.now()
+		requestedAt := d.now()
 		report, err := d.Platform.Report(ctx, e.address)
-		d.signalsFromReport(asked, e.incarnation, report)
+		d.signalsFromReport(requestedAt, e.incarnation, report)
 		d.postContext(ctx, loadPolled{e.target, report, err})
 	case probe:
 		d.postContext(ctx, probed{e, d.runProbe(ctx, e)})
--- a/entry/emulator_test.go
+++ b/entry/emulator_test.go
@@ -107,9 +107,9 @@
 		rows, err := w.rows.ListAll(ctx, "")
 		return OwnRows{Snapshot: true, Rows: rows, Known: w.revision()}, err
 	}
-	d.Platform.ReportCanary = func(_ context.Context, ask canary.Rollout, state canary.State) error {
+	d.Platform.ReportCanary = func(_ context.Context, spec canary.Rollout, state canary.State) error {
 		w.cost[name].tableServiceCalls++
-		w.recordCanary(ask.Pool, state)
+		w.recordCanary(spec.Pool, state)
 		return nil
 	}
 	d.lease.Now, d.lease.Commit, d.lease.Read = d.now, d.Platform.Commit, d.Platform.Read
@@ -221,13 +221,13 @@
 	w.restores++
 	w.rows.Restore(own)
 	w.writeOperator(func(o *Operator) {
-		asks := make(map[string]*canary.Rollout, len(o.Canaries))
-		for pool, ask := range o.Canaries {
-			again := *ask
+		canaries := make(map[string]*canary.Rollout, len(o.Canaries))
+		for pool, spec := range o.Canaries {
+			again := *spec
 			again.Order = canary.OrderAt(w.revision())
-			asks[pool] = &again
+			canaries[pool] = &again
 		}
-		o.Canaries = asks
+		o.Canaries = canaries
 	})
 	rows, err := w.rows.ListAll(context.Background(), "")
 	if err != nil {
@@ -297,7 +297,7 @@
 		switch e := e.(type) {
 		case callPeer:
 			w.call(d, e.name, e.message, func(answer peer.Message, err error) {
-				w.perform(d, d.update(w.now, peerAnswered{e.name, e.asked, answer, err}))
+				w.perform(d, d.update(w.now, peerAnswered{e.name, e.requestedAt, answer, err}))
 			})
 		case askHub:
 			m := peer.Message{Kind: peer.KindPlace, From: d.Settings.Name, PlacementRequest: &e.ask}
@@ -312,7 +312,7 @@
 			w.cost[d.Settings.Name].watched++
 			w.after(tableServiceDelay, func() {
 				if e.ctx.Err() == nil {
-					w.perform(d, d.update(w.now, cacheEventsRead{source: e.name, asked: w.now}))
+					w.perform(d, d.update(w.now, cacheEventsRead{source: e.name, requestedAt: w.now}))
 				}
 			})
 		case rewrite:
--- a/entry/gossip.go
+++ b/entry/gossip.go
@@ -38,18 +38,18 @@
 
 // callPeer exchanges gossip with another box.
 type callPeer struct {
-	name    string
-	address netip.AddrPort
-	asked   time.Time
-	message peer.Message
+	name        string
+	address     netip.AddrPort
+	requestedAt time.Time
+	message     peer.Message
 }
 
 // peerAnswered is the result of a call to another box.
 type peerAnswered struct {
-	name   string
-	asked  time.Time
-	answer peer.Message
-	err    error
+	name        string
+	requestedAt time.Time
+	answer      peer.Message
+	err         error
 }
 
 // peerRequest is a call from another box. The loop answers on reply, which is buffered.
@@ -116,7 +116,7 @@
 			continue
 		}
 		m.calling = true
-		call := callPeer{name: name, address: m.address, asked: now, message: message}
+		call := callPeer{name: name, address: m.address, requestedAt: now, message: message}
 		if t.hub == name {
 			call.message.ListVersion, call.message.ListStartVersion, call.message.QuarantineVersion = t.hubList.Number, t.hubList.SnapshotAt, t.hubQuarantineVersion
 		}
@@ -176,7 +176,7 @@
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
 	answer, err := d.peers.Call(ctx, e.address, e.message)
-	return peerAnswered{e.name, e.asked, answer, err}
+	return peerAnswered{e.name, e.requestedAt, answer, err}
 }
 
 // answerPeer has the loop answer another box's call.
@@ -263,14 +263,14 @@
 	d.receiveReplaced(now, t, m.answer)
 	d.receiveQuarantine(now, t, m.answer)
 	d.receiveAdmitting(now, m.answer)
-	d.receiveLimits(now, m.asked, t, m.answer)
+	d.receiveLimits(now, m.requestedAt, t, m.answer)
 	x.heardAt = now
 	if d.spoke.Load() {
 		t.hubHeardAt = now
-		return d.applyView(now, t, m.name, m.asked, m.answer.View)
+		return d.applyView(now, t, m.name, m.requestedAt, m.answer.View)
 	}
 	d.applyUsage(now, t, m.answer)
-	d.receiveProof(t, m.asked, m.answer)
+	d.receiveProof(t, m.requestedAt, m.answer)
 	d.receiveRewritten(t, m.answer)
 	t.receiveUnlistedCount(now, m.answer)
 	d.receiveCanarySamples(now, t, m.answer.CanarySamples)
--- a/entry/hub.go
+++ b/entry/hub.go
@@ -117,9 +117,9 @@
 
 // placementHub returns the hub to ask for a placement, or an empty name if none answers. A hub
 // that failed to answer must first answer gossip again, as a request can't wait for it.
-func (d *Daemon) placementHub(now time.Time, t *tables, asked []string) string {
+func (d *Daemon) placementHub(now time.Time, t *tables, excluded []string) string {
 	return d.firstHub(t, func(name string, m *member) bool {
-		return !m.unanswered && !now.Before(m.retryAt) && !slices.Contains(asked, name)
+		return !m.unanswered && !now.Before(m.retryAt) && !slices.Contains(excluded, name)
 	})
 }
 
--- a/entry/hub_test.go
+++ b/entry/hub_test.go
@@ -67,19 +67,19 @@
 // answering, and has a box act as a hub for hubLinger after it was asked.
 func TestHubEnds(t *testing.T) {
 	d := largeFleet("box-05")
-	var asked []string
+	var hubs []string
 	for {
 		hub := d.viewHub(start, &d.tables)
 		if hub == "" {
 			break
 		}
-		asked = append(asked, hub)
+		hubs = append(hubs, hub)
 		for range maxHubMisses {
 			d.hubFailed(start, &d.tables, hub, errors.New("no answer"))
 		}
 	}
-	if len(asked) != 4 || asked[0] != "box-00" || asked[1] != "box-01" || !slices.Contains(asked, "box-10") {
-		t.Errorf("asked hubs %v", asked)
+	if len(hubs) != 4 || hubs[0] != "box-00" || hubs[1] != "box-01" || !slices.Contains(hubs, "box-10") {
+		t.Errorf("asked hubs %v", hubs)
 	}
 	if got := d.viewHub(start.Add(gossipRetryDelay), &d.tables); got != "box-00" {
 		t.Errorf("after the retry delay %q is asked, want the first hub", got)
@@ -272,9 +272,9 @@
 		// fails is the error of each hub's call.
 		fails [2]error
 		code  string
-		// asks is how many hubs are asked, rule the prefix of the placement's rule.
-		asks int
-		rule string
+		// calls is how many hubs are asked, rule the prefix of the placement's rule.
+		calls int
+		rule  string
 	}{
 		{"placed", func(_, _, _ *Daemon) {}, [2]error{}, "", 1, "hub, "},
 		{"refused by the hub", func(hub, _, _ *Daemon) {
@@ -308,19 +308,19 @@
 			tt.change(hubs["box-00"], hubs["box-01"], spoke)
 			reply := make(chan placementAnswer, 1)
 			effects := spoke.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: job("long", 1000)}, reply: reply})
-			asks := 0
-			for ; len(effects) == 1; asks++ {
-				asked := effects[0].(askHub)
-				hub := hubs[asked.hub]
-				answer := hubPlaced{hub: asked.hub, request: asked.request, err: tt.fails[asks]}
+			calls := 0
+			for ; len(effects) == 1; calls++ {
+				call := effects[0].(askHub)
+				hub := hubs[call.hub]
+				answer := hubPlaced{hub: call.hub, request: call.request, err: tt.fails[calls]}
 				if answer.err == nil {
-					answer.placed = hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &asked.ask}).PlacementResponse
+					answer.placed = hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &call.ask}).PlacementResponse
 				}
 				effects = spoke.update(start, answer)
 			}
 			got := <-reply
-			if asks != tt.asks || (got.err != nil) != (tt.code != "") || !strings.HasPrefix(got.place.Rule, tt.rule) {
-				t.Fatalf("got %+v after %d asks, want refusal %q, rule %q after %d", got, asks, tt.code, tt.rule, tt.asks)
+			if calls != tt.calls || (got.err != nil) != (tt.code != "") || !strings.HasPrefix(got.place.Rule, tt.rule) {
+				t.Fatalf("got %+v after %d calls, want refusal %q, rule %q after %d", got, calls, tt.code, tt.rule, tt.calls)
 			}
 			if refused := new(refusal.Refusal); errors.As(got.err, &refused) && refused.Code != tt.code {
 				t.Errorf("refused for %q, want %q", refused.Code, tt.code)
@@ -401,7 +401,7 @@
 	if got := d.viewHub(again, &d.tables); got != "box-00" {
 		t.Errorf("gossip goes to %q", got)
 	}
-	d.update(again, peerAnswered{name: "box-00", asked: again})
+	d.update(again, peerAnswered{name: "box-00", requestedAt: again})
 	if got := d.placementHub(again, &d.tables, nil); got != "box-00" {
 		t.Errorf("placements are requested from %q after it answered", got)
 	}
--- a/entry/list.go
+++ b/entry/list.go
@@ -18,7 +18,7 @@
 	d.noteRestore(now, t, m.change.Known)
 	restored := m.change.Known.Restores > t.listRestores
 	t.listRestores = m.change.Known.Restores
-	t.listRead = m.asked
+	t.listRead = m.requestedAt
 	t.hub, t.hubList, t.hubListed = "", changelog.Cursor{}, nil // What it lacks of a hub's list is unknown, so the next one is taken whole.
 	d.noteListRead(now, t, m)
 	for _, id := range slices.Sorted(maps.Keys(m.change.Unusable)) {
--- a/entry/listbehind_test.go
+++ b/entry/listbehind_test.go
@@ -40,7 +40,7 @@
 		m.ListVersion, m.ListStartVersion = 0, 0
 	}
 	answer := to.peerRequest(now, &to.tables, m)
-	from.update(now, peerAnswered{name: to.Settings.Name, asked: now, answer: answer})
+	from.update(now, peerAnswered{name: to.Settings.Name, requestedAt: now, answer: answer})
 }
 
 // advance runs the boxes for a time in which box-11 reads the operator's rows for all and the
@@ -124,7 +124,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := boxOfFleet("box-00")
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Changed: rev(tt.known), Known: rev(tt.known), Listed: []fleet.Entry{entryAt("a", "10.1.0.1:1")}}, false})
-			d.update(start, peerAnswered{name: "box-11", asked: start, answer: peer.Message{ListRevision: rev(tt.listed)}})
+			d.update(start, peerAnswered{name: "box-11", requestedAt: start, answer: peer.Message{ListRevision: rev(tt.listed)}})
 			now := start.Add(tt.after)
 			d.rereadIfBehind(now, &d.tables)
 			if got := d.listReads.interrupted(); got != tt.again {
@@ -169,7 +169,7 @@
 		go d.watchTargets(ctx)
 		synctest.Wait()
 		d.update(time.Now(), targetsRead{time.Now(), Targets{Snapshot: true, Known: rev(20), Changed: rev(20)}, false})
-		d.update(time.Now(), peerAnswered{name: "box-11", asked: time.Now(), answer: peer.Message{ListRevision: rev(21)}})
+		d.update(time.Now(), peerAnswered{name: "box-11", requestedAt: time.Now(), answer: peer.Message{ListRevision: rev(21)}})
 		d.rereadIfBehind(began.Add(behindReadAfter), &d.tables)
 		read := (<-d.messages).(targetsRead)
 		if took := time.Since(began); took > time.Second {
--- a/entry/load.go
+++ b/entry/load.go
@@ -29,8 +29,8 @@
 // that they waited for.
 func (t *tables) ownLoads(now time.Time) []peer.TargetLoad {
 	var list []peer.TargetLoad
-	t.throughput.Each(now, func(source uint64, asked, took time.Duration) {
-		list = append(list, peer.TargetLoad{Target: source, ExpectedMS: int(asked.Milliseconds()), ActualMS: int(took.Milliseconds())})
+	t.throughput.Each(now, func(source uint64, expected, took time.Duration) {
+		list = append(list, peer.TargetLoad{Target: source, ExpectedMS: int(expected.Milliseconds()), ActualMS: int(took.Milliseconds())})
 	})
 	for id, x := range t.targetsInUse {
 		load := peer.TargetLoad{Target: placement.Hash(id), Tokens: x.Tokens}
--- a/entry/load_test.go
+++ b/entry/load_test.go
@@ -12,14 +12,14 @@
 // while a request of this box runs there. Its load is no longer reported, and that of the next
 // incarnation starts at zero.
 func TestLoadEndsWithTarget(t *testing.T) {
-	born := start.Add(-time.Hour)
+	startedAt := start.Add(-time.Hour)
 	tests := []struct {
 		name string
 		goes func(d *Daemon)
 	}{
 		{"gone", func(d *Daemon) { d.update(start, targetsRead{start, Targets{Removed: []string{"a"}}, false}) }},
 		{"replaced", func(d *Daemon) {
-			d.dropReplaced(start, &d.tables, fleet.Incarnation{ID: "a", StartedAt: born}, "a test")
+			d.dropReplaced(start, &d.tables, fleet.Incarnation{ID: "a", StartedAt: startedAt}, "a test")
 		}},
 		{"started again", func(d *Daemon) {
 			e := engine("a", 1)
@@ -31,9 +31,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
 			e := engine("a", 1)
-			e.StartedAt = born
+			e.StartedAt = startedAt
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Listed: []fleet.Entry{e}}, false})
-			d.tables.countSent(start, deliver.Placement{Target: "a", StartedAt: born, PlacedAt: start, Tokens: 500})
+			d.tables.countSent(start, deliver.Placement{Target: "a", StartedAt: startedAt, PlacedAt: start, Tokens: 500})
 			if got := d.tables.ownLoads(start); len(got) != 1 || got[0].Tokens != 500 {
 				t.Fatalf("reported %+v while the request runs", got)
 			}
--- a/entry/loading.go
+++ b/entry/loading.go
@@ -56,7 +56,7 @@
 // busy, is polled again.
 func (d *Daemon) loadPolled(now time.Time, t *tables, m loadPolled) {
 	x := t.fleet.Target(m.target)
-	if _, asked := t.loading[m.target]; !asked || x == nil {
+	if _, loading := t.loading[m.target]; !loading || x == nil {
 		return
 	}
 	if m.err != nil || m.report.Busy {
--- a/entry/loading_test.go
+++ b/entry/loading_test.go
@@ -18,7 +18,7 @@
 		err     error
 		takes   bool
 		version int64
-		asked   bool // Polled again.
+		again   bool // Polled again.
 	}{
 		{"has loaded", Report{Versions: map[string]int64{"m": 2}}, nil, true, 2, false},
 		{"still loading", Report{Busy: true, Versions: map[string]int64{"m": 1}}, nil, false, 1, true},
@@ -41,7 +41,7 @@
 			if x.Loading(pollAt) == tt.takes || x.Versions["m"] != tt.version {
 				t.Errorf("loading %v, version %d", x.Loading(pollAt), x.Versions["m"])
 			}
-			if again := len(d.pollLoading(pollAt.Add(loadPollInterval), &d.tables)) == 1; again != tt.asked {
+			if again := len(d.pollLoading(pollAt.Add(loadPollInterval), &d.tables)) == 1; again != tt.again {
 				t.Errorf("polled again %v", again)
 			}
 		})
--- a/entry/message.go
+++ b/entry/message.go
@@ -50,13 +50,13 @@
 // operatorRead, targetsRead and ownRead are answers of the table service, with the time at
 // which each read was sent.
 type operatorRead struct {
-	asked  time.Time
-	change Operator
+	requestedAt time.Time
+	change      Operator
 }
 
 type targetsRead struct {
-	asked  time.Time
-	change Targets
+	requestedAt time.Time
+	change      Targets
 	// afterOutage says that the service could not be read just before.
 	afterOutage bool
 }
@@ -81,9 +81,9 @@
 	events CacheEvents
 	// listed says that the events list everything that the source has cached.
 	listed bool
-	// asked is when the read was sent.
-	asked time.Time
-	err   error
+	// requestedAt is when the read was sent.
+	requestedAt time.Time
+	err         error
 }
 
 // leaseStepped reports that a step of the rollout's lease ended. While the lease is held, it
--- a/entry/order.go
+++ b/entry/order.go
@@ -35,9 +35,9 @@
 	ordered := false
 	unreachable := 0
 	for {
-		asked := d.now()
+		requestedAt := d.now()
 		report, err := d.Platform.Report(ctx, e.address)
-		d.signalsFromReport(asked, e.incarnation, report)
+		d.signalsFromReport(requestedAt, e.incarnation, report)
 		if err == nil && report.Versions[e.order.Model] >= e.order.Version {
 			return nil
 		}
@@ -74,9 +74,9 @@
 	ctx, cancel := context.WithTimeout(ctx, until.Sub(d.now()))
 	defer cancel()
 	e.order.Until = until
-	asked := d.now()
+	requestedAt := d.now()
 	signals, err := d.Platform.Order(ctx, e.address, e.order)
-	d.recordSignals(asked, e.incarnation, signals, "an order")
+	d.recordSignals(requestedAt, e.incarnation, signals, "an order")
 	return err
 }
 
--- a/entry/peerproof.go
+++ b/entry/peerproof.go
@@ -57,13 +57,13 @@
 // receiveProof takes another hub's proof if this box knows all that was known there. The
 // proof's age counts from when it was requested, as the answer was made later. A hub that has
 // not read the table service since a restore proves nothing to one that has.
-func (d *Daemon) receiveProof(t *tables, asked time.Time, m peer.Message) {
+func (d *Daemon) receiveProof(t *tables, requestedAt time.Time, m peer.Message) {
 	switch {
 	case m.OperatorRevision.IsZero() || d.peerProofMaxAge.Load() == 0:
 	case m.OperatorRevision.Restores < t.operatorKnown.Restores || !t.olderSince.IsZero():
 	case !m.OperatorRevision.After(t.operatorKnown):
 		d.countProof(t, m.From, m.OperatorRevision)
-		d.noteProof(asked.Add(-time.Duration(m.ProofAgeMS) * time.Millisecond))
+		d.noteProof(requestedAt.Add(-time.Duration(m.ProofAgeMS) * time.Millisecond))
 	default:
 		d.operatorBehind.Store(true)
 	}
--- a/entry/peerproof_test.go
+++ b/entry/peerproof_test.go
@@ -69,7 +69,7 @@
 			old := start.Add(-time.Minute)
 			d.provedAt.Store(&old)
 			d.update(start.Add(-time.Minute), operatorRead{old, Operator{Changed: rev(known - 2), Known: rev(known)}})
-			d.update(start.Add(50*time.Millisecond), peerAnswered{name: "box-11", asked: start, answer: tt.m})
+			d.update(start.Add(50*time.Millisecond), peerAnswered{name: "box-11", requestedAt: start, answer: tt.m})
 			if got := d.hasPeerProof(start.Add(tt.after)); got != tt.want {
 				t.Errorf("has a peer's proof: %v", got)
 			}
@@ -77,7 +77,7 @@
 				t.Errorf("the next read is held for %v", d.operatorHold())
 			}
 			d.update(start.Add(time.Second), operatorRead{start.Add(time.Second), Operator{Known: rev(known + 1)}})
-			d.update(start.Add(time.Second), peerAnswered{name: "box-11", asked: start, answer: tt.m})
+			d.update(start.Add(time.Second), peerAnswered{name: "box-11", requestedAt: start, answer: tt.m})
 			if !d.hasPeerProof(start.Add(time.Second)) {
 				t.Error("reads again, though it has read all that the other hub knows")
 			}
@@ -108,11 +108,11 @@
 						continue
 					}
 					if other.Settings.Name == gone {
-						d.update(now, peerAnswered{name: gone, asked: now, err: errors.New("no answer")})
+						d.update(now, peerAnswered{name: gone, requestedAt: now, err: errors.New("no answer")})
 						continue
 					}
 					m := other.peerRequest(now, &other.tables, peer.Message{Kind: peer.KindGossip, From: d.Settings.Name})
-					d.update(now, peerAnswered{name: other.Settings.Name, asked: now, answer: m})
+					d.update(now, peerAnswered{name: other.Settings.Name, requestedAt: now, answer: m})
 				}
 				d.updateRole(now, &d.tables)
 				if now.Before(next[i]) || d.hasPeerProof(now) {
--- a/entry/placepeer.go
+++ b/entry/placepeer.go
@@ -98,15 +98,15 @@
 	if t.unstable(d.now()) {
 		return false
 	}
-	heard := 0
+	connected := 0
 	for name := range t.watched {
 		if t.directory.IsConnected(name) {
-			heard++
+			connected++
 		}
 	}
-	t.hubWarm = heard > 0 && float64(heard) >= warmShare*float64(len(t.watched))
+	t.hubWarm = connected > 0 && float64(connected) >= warmShare*float64(len(t.watched))
 	if t.hubWarm {
-		d.Log.Info("hub knows what is kept", "heard", heard, "followed", len(t.watched))
+		d.Log.Info("hub knows what is kept", "heard", connected, "followed", len(t.watched))
 	}
 	return t.hubWarm
 }
--- a/entry/platform.go
+++ b/entry/platform.go
@@ -33,7 +33,7 @@
 	Read   func(ctx context.Context, key string) (table.Row, error)
 	// ReportCanary reports the progress of a canary version of a pool's software to the
 	// operator. What was reported of the same version before is never taken back.
-	ReportCanary func(ctx context.Context, ask canary.Rollout, state canary.State) error
+	ReportCanary func(ctx context.Context, spec canary.Rollout, state canary.State) error
 	// Send sends a caller's request to the target placed.
 	Send func(ctx context.Context, s deliver.Attempt) (*deliver.Reply, error)
 	// HasIdleConnection says that there is a usable idle connection to a target.
@@ -84,10 +84,10 @@
 	Clock time.Duration
 	// Held says that the service held the read until there was a change.
 	Held bool
-	// Asked is when the read that was answered was sent. That can be later than the caller's
+	// RequestedAt is when the read that was answered was sent. That can be later than the caller's
 	// request for it, as a read may be repeated without a hold. If unset, the time of the
 	// caller's request counts.
-	Asked time.Time
+	RequestedAt time.Time
 }
 
 // Targets is the content of the list of targets.
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -56,9 +56,9 @@
 
 // pendingRequest is a request that waits for its placement.
 type pendingRequest struct {
-	box   *Daemon
-	reply chan placementAnswer
-	asked time.Time
+	box         *Daemon
+	reply       chan placementAnswer
+	requestedAt time.Time
 }
 
 // sendRequests has some boxes send a request each, and handles those that were placed.
@@ -102,12 +102,12 @@
 	if w.limited[incarnation.ID] {
 		signals = notice.Signals{Limited: true, Rate: w.rate}
 	}
-	asked := w.now
+	sentAt := w.now
 	w.after(100*time.Millisecond, func() {
 		x.box.update(w.now, answerBegan{answer.place})
 		x.box.attemptEnded(w.now, &x.box.tables, attemptEnded{deliver.AttemptResult{Place: answer.place, Job: job("short", 100), Began: true, Answered: true}})
-		if x.box.observeSignals(asked, incarnation, signals, "an answer") {
-			x.box.update(w.now, signalsHeard{incarnation})
+		if x.box.observeSignals(sentAt, incarnation, signals, "an answer") {
+			x.box.update(w.now, signalsReceived{incarnation})
 		}
 	})
 }
@@ -180,7 +180,7 @@
 // setRateLimit has a box learn that a target names a rate limit.
 func setRateLimit(d *Daemon, now time.Time, id string, rate float64) {
 	d.notices.ObserveLimit(now, now, fleet.Incarnation{ID: id}, notice.Signals{Limited: true, Rate: rate})
-	d.update(now, signalsHeard{fleet.Incarnation{ID: id}})
+	d.update(now, signalsReceived{fleet.Incarnation{ID: id}})
 }
 
 // singleBox is a box without others, with two engines.
@@ -241,7 +241,7 @@
 		t.Errorf("placed a second later on %v", got)
 	}
 	d.notices.ObserveLimit(later, later, fleet.Incarnation{ID: "a"}, notice.Signals{Unlimited: true})
-	d.update(later, signalsHeard{fleet.Incarnation{ID: "a"}})
+	d.update(later, signalsReceived{fleet.Incarnation{ID: "a"}})
 	if got, _ := placedOn(d, later); fmt.Sprint(got) != "[a]" {
 		t.Errorf("placed after the end of a limit on %v", got)
 	}
@@ -257,16 +257,16 @@
 	setRateLimit(d, start, "s", 0.5)
 	x := d.tables.fleet.Target("s")
 	x.Sent(start, 0, 0)
-	asked := 0
+	probes := 0
 	for ms := 0; ms < 20000; ms += 100 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		for range d.probeSilent(now, &d.tables) {
-			asked++
+			probes++
 			delete(d.tables.probing, "s")
 		}
 	}
-	if asked == 0 || asked > 10 {
-		t.Errorf("probed %d times in 20 s at 0.5 a second", asked)
+	if probes == 0 || probes > 10 {
+		t.Errorf("probed %d times in 20 s at 0.5 a second", probes)
 	}
 }
 
--- a/entry/restored.go
+++ b/entry/restored.go
@@ -44,7 +44,7 @@
 	case m.change.Table != nil && !m.change.Snapshot:
 		t.operatorRewrittenBy = time.Time{}
 	}
-	if m.asked.Before(t.operatorRewrittenBy) {
+	if m.requestedAt.Before(t.operatorRewrittenBy) {
 		return true
 	}
 	t.operatorRewrittenBy = time.Time{}
--- a/entry/restored_canary_test.go
+++ b/entry/restored_canary_test.go
@@ -35,7 +35,7 @@
 			t.Parallel()
 			w := newCanaryFleet(3, 70)
 			w.answer = w.badAnswers(tt.percent, false, 0, "")
-			w.ask("v2")
+			w.requestRollout("v2")
 			w.advance(tt.copied, w.serve)
 			copied, lost := w.rows.Snapshot(), w.version
 			w.advance(tt.restored-tt.copied, w.serve)
@@ -65,8 +65,8 @@
 // TestCanarySpecRewritten guards against a rollout that stops because a restored table service
 // lacks its spec until the operator has written it again.
 func TestCanarySpecRewritten(t *testing.T) {
-	ask := canary.Rollout{Pool: "orders", Version: "v2", Order: 50, Timeout: rolloutTime}
-	again := ask
+	spec := canary.Rollout{Pool: "orders", Version: "v2", Order: 50, Timeout: rolloutTime}
+	again := spec
 	again.Order = canary.OrderAt(revision.Revision{Restores: 1, Number: 41})
 	tests := []struct {
 		name    string
@@ -82,7 +82,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
-			d.update(start, operatorRead{start, Operator{Snapshot: true, Canaries: map[string]*canary.Rollout{"orders": &ask}, Known: rev(50)}})
+			d.update(start, operatorRead{start, Operator{Snapshot: true, Canaries: map[string]*canary.Rollout{"orders": &spec}, Known: rev(50)}})
 			d.update(start, operatorRead{start, Operator{Snapshot: true, Canaries: map[string]*canary.Rollout{}, Known: revision.Revision{Restores: 1, Number: 40}}})
 			d.update(start, operatorRead{start, Operator{Canaries: tt.then, Known: revision.Revision{Restores: 1, Number: 41}}})
 			d.sweep(start.Add(tt.after), &d.tables)
--- a/entry/restored_start_test.go
+++ b/entry/restored_start_test.go
@@ -49,7 +49,7 @@
 				t.Errorf("proved by its first read: %v", first)
 			}
 			if tt.message != nil {
-				d.update(start, peerAnswered{name: "b2", asked: start, answer: *tt.message})
+				d.update(start, peerAnswered{name: "b2", requestedAt: start, answer: *tt.message})
 			}
 			next := Operator{Known: at}
 			if tt.written {
--- a/entry/restored_test.go
+++ b/entry/restored_test.go
@@ -93,7 +93,7 @@
 			for _, ago := range []time.Duration{time.Minute, 30 * time.Second} { // The first read proves nothing yet.
 				d.update(start.Add(-ago), operatorRead{start.Add(-ago), Operator{Changed: known, Known: known}})
 			}
-			d.update(start, peerAnswered{name: "box-11", asked: start, answer: peer.Message{OperatorRevision: tt.reported, ProofAgeMS: 10}})
+			d.update(start, peerAnswered{name: "box-11", requestedAt: start, answer: peer.Message{OperatorRevision: tt.reported, ProofAgeMS: 10}})
 			if got := d.provedAgo(start) < time.Second; got != tt.proved {
 				t.Errorf("proved %v", got)
 			}
@@ -122,7 +122,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := boxOfFleet("box-00")
 			d.update(start, targetsRead{start, Targets{Snapshot: true, Changed: known, Known: known, Listed: []fleet.Entry{engine("a", 1)}}, false})
-			d.update(start, peerAnswered{name: "box-11", asked: start, answer: peer.Message{ListRevision: tt.reported}})
+			d.update(start, peerAnswered{name: "box-11", requestedAt: start, answer: peer.Message{ListRevision: tt.reported}})
 			now := start.Add(behindAfter)
 			d.rereadIfBehind(now, &d.tables)
 			if got := d.listReads.interrupted(); got != tt.behind {
@@ -142,7 +142,7 @@
 	copied := revision.Revision{Restores: 1, Number: 40}
 	later := revision.Revision{Restores: 1, Number: 41}
 	none := map[string]bool{}
-	asked := map[string]bool{"a": true}
+	requested := map[string]bool{"a": true}
 	tests := []struct {
 		name string
 		// copied is the snapshot read after the restore, then the next one unless it is nil.
@@ -153,14 +153,14 @@
 		// gets nothing.
 		proved, evacuated bool
 	}{
-		{"nothing was lost", Operator{Table: configuration(7), Evacuations: asked}, nil, 0, true, true},
-		{"an older configuration", Operator{Table: configuration(6), Evacuations: asked}, nil, 0, false, true},
-		{"no configuration", Operator{Evacuations: asked}, nil, 0, false, true},
-		{"older and unchanged", Operator{Table: configuration(6), Evacuations: asked}, &Operator{}, time.Second, false, true},
-		{"older and written again", Operator{Table: configuration(6), Evacuations: asked}, &Operator{Table: configuration(7)}, time.Second, true, true},
-		{"older for longer than the grace", Operator{Table: configuration(6), Evacuations: asked}, &Operator{}, operatorRewriteGrace, true, true},
+		{"nothing was lost", Operator{Table: configuration(7), Evacuations: requested}, nil, 0, true, true},
+		{"an older configuration", Operator{Table: configuration(6), Evacuations: requested}, nil, 0, false, true},
+		{"no configuration", Operator{Evacuations: requested}, nil, 0, false, true},
+		{"older and unchanged", Operator{Table: configuration(6), Evacuations: requested}, &Operator{}, time.Second, false, true},
+		{"older and written again", Operator{Table: configuration(6), Evacuations: requested}, &Operator{Table: configuration(7)}, time.Second, true, true},
+		{"older for longer than the grace", Operator{Table: configuration(6), Evacuations: requested}, &Operator{}, operatorRewriteGrace, true, true},
 		{"an evacuation is lost", Operator{Table: configuration(7), Evacuations: none}, nil, 0, true, true},
-		{"an evacuation is lost and requested again", Operator{Table: configuration(7), Evacuations: none}, &Operator{Evacuations: asked}, time.Minute, true, true},
+		{"an evacuation is lost and requested again", Operator{Table: configuration(7), Evacuations: none}, &Operator{Evacuations: requested}, time.Minute, true, true},
 		{"an evacuation is lost, and a snapshot is read again", Operator{Table: configuration(7), Evacuations: none}, &Operator{Snapshot: true, Evacuations: none}, time.Second, true, true},
 		{"an evacuation is lost for good", Operator{Table: configuration(7), Evacuations: none}, nil, operatorRewriteGrace, true, false},
 		{"an evacuation is lost and revoked", Operator{Table: configuration(7), Evacuations: none}, &Operator{Evacuations: map[string]bool{"a": false}}, 0, true, false},
@@ -168,7 +168,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDaemon("b1")
-			d.update(start, operatorRead{start, Operator{Snapshot: true, Table: configuration(7), Evacuations: asked, Known: rev(50), Changed: rev(50)}})
+			d.update(start, operatorRead{start, Operator{Snapshot: true, Table: configuration(7), Evacuations: requested, Known: rev(50), Changed: rev(50)}})
 			restored := start.Add(time.Second)
 			tt.copied.Snapshot, tt.copied.Known, tt.copied.Changed = true, copied, copied
 			d.update(restored, operatorRead{restored, tt.copied})
--- a/entry/retrybudget_test.go
+++ b/entry/retrybudget_test.go
@@ -27,7 +27,7 @@
 			d.unlisted.Store(d.Settings.Box.Share < hubShare)
 		}
 		w.advance(3*time.Second, nil)
-		granted, asked, n := 0, 0, 0
+		granted, requested, n := 0, 0, 0
 		w.advance(10*time.Second, func() {
 			for _, d := range w.boxes[n%20:] {
 				if n++; n%20 != 0 {
@@ -35,16 +35,16 @@
 				}
 				d.earn("orders")
 				if n%140 == 0 {
-					asked++
+					requested++
 					if hubs && w.spend(d) || !hubs && d.budget.Spend("orders") {
 						granted++
 					}
 				}
 			}
 		})
-		t.Logf("with hubs %v: %d of %d retries", hubs, granted, asked)
-		if hubs && granted < asked*9/10 || !hubs && granted > asked/10 {
-			t.Errorf("with hubs %v: %d of %d requests are tried again", hubs, granted, asked)
+		t.Logf("with hubs %v: %d of %d retries", hubs, granted, requested)
+		if hubs && granted < requested*9/10 || !hubs && granted > requested/10 {
+			t.Errorf("with hubs %v: %d of %d requests are tried again", hubs, granted, requested)
 		}
 	}
 }
--- a/entry/signals.go
+++ b/entry/signals.go
@@ -28,8 +28,8 @@
 // codeBackoff is the refusal's code where all targets asked for a backoff.
 const codeBackoff = "backoff"
 
-// signalsHeard reports to the loop that a target's signals changed; they are in Daemon.notices.
-type signalsHeard struct{ incarnation fleet.Incarnation }
+// signalsReceived reports to the loop that a target's signals changed; they are in Daemon.notices.
+type signalsReceived struct{ incarnation fleet.Incarnation }
 
 // incarnationOf is the incarnation on which a request was placed.
 func incarnationOf(p deliver.Placement) fleet.Incarnation {
@@ -41,13 +41,13 @@
 func (d *Daemon) send(ctx context.Context, s deliver.Attempt) (*deliver.Reply, error) {
 	incarnation := incarnationOf(s.Place)
 	s.Allow = func() error { return d.allow(incarnation, s) }
-	asked := d.now()
+	sentAt := d.now()
 	if d.notices.Limit(incarnation).Active {
 		d.metrics.rateLimited.Inc()
 	}
 	reply, err := d.Platform.Send(ctx, s)
 	if err == nil {
-		d.recordSignals(asked, incarnation, reply.Signals, "request "+s.Job.ID)
+		d.recordSignals(sentAt, incarnation, reply.Signals, "request "+s.Job.ID)
 	}
 	return reply, err
 }
@@ -74,25 +74,25 @@
 	return err
 }
 
-// recordSignals records the signals in the answer to a request sent at asked. It is for callers
+// recordSignals records the signals in the answer to a request sent at sentAt. It is for callers
 // outside the loop.
-func (d *Daemon) recordSignals(asked time.Time, incarnation fleet.Incarnation, signals notice.Signals, from string) {
-	if d.observeSignals(asked, incarnation, signals, from) {
-		d.post(signalsHeard{incarnation})
+func (d *Daemon) recordSignals(sentAt time.Time, incarnation fleet.Incarnation, signals notice.Signals, from string) {
+	if d.observeSignals(sentAt, incarnation, signals, from) {
+		d.post(signalsReceived{incarnation})
 	}
 }
 
 // signalsFromReport records the signals in a target's report. incarnation is the one that was
 // asked; the report may be of a later one.
-func (d *Daemon) signalsFromReport(asked time.Time, incarnation fleet.Incarnation, report Report) {
+func (d *Daemon) signalsFromReport(sentAt time.Time, incarnation fleet.Incarnation, report Report) {
 	if !report.StartedAt.IsZero() {
 		incarnation.StartedAt = report.StartedAt
 	}
-	d.recordSignals(asked, incarnation, report.Signals, "its report")
+	d.recordSignals(sentAt, incarnation, report.Signals, "its report")
 }
 
 // observeSignals records the signals in an answer, and reports whether any of it is new.
-func (d *Daemon) observeSignals(asked time.Time, incarnation fleet.Incarnation, signals notice.Signals, from string) bool {
+func (d *Daemon) observeSignals(sentAt time.Time, incarnation fleet.Incarnation, signals notice.Signals, from string) bool {
 	now := d.now()
 	added := d.notices.Observe(now, incarnation, signals)
 	if added.Leaving {
@@ -103,7 +103,7 @@
 		d.metrics.notices.WithLabelValues(signalBackoff).Inc()
 		d.Log.Info("target wants no requests", "target", incarnation.ID, "born", incarnation.StartedAt, "for", added.Backoff, "told_by", from)
 	}
-	limited := d.notices.ObserveLimit(now, asked, incarnation, signals)
+	limited := d.notices.ObserveLimit(now, sentAt, incarnation, signals)
 	if limited {
 		d.logLimit(notice.TargetLimit{Incarnation: incarnation, Limit: d.notices.Limit(incarnation)}, from)
 	}
--- a/entry/signals_test.go
+++ b/entry/signals_test.go
@@ -37,7 +37,7 @@
 // sendSignals has a target send signals, as its answers do.
 func sendSignals(d *Daemon, now time.Time, incarnation fleet.Incarnation, signals notice.Signals) {
 	d.notices.Observe(now, incarnation, signals)
-	d.update(now, signalsHeard{incarnation})
+	d.update(now, signalsReceived{incarnation})
 }
 
 // placedOn lists the targets on which a box places requests one after the other, each once,
@@ -69,11 +69,11 @@
 		{"its backoff is over", func(d *Daemon) { sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsBackoff) }, 3 * time.Second, "[a b]"},
 		{"its cache events say that it leaves", func(d *Daemon) {
 			d.tables.watched["a"] = func() {}
-			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Signals: signalsLeaving}, asked: start})
+			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Signals: signalsLeaving}, requestedAt: start})
 		}, 0, "[b]"},
 		{"its cache events are refused, with a backoff", func(d *Daemon) {
 			d.tables.watched["a"] = func() {}
-			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Signals: signalsBackoff}, asked: start, err: errors.New("503")})
+			d.update(start, cacheEventsRead{source: "a", events: CacheEvents{Signals: signalsBackoff}, requestedAt: start, err: errors.New("503")})
 		}, 2500 * time.Millisecond, "[b]"},
 		{"it leaves, goes from the list, and a stale list has it", func(d *Daemon) {
 			sendSignals(d, start, fleet.Incarnation{ID: "a"}, signalsLeaving)
@@ -253,17 +253,17 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := withEngines(newDaemon("b1"), "a", "b")
-			asked := errors.New("not asked")
+			allowed := errors.New("not asked")
 			d.Platform.Send = func(_ context.Context, s deliver.Attempt) (*deliver.Reply, error) {
 				d.notices.Observe(start, tt.incarnation, tt.signals) // While the request waits for its connection.
-				asked = s.Allow()
+				allowed = s.Allow()
 				return &deliver.Reply{}, nil
 			}
 			if _, err := d.send(context.Background(), deliver.Attempt{Job: job("long", 1000), Place: deliver.Placement{Target: "a"}}); err != nil {
 				t.Fatal(err)
 			}
-			if !errors.Is(asked, tt.want) || (asked == nil) != (tt.want == nil) {
-				t.Errorf("allowed: %v, want %v", asked, tt.want)
+			if !errors.Is(allowed, tt.want) || (allowed == nil) != (tt.want == nil) {
+				t.Errorf("allowed: %v, want %v", allowed, tt.want)
 			}
 		})
 	}
--- a/entry/sources.go
+++ b/entry/sources.go
@@ -139,7 +139,7 @@
 	var since uint64
 	for ctx.Err() == nil {
 		began := d.now()
-		m := cacheEventsRead{source: e.name, asked: began}
+		m := cacheEventsRead{source: e.name, requestedAt: began}
 		m.events, m.err = d.Platform.CacheEvents(ctx, e.address, since, e.hold)
 		if m.err == nil && m.events.Gap && since > 0 {
 			m.events, m.err = d.Platform.ListCache(ctx, e.address)
--- a/entry/suspended_test.go
+++ b/entry/suspended_test.go
@@ -61,9 +61,9 @@
 // is as old as the request.
 func TestReadAcrossSuspension(t *testing.T) {
 	d := newDaemon("b1")
-	asked := start
-	d.now = func() time.Time { return asked.Add(10 * time.Second) }
-	d.update(d.now(), operatorRead{asked, Operator{Table: configuration(1)}})
+	requestedAt := start
+	d.now = func() time.Time { return requestedAt.Add(10 * time.Second) }
+	d.update(d.now(), operatorRead{requestedAt, Operator{Table: configuration(1)}})
 	if d.keysFresh(d.now()) {
 		t.Error("keys are trusted by an answer to a request sent 10 s before")
 	}
--- a/entry/systems.go
+++ b/entry/systems.go
@@ -96,7 +96,7 @@
 			}
 			t.probing[x.ID] = true
 			d.takeQuota(now, t, x)
-			effects = append(effects, probe{target: x.ID, path: pool.HealthPath, address: x.Address, incarnation: x.Incarnation(), asked: now})
+			effects = append(effects, probe{target: x.ID, path: pool.HealthPath, address: x.Address, incarnation: x.Incarnation(), decidedAt: now})
 		}
 	}
 	return effects
--- a/entry/tcptimeout_test.go
+++ b/entry/tcptimeout_test.go
@@ -65,9 +65,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			got := 0
-			var asked error
-			if err := raw.Control(func(fd uintptr) { got, asked = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, tt.option) }); err != nil || asked != nil {
-				t.Fatal(err, asked)
+			var optionErr error
+			if err := raw.Control(func(fd uintptr) { got, optionErr = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, tt.option) }); err != nil || optionErr != nil {
+				t.Fatal(err, optionErr)
 			}
 			if got != tt.want {
 				t.Errorf("got %d, want %d", got, tt.want)
--- a/entry/throughput.go
+++ b/entry/throughput.go
@@ -31,9 +31,9 @@
 // by all boxes.
 func (t *tables) slowdown(now time.Time, source string) float64 {
 	name := placement.Hash(source)
-	asked, took := t.throughput.Transferred(now, name)
+	expected, took := t.throughput.Transferred(now, name)
 	others := t.othersUsage.Of(name)
-	return throughput.Slowdown(asked+milliseconds(others.ExpectedMS), took+milliseconds(others.ActualMS))
+	return throughput.Slowdown(expected+milliseconds(others.ExpectedMS), took+milliseconds(others.ActualMS))
 }
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/entry/update.go
+++ b/entry/update.go
@@ -17,7 +17,7 @@
 		return d.placementRequested(now, t, m)
 	case suspectQuery:
 		m.reply <- d.looksDead(now, t, m.target)
-	case signalsHeard:
+	case signalsReceived:
 		d.signalsHeard(now, t, m.incarnation)
 	case silenceSeen:
 		t.silences[m.at] = now
@@ -84,9 +84,9 @@
 	d.countProof(t, d.Settings.Name, m.change.Known)
 	d.applyWeightVersions(now, t, m)
 	d.applyEvacuations(now, t, m)
-	d.applyCanaryAsks(now, t, m)
+	d.applyCanarySpecs(now, t, m)
 	if d.provesNewest(now, t, m) {
-		d.noteProof(m.asked)
+		d.noteProof(m.requestedAt)
 	}
 	t.operatorChange = revision.Max(t.operatorChange, m.change.Changed)
 	t.operatorKnown = revision.Max(t.operatorKnown, m.change.Known)
@@ -98,7 +98,7 @@
 	if next == nil || next.Version <= d.version() {
 		return nil
 	}
-	d.Log.Info("configuration in force", "version", next.Version, "before", d.version(), "row", m.change.Changed, "asked_ago", now.Sub(m.asked))
+	d.Log.Info("configuration in force", "version", next.Version, "before", d.version(), "row", m.change.Changed, "asked_ago", now.Sub(m.requestedAt))
 	d.metrics.configuration.Set(float64(next.Version))
 	d.rawConfiguration.Store(&m.change.Raw)
 	d.current.Store(next)
--- a/entry/update_test.go
+++ b/entry/update_test.go
@@ -222,9 +222,9 @@
 // incarnation are in flight: none of them counts for the later one, however late they end.
 func TestSecondIncarnation(t *testing.T) {
 	first, second := start.Add(-time.Hour), start.Add(time.Hour)
-	incarnation := func(born time.Time, version int64) fleet.Entry {
+	incarnation := func(startedAt time.Time, version int64) fleet.Entry {
 		e := engine("a", version)
-		e.StartedAt = born
+		e.StartedAt = startedAt
 		return e
 	}
 	list := func(e fleet.Entry) message { return targetsRead{start, Targets{Listed: []fleet.Entry{e}}, false} }
--- a/entry/view.go
+++ b/entry/view.go
@@ -36,8 +36,8 @@
 	return v
 }
 
-// applyView applies a hub's view that was requested at asked.
-func (d *Daemon) applyView(now time.Time, t *tables, hub string, asked time.Time, v *peer.View) []effect {
+// applyView applies a hub's view that was requested at requestedAt.
+func (d *Daemon) applyView(now time.Time, t *tables, hub string, requestedAt time.Time, v *peer.View) []effect {
 	if v == nil {
 		return nil
 	}
@@ -55,7 +55,7 @@
 		d.Log.Warn("hub's view ignored, as it names no weights", "hub", hub)
 		return nil
 	}
-	proof := asked.Add(-time.Duration(v.ProofAgeMS) * time.Millisecond)
+	proof := requestedAt.Add(-time.Duration(v.ProofAgeMS) * time.Millisecond)
 	effects := d.receiveRestored(now, t, v.Restores, v.RowLost)
 	switch {
 	case v.ConfigurationVersion > d.version():
@@ -69,7 +69,7 @@
 	d.applyHubQuarantine(now, t, hub, v)
 	d.applyHubCanaries(now, t, hub, v.Canaries)
 	t.hubBoxes, t.hubUnlisted = v.Boxes, v.Unlisted
-	d.applyHubVersions(now, t, hub, asked, v)
+	d.applyHubVersions(now, t, hub, requestedAt, v)
 	d.applyHubEvacuations(now, t, hub, proof, v.Evacuated)
 	// A hub that is cut off still lists targets that are gone, and work would be sent to them
 	// for as long as that hub is asked. Its list is ignored if this box has another hub's list
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -70,17 +70,17 @@
 	var after revision.Revision
 	failed := 0
 	for ctx.Err() == nil {
-		asked := d.now()
-		if d.hasFreshView(asked) {
+		requestedAt := d.now()
+		if d.hasFreshView(requestedAt) {
 			failed = 0
 			d.sleep(ctx, viewPoll)
 			continue
 		}
-		if !after.IsZero() && d.awaitsHub(asked, hubOperatorTimeout) {
+		if !after.IsZero() && d.awaitsHub(requestedAt, hubOperatorTimeout) {
 			d.sleep(ctx, viewPoll)
 			continue
 		}
-		if d.hasPeerProof(asked) {
+		if d.hasPeerProof(requestedAt) {
 			failed = 0
 			d.sleep(ctx, peerProofPoll)
 			continue
@@ -96,10 +96,10 @@
 		d.reportBack(ctx)
 		d.outage.noteRestores(ctx, change.Known.Restores)
 		after = change.Known
-		if !change.Asked.IsZero() {
-			asked = change.Asked
+		if !change.RequestedAt.IsZero() {
+			requestedAt = change.RequestedAt
 		}
-		d.postContext(ctx, operatorRead{asked, change})
+		d.postContext(ctx, operatorRead{requestedAt, change})
 		switch {
 		case after.Number == 0:
 			d.sleep(ctx, emptyRetryDelay)
@@ -251,13 +251,13 @@
 func (d *Daemon) watchTargets(ctx context.Context) {
 	var after revision.Revision
 	for ctx.Err() == nil {
-		asked := d.now()
-		if d.hasFreshView(asked) {
+		requestedAt := d.now()
+		if d.hasFreshView(requestedAt) {
 			after = revision.Revision{} // The list is read whole once the hub's view is stale.
 			d.sleep(ctx, viewPoll)
 			continue
 		}
-		if after.IsZero() && d.awaitsHub(asked, hubListTimeout) {
+		if after.IsZero() && d.awaitsHub(requestedAt, hubListTimeout) {
 			d.sleep(ctx, viewPoll)
 			continue
 		}
@@ -269,7 +269,7 @@
 		}
 		after = change.Known
 		d.outage.noteRestores(ctx, after.Restores)
-		d.postContext(ctx, targetsRead{asked, change, d.outage.takeDownSinceRead()})
+		d.postContext(ctx, targetsRead{requestedAt, change, d.outage.takeDownSinceRead()})
 		d.sleep(ctx, d.targetsPause())
 	}
 }
--- a/entry/watch_test.go
+++ b/entry/watch_test.go
@@ -63,7 +63,7 @@
 	again := start.Add(time.Hour)
 	d := newDaemon("b1")
 	d.Platform.Operator = func(context.Context, revision.Revision, time.Duration) (Operator, error) {
-		return Operator{Asked: again}, nil
+		return Operator{RequestedAt: again}, nil
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	d.outage.start(ctx)
@@ -72,8 +72,8 @@
 	m, ok := (<-d.messages).(operatorRead)
 	cancel()
 	<-ended
-	if !ok || !m.asked.Equal(again) {
-		t.Errorf("asked at %v, want %v", m.asked, again)
+	if !ok || !m.requestedAt.Equal(again) {
+		t.Errorf("asked at %v, want %v", m.requestedAt, again)
 	}
 }
 
--- a/entry/weightversions.go
+++ b/entry/weightversions.go
@@ -77,14 +77,14 @@
 	if clock == 0 {
 		return 0
 	}
-	if !t.tableClock.Observe(m.asked, now, clock) {
+	if !t.tableClock.Observe(m.requestedAt, now, clock) {
 		d.Log.Warn("the table service's clock was reset", "told", clock, "before", before)
 		for _, w := range t.weights {
 			w.versionLog.ForgetClock()
 		}
 		return 0
 	}
-	if asked, _ := t.tableClock.Max(m.asked); m.change.Held && before > 0 && clock-asked >= minHold {
+	if clockAtRequest, _ := t.tableClock.Max(m.requestedAt); m.change.Held && before > 0 && clock-clockAtRequest >= minHold {
 		return max(before, clock-feedLag)
 	}
 	return before
@@ -168,11 +168,11 @@
 
 // applyHubVersions applies a hub's weight versions. Their ages count from when they were
 // requested, as the answer was made later.
-func (d *Daemon) applyHubVersions(now time.Time, t *tables, hub string, asked time.Time, v *peer.View) {
+func (d *Daemon) applyHubVersions(now time.Time, t *tables, hub string, requestedAt time.Time, v *peer.View) {
 	for _, model := range slices.Sorted(maps.Keys(v.WeightVersions)) {
 		w := t.rolloutOf(model)
 		for _, n := range v.WeightVersions[model] {
-			at := asked.Add(-time.Duration(n.AgeMS) * time.Millisecond)
+			at := requestedAt.Add(-time.Duration(n.AgeMS) * time.Millisecond)
 			if n.Assumed {
 				w.versionLog.Assume(n.Version, at)
 			} else {
