--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -173,14 +173,14 @@
 }
 
 // Choose returns the engine for a prompt, or false if none takes new work.
-func (c *Chooser) Choose(now time.Time, ask Request, targets []*fleet.Target) (Choice, bool) {
-	s := search{Chooser: c, now: now, ask: ask, targets: targets, tokenTime: c.PrefillPerToken()}
+func (c *Chooser) Choose(now time.Time, request Request, targets []*fleet.Target) (Choice, bool) {
+	s := search{Chooser: c, now: now, request: request, targets: targets, tokenTime: c.PrefillPerToken()}
 	if c.FirstEventBase != nil {
 		s.firstEventBase = c.FirstEventBase()
 	}
 	var all []candidate
 	for _, t := range targets {
-		if usable(now, ask, t) {
+		if usable(now, request, t) {
 			all = append(all, s.evaluate(t))
 		}
 	}
@@ -233,11 +233,11 @@
 	return text
 }
 
-func usable(now time.Time, ask Request, t *fleet.Target) bool {
-	if !t.Available(now) || !ask.domainAllowed(t.Domain) || t.Loading(now) || t.Silent(now, SilenceTimeout) || (ask.Skip != nil && ask.Skip(t.ID)) {
+func usable(now time.Time, request Request, t *fleet.Target) bool {
+	if !t.Available(now) || !request.domainAllowed(t.Domain) || t.Loading(now) || t.Silent(now, SilenceTimeout) || (request.Skip != nil && request.Skip(t.ID)) {
 		return false
 	}
-	return t.Versions[ask.Model] >= ask.MinVersion
+	return t.Versions[request.Model] >= request.MinVersion
 }
 
 // lateness is the cost of a first event that is predicted for a time.
--- a/affinity/affinity_test.go
+++ b/affinity/affinity_test.go
@@ -18,7 +18,7 @@
 	a, b    *fleet.Target
 	stores  []*affinity.Source
 	chooser affinity.Chooser
-	ask     affinity.Request
+	request affinity.Request
 	// slowdown is by how much transfers take longer, by source.
 	slowdown map[string]float64
 }
@@ -43,7 +43,7 @@
 		Slack:            affinity.Slack, AllowSave: all, AllowStoreFetch: all, AllowEngineFetch: all,
 		Load: func(_ time.Time, t *fleet.Target) (int, int) { return t.Tokens, t.PrefillBacklog },
 	}
-	x.ask = affinity.Request{
+	x.request = affinity.Request{
 		Domain: "z", Home: 7, Parts: []affinity.Part{{Tokens: 500}, {Tokens: 8000}, {Tokens: 2000}}, Model: "m", Tokens: 10600, Capacity: 180000,
 		Keys: func(version int64) []directory.Key {
 			return []directory.Key{key(version, 0), key(version, 1), key(version, 2)}
@@ -55,7 +55,7 @@
 func (x *fixture) caches(source string, version int64, parts ...int) {
 	x.d.Connected(source, 1)
 	for _, i := range parts {
-		x.d.Add(source, key(version, i), x.ask.Parts[i].Tokens)
+		x.d.Add(source, key(version, i), x.request.Parts[i].Tokens)
 	}
 }
 
@@ -71,7 +71,7 @@
 
 func (x *fixture) choose(t *testing.T) affinity.Choice {
 	t.Helper()
-	choice, ok := x.chooser.Choose(start, x.ask, []*fleet.Target{x.a, x.b})
+	choice, ok := x.chooser.Choose(start, x.request, []*fleet.Target{x.a, x.b})
 	if !ok {
 		t.Fatal("no engine")
 	}
@@ -94,9 +94,9 @@
 		{"home is leaving", func(_ *fixture, home, _ *fleet.Target) { home.Leaving = true }, other},
 		{"home failed recently", func(_ *fixture, home, _ *fleet.Target) { home.Fail(start) }, other},
 		{"home is loading weights", func(_ *fixture, home, _ *fleet.Target) { home.LoadingUntil = start.Add(time.Second) }, other},
-		{"home is in another domain", func(x *fixture, home, _ *fleet.Target) { home.Domain, x.ask.Domain = "y", "z" }, other},
+		{"home is in another domain", func(x *fixture, home, _ *fleet.Target) { home.Domain, x.request.Domain = "y", "z" }, other},
 		{"home is in another domain, the engine in the own domain is busy", func(x *fixture, home, other *fleet.Target) {
-			home.Domain, x.ask.Domain = "y", "z"
+			home.Domain, x.request.Domain = "y", "z"
 			other.PrefillBacklog = 20000
 		}, home},
 		{"home is a little busy, the other is in another domain", func(_ *fixture, home, other *fleet.Target) {
@@ -104,37 +104,37 @@
 		}, home},
 		{"home is a little busy and would miss the goal", func(x *fixture, home, other *fleet.Target) {
 			home.PrefillBacklog, other.Domain = 7000, "y"
-			x.ask.Goal = 150 * time.Millisecond
+			x.request.Goal = 150 * time.Millisecond
 		}, other},
 		{"only the other has an idle connection", func(x *fixture, _, other *fleet.Target) {
-			x.ask.HasIdleConnection = func(t *fleet.Target) bool { return t == other }
+			x.request.HasIdleConnection = func(t *fleet.Target) bool { return t == other }
 		}, other},
 		{"only the other has an idle connection, but a longer backlog", func(x *fixture, _, other *fleet.Target) {
-			x.ask.HasIdleConnection = func(t *fleet.Target) bool { return t == other }
+			x.request.HasIdleConnection = func(t *fleet.Target) bool { return t == other }
 			other.PrefillBacklog = 2000
 		}, home},
 		{"neither has an idle connection", func(x *fixture, _, _ *fleet.Target) {
-			x.ask.HasIdleConnection = func(*fleet.Target) bool { return false }
+			x.request.HasIdleConnection = func(*fleet.Target) bool { return false }
 		}, home},
-		{"home has old weights", func(x *fixture, _, other *fleet.Target) { x.ask.NewestVersion = 2; other.Versions["m"] = 2 }, other},
+		{"home has old weights", func(x *fixture, _, other *fleet.Target) { x.request.NewestVersion = 2; other.Versions["m"] = 2 }, other},
 		{"home has old weights, the other is busy", func(x *fixture, _, other *fleet.Target) {
-			x.ask.NewestVersion = 2
+			x.request.NewestVersion = 2
 			other.Versions["m"] = 2
 			other.PrefillBacklog = 50000
 		}, home},
 		{"home has weights that must not be used any more", func(x *fixture, _, other *fleet.Target) {
-			x.ask.NewestVersion, x.ask.MinVersion = 2, 2
+			x.request.NewestVersion, x.request.MinVersion = 2, 2
 			other.Versions["m"] = 2
 			other.PrefillBacklog = 50000
 		}, other},
 		{"cheaper where it is cached, though little memory is left", func(x *fixture, home, _ *fleet.Target) { x.cachesAlone(home) }, home},
 		{"cheaper where it is cached, but no memory is left", func(x *fixture, home, _ *fleet.Target) {
 			x.cachesAlone(home)
-			x.ask.Full = func(taken int) bool { return taken > 170000 }
+			x.request.Full = func(taken int) bool { return taken > 170000 }
 		}, other},
 		{"no memory is left anywhere", func(x *fixture, home, _ *fleet.Target) {
 			x.cachesAlone(home)
-			x.ask.Full = func(int) bool { return true }
+			x.request.Full = func(int) bool { return true }
 		}, home},
 	}
 	for _, tt := range tests {
@@ -165,7 +165,7 @@
 		{"cached at the other engine only", func(x *fixture) { x.caches(other, 1, 0, 1) }, [3]string{other, other, ""}, [3]string{"quick", "large", ""}, 2000},
 		{"the first part is not cached: what follows is prefilled", func(x *fixture) { x.caches("large", 1, 1) }, [3]string{}, [3]string{"quick", "", ""}, 10500},
 		{"cached under other weights only", func(x *fixture) { x.caches("large", 9, 0, 1) }, [3]string{}, [3]string{"quick", "large", ""}, 10500},
-		{"old weights: their parts are not saved", func(x *fixture) { x.ask.NewestVersion = 2 }, [3]string{}, [3]string{}, 10500},
+		{"old weights: their parts are not saved", func(x *fixture) { x.request.NewestVersion = 2 }, [3]string{}, [3]string{}, 10500},
 		{"the store is disconnected", func(x *fixture) { x.caches("large", 1, 0, 1); x.d.Disconnected("large") }, [3]string{}, [3]string{"quick", "large", ""}, 10500},
 		{"no room", func(x *fixture) { x.stores[0].Capacity, x.stores[1].Capacity = 100, 100 }, [3]string{}, [3]string{}, 10500},
 		{"the large store is slow", func(x *fixture) { x.caches("large", 1, 0, 1); x.slowdown = map[string]float64{"large": 50} }, [3]string{}, [3]string{}, 10500},
--- a/affinity/bench_test.go
+++ b/affinity/bench_test.go
@@ -43,15 +43,15 @@
 		Slack: affinity.Slack, AllowSave: all, AllowStoreFetch: all, AllowEngineFetch: all,
 		TransferPerToken: func() time.Duration { return time.Microsecond }, Load: func(_ time.Time, t *fleet.Target) (int, int) { return t.Tokens, t.PrefillBacklog },
 	}
-	ask := affinity.Request{Parts: []affinity.Part{{Tokens: 4000}, {Tokens: 4000}, {Tokens: 2000}}, Model: "m", NewestVersion: 1, Tokens: 10600, Capacity: 100000}
+	request := affinity.Request{Parts: []affinity.Part{{Tokens: 4000}, {Tokens: 4000}, {Tokens: 2000}}, Model: "m", NewestVersion: 1, Tokens: 10600, Capacity: 100000}
 	b.ReportAllocs()
 	n := 0
 	for b.Loop() {
 		i := int64(n % prompts)
 		n++
-		ask.Home = uint64(i) * 0x9e3779b97f4a7c15
-		ask.Keys = func(int64) []directory.Key { return []directory.Key{key(i, 0), key(i, 1), key(i, 2)} }
-		if _, ok := chooser.Choose(start.Add(time.Duration(n)*time.Millisecond), ask, targets); !ok {
+		request.Home = uint64(i) * 0x9e3779b97f4a7c15
+		request.Keys = func(int64) []directory.Key { return []directory.Key{key(i, 0), key(i, 1), key(i, 2)} }
+		if _, ok := chooser.Choose(start.Add(time.Duration(n)*time.Millisecond), request, targets); !ok {
 			b.Fatal("no engine")
 		}
 	}
--- a/affinity/connections_test.go
+++ b/affinity/connections_test.go
@@ -41,14 +41,14 @@
 			x.PrefillBacklog = max(x.PrefillBacklog-112*1000/perSecond, 0)
 		}
 		box := random.IntN(boxes)
-		ask := affinity.Request{
+		request := affinity.Request{
 			Home: random.Uint64(), Parts: []affinity.Part{{Tokens: 3000}, {Tokens: 1000}}, Tokens: 4100, Capacity: 150000, Model: "m",
 			Keys: func(int64) []directory.Key { return []directory.Key{key(1, 2*n), key(1, 2*n+1)} },
 		}
 		if preferred {
-			ask.HasIdleConnection = func(x *fleet.Target) bool { return now.Sub(used[pair{box, x.ID}]) < idleTimeout }
+			request.HasIdleConnection = func(x *fleet.Target) bool { return now.Sub(used[pair{box, x.ID}]) < idleTimeout }
 		}
-		choice, _ := chooser.Choose(now, ask, targets)
+		choice, _ := chooser.Choose(now, request, targets)
 		if at, linked := used[pair{box, choice.Target.ID}]; !linked || now.Sub(at) >= idleTimeout {
 			opened++
 		}
--- a/affinity/plan.go
+++ b/affinity/plan.go
@@ -16,7 +16,7 @@
 	s.planFetch(l, one, &choice)
 	s.planTransfers(&choice, one)
 	s.planFallbackFetch(l, &choice)
-	if one.version >= s.ask.NewestVersion { // Parts of older weights are about to be freed.
+	if one.version >= s.request.NewestVersion { // Parts of older weights are about to be freed.
 		s.planSave(&choice)
 	}
 	return choice
@@ -28,7 +28,7 @@
 	for i := one.cached; i < one.available; i++ {
 		s.fetch(l, i, choice)
 	}
-	for _, p := range s.ask.Parts[one.available:] {
+	for _, p := range s.request.Parts[one.available:] {
 		choice.PrefillTokens += p.Tokens
 	}
 }
@@ -37,7 +37,7 @@
 // fetches only what it lacks, so this costs nothing unless it has evicted them meanwhile, as
 // it does when its memory is short.
 func (s *search) planFallbackFetch(l *location, choice *Choice) {
-	for i := range min(choice.CachedParts, s.ask.ownPart()) {
+	for i := range min(choice.CachedParts, s.request.ownPart()) {
 		s.fetch(l, i, choice)
 	}
 }
@@ -49,7 +49,7 @@
 		return
 	}
 	if choice.Fetch == nil {
-		choice.Fetch = make([]*Source, len(s.ask.Parts))
+		choice.Fetch = make([]*Source, len(s.request.Parts))
 	}
 	choice.Fetch[part] = &from.Source
 }
@@ -68,7 +68,7 @@
 	for i := one.cached; i < one.available; i++ {
 		from := choice.Fetch[i]
 		choice.Transfers = append(choice.Transfers, throughput.Transfer{
-			Source: placement.Hash(from.Name), Expected: from.transferTime(s.ask.Parts[i].Tokens, choice.Target),
+			Source: placement.Hash(from.Name), Expected: from.transferTime(s.request.Parts[i].Tokens, choice.Target),
 		})
 	}
 }
@@ -79,16 +79,16 @@
 
 // planSave chooses stores for the parts that no store has yet.
 func (s *search) planSave(choice *Choice) {
-	for i := range s.ask.ownPart() {
-		if s.ask.Parts[i].Tokens < minSaveTokens {
+	for i := range s.request.ownPart() {
+		if s.request.Parts[i].Tokens < minSaveTokens {
 			continue
 		}
-		store := s.storeFor(choice.Keys[i], s.ask.Parts[i].Tokens)
+		store := s.storeFor(choice.Keys[i], s.request.Parts[i].Tokens)
 		if store == nil {
 			continue
 		}
 		if choice.Save == nil {
-			choice.Save = make([]*Source, len(s.ask.Parts))
+			choice.Save = make([]*Source, len(s.request.Parts))
 		}
 		choice.Save[i] = store
 	}
@@ -108,7 +108,7 @@
 			return nil
 		}
 		free := x.Capacity - s.Directory.Tokens(x.Name)
-		if free < tokens*2 || !s.ask.domainAllowed(x.Domain) || !s.AllowSave(x) {
+		if free < tokens*2 || !s.request.domainAllowed(x.Domain) || !s.AllowSave(x) {
 			continue
 		}
 		weight := float64(placement.Weight(uint64(key), placement.Hash(x.Name))>>1 + 1<<62)
--- a/affinity/search.go
+++ b/affinity/search.go
@@ -14,7 +14,7 @@
 type search struct {
 	*Chooser
 	now     time.Time
-	ask     Request
+	request Request
 	targets []*fleet.Target
 	// tokenTime is the time to prefill one token, firstEventBase the rest of the time to a
 	// first event.
@@ -51,9 +51,9 @@
 			return &s.locations[i]
 		}
 	}
-	l := location{version: version, keys: s.ask.Keys(version)}
+	l := location{version: version, keys: s.request.Keys(version)}
 	l.parts = make([]holders, len(l.keys))
-	for i := range s.ask.ownPart() {
+	for i := range s.request.ownPart() {
 		l.parts[i] = s.holders(l.keys[i])
 	}
 	s.locations = append(s.locations, l)
@@ -63,12 +63,12 @@
 func (s *search) holders(key directory.Key) holders {
 	var h holders
 	for _, store := range s.Stores() {
-		if s.ask.domainAllowed(store.Domain) && s.AllowStoreFetch(store) && s.Directory.Has(store.Name, key) {
+		if s.request.domainAllowed(store.Domain) && s.AllowStoreFetch(store) && s.Directory.Has(store.Name, key) {
 			h.stores = append(h.stores, holder{*store, s.Slowdown(s.now, store.Name)})
 		}
 	}
 	for _, t := range s.targets {
-		if !s.ask.domainAllowed(t.Domain) || !s.Directory.Has(t.ID, key) || t.Leaving || t.Evacuated || t.Ejected(s.now) {
+		if !s.request.domainAllowed(t.Domain) || !s.Directory.Has(t.ID, key) || t.Leaving || t.Evacuated || t.Ejected(s.now) {
 			continue
 		}
 		engine := Source{Name: t.ID, Address: t.Address, Domain: t.Domain, Delay: engineTransferDelay, PerToken: s.TransferPerToken()}
@@ -82,27 +82,27 @@
 
 // evaluate returns the prompt's cost at an engine.
 func (s *search) evaluate(t *fleet.Target) candidate {
-	version := t.Versions[s.ask.Model]
+	version := t.Versions[s.request.Model]
 	l := s.locate(version)
-	one := candidate{target: t, version: version, rank: placement.Weight(s.ask.Home, placement.Hash(t.ID))}
+	one := candidate{target: t, version: version, rank: placement.Weight(s.request.Home, placement.Hash(t.ID))}
 	one.cached = s.Directory.LeadingParts(t.ID, l.keys, s.now)
 	running, backlog := s.Load(s.now, t)
 	one.prefillBacklog = backlog
-	one.full = s.ask.Full != nil && s.ask.Full(running)
+	one.full = s.request.Full != nil && s.request.Full(running)
 	wait := time.Duration(backlog) * s.tokenTime
 	var transfers time.Duration
 	one.available, transfers = s.availableParts(l, t, one.cached)
 	prefill, recompute := s.prefillCost(l, one.available)
 	one.cost = wait + transfers + prefill + recompute
-	one.cost += lateness(s.firstEventBase+wait+transfers+prefill, s.ask.Goal)
-	one.cost += memoryPressure(running+s.ask.Tokens, s.ask.Capacity)
-	if t.Domain != s.ask.Domain {
+	one.cost += lateness(s.firstEventBase+wait+transfers+prefill, s.request.Goal)
+	one.cost += memoryPressure(running+s.request.Tokens, s.request.Capacity)
+	if t.Domain != s.request.Domain {
 		one.cost += otherDomainCost
 	}
-	if s.ask.HasIdleConnection != nil && !s.ask.HasIdleConnection(t) {
+	if s.request.HasIdleConnection != nil && !s.request.HasIdleConnection(t) {
 		one.cost += newConnectionCost
 	}
-	if version < s.ask.NewestVersion {
+	if version < s.request.NewestVersion {
 		one.cost += oldWeightsCost
 	}
 	if t.Grey(s.now) || t.Ejected(s.now) {
@@ -115,32 +115,32 @@
 // time of the transfers. A part is usable only together with all parts before it.
 func (s *search) availableParts(l *location, t *fleet.Target, cached int) (int, time.Duration) {
 	var took time.Duration
-	for i := cached; i < s.ask.ownPart(); i++ {
+	for i := cached; i < s.request.ownPart(); i++ {
 		from, cost := s.best(l, i, t)
 		if from == nil {
 			return i, took
 		}
 		took += cost
 	}
-	return max(cached, s.ask.ownPart()), took
+	return max(cached, s.request.ownPart()), took
 }
 
 // best returns where an engine should fetch a part from and how long that takes, or nil if
 // prefilling the part is better.
 func (s *search) best(l *location, part int, t *fleet.Target) (*holder, time.Duration) {
-	if behind, late := t.StaleVersions[s.ask.Model]; late && behind == l.version {
+	if behind, late := t.StaleVersions[s.request.Model]; late && behind == l.version {
 		return nil, 0
 	}
-	return l.parts[part].best(s.ask.Parts[part].Tokens, s.tokenTime, t)
+	return l.parts[part].best(s.request.Parts[part].Tokens, s.tokenTime, t)
 }
 
 // prefillCost is the time to prefill the parts from one on, and the cost beyond that of
 // prefilling those that are cached somewhere.
 func (s *search) prefillCost(l *location, from int) (took, recompute time.Duration) {
-	for i := from; i < len(s.ask.Parts); i++ {
-		took += time.Duration(s.ask.Parts[i].Tokens) * s.tokenTime
+	for i := from; i < len(s.request.Parts); i++ {
+		took += time.Duration(s.request.Parts[i].Tokens) * s.tokenTime
 		if l.parts[i].any() {
-			recompute += time.Duration(s.ask.Parts[i].Tokens) * recomputeTokenCost
+			recompute += time.Duration(s.request.Parts[i].Tokens) * recomputeTokenCost
 		}
 	}
 	return took, recompute
--- a/attempt.go
+++ b/attempt.go
@@ -22,8 +22,8 @@
 	return nil
 }
 
-// signalsHeard applies a target's signals and logs a new backoff.
-func (d *Daemon) signalsHeard(now time.Time, t *tables, m signalsHeard) {
+// signalsReceived applies a target's signals and logs a new backoff.
+func (d *Daemon) signalsReceived(now time.Time, t *tables, m signalsReceived) {
 	if x, known := t.Targets.Lookup(m.placed.Target); known && m.signals.Backoff > 0 && !now.Before(x.BackoffUntil) {
 		d.Log.Info("target wants no requests", "target", x.Name, "for", m.signals.Backoff, "request", m.placed.Request)
 	}
--- a/build.go
+++ b/build.go
@@ -119,8 +119,8 @@
 }
 
 // chooseAndCount chooses a target and counts the choice by its rule.
-func (d *Daemon) chooseAndCount(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error) {
-	choice, err := d.chooser.Choose(now, ask, targets)
+func (d *Daemon) chooseAndCount(now time.Time, request placement.Request, targets []*target.Target) (placement.Choice, error) {
+	choice, err := d.chooser.Choose(now, request, targets)
 	if err == nil {
 		d.metrics.placed.WithLabelValues(targets[choice.Index].Pool, choice.Rule).Inc()
 	}
--- a/deliver/deliver.go
+++ b/deliver/deliver.go
@@ -254,7 +254,7 @@
 	// ConfigurationFresh says that the configuration in force includes everything that
 	// was configured long enough ago to be mandatory: what it lacks may be refused for good.
 	ConfigurationFresh func(now time.Time) bool
-	Place              func(ctx context.Context, ask PlacementRequest) (Placement, error)
+	Place              func(ctx context.Context, request PlacementRequest) (Placement, error)
 	Send               func(ctx context.Context, s Attempt) (*Reply, error)
 	// Began is called when an answer's head arrived, Ended when an attempt ended:
 	// exactly once for each attempt.
--- a/dispatch/fairness.go
+++ b/dispatch/fairness.go
@@ -34,20 +34,20 @@
 
 // priority returns the engines' priority for a request, or refuses it if its account has
 // more than its fair share of a pool that is nearly full.
-func (b *Scheduler) priority(now time.Time, ask route.PlacementRequest, p pool.Pool) (int, error) {
+func (b *Scheduler) priority(now time.Time, request route.PlacementRequest, p pool.Pool) (int, error) {
 	if p.Kind != pool.KindModel {
 		return 0, nil
 	}
 	c := b.cacheStatsOf(p.Name)
-	c.offered.Add(now, ask.Account, 1, c.predictPrefill(ask.Account, len(ask.Prompt)/BytesPerToken))
+	c.offered.Add(now, request.Account, 1, c.predictPrefill(request.Account, len(request.Prompt)/BytesPerToken))
 	engines, slots := b.size(now, p.Name)
 	others := b.Others(p.Name)
 	over := func(share float64) bool {
-		return c.prefill.OverShare(now, ask.Account, b.shareOf(share*engines, others.Engines, others.Unreported)) ||
-			c.slots.OverShare(now, ask.Account, b.shareOf(share*slots, others.Slots, others.Unreported))
+		return c.prefill.OverShare(now, request.Account, b.shareOf(share*engines, others.Engines, others.Unreported)) ||
+			c.slots.OverShare(now, request.Account, b.shareOf(share*slots, others.Slots, others.Unreported))
 	}
 	switch {
-	case over(highShare), c.floods(now, ask.Account, b.shareOf(floodPart*engines, others.Engines, others.Unreported)) && over(floodShare):
+	case over(highShare), c.floods(now, request.Account, b.shareOf(floodPart*engines, others.Engines, others.Unreported)) && over(floodShare):
 		return 0, refusal.New(refusal.DidNotRun, http.StatusTooManyRequests, "over_share",
 			"pool %s is crowded and the account has its share", p.Name).WithRetryAfter(b.Jitter(fairWindow / 2))
 	case over(lowShare):
@@ -90,14 +90,14 @@
 }
 
 // recordUse records the expected cost of an admitted request.
-func (b *Scheduler) recordUse(now time.Time, ask route.PlacementRequest, p pool.Pool, tokens int) {
+func (b *Scheduler) recordUse(now time.Time, request route.PlacementRequest, p pool.Pool, tokens int) {
 	if p.Kind != pool.KindModel {
 		return
 	}
 	c := b.cacheStatsOf(p.Name)
-	weight := b.Configuration.Accounts[ask.Account].Weight
-	c.prefill.Add(now, ask.Account, weight, c.predictPrefill(ask.Account, tokens))
-	c.slots.Add(now, ask.Account, weight, c.meanRun)
+	weight := b.Configuration.Accounts[request.Account].Weight
+	c.prefill.Add(now, request.Account, weight, c.predictPrefill(request.Account, tokens))
+	c.slots.Add(now, request.Account, weight, c.meanRun)
 }
 
 // predictPrefill predicts the engine-seconds that an account's prompt takes.
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -19,57 +19,57 @@
 
 // Place admits a request and chooses the target of one attempt. The error is a
 // *refusal.Refusal.
-func (b *Scheduler) Place(now time.Time, ask route.PlacementRequest) (route.Placement, error) {
+func (b *Scheduler) Place(now time.Time, request route.PlacementRequest) (route.Placement, error) {
 	b.now, b.at = now, target.SinceStart(now)
-	name := ask.Pool
-	if ask.Model != "" {
-		name = b.Configuration.Models[ask.Model].Pool
+	name := request.Pool
+	if request.Model != "" {
+		name = b.Configuration.Models[request.Model].Pool
 	}
 	p, known := b.Configuration.Pools[name]
 	if !known {
 		return route.Placement{}, refusal.New(refusal.DidNotRun, http.StatusNotFound, "unknown_pool", "pool %q is not configured any more", name)
 	}
-	if ask.Attempt > 1 {
-		b.Gate.AddAttempt(ask.Account, name)
-	} else if err := b.admit(now, ask, name); err != nil {
+	if request.Attempt > 1 {
+		b.Gate.AddAttempt(request.Account, name)
+	} else if err := b.admit(now, request, name); err != nil {
 		return route.Placement{}, err
 	}
-	priority, err := b.priority(now, ask, p)
-	if ask.Attempt > 1 {
+	priority, err := b.priority(now, request, p)
+	if request.Attempt > 1 {
 		err = nil
 	}
 	var placed route.Placement
 	if err == nil {
-		placed, err = b.choose(now, ask, p)
+		placed, err = b.choose(now, request, p)
 	}
 	placed.Priority = priority
 	if err != nil {
-		b.Gate.Release(ask.Account, name)
+		b.Gate.Release(request.Account, name)
 	}
-	if err != nil && ask.Attempt == 1 {
-		b.Gate.Refund(ask.Account, ask.Tokens+len(ask.Prompt)/BytesPerToken)
+	if err != nil && request.Attempt == 1 {
+		b.Gate.Refund(request.Account, request.Tokens+len(request.Prompt)/BytesPerToken)
 	}
 	return placed, err
 }
 
 // admit asks the admission gate and turns its rejection into a refusal with a Retry-After.
-func (b *Scheduler) admit(now time.Time, ask route.PlacementRequest, name string) error {
-	a := b.Configuration.Accounts[ask.Account]
+func (b *Scheduler) admit(now time.Time, request route.PlacementRequest, name string) error {
+	a := b.Configuration.Accounts[request.Account]
 	capacity, load := b.Capacity(now, name)
-	b.demand.Add(now, ask.Account, 1, 1)
+	b.demand.Add(now, request.Account, 1, 1)
 	concurrency, tokens := 0, 0
 	if a.Concurrency > 0 {
-		concurrency = b.Limit(ask.Account, a.Concurrency)
+		concurrency = b.Limit(request.Account, a.Concurrency)
 	}
 	if a.TokensPerMinute > 0 {
-		tokens = b.Limit(ask.Account, a.TokensPerMinute)
+		tokens = b.Limit(request.Account, a.TokensPerMinute)
 	}
 	v := b.Gate.Admit(admission.Request{
-		Account: ask.Account, Pool: name, Weight: max(a.Weight, 1),
+		Account: request.Account, Pool: name, Weight: max(a.Weight, 1),
 		WeightOf: func(other string) int { return max(b.Configuration.Accounts[other].Weight, 1) },
 		Capacity: float64(capacity), Load: float64(load), Concurrency: concurrency,
 		TokensPerMinute: float64(tokens),
-		Tokens:          ask.Tokens + len(ask.Prompt)/BytesPerToken, Now: now,
+		Tokens:          request.Tokens + len(request.Prompt)/BytesPerToken, Now: now,
 	})
 	if v.OK {
 		return nil
@@ -78,46 +78,46 @@
 }
 
 // choose picks the target of an attempt and counts the attempt on it.
-func (b *Scheduler) choose(now time.Time, ask route.PlacementRequest, p pool.Pool) (route.Placement, error) {
+func (b *Scheduler) choose(now time.Time, request route.PlacementRequest, p pool.Pool) (route.Placement, error) {
 	targets := b.Pools[p.Name]
 	skip := func(x *target.Target) bool {
-		if slices.Contains(ask.Exclude, x.Name) || slices.Contains(p.Leaving, x.Name) || !b.withinQuota(now, x) {
+		if slices.Contains(request.Exclude, x.Name) || slices.Contains(p.Leaving, x.Name) || !b.withinQuota(now, x) {
 			return true
 		}
 		if p.Kind != pool.KindModel {
 			return false
 		}
-		return !p.Serves(x.Version) || (ask.Version != "" && x.Version != ask.Version)
+		return !p.Serves(x.Version) || (request.Version != "" && x.Version != request.Version)
 	}
-	tokens := len(ask.Prompt) / BytesPerToken
-	b.prefillTime = b.predictPrefillTime(p, ask, tokens)
-	want := placement.Request{Home: ask.Home.Rank(), Slack: b.slack(p, ask, tokens), Skip: func(x *target.Target) bool {
-		return skip(x) || (ask.AvoidDomain != "" && x.Domain == ask.AvoidDomain)
+	tokens := len(request.Prompt) / BytesPerToken
+	b.prefillTime = b.predictPrefillTime(p, request, tokens)
+	want := placement.Request{Home: request.Home.Rank(), Slack: b.slack(p, request, tokens), Skip: func(x *target.Target) bool {
+		return skip(x) || (request.AvoidDomain != "" && x.Domain == request.AvoidDomain)
 	}}
 	choice, err := b.Choose(now, want, targets)
-	if err != nil && ask.AvoidDomain != "" {
+	if err != nil && request.AvoidDomain != "" {
 		want.Skip = skip
 		choice, err = b.Choose(now, want, targets)
 	}
 	if err != nil {
-		return route.Placement{}, b.refuseNoTarget(now, ask, p)
+		return route.Placement{}, b.refuseNoTarget(now, request, p)
 	}
 	x := targets[choice.Index]
 	x.InFlight++
 	if p.Kind == pool.KindModel {
 		// Plain services report no load, which would reset what RecordSent counts.
 		x.RecordSent(now, scaled(now, b.prefillTime, x))
-		b.recordUse(now, ask, p, tokens)
+		b.recordUse(now, request, p, tokens)
 	}
-	b.recordPlaced(now, ask, p, targets, choice)
+	b.recordPlaced(now, request, p, targets, choice)
 	placed := route.Placement{
-		Request: ask.Request, Account: ask.Account, Pool: p.Name, Attempt: ask.Attempt,
+		Request: request.Request, Account: request.Account, Pool: p.Name, Attempt: request.Attempt,
 		Target: x.Name, Address: x.Address, Domain: x.Domain, Version: x.Version,
-		Scope: b.Scope(ask.Account, x.Version), PieceBytes: p.PieceBytes, Rule: choice.Rule,
+		Scope: b.Scope(request.Account, x.Version), PieceBytes: p.PieceBytes, Rule: choice.Rule,
 		FirstToken: firstTokenTimeout(p), Wait: choice.Wait, PlacedAt: now, QuotaGranted: b.takeQuota(now, x),
 	}
 	if p.Kind == pool.KindModel {
-		b.addCacheInfo(now, ask, p, &placed)
+		b.addCacheInfo(now, request, p, &placed)
 	}
 	return placed, nil
 }
@@ -125,12 +125,12 @@
 // slack is how much longer a request may wait in order to reach the target that probably
 // has its cache: as long as the wait costs no more, by the pool's weights, than computing
 // again what engines recently had in memory of such prompts.
-func (b *Scheduler) slack(p pool.Pool, ask route.PlacementRequest, tokens int) time.Duration {
+func (b *Scheduler) slack(p pool.Pool, request route.PlacementRequest, tokens int) time.Duration {
 	if p.Kind != pool.KindModel || p.Policy.FirstToken <= 0 {
 		return minSlack
 	}
 	c := b.cacheStatsOf(p.Name)
-	if !b.recent.Contains(ask.Home) {
+	if !b.recent.Contains(request.Home) {
 		return minSlack
 	}
 	compute := ratio(float64(tokens), c.estimate.Prefill)
@@ -153,10 +153,10 @@
 
 // predictPrefillTime predicts a prompt's prefill time from the recent share of tokens
 // prefilled of prompts like it.
-func (b *Scheduler) predictPrefillTime(p pool.Pool, ask route.PlacementRequest, tokens int) time.Duration {
+func (b *Scheduler) predictPrefillTime(p pool.Pool, request route.PlacementRequest, tokens int) time.Duration {
 	c := b.cacheStatsOf(p.Name)
 	share := c.computedNew
-	if b.recent.Contains(ask.Home) {
+	if b.recent.Contains(request.Home) {
 		share = c.computed
 	}
 	return time.Duration(ratio(share*float64(tokens), c.estimate.Prefill) * float64(time.Second))
@@ -212,16 +212,16 @@
 }
 
 // addCacheInfo adds what is known about the cache of a prompt's beginning.
-func (b *Scheduler) addCacheInfo(now time.Time, ask route.PlacementRequest, p pool.Pool, placed *route.Placement) {
-	last, known := b.recent.Get(ask.Home)
+func (b *Scheduler) addCacheInfo(now time.Time, request route.PlacementRequest, p pool.Pool, placed *route.Placement) {
+	last, known := b.recent.Get(request.Home)
 	placed.PrefixKnown = known
 	placed.TargetWarm = known && last == placed.Target+placed.Version
-	placed.Home = ask.Home
+	placed.Home = request.Home
 	placed.Estimate = b.cacheStatsOf(p.Name).estimate
 	if !p.Stores {
 		return
 	}
-	if store, ok := b.storeOf(now, ask.Home); ok {
+	if store, ok := b.storeOf(now, request.Home); ok {
 		placed.Store, placed.StoreName = store.Address, store.Name
 	}
 }
@@ -242,17 +242,17 @@
 	return best, found
 }
 
-func (b *Scheduler) recordPlaced(now time.Time, ask route.PlacementRequest, p pool.Pool, targets []*target.Target, choice placement.Choice) {
+func (b *Scheduler) recordPlaced(now time.Time, request route.PlacementRequest, p pool.Pool, targets []*target.Target, choice placement.Choice) {
 	r := decision.Record{
-		At: now, Kind: decision.Placed, Request: ask.Request, Account: ask.Account, Pool: p.Name, Rule: choice.Rule,
-		Inputs: fmt.Sprintf("attempt %d, %d usable targets, shortest wait %v, excluded %v", ask.Attempt, choice.Usable, choice.MinWait, ask.Exclude),
+		At: now, Kind: decision.Placed, Request: request.Request, Account: request.Account, Pool: p.Name, Rule: choice.Rule,
+		Inputs: fmt.Sprintf("attempt %d, %d usable targets, shortest wait %v, excluded %v", request.Attempt, choice.Usable, choice.MinWait, request.Exclude),
 		Result: targets[choice.Index].Name,
 	}
 	r.Candidates = append(r.Candidates, candidate(b.Wait(targets[choice.Home]), targets[choice.Home], "best ranked"))
 	if choice.Index != choice.Home {
 		r.Candidates = append(r.Candidates, candidate(choice.Wait, targets[choice.Index], "best ranked within the slack"))
 	}
-	if ask.Attempt > 1 {
+	if request.Attempt > 1 {
 		r.Kind = decision.Retried
 	}
 	b.Record(r)
--- a/dispatch/place_test.go
+++ b/dispatch/place_test.go
@@ -16,17 +16,17 @@
 	b.Configuration.Accounts = map[string]account.Account{"a": {Name: "a", Weight: 1, TokensPerMinute: 1000}}
 	x, _ := b.Targets.Lookup("a")
 	now := time.Unix(1000, 0)
-	ask := route.PlacementRequest{Request: "r", Account: "a", Model: "m", Attempt: 1, Tokens: 300}
+	request := route.PlacementRequest{Request: "r", Account: "a", Model: "m", Attempt: 1, Tokens: 300}
 	x.Version = "another"
 	for range 10 {
-		if _, err := b.Place(now, ask); err == nil {
+		if _, err := b.Place(now, request); err == nil {
 			t.Fatal("placed without a target")
 		}
 	}
 	x.Version = "v"
 	placed := 0
 	for range 10 {
-		if _, err := b.Place(now, ask); err == nil {
+		if _, err := b.Place(now, request); err == nil {
 			placed++
 		}
 	}
--- a/dispatch/quota.go
+++ b/dispatch/quota.go
@@ -55,9 +55,9 @@
 
 // refuseNoTarget returns the refusal of a request that no target takes. Its code tells whether
 // the reason is that the targets' rate limits are used up.
-func (b *Scheduler) refuseNoTarget(now time.Time, ask route.PlacementRequest, p pool.Pool) *refusal.Refusal {
+func (b *Scheduler) refuseNoTarget(now time.Time, request route.PlacementRequest, p pool.Pool) *refusal.Refusal {
 	spent := func(x *target.Target) bool {
-		return x.Usable(now) && !slices.Contains(ask.Exclude, x.Name) && !b.withinQuota(now, x)
+		return x.Usable(now) && !slices.Contains(request.Exclude, x.Name) && !b.withinQuota(now, x)
 	}
 	if slices.ContainsFunc(b.Pools[p.Name], spent) {
 		return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "limited",
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -52,7 +52,7 @@
 	StoreAvoidUntil map[string]time.Time
 
 	// Choose picks a target; it is (*placement.Chooser).Choose.
-	Choose func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error)
+	Choose func(now time.Time, request placement.Request, targets []*target.Target) (placement.Choice, error)
 	// Scope identifies the cache of a client account and weight version; it is
 	// prefix.Scope.
 	Scope func(account, version string) prefix.Key
--- a/entry/admission.go
+++ b/entry/admission.go
@@ -63,19 +63,19 @@
 }
 
 // refuseMemoryFull returns why an engine has no room for a request, or nil.
-func (d *Daemon) refuseMemoryFull(now time.Time, t *tables, x *fleet.Target, ask affinity.Request, r admissionLimit) *refusal.Refusal {
+func (d *Daemon) refuseMemoryFull(now time.Time, t *tables, x *fleet.Target, query affinity.Request, r admissionLimit) *refusal.Refusal {
 	running, _ := d.load(now, t, x)
-	if r.admits(running, ask.Tokens, ask.Capacity) {
+	if r.admits(running, query.Tokens, query.Capacity) {
 		return nil
 	}
-	share := func(tokens int) float64 { return float64(running+tokens) / float64(ask.Capacity) }
+	share := func(tokens int) float64 { return float64(running+tokens) / float64(query.Capacity) }
 	return refusal.New(refusal.DidNotRun, 503, "crowded",
-		"the engines' memory is taken up: %.2f at the best of them, %.2f with a usual request, of %.2f", share(ask.Tokens), share(r.typicalTokens), r.maxMemoryShare)
+		"the engines' memory is taken up: %.2f at the best of them, %.2f with a usual request, of %.2f", share(query.Tokens), share(r.typicalTokens), r.maxMemoryShare)
 }
 
 // peerAdmissionLimit returns the bound that another box sent with its request.
-func peerAdmissionLimit(ask *peer.PlacementRequest) admissionLimit {
-	return admissionLimit{ask.MaxMemoryShare, ask.TypicalTokens}
+func peerAdmissionLimit(request *peer.PlacementRequest) admissionLimit {
+	return admissionLimit{request.MaxMemoryShare, request.TypicalTokens}
 }
 
 // logOverload logs when a pool's answers become late so often that requests of the lowest
--- a/entry/canary.go
+++ b/entry/canary.go
@@ -210,23 +210,23 @@
 
 // softwareFilters lists the filters to try for a request, in order. A request within the canary
 // version's share goes to one of its targets, if any takes it.
-func (d *Daemon) softwareFilters(now time.Time, t *tables, ask deliver.PlacementRequest) []func(*fleet.Target) bool {
+func (d *Daemon) softwareFilters(now time.Time, t *tables, request deliver.PlacementRequest) []func(*fleet.Target) bool {
 	excluded := func(x *fleet.Target) bool { return d.excludedBySoftware(now, t, x) }
-	c := t.canaryOf(ask.Job.Pool.Name)
+	c := t.canaryOf(request.Job.Pool.Name)
 	if c == nil || c.state != canary.Trying {
 		return []func(*fleet.Target) bool{excluded}
 	}
 	older := func(x *fleet.Target) bool { return c.isCanary(x) || excluded(x) }
-	if newer, _ := c.receiving(now); !newer || !c.gate.Allow(ask.Job.Route.Name) {
+	if newer, _ := c.receiving(now); !newer || !c.gate.Allow(request.Job.Route.Name) {
 		return []func(*fleet.Target) bool{older}
 	}
 	return []func(*fleet.Target) bool{func(x *fleet.Target) bool { return !c.isCanary(x) || excluded(x) }, older}
 }
 
 // countExposure counts a placed request.
-func (t *tables) countExposure(ask deliver.PlacementRequest, x *fleet.Target) {
+func (t *tables) countExposure(request deliver.PlacementRequest, x *fleet.Target) {
 	if c := t.canaryOf(x.Pool); c != nil && c.state == canary.Trying {
-		c.gate.Record(ask.Job.Route.Name, c.isCanary(x))
+		c.gate.Record(request.Job.Route.Name, c.isCanary(x))
 	}
 }
 
--- a/entry/cold.go
+++ b/entry/cold.go
@@ -66,10 +66,10 @@
 }
 
 // countColdExcluded counts the targets that would take a request if they were not cold.
-func (d *Daemon) countColdExcluded(now time.Time, t *tables, ask deliver.PlacementRequest) int {
+func (d *Daemon) countColdExcluded(now time.Time, t *tables, request deliver.PlacementRequest) int {
 	n := 0
-	for _, x := range t.fleet.Pool(ask.Job.Pool.Name) {
-		if x.Available(now) && !slices.Contains(ask.Attempted, x.ID) && d.coldShareUsed(now, t, ask.Job.Pool, x) {
+	for _, x := range t.fleet.Pool(request.Job.Pool.Name) {
+		if x.Available(now) && !slices.Contains(request.Attempted, x.ID) && d.coldShareUsed(now, t, request.Job.Pool, x) {
 			n++
 		}
 	}
--- a/entry/cold_test.go
+++ b/entry/cold_test.go
@@ -181,8 +181,8 @@
 			tt.do(x)
 			n := 0
 			for range 40 {
-				ask := deliver.PlacementRequest{Job: &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{}, Pool: d.current.Load().Pools["orders"]}}
-				if _, err := d.place(start, &d.tables, ask); err == nil {
+				request := deliver.PlacementRequest{Job: &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{}, Pool: d.current.Load().Pools["orders"]}}
+				if _, err := d.place(start, &d.tables, request); err == nil {
 					n++
 				}
 			}
--- a/entry/congestion.go
+++ b/entry/congestion.go
@@ -20,10 +20,10 @@
 
 // refuseCongested refuses a share of the requests to a service whose answers queue, or returns
 // nil. A request that was sent before goes on, as it has already waited.
-func (d *Daemon) refuseCongested(t *tables, ask deliver.PlacementRequest) *refusal.Refusal {
-	job := ask.Job
+func (d *Daemon) refuseCongested(t *tables, request deliver.PlacementRequest) *refusal.Refusal {
+	job := request.Job
 	g := t.congestion(job.Pool.Name)
-	if len(ask.Attempted) > 0 || !g.Shed(job.Route.Goal, d.random()) {
+	if len(request.Attempted) > 0 || !g.Shed(job.Route.Goal, d.random()) {
 		return nil
 	}
 	return refusal.New(refusal.DidNotRun, 503, "congested", "answers of %s take %v, as they queue, of a goal of %v", job.Pool.Name, g.Mean().Round(time.Millisecond), job.Route.Goal)
--- a/entry/costgrowth_test.go
+++ b/entry/costgrowth_test.go
@@ -42,8 +42,8 @@
 			steps++
 			for n, d := range w.boxes {
 				if (n+steps)%int(time.Second/emulatorStep) == 0 {
-					ask := deliver.PlacementRequest{Job: job("short", 100)}
-					w.perform(d, d.update(w.now, placementRequest{ctx: context.Background(), ask: ask, reply: make(chan placementAnswer, 1)}))
+					request := deliver.PlacementRequest{Job: job("short", 100)}
+					w.perform(d, d.update(w.now, placementRequest{ctx: context.Background(), ask: request, reply: make(chan placementAnswer, 1)}))
 				}
 			}
 		})
--- a/entry/evacuate_test.go
+++ b/entry/evacuate_test.go
@@ -26,8 +26,8 @@
 func placedDomains(d *Daemon, now time.Time) []string {
 	used := make(map[string]bool)
 	for range 12 {
-		ask := deliver.PlacementRequest{Job: &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{}, Pool: &routing.Pool{Name: "orders"}}}
-		place, err := d.place(now, &d.tables, ask)
+		request := deliver.PlacementRequest{Job: &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{}, Pool: &routing.Pool{Name: "orders"}}}
+		place, err := d.place(now, &d.tables, request)
 		if err != nil {
 			return nil
 		}
@@ -97,8 +97,8 @@
 	if v := d.view(start, &d.tables, changelog.Cursor{}); !slices.Equal(v.Evacuated, []string{"b"}) {
 		t.Errorf("the view names %v", v.Evacuated)
 	}
-	ask := deliver.PlacementRequest{Job: &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{}, Pool: &routing.Pool{Name: "orders"}}}
-	if _, ok := d.acceptHubPlace(start, &d.tables, ask, &peer.PlacementResponse{Target: "i-b"}); ok {
+	request := deliver.PlacementRequest{Job: &deliver.Job{Call: &deliver.Call{ID: "r"}, Route: &routing.Route{}, Pool: &routing.Pool{Name: "orders"}}}
+	if _, ok := d.acceptHubPlace(start, &d.tables, request, &peer.PlacementResponse{Target: "i-b"}); ok {
 		t.Error("a placement in an evacuated domain is accepted")
 	}
 }
--- a/entry/hub_test.go
+++ b/entry/hub_test.go
@@ -456,8 +456,8 @@
 		hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindGossip, From: "box-05", TargetLoads: []peer.TargetLoad{{Target: placement.Hash("a"), Tokens: tokens}}})
 	}
 	gossip(100)
-	ask := peer.PlacementRequest{Pool: "models", Model: "m", Tokens: 500, MaxMemoryShare: 1}
-	if got := hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &ask}); got.PlacementResponse.Target != "a" {
+	request := peer.PlacementRequest{Pool: "models", Model: "m", Tokens: 500, MaxMemoryShare: 1}
+	if got := hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &request}); got.PlacementResponse.Target != "a" {
 		t.Fatalf("placed %+v", got.PlacementResponse)
 	}
 	if got := tokens(); got != 600 {
@@ -500,8 +500,8 @@
 	for i, id := range []string{"a", "b", "c", "a"} {
 		idle = spoke.tables.fleet.Target(id).Address.String()
 		effects := spoke.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: job("short", 100)}, reply: make(chan placementAnswer, 1)})
-		ask := effects[0].(askHub).ask
-		got := hub.peerRequest(start.Add(time.Duration(i)*time.Second), &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &ask})
+		request := effects[0].(askHub).ask
+		got := hub.peerRequest(start.Add(time.Duration(i)*time.Second), &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &request})
 		if got.PlacementResponse == nil || got.PlacementResponse.Target != id {
 			t.Errorf("idle connection to %s, placed on %+v", id, got.PlacementResponse)
 		}
--- a/entry/place.go
+++ b/entry/place.go
@@ -26,18 +26,18 @@
 )
 
 // askPlace asks the loop for a placement. In a large fleet the loop asks hubs first.
-func (d *Daemon) askPlace(ctx context.Context, ask deliver.PlacementRequest) (deliver.Placement, error) {
+func (d *Daemon) askPlace(ctx context.Context, request deliver.PlacementRequest) (deliver.Placement, error) {
 	reply := make(chan placementAnswer, 1)
 	select {
-	case d.messages <- placementRequest{ctx: ctx, ask: ask, reply: reply}:
+	case d.messages <- placementRequest{ctx: ctx, ask: request, reply: reply}:
 	case <-ctx.Done():
-		return deliver.Placement{}, d.timeoutRefusal(ask.Job)
+		return deliver.Placement{}, d.timeoutRefusal(request.Job)
 	}
 	select {
 	case answer := <-reply: // Immediately, or after at most two calls to hubs, which end with ctx.
 		return answer.place, answer.err
 	case <-d.ended:
-		return deliver.Placement{}, d.timeoutRefusal(ask.Job)
+		return deliver.Placement{}, d.timeoutRefusal(request.Job)
 	}
 }
 
@@ -85,58 +85,58 @@
 }
 
 // place chooses a target and counts the request there.
-func (d *Daemon) place(now time.Time, t *tables, ask deliver.PlacementRequest) (deliver.Placement, error) {
+func (d *Daemon) place(now time.Time, t *tables, request deliver.PlacementRequest) (deliver.Placement, error) {
 	if d.evacuationsStale(now) {
-		return deliver.Placement{}, refusal.New(refusal.DidNotRun, 503, "stale", "which domains are evacuated was last known %v ago", d.provedAgo(now)).WithRetryAfter(d.retryAfter("stale", ask.Job))
+		return deliver.Placement{}, refusal.New(refusal.DidNotRun, 503, "stale", "which domains are evacuated was last known %v ago", d.provedAgo(now)).WithRetryAfter(d.retryAfter("stale", request.Job))
 	}
 	choose := d.placePlain
-	if ask.Job.Pool.Engine != nil {
+	if request.Job.Pool.Engine != nil {
 		choose = d.placeModel
 	}
-	place, refused := choose(now, t, ask)
-	d.notePlacement(now, ask, refused)
+	place, refused := choose(now, t, request)
+	d.notePlacement(now, request, refused)
 	if refused != nil {
-		return place, refused.WithRetryAfter(d.retryAfterRefusal(now, t, refused.Code, ask.Job))
+		return place, refused.WithRetryAfter(d.retryAfterRefusal(now, t, refused.Code, request.Job))
 	}
 	t.countSent(now, place)
 	t.prefillBacklog.Place(now, placement.Hash(place.Target), place.PrefillTokens)
 	return place, nil
 }
 
-func (d *Daemon) placePlain(now time.Time, t *tables, ask deliver.PlacementRequest) (deliver.Placement, *refusal.Refusal) {
-	return d.choosePlain(now, t, ask, inBackoff(now))
+func (d *Daemon) placePlain(now time.Time, t *tables, request deliver.PlacementRequest) (deliver.Placement, *refusal.Refusal) {
+	return d.choosePlain(now, t, request, inBackoff(now))
 }
 
 // choosePlain chooses a target of a plain service, except those excluded for the box that sends
 // the request.
-func (d *Daemon) choosePlain(now time.Time, t *tables, ask deliver.PlacementRequest, excluded func(*fleet.Target) bool) (deliver.Placement, *refusal.Refusal) {
-	if refused := d.refuseCongested(t, ask); refused != nil {
+func (d *Daemon) choosePlain(now time.Time, t *tables, request deliver.PlacementRequest, excluded func(*fleet.Target) bool) (deliver.Placement, *refusal.Refusal) {
+	if refused := d.refuseCongested(t, request); refused != nil {
 		return deliver.Placement{}, refused
 	}
 	var x *fleet.Target
-	for _, filter := range d.softwareFilters(now, t, ask) {
-		if chosen, ok := d.services.Choose(now, t.fleet.Pool(ask.Job.Pool.Name), d.skip(now, t, ask, either(excluded, filter))); ok {
+	for _, filter := range d.softwareFilters(now, t, request) {
+		if chosen, ok := d.services.Choose(now, t.fleet.Pool(request.Job.Pool.Name), d.skip(now, t, request, either(excluded, filter))); ok {
 			x = chosen
 			break
 		}
 	}
 	if x == nil {
-		return deliver.Placement{}, d.refuseNone(now, t, ask, excluded)
+		return deliver.Placement{}, d.refuseNone(now, t, request, excluded)
 	}
-	t.countExposure(ask, x)
-	d.countCold(now, t, ask.Job.Pool, x)
+	t.countExposure(request, x)
+	d.countCold(now, t, request.Job.Pool, x)
 	return deliver.Placement{Target: x.ID, StartedAt: x.StartedAt, Address: x.Address, PlacedAt: now, Rule: "nearest", QuotaGranted: d.takeQuota(now, t, x)}, nil
 }
 
-func (d *Daemon) refuseNone(now time.Time, t *tables, ask deliver.PlacementRequest, excluded func(*fleet.Target) bool) *refusal.Refusal {
-	pool := ask.Job.Pool
-	if cold := d.countColdExcluded(now, t, ask); cold > 0 {
+func (d *Daemon) refuseNone(now time.Time, t *tables, request deliver.PlacementRequest, excluded func(*fleet.Target) bool) *refusal.Refusal {
+	pool := request.Job.Pool
+	if cold := d.countColdExcluded(now, t, request); cold > 0 {
 		return refusal.New(refusal.DidNotRun, 503, "warming", "no target of %s takes work now but %d that are cold and have got what they bear", pool.Name, cold)
 	}
-	if refused := d.refuseLimited(now, t, ask, excluded); refused != nil {
+	if refused := d.refuseLimited(now, t, request, excluded); refused != nil {
 		return refused
 	}
-	if refused := refuseBackoff(now, t, ask, excluded); refused != nil {
+	if refused := refuseBackoff(now, t, request, excluded); refused != nil {
 		return refused
 	}
 	return refusal.New(refusal.DidNotRun, 503, "no_target", "no target of %s takes work now", pool.Name)
@@ -144,10 +144,10 @@
 
 // refuseEngine refuses a request that no engine takes, with a code of its own if an available
 // engine has weights that are too old.
-func (d *Daemon) refuseEngine(now time.Time, t *tables, request deliver.PlacementRequest, ask affinity.Request, targets []*fleet.Target, from sender) *refusal.Refusal {
+func (d *Daemon) refuseEngine(now time.Time, t *tables, request deliver.PlacementRequest, query affinity.Request, targets []*fleet.Target, from sender) *refusal.Refusal {
 	for _, x := range targets {
-		if x.Available(now) && x.Versions[ask.Model] < ask.MinVersion {
-			return refusal.New(refusal.DidNotRun, 503, "old_weights", "the engines of %s that take work have weights older than version %d", request.Job.Pool.Name, ask.MinVersion)
+		if x.Available(now) && x.Versions[query.Model] < query.MinVersion {
+			return refusal.New(refusal.DidNotRun, 503, "old_weights", "the engines of %s that take work have weights older than version %d", request.Job.Pool.Name, query.MinVersion)
 		}
 	}
 	return d.refuseNone(now, t, request, from.excluded)
@@ -156,11 +156,11 @@
 // skip returns a filter for the targets that can't be chosen: those outside the allowed
 // regions, those attempted before, those excluded for that box, and cold or rate-limited ones
 // to which this box has sent its share.
-func (d *Daemon) skip(now time.Time, t *tables, ask deliver.PlacementRequest, excluded func(*fleet.Target) bool) func(id string) bool {
-	regions := allowedRegions(ask.Job)
+func (d *Daemon) skip(now time.Time, t *tables, request deliver.PlacementRequest, excluded func(*fleet.Target) bool) func(id string) bool {
+	regions := allowedRegions(request.Job)
 	return func(id string) bool {
 		x := t.fleet.Target(id)
-		return !t.inRegions(regions, x.Domain) || slices.Contains(ask.Attempted, id) || excluded(x) || d.coldShareUsed(now, t, ask.Job.Pool, x) || !d.withinQuota(now, t, x)
+		return !t.inRegions(regions, x.Domain) || slices.Contains(request.Attempted, id) || excluded(x) || d.coldShareUsed(now, t, request.Job.Pool, x) || !d.withinQuota(now, t, x)
 	}
 }
 
@@ -184,20 +184,20 @@
 	hasIdleConnection, excluded func(*fleet.Target) bool
 }
 
-func (d *Daemon) placeModel(now time.Time, t *tables, ask deliver.PlacementRequest) (deliver.Placement, *refusal.Refusal) {
-	return d.chooseEngine(now, t, ask, sender{d.Settings.Domain, d.admissionLimit(t, ask.Job), d.hasIdleConnection, inBackoff(now)})
+func (d *Daemon) placeModel(now time.Time, t *tables, request deliver.PlacementRequest) (deliver.Placement, *refusal.Refusal) {
+	return d.chooseEngine(now, t, request, sender{d.Settings.Domain, d.admissionLimit(t, request.Job), d.hasIdleConnection, inBackoff(now)})
 }
 
 // chooseEngine chooses an engine, trying the software versions in the order of softwareFilters.
-func (d *Daemon) chooseEngine(now time.Time, t *tables, ask deliver.PlacementRequest, from sender) (deliver.Placement, *refusal.Refusal) {
+func (d *Daemon) chooseEngine(now time.Time, t *tables, request deliver.PlacementRequest, from sender) (deliver.Placement, *refusal.Refusal) {
 	var place deliver.Placement
 	var refused *refusal.Refusal
-	for _, filter := range d.softwareFilters(now, t, ask) {
+	for _, filter := range d.softwareFilters(now, t, request) {
 		filtered := from
 		filtered.excluded = either(from.excluded, filter)
-		place, refused = d.planEngine(now, t, ask, filtered)
+		place, refused = d.planEngine(now, t, request, filtered)
 		if refused == nil {
-			t.countExposure(ask, t.fleet.Target(place.Target))
+			t.countExposure(request, t.fleet.Target(place.Target))
 			return place, nil
 		}
 	}
@@ -205,8 +205,8 @@
 }
 
 // planEngine chooses an engine and plans the transfers of cached prompt parts.
-func (d *Daemon) planEngine(now time.Time, t *tables, ask deliver.PlacementRequest, from sender) (deliver.Placement, *refusal.Refusal) {
-	job := ask.Job
+func (d *Daemon) planEngine(now time.Time, t *tables, request deliver.PlacementRequest, from sender) (deliver.Placement, *refusal.Refusal) {
+	job := request.Job
 	if d.weightsStale(now) {
 		return deliver.Placement{}, refusal.New(refusal.DidNotRun, 503, "stale", "what the newest weights are was last known %v ago", d.provedAgo(now))
 	}
@@ -215,7 +215,7 @@
 	regions := allowedRegions(job)
 	query := affinity.Request{
 		DomainAllowed: func(domain string) bool { return t.inRegions(regions, domain) },
-		Domain:        d.preferredDomain(from.domain), Home: home(job), Tokens: job.PromptTokens + job.MaxOutputTokens, Capacity: job.Pool.Engine.Capacity, Parts: partsOf(job), Model: job.Model, NewestVersion: w.newestVersion, Skip: d.skip(now, t, ask, from.excluded),
+		Domain:        d.preferredDomain(from.domain), Home: home(job), Tokens: job.PromptTokens + job.MaxOutputTokens, Capacity: job.Pool.Engine.Capacity, Parts: partsOf(job), Model: job.Model, NewestVersion: w.newestVersion, Skip: d.skip(now, t, request, from.excluded),
 		MinVersion: w.requiredVersion(now, d.bounds.Load().WeightsWithin), Goal: job.Route.Goal, HasIdleConnection: from.hasIdleConnection,
 		Full: func(taken int) bool {
 			return !from.limit.admits(taken, job.PromptTokens+job.MaxOutputTokens, job.Pool.Engine.Capacity)
@@ -231,7 +231,7 @@
 	t.presumedLoad = t.presumedOthers(now, targets)
 	choice, ok := d.engines.Choose(now, query, targets)
 	if !ok {
-		return deliver.Placement{}, d.refuseEngine(now, t, ask, query, targets, from)
+		return deliver.Placement{}, d.refuseEngine(now, t, request, query, targets, from)
 	}
 	if refused := d.refuseMemoryFull(now, t, choice.Target, query, from.limit); refused != nil {
 		return deliver.Placement{}, refused
--- a/entry/placehub.go
+++ b/entry/placehub.go
@@ -75,20 +75,20 @@
 	}
 	job := m.ask.Job
 	r := d.admissionLimit(t, job)
-	ask := peer.PlacementRequest{
+	request := peer.PlacementRequest{
 		Request: job.ID, Pool: job.Pool.Name, Model: job.Model, Tokens: job.PromptTokens + job.MaxOutputTokens, MaxMemoryShare: r.maxMemoryShare, TypicalTokens: r.typicalTokens, Tried: m.ask.Attempted, GoalMS: job.Route.Goal.Milliseconds(),
 	}
-	ask.IdleConnections, ask.Excluded = d.targetHints(now, t.engines(job.Pool.Name))
+	request.IdleConnections, request.Excluded = d.targetHints(now, t.engines(job.Pool.Name))
 	if regions := allowedRegions(job); regions.Limited() {
-		ask.Limited, ask.Regions = true, regions
+		request.Limited, request.Regions = true, regions
 	}
 	if job.Account != nil && job.Account.Isolated {
-		ask.IsolatedAccount = job.Account.Name
+		request.IsolatedAccount = job.Account.Name
 	}
 	for _, p := range job.Parts {
-		ask.Parts = append(ask.Parts, peer.Part{ID: p.ID, Tokens: p.Tokens})
+		request.Parts = append(request.Parts, peer.Part{ID: p.ID, Tokens: p.Tokens})
 	}
-	return []effect{askHub{hub, t.members[hub].address, m, ask}}, true
+	return []effect{askHub{hub, t.members[hub].address, m, request}}, true
 }
 
 // targetHints lists the targets to which this box has an idle connection, and those to which it
--- a/entry/placepeer.go
+++ b/entry/placepeer.go
@@ -44,13 +44,13 @@
 	for _, p := range m.PlacementRequest.Parts {
 		job.Parts = append(job.Parts, deliver.Part{ID: p.ID, Tokens: p.Tokens})
 	}
-	ask, excluded := deliver.PlacementRequest{Job: job, Attempted: m.PlacementRequest.Tried}, namedIn(m.PlacementRequest.Excluded)
+	request, excluded := deliver.PlacementRequest{Job: job, Attempted: m.PlacementRequest.Tried}, namedIn(m.PlacementRequest.Excluded)
 	var place deliver.Placement
 	var refused *refusal.Refusal
 	if job.Pool.Engine == nil {
-		place, refused = d.choosePlain(now, t, ask, excluded)
+		place, refused = d.choosePlain(now, t, request, excluded)
 	} else {
-		place, refused = d.chooseEngine(now, t, ask, sender{t.domainOf(m.From), peerAdmissionLimit(m.PlacementRequest), namedIn(m.PlacementRequest.IdleConnections), excluded})
+		place, refused = d.chooseEngine(now, t, request, sender{t.domainOf(m.From), peerAdmissionLimit(m.PlacementRequest), namedIn(m.PlacementRequest.IdleConnections), excluded})
 	}
 	if refused != nil {
 		return &peer.PlacementResponse{Refused: refused.Code, Reason: refused.Reason}
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -133,7 +133,7 @@
 		if d.notices.SetLimit(now, x) {
 			d.logLimit(x, m.From)
 		}
-		d.signalsHeard(now, t, x.Incarnation)
+		d.signalsReceived(now, t, x.Incarnation)
 	}
 }
 
@@ -148,22 +148,22 @@
 
 // refuseLimited refuses a request for which some targets would have room but for their rate
 // limits; it returns nil if there are none.
-func (d *Daemon) refuseLimited(now time.Time, t *tables, ask deliver.PlacementRequest, excluded func(*fleet.Target) bool) *refusal.Refusal {
+func (d *Daemon) refuseLimited(now time.Time, t *tables, request deliver.PlacementRequest, excluded func(*fleet.Target) bool) *refusal.Refusal {
 	spent := func(x *fleet.Target) bool {
-		return x.Available(now) && !excluded(x) && !slices.Contains(ask.Attempted, x.ID) && !d.withinQuota(now, t, x)
+		return x.Available(now) && !excluded(x) && !slices.Contains(request.Attempted, x.ID) && !d.withinQuota(now, t, x)
 	}
-	if !slices.ContainsFunc(t.fleet.Pool(ask.Job.Pool.Name), spent) {
+	if !slices.ContainsFunc(t.fleet.Pool(request.Job.Pool.Name), spent) {
 		return nil
 	}
-	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, codeLimited, "the targets of %s that take work have got the requests that they take a second", ask.Job.Pool.Name)
+	return refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, codeLimited, "the targets of %s that take work have got the requests that they take a second", request.Job.Pool.Name)
 }
 
 // onlyLimited reports whether all targets left for a request have rate limits, so that a hub,
 // which has a share of them, has to place it.
-func (t *tables) onlyLimited(now time.Time, ask deliver.PlacementRequest) bool {
+func (t *tables) onlyLimited(now time.Time, request deliver.PlacementRequest) bool {
 	limited := false
-	for _, x := range t.fleet.Pool(ask.Job.Pool.Name) {
-		if !x.Available(now) || x.InBackoff(now) || slices.Contains(ask.Attempted, x.ID) {
+	for _, x := range t.fleet.Pool(request.Job.Pool.Name) {
+		if !x.Available(now) || x.InBackoff(now) || slices.Contains(request.Attempted, x.ID) {
 			continue
 		}
 		if !x.Limited {
--- a/entry/region_test.go
+++ b/entry/region_test.go
@@ -107,8 +107,8 @@
 	hub, spoke := twoRegions("box-00"), twoRegions("box-05")
 	j := limitedJob("models", routing.Regions{"south"}, nil)
 	effects := spoke.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: j}, reply: make(chan placementAnswer, 1)})
-	ask := effects[0].(askHub).ask
-	got := hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &ask}).PlacementResponse
+	request := effects[0].(askHub).ask
+	got := hub.peerRequest(start, &hub.tables, peer.Message{Kind: peer.KindPlace, From: "box-05", PlacementRequest: &request}).PlacementResponse
 	if got == nil || got.Target != "e-z" {
 		t.Errorf("the hub places on %+v", got)
 	}
--- a/entry/retryafter.go
+++ b/entry/retryafter.go
@@ -59,15 +59,15 @@
 
 // notePlacement notes since when a pool has had no target that takes work. A request for which
 // no target is left besides those that it was sent to says nothing about the pool.
-func (d *Daemon) notePlacement(now time.Time, ask deliver.PlacementRequest, refused *refusal.Refusal) {
-	pool := ask.Job.Pool.Name
+func (d *Daemon) notePlacement(now time.Time, request deliver.PlacementRequest, refused *refusal.Refusal) {
+	pool := request.Job.Pool.Name
 	switch {
 	case refused != nil && refused.Code == codeBackoff: // Neither case applies: the end of a backoff is known.
 	case refused == nil || refused.Code != "no_target" && refused.Code != "old_weights":
 		if lasted := d.retryEstimator.Ended(now, noTarget+pool); lasted > 0 {
 			d.Log.Info("pool has usable targets again", "pool", pool, "without_for", lasted)
 		}
-	case len(ask.Attempted) == 0:
+	case len(request.Attempted) == 0:
 		d.retryEstimator.Started(now, noTarget+pool)
 	}
 }
--- a/entry/signals.go
+++ b/entry/signals.go
@@ -123,12 +123,12 @@
 // signalsFromEvents records the signals in a target's cache events, within the loop.
 func (d *Daemon) signalsFromEvents(now time.Time, t *tables, x *fleet.Target, signals notice.Signals) {
 	if d.observeSignals(now, x.Incarnation(), signals, "its news") {
-		d.signalsHeard(now, t, x.Incarnation())
+		d.signalsReceived(now, t, x.Incarnation())
 	}
 }
 
-// signalsHeard applies a target's recorded signals to it.
-func (d *Daemon) signalsHeard(now time.Time, t *tables, incarnation fleet.Incarnation) {
+// signalsReceived applies a target's recorded signals to it.
+func (d *Daemon) signalsReceived(now time.Time, t *tables, incarnation fleet.Incarnation) {
 	if x := t.fleet.Incarnation(incarnation); x != nil && d.applySignals(now, x) {
 		t.markChanged(x.ID)
 	}
@@ -149,12 +149,12 @@
 
 // refuseBackoff refuses a request for which some targets are available but excluded for the box
 // that sends it; it returns nil if there are none.
-func refuseBackoff(now time.Time, t *tables, ask deliver.PlacementRequest, excluded func(*fleet.Target) bool) *refusal.Refusal {
+func refuseBackoff(now time.Time, t *tables, request deliver.PlacementRequest, excluded func(*fleet.Target) bool) *refusal.Refusal {
 	waits := func(x *fleet.Target) bool { return x.Available(now) && excluded(x) }
-	if !slices.ContainsFunc(t.fleet.Pool(ask.Job.Pool.Name), waits) {
+	if !slices.ContainsFunc(t.fleet.Pool(request.Job.Pool.Name), waits) {
 		return nil
 	}
-	return refusal.New(refusal.DidNotRun, 503, codeBackoff, "the targets of %s that take work asked for a time without requests", ask.Job.Pool.Name)
+	return refusal.New(refusal.DidNotRun, 503, codeBackoff, "the targets of %s that take work asked for a time without requests", request.Job.Pool.Name)
 }
 
 // backoffLeft is the time until the first backoff in a pool ends; zero if no available target
--- a/entry/signals_test.go
+++ b/entry/signals_test.go
@@ -167,19 +167,19 @@
 			}
 			reply := make(chan placementAnswer, 1)
 			effects := d.update(start, placementRequest{ctx: context.Background(), ask: deliver.PlacementRequest{Job: job("long", 1000)}, reply: reply})
-			ask := effects[0].(askHub).ask
-			if want := shortID(d.tables.fleet.Target("a")); len(ask.Excluded) != 1 || ask.Excluded[0] != want {
-				t.Fatalf("reported %v to the hub, want %v", ask.Excluded, want)
+			request := effects[0].(askHub).ask
+			if want := shortID(d.tables.fleet.Target("a")); len(request.Excluded) != 1 || request.Excluded[0] != want {
+				t.Fatalf("reported %v to the hub, want %v", request.Excluded, want)
 			}
 			hub := withEngines(largeFleet("box-00"), "a", "b")
 			hub.tables.hubWarm = true
 			for range 20 {
-				if placed := hub.placeForPeer(start, &hub.tables, peer.Message{From: "box-05", PlacementRequest: &ask}); placed.Target != "b" {
+				if placed := hub.placeForPeer(start, &hub.tables, peer.Message{From: "box-05", PlacementRequest: &request}); placed.Target != "b" {
 					t.Fatalf("the hub places on %q", placed.Target)
 				}
 			}
-			ask.Excluded = append(ask.Excluded, shortID(hub.tables.fleet.Target("b")))
-			if placed := hub.placeForPeer(start, &hub.tables, peer.Message{From: "box-05", PlacementRequest: &ask}); placed.Refused != codeBackoff {
+			request.Excluded = append(request.Excluded, shortID(hub.tables.fleet.Target("b")))
+			if placed := hub.placeForPeer(start, &hub.tables, peer.Message{From: "box-05", PlacementRequest: &request}); placed.Refused != codeBackoff {
 				t.Errorf("the hub refuses as %q", placed.Refused)
 			}
 		})
@@ -227,8 +227,8 @@
 	hub := withEngines(largeFleet("box-00"), "a")
 	hub.tables.hubWarm = true
 	sendSignals(hub, start, fleet.Incarnation{ID: "a"}, signalsBackoff)
-	ask := peer.PlacementRequest{Request: "r", Pool: "models", Model: "m", Tokens: 1000, MaxMemoryShare: 1, TypicalTokens: 1000}
-	if placed := hub.placeForPeer(start, &hub.tables, peer.Message{From: "box-05", PlacementRequest: &ask}); placed.Target != "a" {
+	request := peer.PlacementRequest{Request: "r", Pool: "models", Model: "m", Tokens: 1000, MaxMemoryShare: 1, TypicalTokens: 1000}
+	if placed := hub.placeForPeer(start, &hub.tables, peer.Message{From: "box-05", PlacementRequest: &request}); placed.Target != "a" {
 		t.Errorf("placed on %q, refused as %q", placed.Target, placed.Refused)
 	}
 	if got, _ := placedOn(hub, start); len(got) > 0 {
--- a/entry/update.go
+++ b/entry/update.go
@@ -18,7 +18,7 @@
 	case suspectQuery:
 		m.reply <- d.looksDead(now, t, m.target)
 	case signalsReceived:
-		d.signalsHeard(now, t, m.incarnation)
+		d.signalsReceived(now, t, m.incarnation)
 	case silenceSeen:
 		t.silences[m.at] = now
 	case answerBegan:
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -51,7 +51,7 @@
 // Forwarder proxies requests. Set the exported fields before first use; it is
 // safe for concurrent use after that.
 type Forwarder struct {
-	Place func(ctx context.Context, ask route.PlacementRequest) (route.Placement, error)
+	Place func(ctx context.Context, request route.PlacementRequest) (route.Placement, error)
 	// OnEnded is called exactly once for each placed attempt.
 	OnEnded func(route.AttemptResult)
 	// OnSignals gets the signals in the headers of a target's answer, before any of the answer
--- a/forward/serve.go
+++ b/forward/serve.go
@@ -104,10 +104,10 @@
 // run tries targets until one answers, no attempt is left, or the outcome is
 // unknown.
 func (x *exchange) run(w http.ResponseWriter) error {
-	ask := route.PlacementRequest{Request: x.call.Request, Account: x.call.Account, Pool: x.call.Pool}
+	request := route.PlacementRequest{Request: x.call.Request, Account: x.call.Account, Pool: x.call.Pool}
 	for {
-		ask.Attempt++
-		placed, err := x.Place(x.ctx, ask)
+		request.Attempt++
+		placed, err := x.Place(x.ctx, request)
 		if err != nil {
 			return x.giveUp(err)
 		}
@@ -135,12 +135,12 @@
 		if wrote && !x.repeatable {
 			return refusal.New(refusal.Unknown, http.StatusBadGateway, "no_answer", "the request was sent to %s but no answer came", placed.Target)
 		}
-		last := ask.Attempt >= x.MaxAttempts || x.bodyRead || x.ctx.Err() != nil
+		last := request.Attempt >= x.MaxAttempts || x.bodyRead || x.ctx.Err() != nil
 		if last || !x.Retry(x.call.Pool) {
 			return x.giveUp(refusal.New(refusal.DidNotRun, http.StatusBadGateway, "unreachable", "no target gave an answer: %v", err).WithRetryAfter(x.RetryAfter()))
 		}
-		ask.Exclude = append(ask.Exclude, placed.Target)
-		ask.AvoidDomain = placed.Domain
+		request.Exclude = append(request.Exclude, placed.Target)
+		request.AvoidDomain = placed.Domain
 	}
 }
 
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -38,7 +38,7 @@
 	return []Policy{Ours, RoundRobin, LeastLoad, Affinity, KeepAll, NeverImport, PlainRoundRobin}
 }
 
-type chooseFunc func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error)
+type chooseFunc func(now time.Time, request placement.Request, targets []*target.Target) (placement.Choice, error)
 
 // chooser returns the policy's function that chooses a target.
 func (p Policy) chooser(ours *placement.Chooser, random *rand.Rand) chooseFunc {
@@ -66,18 +66,18 @@
 
 // chooseUsable returns a chooser that picks one of the usable targets with a function.
 func chooseUsable(choose func(usable []int, home uint64, all []*target.Target) int) chooseFunc {
-	return func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error) {
+	return func(now time.Time, request placement.Request, targets []*target.Target) (placement.Choice, error) {
 		var choice placement.Choice
 		var usable []int
 		for i, x := range targets {
-			if x.Usable(now) && !ask.Skip(x) {
+			if x.Usable(now) && !request.Skip(x) {
 				usable = append(usable, i)
 			}
 		}
 		if len(usable) == 0 {
 			return choice, trace.NotFound("no target")
 		}
-		choice.Index = choose(usable, ask.Home, targets)
+		choice.Index = choose(usable, request.Home, targets)
 		choice.Home = choice.Index
 		choice.Usable = len(usable)
 		return choice, nil
--- a/message.go
+++ b/message.go
@@ -17,8 +17,8 @@
 // placementRequest asks for a target. The loop answers on reply, whose buffer must
 // have room.
 type placementRequest struct {
-	ask   route.PlacementRequest
-	reply chan<- placementAnswer
+	request route.PlacementRequest
+	reply   chan<- placementAnswer
 }
 
 // placementAnswer is a placement or the refusal.
@@ -30,8 +30,8 @@
 // attemptEnded is the outcome of a placed attempt.
 type attemptEnded struct{ route.AttemptResult }
 
-// signalsHeard carries the signals that a target sent in the head of an answer.
-type signalsHeard struct {
+// signalsReceived carries the signals that a target sent in the head of an answer.
+type signalsReceived struct {
 	placed  route.Placement
 	signals notice.Signals
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -79,12 +79,12 @@
 
 // Choose returns the target for a request. It fails with trace.NotFound if no target is
 // usable.
-func (c *Chooser) Choose(now time.Time, ask Request, targets []*target.Target) (Choice, error) {
+func (c *Chooser) Choose(now time.Time, request Request, targets []*target.Target) (Choice, error) {
 	choice := Choice{Index: -1, Home: -1, MinWait: ineligible}
 	c.waits = c.waits[:0]
 	for _, t := range targets {
 		wait := time.Duration(ineligible)
-		if c.eligible(now, ask, t) {
+		if c.eligible(now, request, t) {
 			wait = c.Wait(t)
 			choice.Usable++
 			if choice.MinWait == ineligible || wait < choice.MinWait {
@@ -96,7 +96,7 @@
 	if choice.Usable == 0 {
 		return choice, trace.NotFound("no target of the pool takes new work")
 	}
-	c.rank(ask, targets, &choice)
+	c.rank(request, targets, &choice)
 	choice.Rule = RuleNext
 	if choice.Index == choice.Home {
 		choice.Rule = RuleHome
@@ -105,14 +105,14 @@
 }
 
 // rank finds the best-ranked target of all, and of those within the slack.
-func (c *Chooser) rank(ask Request, targets []*target.Target, choice *Choice) {
+func (c *Chooser) rank(request Request, targets []*target.Target, choice *Choice) {
 	var best, home uint64
-	maxWait := choice.MinWait + ask.Slack
+	maxWait := choice.MinWait + request.Slack
 	for i, wait := range c.waits {
 		if wait == ineligible {
 			continue
 		}
-		weight := Weight(ask.Home, targets[i].Hash)
+		weight := Weight(request.Home, targets[i].Hash)
 		if choice.Home < 0 || weight > home {
 			choice.Home, home = i, weight
 		}
@@ -122,6 +122,6 @@
 	}
 }
 
-func (c *Chooser) eligible(now time.Time, ask Request, t *target.Target) bool {
-	return c.Usable(t, now) && (ask.Skip == nil || !ask.Skip(t))
+func (c *Chooser) eligible(now time.Time, request Request, t *target.Target) bool {
+	return c.Usable(t, now) && (request.Skip == nil || !request.Skip(t))
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -31,13 +31,13 @@
 
 func wait(t *target.Target) time.Duration { return t.WaitAt(at, 2*time.Second) }
 
-func asked(home uint64) placement.Request {
+func requestFor(home uint64) placement.Request {
 	return placement.Request{Home: home, Slack: 100 * time.Millisecond}
 }
 
 func TestChoose(t *testing.T) {
 	c := chooser()
-	home, err := c.Choose(now, asked(42), targets(9))
+	home, err := c.Choose(now, requestFor(42), targets(9))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			all := targets(9)
 			tt.change(all)
-			got, err := c.Choose(now, asked(42), all)
+			got, err := c.Choose(now, requestFor(42), all)
 			if (err != nil) != tt.err || got.Rule != tt.rule {
 				t.Errorf("Choose = %+v, %v, want rule %q, error %v", got, err, tt.rule, tt.err)
 			}
@@ -86,7 +86,7 @@
 	all := targets(9)
 	before := make([]int, 1000)
 	for i := range before {
-		choice, err := c.Choose(now, asked(rand.New(rand.NewPCG(7, uint64(i))).Uint64()), all)
+		choice, err := c.Choose(now, requestFor(rand.New(rand.NewPCG(7, uint64(i))).Uint64()), all)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -94,7 +94,7 @@
 	}
 	all[4].Leaving = true
 	for i, was := range before {
-		choice, err := c.Choose(now, asked(rand.New(rand.NewPCG(7, uint64(i))).Uint64()), all)
+		choice, err := c.Choose(now, requestFor(rand.New(rand.NewPCG(7, uint64(i))).Uint64()), all)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -114,7 +114,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := c.Choose(now, asked(r.Uint64()), all); err != nil {
+		if _, err := c.Choose(now, requestFor(r.Uint64()), all); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -157,7 +157,7 @@
 			if least {
 				i = first(all)
 			} else {
-				choice, err := c.Choose(now, asked(rand.New(rand.NewPCG(uint64(box), uint64(request))).Uint64()), all)
+				choice, err := c.Choose(now, requestFor(rand.New(rand.NewPCG(uint64(box), uint64(request))).Uint64()), all)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/quarantine.go
+++ b/quarantine.go
@@ -61,16 +61,16 @@
 }
 
 // place places a request, unless its fingerprint is quarantined.
-func (d *Daemon) place(now time.Time, t *tables, ask route.PlacementRequest) (route.Placement, error) {
+func (d *Daemon) place(now time.Time, t *tables, request route.PlacementRequest) (route.Placement, error) {
 	k := &t.crashes
-	if ask.Model != "" && k.quarantine.Len()+k.tracker.Len() > 0 {
-		if sum := ask.Fingerprint(); k.quarantine.Refuses(now, sum, k.tracker.Suspects(sum)) {
+	if request.Model != "" && k.quarantine.Len()+k.tracker.Len() > 0 {
+		if sum := request.Fingerprint(); k.quarantine.Refuses(now, sum, k.tracker.Suspects(sum)) {
 			return route.Placement{}, refusal.New(refusal.DidNotRun, http.StatusServiceUnavailable, "quarantined",
 				"%d engines ended while requests for the same ran there", quarantine.Threshold).WithRetryAfter(quarantineRetryAfter)
 		}
 	}
-	placed, err := t.Place(now, ask)
-	placed.PlacementRequest = ask
+	placed, err := t.Place(now, request)
+	placed.PlacementRequest = request
 	return placed, err
 }
 
--- a/quarantine_test.go
+++ b/quarantine_test.go
@@ -47,9 +47,9 @@
 }
 
 // placeFor places a request and returns the placement and the refusal's code, if any.
-func placeFor(d *Daemon, now time.Time, ask route.PlacementRequest) (route.Placement, string) {
+func placeFor(d *Daemon, now time.Time, request route.PlacementRequest) (route.Placement, string) {
 	reply := make(chan placementAnswer, 1)
-	d.update(now, placementRequest{ask, reply})
+	d.update(now, placementRequest{request, reply})
 	answer := <-reply
 	var refused *refusal.Refusal
 	if errors.As(answer.err, &refused) {
--- a/refresh.go
+++ b/refresh.go
@@ -48,7 +48,7 @@
 func (d *Daemon) placeOrHold(now time.Time, t *tables, m placementRequest) []effect {
 	t.detectPause(now)
 	if !t.refreshing() {
-		placed, err := d.place(now, t, m.ask)
+		placed, err := d.place(now, t, m.request)
 		m.reply <- placementAnswer{placed, err}
 		return nil
 	}
@@ -67,7 +67,7 @@
 		return
 	}
 	for _, m := range t.refresh.held {
-		placed, err := d.place(now, t, m.ask)
+		placed, err := d.place(now, t, m.request)
 		m.reply <- placementAnswer{placed, err}
 	}
 	t.refresh.held = nil
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -45,7 +45,7 @@
 // Relay runs requests. Set the exported fields before first use; it is safe
 // for concurrent use after that.
 type Relay struct {
-	Place    func(ctx context.Context, ask route.PlacementRequest) (route.Placement, error)
+	Place    func(ctx context.Context, request route.PlacementRequest) (route.Placement, error)
 	Generate func(ctx context.Context, at netip.AddrPort, run engine.Run) (*engine.Frames, error)
 	Resume   func(ctx context.Context, at netip.AddrPort, request string, attempt, offset int) (*engine.Frames, error)
 	Cancel   func(ctx context.Context, at netip.AddrPort, request string, attempt int) (started bool, err error)
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -178,10 +178,10 @@
 	var got outcome
 	var text strings.Builder
 	r := relay.Relay{
-		Place: func(_ context.Context, ask route.PlacementRequest) (route.Placement, error) {
+		Place: func(_ context.Context, request route.PlacementRequest) (route.Placement, error) {
 			return route.Placement{
-				Request: ask.Request, Attempt: ask.Attempt, Target: "t" + string(rune('0'+ask.Attempt)), Version: "v1",
-				Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(ask.Attempt)), FirstToken: time.Minute,
+				Request: request.Request, Attempt: request.Attempt, Target: "t" + string(rune('0'+request.Attempt)), Version: "v1",
+				Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(request.Attempt)), FirstToken: time.Minute,
 			}, nil
 		},
 		Generate: e.generate, Resume: e.resume, Cancel: s.cancel(e), Accept: s.accept,
@@ -281,8 +281,8 @@
 	e := &engines{queued: make(map[string]bool), versions: make(map[string]string)}
 	var text strings.Builder
 	r := relay.Relay{
-		Place: func(_ context.Context, ask route.PlacementRequest) (route.Placement, error) {
-			return route.Placement{Attempt: ask.Attempt, Version: "v1", FirstToken: 3 * time.Second}, nil
+		Place: func(_ context.Context, request route.PlacementRequest) (route.Placement, error) {
+			return route.Placement{Attempt: request.Attempt, Version: "v1", FirstToken: 3 * time.Second}, nil
 		},
 		Generate: func(ctx context.Context, at netip.AddrPort, run engine.Run) (*engine.Frames, error) {
 			frames, err := e.generate(ctx, at, run)
@@ -323,8 +323,8 @@
 		e := &engines{queued: make(map[string]bool), versions: make(map[string]string)}
 		var text strings.Builder
 		r := relay.Relay{
-			Place: func(_ context.Context, ask route.PlacementRequest) (route.Placement, error) {
-				return route.Placement{Attempt: ask.Attempt, Version: "v1", FirstToken: 3 * time.Second}, nil
+			Place: func(_ context.Context, request route.PlacementRequest) (route.Placement, error) {
+				return route.Placement{Attempt: request.Attempt, Version: "v1", FirstToken: 3 * time.Second}, nil
 			},
 			Generate: func(ctx context.Context, at netip.AddrPort, run engine.Run) (*engine.Frames, error) {
 				frames, err := e.generate(ctx, at, run)
@@ -370,8 +370,8 @@
 			passed := 0
 			var got []notice.Signals
 			r := relay.Relay{
-				Place: func(_ context.Context, ask route.PlacementRequest) (route.Placement, error) {
-					return route.Placement{Attempt: ask.Attempt, Version: "v1", FirstToken: time.Minute}, nil
+				Place: func(_ context.Context, request route.PlacementRequest) (route.Placement, error) {
+					return route.Placement{Attempt: request.Attempt, Version: "v1", FirstToken: time.Minute}, nil
 				},
 				Generate: func(ctx context.Context, at netip.AddrPort, run engine.Run) (*engine.Frames, error) {
 					frames, err := e.generate(ctx, at, run)
--- a/request.go
+++ b/request.go
@@ -19,16 +19,16 @@
 )
 
 // requestPlacement asks the loop to place an attempt.
-func (d *Daemon) requestPlacement(ctx context.Context, ask route.PlacementRequest) (route.Placement, error) {
-	ask.Home = d.homeOf(ask)
+func (d *Daemon) requestPlacement(ctx context.Context, request route.PlacementRequest) (route.Placement, error) {
+	request.Home = d.homeOf(request)
 	reply := make(chan placementAnswer, 1)
-	if err := d.send(ctx, placementRequest{ask, reply}); err != nil {
+	if err := d.send(ctx, placementRequest{request, reply}); err != nil {
 		return route.Placement{}, d.tooLate()
 	}
 	select {
 	case answer := <-reply:
-		if answer.err == nil && ask.Model != "" {
-			d.findCached(ctx, &answer.placed, ask.Prompt)
+		if answer.err == nil && request.Model != "" {
+			d.findCached(ctx, &answer.placed, request.Prompt)
 		}
 		return answer.placed, answer.err
 	case <-ctx.Done():
@@ -46,13 +46,13 @@
 // piece of the prompt. It does not depend on the weight version, so that a rollout
 // does not move prompts to other homes. Requests to plain services have no home; they
 // get a key of their own.
-func (d *Daemon) homeOf(ask route.PlacementRequest) prefix.Key {
-	if ask.Model == "" {
-		return prefix.Scope(ask.Request, ask.Pool)
+func (d *Daemon) homeOf(request route.PlacementRequest) prefix.Key {
+	if request.Model == "" {
+		return prefix.Scope(request.Request, request.Pool)
 	}
 	c := d.currentOrEmpty()
-	p := c.Pools[c.Models[ask.Model].Pool]
-	return prefix.Home(prefix.Scope(ask.Account, ""), []byte(ask.Prompt), max(p.PieceBytes, 1))
+	p := c.Pools[c.Models[request.Model].Pool]
+	return prefix.Home(prefix.Scope(request.Account, ""), []byte(request.Prompt), max(p.PieceBytes, 1))
 }
 
 // tooLate returns the refusal of a request whose time was up before it was placed.
@@ -73,7 +73,7 @@
 func (d *Daemon) reportSignals(placed route.Placement, signals notice.Signals) {
 	limited := d.notices.ObserveLimit(d.now(), placed.PlacedAt, notice.IncarnationAt(placed.Target, placed.Address), signals)
 	if limited || signals.Leaving || signals.Backoff > 0 {
-		_ = d.send(context.Background(), signalsHeard{placed, signals})
+		_ = d.send(context.Background(), signalsReceived{placed, signals})
 	}
 }
 
--- a/slopes_test.go
+++ b/slopes_test.go
@@ -120,8 +120,8 @@
 func placementCost(b *testing.B, n int) float64 {
 	d := daemonWithTargets(b, n)
 	return microsPerCall(2000, func(i int) {
-		ask := route.PlacementRequest{Request: "r", Account: "a", Model: "m", Attempt: 1, Home: prefix.Scope("a", fmt.Sprint(i))}
-		placed, err := d.tables.Place(time.Now(), ask)
+		request := route.PlacementRequest{Request: "r", Account: "a", Model: "m", Attempt: 1, Home: prefix.Scope("a", fmt.Sprint(i))}
+		placed, err := d.tables.Place(time.Now(), request)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/update.go
+++ b/update.go
@@ -15,8 +15,8 @@
 	switch m := m.(type) {
 	case placementRequest:
 		return d.placeOrHold(now, t, m)
-	case signalsHeard:
-		d.signalsHeard(now, t, m)
+	case signalsReceived:
+		d.signalsReceived(now, t, m)
 	case runResumed:
 		d.runResumed(now, t, m)
 	case attemptEnded:
--- a/update_test.go
+++ b/update_test.go
@@ -115,7 +115,7 @@
 		gossip := peer.Message{Kind: peer.KindGossip, From: "entry-2", Leaving: []peer.Leaving{{Target: target.ID(name, address(name))}}}
 		d.update(now, peerRequest{gossip, make(chan peer.Message, 1)})
 	case answersLeaving:
-		d.update(now, signalsHeard{route.Placement{Pool: "menu", Target: name, Address: address(name)}, notice.Signals{Leaving: true}})
+		d.update(now, signalsReceived{route.Placement{Pool: "menu", Target: name, Address: address(name)}, notice.Signals{Leaving: true}})
 	case placementRequested:
 		reply := make(chan placementAnswer, 1)
 		d.update(now, placementRequest{route.PlacementRequest{Request: "r", Model: "m", Attempt: 1}, reply})
@@ -393,7 +393,7 @@
 	}
 	for i := range 3 {
 		name := fmt.Sprintf("engine-%d", i)
-		d.update(now, signalsHeard{route.Placement{Target: name, Address: address(name)}, notice.Signals{Backoff: 3 * time.Second}})
+		d.update(now, signalsReceived{route.Placement{Target: name, Address: address(name)}, notice.Signals{Backoff: 3 * time.Second}})
 		d.update(now, loadRead{target: name, load: engine.Load{Version: "v1", Slots: 8}})
 	}
 	for _, tt := range []struct {
