--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -86,7 +86,7 @@
 	Tokens, Capacity int
 	// Keys returns the parts' keys under a weight version.
 	Keys func(version int64) []directory.Key
-	// Model is the model asked for, NewestVersion its newest weight version, or zero.
+	// Model is the requested model, NewestVersion its newest weight version, or zero.
 	Model         string
 	NewestVersion int64
 	// MinVersion is the lowest version that may be used, or zero.
--- a/cmd/thymemeasure/main.go
+++ b/cmd/thymemeasure/main.go
@@ -88,9 +88,9 @@
 }
 
 // check refuses arguments and unknown names; the error lists the known ones.
-func check(words []string, all []choice) error {
-	if len(words) > 0 {
-		return fmt.Errorf("%q is no flag; there are -deployment, -policy, -fault, -seeds, -workers and -table", words[0])
+func check(arguments []string, all []choice) error {
+	if len(arguments) > 0 {
+		return fmt.Errorf("%q is no flag; there are -deployment, -policy, -fault, -seeds, -workers and -table", arguments[0])
 	}
 	for _, c := range all {
 		for name := range strings.SplitSeq(c.named, ",") {
--- a/cmd/thymemeasure/main_test.go
+++ b/cmd/thymemeasure/main_test.go
@@ -10,7 +10,7 @@
 func TestCheckRefusesUnknownNames(t *testing.T) {
 	tests := []struct {
 		name                        string
-		words                       []string
+		arguments                   []string
 		deployments, policy, faults string
 		// want is a part of the error, empty for none.
 		want string
@@ -24,7 +24,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			err := check(tt.words, choices(tt.deployments, tt.policy, tt.faults))
+			err := check(tt.arguments, choices(tt.deployments, tt.policy, tt.faults))
 			if (err != nil) != (tt.want != "") || err != nil && !strings.Contains(err.Error(), tt.want) {
 				t.Errorf("got %v", err)
 			}
--- a/effect.go
+++ b/effect.go
@@ -13,7 +13,7 @@
 	"github.com/thymewind/thymewind/peer"
 )
 
-// effect is I/O that the loop asks for. Its result, if any, comes back as a
+// effect is I/O that the loop requests. Its result, if any, is sent to the loop as a
 // message.
 type effect any
 
--- a/entry/build.go
+++ b/entry/build.go
@@ -159,7 +159,7 @@
 
 func (d *Daemon) buildServer() {
 	d.server = deliver.Server{
-		Table: d.current.Load, KeysFresh: d.keysFresh, ConfigurationFresh: d.configurationFresh, Place: d.askPlace, Send: d.send,
+		Table: d.current.Load, KeysFresh: d.keysFresh, ConfigurationFresh: d.configurationFresh, Place: d.requestPlacement, Send: d.send,
 		Began:   func(p deliver.Placement) { d.post(answerBegan{p}) },
 		Ended:   func(e deliver.AttemptResult) { d.post(attemptEnded{e}) },
 		Suspect: d.isSuspect, MinAnswerTime: d.minAnswerTime,
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -115,10 +115,10 @@
 		}, false},
 		{"it answers what was sent later, and then ends", func(x string) []message { return []message{answersAt(1, x), refusesDial(x)} }, false},
 		{"it answers what was sent before, and then ends", func(x string) []message { return []message{answersAt(-1, x), refusesDial(x)} }, true},
-		{"it sends cache events that were asked for later, and then ends", func(x string) []message {
+		{"it sends cache events that were requested later, and then ends", func(x string) []message {
 			return []message{cacheEventsRead{source: x, requestedAt: start.Add(time.Millisecond)}, refusesDial(x)}
 		}, false},
-		{"it sends cache events that were asked for before, and then ends", func(x string) []message {
+		{"it sends cache events that were requested before, and then ends", func(x string) []message {
 			return []message{cacheEventsRead{source: x, requestedAt: start.Add(-time.Millisecond)}, refusesDial(x)}
 		}, true},
 	}
--- a/entry/place.go
+++ b/entry/place.go
@@ -25,8 +25,8 @@
 	expectedTTL = 1500 * time.Millisecond
 )
 
-// askPlace asks the loop for a placement. In a large fleet the loop asks hubs first.
-func (d *Daemon) askPlace(ctx context.Context, request deliver.PlacementRequest) (deliver.Placement, error) {
+// requestPlacement requests a placement from the loop. In a large fleet the loop asks hubs first.
+func (d *Daemon) requestPlacement(ctx context.Context, request deliver.PlacementRequest) (deliver.Placement, error) {
 	reply := make(chan placementAnswer, 1)
 	select {
 	case d.messages <- placementRequest{ctx: ctx, ask: request, reply: reply}:
--- a/entry/region.go
+++ b/entry/region.go
@@ -8,8 +8,8 @@
 	"github.com/thymewind/thymewind/routing"
 )
 
-// A route or a client account may be limited to regions: its requests run, and their cached
-// parts are kept, only there. Targets and stores elsewhere are skipped each time a request is
+// A route or a client account may be limited to regions: its requests run, and their prompt
+// parts are cached, only there. Targets and stores elsewhere are skipped each time a request is
 // placed, for first attempts, retries and resumed streams. Such parts have a cache scope of
 // their own, so that no parts of other requests, or from before the limit, are used or
 // transferred for them. Boxes are not limited: they pass a request on and keep none of it. A
--- a/entry/watch_test.go
+++ b/entry/watch_test.go
@@ -73,7 +73,7 @@
 	cancel()
 	<-ended
 	if !ok || !m.requestedAt.Equal(again) {
-		t.Errorf("asked at %v, want %v", m.requestedAt, again)
+		t.Errorf("requested at %v, want %v", m.requestedAt, again)
 	}
 }
 
--- a/entry/weightversions_test.go
+++ b/entry/weightversions_test.go
@@ -166,9 +166,9 @@
 	}
 }
 
-// TestAssumedNamingIsRecorded checks that a box that could only assume when a version was named
+// TestAssumedVersionTimeIsRecorded checks that a box that could only assume when a version was named
 // records that, so that boxes that restart repeatedly don't assume a new time.
-func TestAssumedNamingIsRecorded(t *testing.T) {
+func TestAssumedVersionTimeIsRecorded(t *testing.T) {
 	first := func(row *table.Row, at time.Duration) *Daemon {
 		d := newDaemon("b1")
 		d.now = func() time.Time { return start.Add(at) }
@@ -220,8 +220,8 @@
 	}
 }
 
-// TestWeightVersionsInHubView checks that a box that uses a hub's view keeps the same bound, counted
-// from when it asked.
+// TestWeightVersionsInHubView checks that a box that uses a hub's view keeps the same bound,
+// counted from when it requested the view.
 func TestWeightVersionsInHubView(t *testing.T) {
 	hub, spoke := largeFleet("box-00"), largeFleet("box-05")
 	hub.update(start, operatorRead{start, Operator{Table: configuration(1), Weights: map[string]int64{"m": 1}}})
@@ -240,8 +240,8 @@
 	}
 }
 
-// TestHubsPlaceOnOldWeights has a hub that lacks the newest version place a request. The box that sends
-// it keeps the bound.
+// TestHubsPlaceOnOldWeights has a hub that lacks the newest version place a request. The box that
+// sends it keeps the bound.
 func TestHubsPlaceOnOldWeights(t *testing.T) {
 	tests := []struct {
 		name    string
--- a/idempotency/idempotency.go
+++ b/idempotency/idempotency.go
@@ -6,7 +6,7 @@
 //	answer, err := p.Previous(ctx) // before anything else can refuse the request
 //	answer, err = p.Acquire(ctx)   // when it is about to be sent
 //	p.Abandon(ctx)                 // only if nothing can have been sent
-//	p.Complete(ctx, answer)        // so that a caller that lost the answer can ask again
+//	p.Complete(ctx, answer)        // so that a caller that lost the answer can request it again
 package idempotency
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/thymewind/thymewind/refusal"
 )
 
-// MaxStored bounds the answer that is stored for a caller that asks again, in bytes.
+// MaxStored bounds the answer that is stored for a caller that sends its request again, in bytes.
 const MaxStored = 4 << 10
 
 // Guard issues permits. Set the exported fields before first use; it is safe for
@@ -126,7 +126,7 @@
 	}
 }
 
-// Complete stores a whole answer for a caller that asks again.
+// Complete stores a whole answer for a caller that sends its request again.
 func (p *Permit) Complete(ctx context.Context, answer claim.Answer) {
 	if !p.acquired {
 		return
--- a/resume/token.go
+++ b/resume/token.go
@@ -26,7 +26,7 @@
 	Version string         `cbor:"5,keyasint"`
 	Scope   string         `cbor:"6,keyasint"`
 	Model   string         `cbor:"7,keyasint"`
-	// Chat is set if the caller asked for a chat completion.
+	// Chat is set if the caller requested a chat completion.
 	Chat bool `cbor:"8,keyasint"`
 	// Until is when the engine may have dropped the run.
 	Until time.Time `cbor:"9,keyasint"`
--- a/throughput/throughput.go
+++ b/throughput/throughput.go
@@ -9,7 +9,7 @@
 //	slowdown := throughput.Slowdown(expected, took)
 //
 // Placement by an assumption about the links (a box's own transfers times the number of
-// boxes) recomputed up to a fourteenth of all prompt tokens although a store kept them
+// boxes) recomputed up to a fourteenth of all prompt tokens although a store cached them
 // whole and its transfers hardly waited. Measured times also show a source that has
 // become slow.
 package throughput
