--- a/entry/rolloutrow.go
+++ b/entry/rolloutrow.go
@@ -27,7 +27,7 @@
 	// Recent are the targets that were sent any order lately. A successor sends them none for a
 	// while.
 	Recent []string `json:"recent"`
-	// Namings are the newest weight versions and when each was named.
+	// Namings are the recently named weight versions and when each was named.
 	Namings []versionlog.Row `json:"namings,omitempty"`
 	// Freed is the version up to which the stores were cleared of older parts.
 	Freed int64 `json:"freed"`
