--- a/build.go
+++ b/build.go
@@ -114,13 +114,13 @@
 	b.Jitter = d.jitter
 	b.Record = d.records.Add
 	b.OnFailing = func(name string) { d.Log.Warn("target fails", "target", name) }
-	b.OnLeaving = func(name, heard string) { d.Log.Info("target is leaving", "target", name, "heard", heard) }
+	b.OnLeaving = func(name, source string) { d.Log.Info("target is leaving", "target", name, "heard", source) }
 	b.Init()
 }
 
 // chooseAndCount chooses a target and counts the choice by its rule.
-func (d *Daemon) chooseAndCount(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error) {
-	choice, err := d.chooser.Choose(now, ask, targets)
+func (d *Daemon) chooseAndCount(now time.Time, request placement.Request, targets []*target.Target) (placement.Choice, error) {
+	choice, err := d.chooser.Choose(now, request, targets)
 	if err == nil {
 		d.metrics.placed.WithLabelValues(targets[choice.Index].Pool, choice.Rule).Inc()
 	}
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -6,7 +6,7 @@
 //	b := dispatch.Scheduler{Choose: chooser.Choose, ...}
 //	b.Init()
 //	b.Configuration = c
-//	placed, err := b.Place(now, ask)
+//	placed, err := b.Place(now, request)
 //	...
 //	export := b.Ended(now, ended)
 package dispatch
@@ -52,7 +52,7 @@
 	StoreAvoidUntil map[string]time.Time
 
 	// Choose picks a target; it is (*placement.Chooser).Choose.
-	Choose func(now time.Time, ask placement.Request, targets []*target.Target) (placement.Choice, error)
+	Choose func(now time.Time, request placement.Request, targets []*target.Target) (placement.Choice, error)
 	// Scope identifies the cache of a client account and weight version; it is
 	// prefix.Scope.
 	Scope func(account, version string) prefix.Key
@@ -72,7 +72,7 @@
 	Record func(decision.Record)
 	// OnFailing and OnLeaving are called when a target begins to fail or to leave.
 	OnFailing func(name string)
-	OnLeaving func(name, heard string)
+	OnLeaving func(name, source string)
 
 	// quotas hold what this box may send to targets with rate limits, by target ID.
 	quotas map[uint64]*quota.Bucket
--- a/entry/canary.go
+++ b/entry/canary.go
@@ -13,7 +13,7 @@
 	"github.com/thymewind/thymewind/revision"
 )
 
-// The operator may ask for a pool's requests to move to another version of its software, whose
+// The operator may request that a pool's requests move to another version of its software, whose
 // targets start beside the older ones. Each box sends the canary version a share of its own
 // requests (package exposure), compares its answers with the older version's, and reports the
 // counts to hubs (canarysamples.go). Every hub judges all counts that it received (package
@@ -62,17 +62,17 @@
 // canaryOf returns the canary rollout in a pool, or nil.
 func (t *tables) canaryOf(pool string) *canaryRollout { return t.canaries[pool] }
 
-// applyCanaryAsks applies the rollouts that the operator asks for.
-func (d *Daemon) applyCanaryAsks(now time.Time, t *tables, m operatorRead) {
-	asked := m.change.Canaries
-	for _, pool := range slices.Sorted(maps.Keys(asked)) {
-		if spec := asked[pool]; spec != nil {
+// applyCanarySpecs applies the rollouts that the operator requests.
+func (d *Daemon) applyCanarySpecs(now time.Time, t *tables, m operatorRead) {
+	specs := m.change.Canaries
+	for _, pool := range slices.Sorted(maps.Keys(specs)) {
+		if spec := specs[pool]; spec != nil {
 			d.startCanary(now, t, *spec, "the operator")
 		}
 	}
 	for pool, c := range t.canaries {
-		spec, present := asked[pool]
-		lost := m.change.Snapshot && asked != nil && !present
+		spec, present := specs[pool]
+		lost := m.change.Snapshot && specs != nil && !present
 		switch {
 		case present && spec != nil:
 			c.specLostAt = time.Time{}
@@ -210,23 +210,23 @@
 
 // softwareFilters lists the filters to try for a request, in order. A request within the canary
 // version's share goes to one of its targets, if any takes it.
-func (d *Daemon) softwareFilters(now time.Time, t *tables, ask deliver.PlacementRequest) []func(*fleet.Target) bool {
+func (d *Daemon) softwareFilters(now time.Time, t *tables, request deliver.PlacementRequest) []func(*fleet.Target) bool {
 	excluded := func(x *fleet.Target) bool { return d.excludedBySoftware(now, t, x) }
-	c := t.canaryOf(ask.Job.Pool.Name)
+	c := t.canaryOf(request.Job.Pool.Name)
 	if c == nil || c.state != canary.Trying {
 		return []func(*fleet.Target) bool{excluded}
 	}
 	older := func(x *fleet.Target) bool { return c.isCanary(x) || excluded(x) }
-	if newer, _ := c.receiving(now); !newer || !c.gate.Allow(ask.Job.Route.Name) {
+	if newer, _ := c.receiving(now); !newer || !c.gate.Allow(request.Job.Route.Name) {
 		return []func(*fleet.Target) bool{older}
 	}
 	return []func(*fleet.Target) bool{func(x *fleet.Target) bool { return !c.isCanary(x) || excluded(x) }, older}
 }
 
 // countExposure counts a placed request.
-func (t *tables) countExposure(ask deliver.PlacementRequest, x *fleet.Target) {
+func (t *tables) countExposure(request deliver.PlacementRequest, x *fleet.Target) {
 	if c := t.canaryOf(x.Pool); c != nil && c.state == canary.Trying {
-		c.gate.Record(ask.Job.Route.Name, c.isCanary(x))
+		c.gate.Record(request.Job.Route.Name, c.isCanary(x))
 	}
 }
 
--- a/entry/placepeer.go
+++ b/entry/placepeer.go
@@ -15,8 +15,8 @@
 
 // This file is the hub's side of placing; placehub.go is the side of the boxes that ask it.
 
-// warmShare is the share of the sources of cached parts that a hub must have heard from at
-// least once before it places requests for others.
+// warmShare is the share of the sources of cached parts of which a hub must have received cache
+// events at least once before it places requests for others.
 const warmShare = 0.8
 
 // placeForPeer places another box's request by what this box knows. It returns nil if it knows
@@ -44,13 +44,13 @@
 	for _, p := range m.PlacementRequest.Parts {
 		job.Parts = append(job.Parts, deliver.Part{ID: p.ID, Tokens: p.Tokens})
 	}
-	ask, excluded := deliver.PlacementRequest{Job: job, Attempted: m.PlacementRequest.Tried}, namedIn(m.PlacementRequest.Excluded)
+	request, excluded := deliver.PlacementRequest{Job: job, Attempted: m.PlacementRequest.Tried}, namedIn(m.PlacementRequest.Excluded)
 	var place deliver.Placement
 	var refused *refusal.Refusal
 	if job.Pool.Engine == nil {
-		place, refused = d.choosePlain(now, t, ask, excluded)
+		place, refused = d.choosePlain(now, t, request, excluded)
 	} else {
-		place, refused = d.chooseEngine(now, t, ask, sender{t.domainOf(m.From), peerAdmissionLimit(m.PlacementRequest), namedIn(m.PlacementRequest.IdleConnections), excluded})
+		place, refused = d.chooseEngine(now, t, request, sender{t.domainOf(m.From), peerAdmissionLimit(m.PlacementRequest), namedIn(m.PlacementRequest.IdleConnections), excluded})
 	}
 	if refused != nil {
 		return &peer.PlacementResponse{Refused: refused.Code, Reason: refused.Reason}
@@ -89,8 +89,8 @@
 	return ""
 }
 
-// knowsCache reports whether most sources of cached parts have been heard from since this box
-// began to watch them. It stays true when sources end later.
+// knowsCache reports whether this box has received cache events of most sources of cached parts
+// since it began to watch them. It stays true when sources end later.
 func (d *Daemon) knowsCache(t *tables) bool {
 	if t.hubWarm {
 		return true
@@ -98,15 +98,15 @@
 	if t.unstable(d.now()) {
 		return false
 	}
-	heard := 0
+	connected := 0
 	for name := range t.watched {
 		if t.directory.IsConnected(name) {
-			heard++
+			connected++
 		}
 	}
-	t.hubWarm = heard > 0 && float64(heard) >= warmShare*float64(len(t.watched))
+	t.hubWarm = connected > 0 && float64(connected) >= warmShare*float64(len(t.watched))
 	if t.hubWarm {
-		d.Log.Info("hub knows what is kept", "heard", heard, "followed", len(t.watched))
+		d.Log.Info("hub knows what is kept", "heard", connected, "followed", len(t.watched))
 	}
 	return t.hubWarm
 }
